--- a/crates/daemon/src/fleet_duty.rs
+++ b/crates/daemon/src/fleet_duty.rs
@@ -25,7 +25,7 @@
     /// Offers without capacity, until when, and the pause that follows.
     blocked: HashMap<Offer, (Instant, Duration)>,
     idle_since: HashMap<Name, Instant>,
-    listed: HashMap<Name, ListedMachine>,
+    listed: BTreeMap<Name, ListedMachine>,
     /// When the latest listing was begun, and how far it is.
     listed_at: Option<Instant>,
     listing: Option<Listing>,
--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/fleet_duty/rentals.rs
@@ -1,14 +1,14 @@
 //! What is rented: demand, plan and requests.
 
-use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use cloud::{CloudError, RENT_MAX};
 use sched::fleet::{Coming, Demand, Offer, plan};
 use sched::forecast;
+use sched::hash::{HashMap, HashSet};
 use sched::placement;
 use sched::records::*;
-use sched::world::Amount;
+use sched::world::{Amount, InOrder};
 use store::{Put, key};
 use tokio::time::sleep;
 use tracing::{debug, info};
@@ -127,33 +127,25 @@
         (fleet.rentals != f.value.rentals || !late.is_empty()).then_some((fleet, f.version, late))
     }
 
-    /// Machines that have not been heard of for longer than placement would wait.
+    /// Machines with tasks that have not been heard of for longer than placement would wait.
     pub(super) fn about_to_go(&self, node: &Node, core: &Core, now: Instant) -> HashSet<Name> {
         let limit = node.report_every() * 5 / 2;
-        let quiet = |id: &Name| match core.workers.get(id) {
-            Some(w) => w.silent_for(now) > limit,
-            None => core.rows.get(id).is_some_and(|r| Duration::from_millis(r.silent_ms) > limit),
-        };
         // An owner that hears hardly any of its machines is itself cut off.
-        let mut by_owner: HashMap<u64, (usize, usize)> = HashMap::new();
-        for id in core.world.machines.keys() {
-            let Some(owner) = core.world.owner_of(id) else { continue };
-            let count = by_owner.entry(owner.incarnation).or_default();
-            *count = (count.0 + 1, count.1 + usize::from(quiet(id)));
+        let mut by_owner: HashMap<u64, (usize, usize)> = HashMap::default();
+        let mut quiet: Vec<(&Name, u64)> = Vec::new();
+        for m in core.machine_views(&node.me, now) {
+            let is_quiet = m.health.is_some_and(|h| h.silent > limit);
+            let count = by_owner.entry(m.owner.incarnation).or_default();
+            *count = (count.0 + 1, count.1 + usize::from(is_quiet));
+            if is_quiet && m.used.is_some() {
+                quiet.push((m.id, m.owner.incarnation));
+            }
         }
-        let cut_off = |id: &Name| {
-            let owner = core.world.owner_of(id).map(|o| o.incarnation);
-            owner.and_then(|o| by_owner.get(&o)).is_some_and(|(all, mute)| mute * 8 > all * 7)
-        };
-        core.world
-            .on_machine
-            .keys()
-            .filter(|id| core.world.machines.contains_key(*id) && quiet(id) && !cut_off(id))
-            .cloned()
-            .collect()
+        let cut_off = |owner: &u64| by_owner.get(owner).is_some_and(|(all, mute)| mute * 8 > all * 7);
+        quiet.into_iter().filter(|(_, owner)| !cut_off(owner)).map(|(id, _)| id.clone()).collect()
     }
 
-    /// What is wanted beyond the room that is there or coming.
+    /// What is wanted beyond the room that is there or coming. The board has to be up to date.
     pub(crate) fn wanted(&mut self, node: &Node, core: &Core, now: Instant) -> Vec<Offer> {
         let settled =
             self.led_since.is_some_and(|t| now.saturating_duration_since(t) > Duration::from_secs(2));
@@ -161,11 +153,56 @@
             return Vec::new();
         }
         let now_ms = wall_ms();
-        let mut demands = Vec::new();
+        let mut demands = self.waiting_demands(node, core, now, now_ms);
+        // What is to start within a time of its own comes before what is not.
+        let in_time = |j: &JobRecord| {
+            let starts = j.spec.as_ref().is_some_and(|s| node.settings.starts_in_time(&s.class));
+            (!starts, false, 0)
+        };
+        demands.sort_by(|a, b| placement::queue_order((a.0, in_time(a.0)), (b.0, in_time(b.0))));
+        // The next steps of pipelines, before they are ready; last, as they may be late.
+        let soon: Vec<&JobSpec> = forecast::next_steps(&core.world).collect();
+        self.note_waiting(demands.iter().map(|(_, d)| d.spec).chain(soon.iter().copied()));
+        let services = demands.partition_point(|(_, d)| d.spec.kind == JobKind::Service);
+        let mut demands: Vec<Demand> = demands.into_iter().map(|(_, d)| d).collect();
+        let demand = |spec, tasks| Demand { spec, tasks, in_zone: HashMap::default(), unsuited: Vec::new() };
+        demands.extend(
+            soon.iter()
+                .map(|spec| Demand { unsuited: unsuited(node, core, spec), ..demand(*spec, spec.tasks) }),
+        );
+        let expected = forecast::services(&core.world, now_ms);
+        if let Some((spec, tasks)) = &expected {
+            demands.insert(services, demand(spec, *tasks));
+        }
+        let spare = spare_spec(node, core).map(|s| JobSpec { one_zone: false, ..s.clone() });
+        if let Some(spec) = &spare {
+            demands.push(demand(spec, self.spare_tasks(node, now)));
+        }
+        if demands.is_empty() {
+            return Vec::new();
+        }
+        plan(
+            &demands,
+            &self.room_to_come(core),
+            &core.world.types,
+            core.world.gpu_spec.as_deref(),
+            |o| self.blocked.get(o).is_some_and(|(t, _)| now < *t),
+            RENT_MAX as usize,
+        )
+    }
+
+    /// What waits for room, as far as its teams' limits go, and what soon will.
+    fn waiting_demands<'c>(
+        &self,
+        node: &Node,
+        core: &'c Core,
+        now: Instant,
+        now_ms: u64,
+    ) -> Vec<(&'c JobRecord, Demand<'c>)> {
         let lost = self.about_to_go(node, core, now);
-        let mut left: HashMap<&str, Amount> = HashMap::new();
-        for id in &core.world.open {
-            let Some(job) = core.world.jobs.get(id).map(|j| j.value.as_ref()) else { continue };
+        let mut demands = Vec::new();
+        let mut left: HashMap<&str, Amount> = HashMap::default();
+        for (_, job) in core.world.open_jobs() {
             let Some(spec) = job.spec.as_deref() else { continue };
             // Room for replicas on machines that are lost, most likely, is rented before
             // they are given up. They have their share of the team's limit already.
@@ -181,16 +218,16 @@
             let Some(team) = node.team(&spec.team) else { continue };
             let room = left.entry(&spec.team).or_insert_with(|| {
                 let used = core.world.team_use.get(&spec.team).copied().unwrap_or_default();
-                team.limit().plus(Amount { memory_gb: 0.0, ..used }, -1.0)
+                team.limit().plus(used.without_memory(), -1.0)
             });
-            let size = Amount { memory_gb: 0.0, ..Amount::of_task(spec) };
+            let size = Amount::of_task(spec).without_memory();
             let admitted = waiting.min(size.times_in(*room));
             let tasks = admitted + replaced;
             if tasks == 0 {
                 continue;
             }
             *room = room.plus(size, -f64::from(admitted));
-            let mut in_zone: HashMap<Name, u32> = HashMap::new();
+            let mut in_zone: HashMap<Name, u32> = HashMap::default();
             for a in job.run.iter().filter(|a| !lost.contains(&a.machine)) {
                 if let Some(m) = core.world.machines.get(&a.machine) {
                     *in_zone.entry(m.value.zone.clone()).or_default() += 1;
@@ -198,16 +235,13 @@
             }
             demands.push((job, Demand { spec, tasks, in_zone, unsuited: unsuited(node, core, spec) }));
         }
-        // What is to start within a time of its own comes before what is not.
-        let in_time = |j: &JobRecord| {
-            let starts = j.spec.as_ref().is_some_and(|s| node.settings.starts_in_time(&s.class));
-            (!starts, false, 0)
-        };
-        demands.sort_by(|a, b| placement::queue_order((a.0, in_time(a.0)), (b.0, in_time(b.0))));
-        // The next steps of pipelines, before they are ready; last, as they may be late.
-        let soon: Vec<&JobSpec> = forecast::next_steps(&core.world).collect();
+        demands
+    }
+
+    /// Remembers one job of each kind that waits: machines that suit it are not given back.
+    fn note_waiting<'s>(&mut self, specs: impl Iterator<Item = &'s JobSpec>) {
         self.waiting.clear();
-        for spec in demands.iter().map(|(_, d)| d.spec).chain(soon.iter().copied()) {
+        for spec in specs {
             let like = |s: &JobSpec| {
                 (s.kind, s.spot, &s.types, &s.zone) == (spec.kind, spec.spot, &spec.types, &spec.zone)
                     && Amount::of_task(s) == Amount::of_task(spec)
@@ -216,9 +250,22 @@
                 self.waiting.push(spec.clone());
             }
         }
-        let mut coming: Vec<Coming> = Vec::new();
-        let mut counted: BTreeSet<&Name> = BTreeSet::new();
+    }
+
+    /// All room that may be used: what was rented and is not up yet, what the cloud lists and
+    /// nobody has heard of, and what is free on the machines that are up.
+    fn room_to_come(&self, core: &Core) -> Vec<Coming> {
         let full = |t: &str| core.world.types.get(t).map(Amount::of_type).unwrap_or_default();
+        let empty = |machine_type: &Name, zone: &Name, spot| Coming {
+            machine_type: machine_type.clone(),
+            zone: zone.clone(),
+            spot,
+            free: full(machine_type),
+            gpus: full(machine_type).gpus,
+            up: false,
+        };
+        let mut coming: Vec<Coming> = Vec::with_capacity(core.board.slots.len());
+        let mut counted: HashSet<&Name> = HashSet::default();
         for r in core.world.fleet.iter().flat_map(|f| f.value.rentals.iter()) {
             let n = match &r.machines {
                 Some(list) => {
@@ -227,79 +274,24 @@
                 }
                 None => r.count as usize,
             };
-            for _ in 0..n {
-                coming.push(Coming {
-                    machine_type: r.machine_type.clone(),
-                    zone: r.zone.clone(),
-                    spot: r.spot,
-                    free: full(&r.machine_type),
-                    gpus: full(&r.machine_type).gpus,
-                    up: false,
-                });
-            }
+            coming.extend(std::iter::repeat_n(empty(&r.machine_type, &r.zone, r.spot), n));
         }
+        let mut known = InOrder::new(&core.world.machines);
         for (id, m) in &self.listed {
-            let known = core.world.machines.contains_key(id)
-                || counted.contains(id)
-                || self.released.contains_key(id);
+            let known = known.get(id).is_some() || counted.contains(id) || self.released.contains_key(id);
             if !known && m.status != MachineStatus::Failed {
-                coming.push(Coming {
-                    machine_type: m.machine_type.as_str().into(),
-                    zone: m.zone.as_str().into(),
-                    spot: m.spot,
-                    free: full(&m.machine_type),
-                    gpus: full(&m.machine_type).gpus,
-                    up: false,
-                });
+                coming.push(empty(&m.machine_type.as_str().into(), &m.zone.as_str().into(), m.spot));
             }
         }
-        for (id, m) in &core.world.machines {
-            let report = node.report_every();
-            if m.value.release || !core.usable(id, &node.me, report, now) {
-                continue;
-            }
-            let used = core.world.machine_use.get(id).copied().unwrap_or_default();
-            coming.push(Coming {
-                machine_type: m.value.machine_type.clone(),
-                zone: m.value.zone.clone(),
-                spot: m.value.spot,
-                free: full(&m.value.machine_type).plus(used, -1.0),
-                gpus: full(&m.value.machine_type).gpus,
-                up: true,
-            });
-        }
-        let services = demands.partition_point(|(_, d)| d.spec.kind == JobKind::Service);
-        let mut demands: Vec<Demand> = demands.into_iter().map(|(_, d)| d).collect();
-        demands.extend(soon.into_iter().map(|spec| Demand {
-            spec,
-            tasks: spec.tasks,
-            in_zone: HashMap::new(),
-            unsuited: unsuited(node, core, spec),
+        coming.extend(core.board.usable().map(|s| Coming {
+            machine_type: s.machine_type.clone(),
+            zone: s.zone.clone(),
+            spot: s.spot,
+            free: s.free(),
+            gpus: s.whole.gpus,
+            up: true,
         }));
-        let expected = forecast::services(&core.world, now_ms);
-        if let Some((spec, tasks)) = &expected {
-            demands.insert(
-                services,
-                Demand { spec, tasks: *tasks, in_zone: HashMap::new(), unsuited: Vec::new() },
-            );
-        }
-        let spare = spare_spec(node, core).map(|s| JobSpec { one_zone: false, ..s.clone() });
-        if let Some(spec) = &spare {
-            demands.push(Demand {
-                spec,
-                tasks: self.spare_tasks(node, now),
-                in_zone: HashMap::new(),
-                unsuited: Vec::new(),
-            });
-        }
-        plan(
-            &demands,
-            &coming,
-            &core.world.types,
-            core.world.gpu_spec.as_deref(),
-            |o| self.blocked.get(o).is_some_and(|(t, _)| now < *t),
-            RENT_MAX as usize,
-        )
+        coming
     }
 
     /// Room kept ready for so many GPU tasks.
@@ -310,7 +302,8 @@
     pub(super) async fn rent(&mut self, node: &Node) -> Duration {
         let now = clock::now();
         let wanted = {
-            let core = node.core();
+            let mut core = node.core();
+            core.refresh_board(&node.me, node.report_every(), now);
             self.gpu_demand.note(&core.world, now);
             self.wanted(node, &core, now)
         };
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/fleet_duty/returns.rs
@@ -1,14 +1,15 @@
 //! Which machines are given back, how fast, and what the records say of it.
 
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use cloud::RELEASE_MAX;
 use sched::fleet::Offer;
 use sched::forecast;
+use sched::hash::{HashMap, HashSet};
 use sched::placement;
 use sched::records::*;
-use sched::world::Amount;
+use sched::world::{Amount, InOrder};
 use store::{Put, key};
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
@@ -17,11 +18,13 @@
 use super::{Fleet, Silent, is_current, is_half_full, names, names_left, spare_spec, write};
 use crate::clock;
 use crate::load::few;
-use crate::node::{Core, Node, wall_ms};
+use crate::node::{Core, MachineHealth, MachineView, Node, wall_ms};
 
 /// Of one kind, only so many idle machines are kept for as long as their boot
 /// would cost.
 const IDLE_KEPT: u32 = 2;
+/// Longest boot that an idle machine stays for.
+const BOOT_MOST_S: f64 = 600.0;
 /// Silent machines are released with as many replicas at a time as are placed anew
 /// in about this time; it has to be longer than a release takes.
 const PACE_S: f64 = 1.0;
@@ -37,114 +40,161 @@
         })
 }
 
+/// How many machines an owner has, and how many of them it has heard nothing of for half of
+/// the time after which they count as lost.
+#[derive(Debug, Clone, Copy, Default)]
+struct Hearing {
+    all: u32,
+    mute: u32,
+}
+
+impl Hearing {
+    /// An owner that hears nothing of nearly all its machines is itself cut off, most likely:
+    /// its word takes longer to count. Not so one that hears some: of two zones, a dark one
+    /// makes half of all machines.
+    fn is_cut_off(self) -> bool {
+        self.all >= 3 && self.mute * 8 > self.all * 7
+    }
+}
+
+/// What decides whether idle machines stay.
+struct IdleRoom<'a> {
+    /// Machines that services to come will take.
+    for_services: HashSet<Name>,
+    /// The job whose next of a kind should find room ready.
+    spare: Option<&'a JobSpec>,
+    /// For how many of its tasks there is room.
+    spare_left: u32,
+    /// Machines that are idle, by their kind.
+    of_kind: HashMap<Offer, u32>,
+}
+
+impl<'a> IdleRoom<'a> {
+    fn new(node: &Node, core: &'a Core, views: &[MachineView]) -> Self {
+        // Room for the services to come is not given back either.
+        let now_ms = wall_ms();
+        let for_services = match forecast::services(&core.world, now_ms) {
+            Some((spec, tasks)) => {
+                placement::room_for(&core.world, &core.board, &spec, tasks, now_ms).into_iter().collect()
+            }
+            None => HashSet::default(),
+        };
+        let spare = spare_spec(node, core);
+        let of_kind = HashMap::default();
+        let mut room = Self { for_services, spare, spare_left: 0, of_kind };
+        if room.spare.is_some() {
+            let staying = views.iter().filter(|m| !m.record.release);
+            let left = staying.map(|m| room.spare_tasks(core, m.record, m.used.unwrap_or_default()));
+            room.spare_left = left.sum();
+        }
+        room
+    }
+
+    /// For how many spare tasks a machine has room.
+    fn spare_tasks(&self, core: &Core, m: &MachineRecord, used: Amount) -> u32 {
+        match (self.spare, core.world.types.get(&*m.machine_type)) {
+            (Some(spec), Some(t)) if placement::allowed(spec, &m.machine_type, &m.zone, m.spot) => {
+                Amount::of_task(spec).times_in(Amount::of_type(t).plus(used, -1.0))
+            }
+            _ => 0,
+        }
+    }
+}
+
 impl Fleet {
-    /// Which machines to give back, and why.
+    /// Which machines to give back, and why. The board has to be up to date.
     pub(crate) fn surplus(&mut self, node: &Node, core: &Core, now: Instant) -> Vec<(Name, &'static str)> {
         let mut out = Vec::new();
         if !is_current(core, now) {
             return out;
         }
+        let views: Vec<MachineView> = core.machine_views(&node.me, now).collect();
         let silent = node.silent_limit();
-        let mut silent_by_owner: HashMap<&str, (u32, u32)> = HashMap::new();
-        let mut rows = Vec::new();
-        let mut idle_of_kind: HashMap<Offer, u32> = HashMap::new();
-        for (id, m) in &core.world.machines {
-            let Some(owner) = core.world.owner_of(id) else { continue };
-            let (quiet, met, sick, notice) = if *owner == node.me {
-                match core.workers.get(id) {
-                    Some(w) => (w.silent_for(now), w.heard.is_some(), w.sick(), w.notice_until.is_some()),
-                    None => continue,
-                }
-            } else {
-                let view = core.peers.get(&owner.name);
-                match (core.rows.get(id), view) {
-                    (Some(r), Some(v)) if now.saturating_duration_since(v.at) < Duration::from_secs(4) => {
-                        (Duration::from_millis(r.silent_ms), r.met, r.sick, r.notice)
-                    }
-                    _ => continue,
-                }
-            };
-            let count = silent_by_owner.entry(&owner.name).or_default();
-            count.0 += 1;
-            count.1 += u32::from(quiet >= silent / 2);
-            rows.push((id, &m.value, owner.name.as_str(), quiet, met, sick, notice));
+        let mut hearing: HashMap<u64, Hearing> = HashMap::default();
+        for m in views.iter().filter(|m| m.current) {
+            let Some(health) = m.health else { continue };
+            let of_owner = hearing.entry(m.owner.incarnation).or_default();
+            of_owner.all += 1;
+            of_owner.mute += u32::from(health.silent >= silent / 2);
         }
-        let idle: HashSet<&Name> =
-            core.world.machines.keys().filter(|id| !core.world.on_machine.contains_key(*id)).collect();
-        self.idle_since.retain(|id, _| idle.contains(id));
-        // Room for the services to come is not given back either.
-        let for_services: HashSet<Name> = match forecast::services(&core.world, wall_ms()) {
-            Some((spec, tasks)) => {
-                placement::room_for(&core.world, &core.board, &spec, tasks, wall_ms()).into_iter().collect()
-            }
-            None => HashSet::new(),
-        };
-        // Room for the spare tasks, which giving a machine back must not touch.
-        let spare = spare_spec(node, core);
-        let spare_room =
-            |m: &MachineRecord, used: Amount| match (spare, core.world.types.get(&*m.machine_type)) {
-                (Some(spec), Some(t)) if placement::allowed(spec, &m.machine_type, &m.zone, m.spot) => {
-                    Amount::of_task(spec).times_in(Amount::of_type(t).plus(used, -1.0))
-                }
-                _ => 0,
-            };
-        let mut spare_left: u32 = core
-            .world
-            .machines
-            .iter()
-            .filter(|(_, m)| !m.value.release)
-            .map(|(id, m)| spare_room(&m.value, core.world.machine_use.get(id).copied().unwrap_or_default()))
-            .sum();
-        for (id, record, owner, quiet, met, sick, notice) in rows {
-            // An owner that hears nothing of nearly all its machines is itself cut
-            // off, most likely: its word takes longer to count. Not so one that
-            // hears some: of two zones, a dark one makes half of all machines.
-            let (all, mute) = silent_by_owner.get(owner).copied().unwrap_or_default();
-            let patience = if all >= 3 && mute * 8 > all * 7 { silent * 4 } else { silent };
+        let idle =
+            |id: &Name| core.world.machines.contains_key(id) && !core.world.on_machine.contains_key(id);
+        self.idle_since.retain(|id, _| idle(id));
+        let mut idle_room = IdleRoom::new(node, core, &views);
+        for m in views.iter().filter(|m| m.current) {
+            let Some(health) = m.health else { continue };
+            let of_owner = hearing.get(&m.owner.incarnation).copied().unwrap_or_default();
+            let patience = if of_owner.is_cut_off() { silent * 4 } else { silent };
             // A new owner asks each of its machines at once, and those that it has
             // never met were silent before it came.
-            let patience = if met { patience } else { patience * 3 / 4 };
-            let patience = if notice { patience / 2 } else { patience };
-            if record.release {
-                out.push((id.clone(), "marked"));
-            } else if quiet >= patience {
-                // Until its owner came, a controller that is cut off with the machine
-                // may have renewed its lease, for as long as it may at all.
-                let renewed = if met { Duration::ZERO } else { node.settings.renewal_bound() };
-                let left = (node.worker_limits(None).lease + renewed).saturating_sub(quiet);
-                self.silent.entry(id.clone()).or_insert(Silent { ends: now + left });
-                out.push((id.clone(), "silent"));
-            } else if sick {
-                out.push((id.clone(), "sick"));
-            } else if idle.contains(id)
-                && !for_services.contains(id)
-                && !self.waiting.iter().any(|s| fits_machine(s, record, core))
-            {
-                let since = *self.idle_since.entry(id.clone()).or_insert(now);
-                // Renting it again costs its boot time and the wait for it. Spot
-                // machines serve work that can wait.
-                let boot = core.world.types.get(&*record.machine_type).map_or(0.0, |t| t.boot_s);
-                let boot = if record.spot { 0.0 } else { boot };
-                // Many that are idle at a time are not all needed soon.
-                let kind = Offer {
-                    machine_type: record.machine_type.clone(),
-                    zone: record.zone.clone(),
-                    spot: record.spot,
-                };
-                let others = idle_of_kind.entry(kind).or_default();
-                *others += 1;
-                let boot = if *others > IDLE_KEPT { 0.0 } else { boot };
-                let keep = node.operators.idle.max(wire::seconds(boot.min(600.0)));
-                let room = spare_room(record, Amount::default());
-                let spared = room > 0 && spare_left < room + self.spare_tasks(node, now);
-                if now.saturating_duration_since(since) >= keep && !spared {
-                    spare_left -= room;
-                    out.push((id.clone(), "idle"));
-                }
-            }
+            let patience = if health.met { patience } else { patience * 3 / 4 };
+            let patience = if health.notice { patience / 2 } else { patience };
+            let reason = if m.record.release {
+                Some("marked")
+            } else if health.silent >= patience {
+                self.note_silent(node, m.id, health, now);
+                Some("silent")
+            } else if health.sick {
+                Some("sick")
+            } else if m.used.is_none() && self.is_idle_for_long(node, core, m, &mut idle_room, now) {
+                Some("idle")
+            } else {
+                None
+            };
+            out.extend(reason.map(|why| (m.id.clone(), why)));
+        }
+        let still: HashSet<&Name> =
+            out.iter().filter(|(_, why)| *why == "silent").map(|(id, _)| id).collect();
+        self.silent.retain(|id, _| still.contains(id));
+        self.add_lost_listed(core, &mut out);
+        out
+    }
+
+    /// Notes when whatever is on a silent machine has surely lost its lease.
+    fn note_silent(&mut self, node: &Node, id: &Name, health: MachineHealth, now: Instant) {
+        // Until its owner came, a controller that is cut off with the machine
+        // may have renewed its lease, for as long as it may at all.
+        let renewed = if health.met { Duration::ZERO } else { node.settings.renewal_bound() };
+        let left = (node.worker_limits(None).lease + renewed).saturating_sub(health.silent);
+        self.silent.entry(id.clone()).or_insert(Silent { ends: now + left });
+    }
+
+    /// Whether an idle machine is to be given back.
+    fn is_idle_for_long(
+        &mut self,
+        node: &Node,
+        core: &Core,
+        m: &MachineView,
+        room: &mut IdleRoom,
+        now: Instant,
+    ) -> bool {
+        let record = m.record;
+        if room.for_services.contains(m.id) || self.waiting.iter().any(|s| fits_machine(s, record, core)) {
+            return false;
+        }
+        let since = *self.idle_since.entry(m.id.clone()).or_insert(now);
+        // Renting it again costs its boot time and the wait for it. Spot
+        // machines serve work that can wait.
+        let boot_s = core.world.types.get(&*record.machine_type).map_or(0.0, |t| t.boot_s);
+        let boot_s = if record.spot { 0.0 } else { boot_s };
+        // Many that are idle at a time are not all needed soon.
+        let kind =
+            Offer { machine_type: record.machine_type.clone(), zone: record.zone.clone(), spot: record.spot };
+        let others = room.of_kind.entry(kind).or_default();
+        *others += 1;
+        let boot_s = if *others > IDLE_KEPT { 0.0 } else { boot_s };
+        let keep = node.operators.idle.max(wire::seconds(boot_s.min(BOOT_MOST_S)));
+        let spare = room.spare_tasks(core, record, Amount::default());
+        let spared = spare > 0 && room.spare_left < spare + self.spare_tasks(node, now);
+        let goes = now.saturating_duration_since(since) >= keep && !spared;
+        if goes {
+            room.spare_left -= spare;
         }
-        self.silent.retain(|id, _| out.iter().any(|(o, why)| o == id && *why == "silent"));
-        // Failed by the list, or never come up.
+        goes
+    }
+
+    /// Adds machines that failed by the cloud's list, or have never come up.
+    fn add_lost_listed(&self, core: &Core, out: &mut Vec<(Name, &'static str)>) {
         let rented: HashSet<&Name> = core
             .world
             .fleet
@@ -153,21 +203,23 @@
             .filter_map(|r| r.machines.as_ref())
             .flatten()
             .collect();
+        let listed_s = self.listed_at.map_or(0.0, |t| clock::since(t).as_secs_f64());
+        let mut known = InOrder::new(&core.world.machines);
         for (id, m) in &self.listed {
-            if self.released.contains_key(id) {
+            let known = known.get(id).is_some();
+            let failed = m.status == MachineStatus::Failed;
+            if (known && !failed) || self.released.contains_key(id) {
                 continue;
             }
-            let boot = core.world.types.get(&m.machine_type).map_or(60.0, |t| t.boot_s);
-            let known = core.world.machines.contains_key(id);
-            let age = m.age_s + self.listed_at.map_or(0.0, |t| clock::since(t).as_secs_f64());
-            let seen = self.first_seen.get(id).map_or(0.0, |t| clock::since(*t).as_secs_f64());
-            if m.status == MachineStatus::Failed {
+            let boot_s = core.world.types.get(&m.machine_type).map_or(60.0, |t| t.boot_s);
+            let age_s = m.age_s + listed_s;
+            let seen_s = self.first_seen.get(id).map_or(0.0, |t| clock::since(*t).as_secs_f64());
+            if failed {
                 out.push((id.clone(), "failed"));
-            } else if !known && !rented.contains(id) && age > boot * 4.0 + 30.0 && seen > 30.0 {
+            } else if !rented.contains(id) && age_s > boot_s * 4.0 + 30.0 && seen_s > 30.0 {
                 out.push((id.clone(), "never came up"));
             }
         }
-        out
     }
 
     pub(super) async fn give_back(&mut self, node: &Node) {
@@ -196,7 +248,7 @@
         // silent hundreds of marks would take a minute.
         let mut marks = Vec::new();
         let mut ready = Vec::new();
-        let mut reasons: HashMap<Name, &str> = HashMap::new();
+        let mut reasons: HashMap<Name, &str> = HashMap::default();
         {
             let core = node.core();
             for (id, why) in list {
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -426,7 +426,7 @@
     let epoch = map.epoch;
     // Only the owner can renew the lease of a worker that has to stop something: the
     // answers of others have no commands.
-    let must_stop = !final_stops(&report.tasks, &core.world).is_empty();
+    let must_stop = |core: &Core| !final_stops(&report.tasks, &core.world).is_empty();
     if owner != node.me {
         if relayed || owner.name == node.me.name {
             return Disposal::Answer(elsewhere(None));
@@ -435,7 +435,7 @@
         // controllers its lease may be about to end. Any live controller renews
         // it once, with the epoch's first token; the next report is sent on.
         let token = first_token(epoch);
-        if !must_stop && report.token < token && node.may_renew(core, now) {
+        if report.token < token && node.may_renew(core, now) && !must_stop(core) {
             return Disposal::Answer(Reply::new(200, &ReportAnswer { token, commands: Vec::new() }));
         }
         if core.misdirected.len() > core.world.machines.len() + MISDIRECTED_SPARE {
@@ -453,7 +453,7 @@
         return Disposal::Answer(elsewhere(None));
     }
     if !core.world.machines.contains_key(machine.as_str()) {
-        return if must_stop { Disposal::Answer(elsewhere(None)) } else { Disposal::Adopt(epoch) };
+        return if must_stop(core) { Disposal::Answer(elsewhere(None)) } else { Disposal::Adopt(epoch) };
     }
     let limits = node.worker_limits(core.fresh_at);
     let owned_since = core.world.owned_since(machine);
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -5,12 +5,13 @@
 
 use net::{Reply, Request};
 use peer::{MachineRow, Message, Summary};
+use sched::world::InOrder;
 use tokio::time::timeout;
 
 use crate::clock;
 use crate::engine;
 use crate::front;
-use crate::node::{Core, Node, PeerView};
+use crate::node::{Core, Node, PeerView, takes_work};
 use crate::read_index;
 
 pub(crate) const LARGE: usize = 1 << 20;
@@ -18,25 +19,26 @@
 pub(crate) fn summary(node: &Node) -> Summary {
     let core = node.core();
     let now = clock::now();
-    let ms = |d: Duration| d.as_millis() as u64;
     let report = node.report_every();
-    let machines = core
-        .workers
-        .iter()
-        .filter_map(|(id, w)| {
-            let record = core.world.machines.get(id)?;
+    let stood_still = core.stood_still(now);
+    let mut workers = InOrder::new(&core.workers);
+    let mut used = InOrder::new(&core.world.machine_use);
+    let owned = core.world.owned_machines().filter(|(.., owner)| **owner == node.me);
+    let machines = owned
+        .filter_map(|(id, record, _)| {
+            let worker = workers.get(id)?;
             let kind = core.world.types.get(&*record.value.machine_type)?;
-            let used = core.world.machine_use.get(id).copied().unwrap_or_default();
+            let used = used.get(id).copied().unwrap_or_default();
             Some(MachineRow {
                 id: id.to_string(),
-                usable: core.usable(id, &node.me, report, now),
-                silent_ms: if core.stood_still(now) { 0 } else { ms(w.silent_for(now)) },
-                met: w.heard.is_some(),
+                usable: takes_work(worker, report, now),
+                silent_ms: if stood_still { 0 } else { millis(worker.silent_for(now)) },
+                met: worker.heard.is_some(),
                 free_cpus: kind.cpus - used.cpus,
                 free_gpus: kind.gpus - used.gpus,
                 free_memory_gb: kind.memory_gb - used.memory_gb,
-                sick: w.sick(),
-                notice: w.notice_until.is_some(),
+                sick: worker.sick(),
+                notice: worker.notice_until.is_some(),
             })
         })
         .collect();
@@ -45,22 +47,34 @@
         incarnation: node.me.incarnation,
         count: node.counts.summaries.fetch_add(1, Ordering::Relaxed) + 1,
         epoch: core.map().map_or(0, |m| m.epoch),
-        state_silent_ms: core.fresh_at.map_or(u64::MAX, |f| ms(now.saturating_duration_since(f))),
+        state_silent_ms: core.fresh_at.map_or(u64::MAX, |f| millis(now.saturating_duration_since(f))),
         machines,
     }
 }
 
-pub(crate) fn take(node: &Node, summary: Summary) {
+fn millis(d: Duration) -> u64 {
+    d.as_millis() as u64
+}
+
+pub(crate) fn take(node: &Node, mut summary: Summary) {
     let mut core = node.core();
     if !node.settings.peers.iter().any(|p| p.node_name == summary.name) || !newer(&core, &summary) {
         return;
     }
     let Core { world, rows, .. } = &mut *core;
-    for row in &summary.machines {
+    for row in std::mem::take(&mut summary.machines) {
         // Not what a controller says of machines that are another's by now.
         let owner = world.owner_of(&row.id);
-        if owner.is_some_and(|o| o.name == summary.name && o.incarnation == summary.incarnation) {
-            rows.insert(row.id.as_str().into(), row.clone());
+        if owner.is_none_or(|o| o.name != summary.name || o.incarnation != summary.incarnation) {
+            continue;
+        }
+        match rows.get_mut(row.id.as_str()) {
+            Some(known) => *known = row,
+            None => {
+                // By the name that all tables share, so that it is compared quickly.
+                let known = world.machines.get_key_value(row.id.as_str()).map(|(id, _)| id.clone());
+                rows.insert(known.unwrap_or_else(|| row.id.as_str().into()), row);
+            }
         }
     }
     if rows.len() > world.machines.len() {
@@ -83,20 +97,41 @@
     }
 }
 
-/// Tells one peer about this controller's machines, and hears of its own.
+/// How often a peer is told of this controller's machines.
+const TELL_EVERY: Duration = Duration::from_millis(1000);
+/// A peer that has told of its own machines within this time was answered with a summary then.
+const ANSWERED_FOR: Duration = Duration::from_millis(700);
+/// Least time between two summaries to a peer.
+const TELL_PAUSE: Duration = Duration::from_millis(100);
+
+/// Tells one peer about this controller's machines, and hears of its own. Of two controllers
+/// one asks and the other answers, whoever comes first.
 pub async fn tell(node: Node, address: String) {
+    let mut urgent = true;
     loop {
         read_index::ask(&node, &address).await;
-        let body = peer::encode(&Message::Summary(summary(&node)));
-        let answer =
-            node.http.request(&address, "POST", "/peer", body, LARGE, Duration::from_millis(900)).await;
-        if let Ok(answer) = answer
-            && let Some(Message::Summary(s)) = peer::decode(&answer.body)
-        {
-            take(&node, s);
+        if urgent || !answered_lately(&node, &address) {
+            exchange(&node, &address).await;
         }
-        let _ = timeout(Duration::from_millis(1000), node.gossip.notified()).await;
-        tokio::time::sleep(Duration::from_millis(100)).await;
+        urgent = timeout(TELL_EVERY, node.gossip.notified()).await.is_ok();
+        tokio::time::sleep(TELL_PAUSE).await;
+    }
+}
+
+fn answered_lately(node: &Node, address: &str) -> bool {
+    let Some(peer) = node.settings.peers.iter().find(|p| p.address == address) else { return false };
+    let core = node.core();
+    let asked_at = core.peers.get(&peer.node_name).map(|p| p.at);
+    asked_at.is_some_and(|t| clock::since(t) < ANSWERED_FOR)
+}
+
+async fn exchange(node: &Node, address: &str) {
+    let body = peer::encode(&Message::Summary(summary(node)));
+    let answer = node.http.request(address, "POST", "/peer", body, LARGE, Duration::from_millis(900)).await;
+    if let Ok(answer) = answer
+        && let Some(Message::Summary(s)) = peer::decode(&answer.body)
+    {
+        take(node, s);
     }
 }
 
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -10,7 +10,7 @@
 use peer::{MachineRow, Summary};
 use sched::placement::{self, Board};
 use sched::records::{End, MachineRecord, MapRecord, Member, Name};
-use sched::world::{Team, World};
+use sched::world::{Amount, InOrder, Team, World};
 use store::{Budget, Reader, StateClient};
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
@@ -107,6 +107,7 @@
 }
 
 pub struct PeerView {
+    /// Without its rows, which are with those of all machines.
     pub summary: Summary,
     pub at: Instant,
 }
@@ -130,6 +131,46 @@
     pub cpus: HashMap<u64, f64>,
 }
 
+/// How long a peer's word of its machines counts for giving them up.
+const PEER_WORD_FOR: Duration = Duration::from_secs(4);
+
+/// A machine's state as its owner knows it.
+#[derive(Debug, Clone, Copy)]
+pub struct MachineHealth {
+    pub silent: Duration,
+    /// Whether it was heard of since its owner has it.
+    pub met: bool,
+    /// It fails what it is given.
+    pub sick: bool,
+    /// The cloud takes it away soon.
+    pub notice: bool,
+}
+
+impl MachineHealth {
+    fn of_worker(w: &Worker, now: Instant) -> Self {
+        let notice = w.notice_until.is_some();
+        Self { silent: w.silent_for(now), met: w.heard.is_some(), sick: w.sick(), notice }
+    }
+
+    fn of_row(row: &MachineRow) -> Self {
+        let silent = Duration::from_millis(row.silent_ms);
+        Self { silent, met: row.met, sick: row.sick, notice: row.notice }
+    }
+}
+
+/// A machine with an owner.
+pub struct MachineView<'a> {
+    pub id: &'a Name,
+    pub record: &'a MachineRecord,
+    pub owner: &'a Member,
+    /// What is in use of it; None if nothing is there.
+    pub used: Option<Amount>,
+    /// None: its owner has said nothing of it.
+    pub health: Option<MachineHealth>,
+    /// Whether its owner has been heard of just now.
+    pub current: bool,
+}
+
 pub struct Core {
     pub world: World,
     /// Records that lie in parts.
@@ -594,21 +635,37 @@
     /// Brings the board up to date: which machines placement may use, by their owners' word.
     pub fn refresh_board(&mut self, me: &Member, report: Duration, now: Instant) {
         let Self { workers, rows, world, board, .. } = self;
-        // All lists are in the order of the machines' names: finding each machine in them anew
-        // cost more than all else that a round does.
-        let mut workers = workers.iter().peekable();
-        let mut rows = rows.iter().peekable();
-        board.refresh(world, |machine, owner| {
-            if owner == me.incarnation {
-                while workers.next_if(|(id, _)| *id < machine).is_some() {}
-                workers.next_if(|(id, _)| *id == machine).is_some_and(|(_, w)| takes_work(w, report, now))
-            } else {
-                while rows.next_if(|(id, _)| *id < machine).is_some() {}
-                rows.next_if(|(id, _)| *id == machine).is_none_or(|(_, r)| r.usable)
-            }
+        let (mut workers, mut rows) = (InOrder::new(workers), InOrder::new(rows));
+        board.refresh(world, |machine, owner| match owner == me.incarnation {
+            true => workers.get(machine).is_some_and(|w| takes_work(w, report, now)),
+            false => rows.get(machine).is_none_or(|r| r.usable),
         });
     }
 
+    /// All machines with an owner, in the order of their names, and what their owners know of
+    /// them.
+    pub fn machine_views(&self, me: &Member, now: Instant) -> impl Iterator<Item = MachineView<'_>> {
+        let (mut workers, mut rows) = (InOrder::new(&self.workers), InOrder::new(&self.rows));
+        let mut used = InOrder::new(&self.world.machine_use);
+        let (me, heard) = (me.incarnation, self.peers_heard_since(now, PEER_WORD_FOR));
+        self.world.owned_machines().map(move |(id, record, owner)| {
+            let (health, current) = match owner.incarnation == me {
+                true => (workers.get(id).map(|w| MachineHealth::of_worker(w, now)), true),
+                false => {
+                    let current = heard.iter().any(|name| **name == *owner.name);
+                    (rows.get(id).map(MachineHealth::of_row), current)
+                }
+            };
+            MachineView { id, record: &record.value, owner, used: used.get(id).copied(), health, current }
+        })
+    }
+
+    /// The peers that were heard of within this time.
+    fn peers_heard_since(&self, now: Instant, within: Duration) -> Vec<&str> {
+        let heard = |p: &PeerView| now.saturating_duration_since(p.at) < within;
+        self.peers.iter().filter(|(_, p)| heard(p)).map(|(name, _)| name.as_str()).collect()
+    }
+
     /// Whether placement may use a machine, by its owner's word.
     pub fn usable(&self, machine: &str, me: &Member, report: Duration, now: Instant) -> bool {
         match self.world.owner_of(machine) {
@@ -622,7 +679,7 @@
 }
 
 /// Whether an owner's worker may be given something.
-fn takes_work(w: &Worker, report: Duration, now: Instant) -> bool {
+pub(crate) fn takes_work(w: &Worker, report: Duration, now: Instant) -> bool {
     w.heard.is_some()
         && w.hears()
         && w.silent_for(now) < report * 5 / 2
--- a/crates/daemon/src/placer.rs
+++ b/crates/daemon/src/placer.rs
@@ -1,9 +1,9 @@
 //! Which waiting jobs start, and what makes way for them.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
 use sched::forecast;
+use sched::hash::{HashMap, HashSet};
 use sched::placement::{self, Board};
 use sched::preempt;
 use sched::records::*;
@@ -18,55 +18,47 @@
 /// Most tasks of an array or service that room is made for at a time.
 const PREEMPT_MOST: u32 = 4;
 /// How long a search for what could be stopped is not repeated.
-const LOOK_AGAIN: Duration = Duration::from_millis(900);
+const SEARCH_PAUSE: Duration = Duration::from_millis(900);
 /// Most searches of all that runs everywhere in one round: when hundreds of jobs
 /// wait, searching for each would take up the whole processor.
 const SEARCHES: u32 = 16;
 /// Most bytes that a gang's record has for each of its tasks.
 const GANG_TASK_BYTES: f64 = 5.0;
+/// Longest time that room is held for what has to save.
+const SAVE_MOST_S: f64 = 600.0;
 /// How long room is held beyond the time that its tasks need to save.
 const RESERVE_FOR: Duration = Duration::from_millis(1800);
 
-/// Whether the job fits into its team's guarantee along with the team's earlier
-/// unfinished jobs, for every open job.
-fn guaranteed(world: &World, teams: &[Team]) -> BTreeSet<String> {
-    let mut by_age: Vec<(&String, &JobRecord, &JobSpec)> = world
-        .open
-        .iter()
-        .filter_map(|id| world.jobs.get_key_value(id))
-        .filter(|(_, j)| j.value.phase == Phase::Active)
-        .filter_map(|(id, j)| Some((id, j.value.as_ref(), j.value.spec.as_deref()?)))
-        .collect();
-    by_age.sort_by_key(|(id, j, _)| (j.submitted_ms, id.as_str()));
-    let mut used: BTreeMap<&str, Amount> = BTreeMap::new();
-    let mut out = BTreeSet::new();
-    for (id, _, spec) in by_age {
+/// The open jobs that fit into their teams' guarantees along with the earlier unfinished
+/// jobs of the same team.
+fn guaranteed<'w>(world: &'w World, teams: &[Team]) -> HashSet<&'w str> {
+    let active = |(id, job): (&'w String, &'w JobRecord)| {
+        let spec = job.spec.as_deref().filter(|_| job.phase == Phase::Active)?;
+        Some((job.submitted_ms, id.as_str(), spec))
+    };
+    let mut by_age: Vec<(u64, &str, &JobSpec)> = world.open_jobs().filter_map(active).collect();
+    by_age.sort_unstable_by_key(|(submitted_ms, id, _)| (*submitted_ms, *id));
+    let mut used: HashMap<&str, Amount> = HashMap::default();
+    let mut within = HashSet::default();
+    for (_, id, spec) in by_age {
         let Some(team) = teams.iter().find(|t| t.name == spec.team) else { continue };
         let sum = used.entry(&spec.team).or_default();
-        *sum = sum.plus(Amount { memory_gb: 0.0, ..Amount::of_task(spec) }, f64::from(spec.tasks));
+        *sum = sum.plus(Amount::of_task(spec).without_memory(), f64::from(spec.tasks));
         if sum.fits(team.guarantee()) {
-            out.insert(id.clone());
+            within.insert(id);
         }
     }
-    out
+    within
 }
 
 /// Places what waits, in the order of priority, guarantee and age, and makes room
 /// for what finds none.
 pub(crate) fn place(node: &Node, core: &mut Core, round: &mut Round, ops: usize, now: Instant, now_ms: u64) {
-    let me = &node.me;
-    let waits = |id: &String| {
-        if round.held.contains(id) {
-            return false;
-        }
-        let job = round.jobs.get(id).or_else(|| core.world.jobs.get(id).map(|j| &j.value));
-        job.is_some_and(|j| placement::pending_count(j) > 0 && core.world.placer_of(j) == Some(&me.name))
-    };
-    let queue: Vec<String> = core.world.open.iter().filter(|id| waits(id)).cloned().collect();
+    let queue = waiting_here(node, core, round);
     if queue.is_empty() {
         return;
     }
-    core.refresh_board(me, node.report_every(), now);
+    core.refresh_board(&node.me, node.report_every(), now);
     let mut board = std::mem::take(&mut core.board);
     board.begin();
     place_queue(node, core, &mut board, round, queue, Budget { ops, now, now_ms });
@@ -74,6 +66,17 @@
     core.board = board;
 }
 
+/// The jobs with tasks that wait and that this controller places.
+fn waiting_here(node: &Node, core: &Core, round: &Round) -> Vec<String> {
+    let waits = |(id, job): &(&String, &JobRecord)| {
+        let job = round.jobs.get(*id).map_or(*job, |j| j);
+        placement::pending_count(job) > 0
+            && core.world.placer_of(job) == Some(&node.me.name)
+            && !round.held.contains(*id)
+    };
+    core.world.open_jobs().filter(waits).map(|(id, _)| id.clone()).collect()
+}
+
 /// What a round has, and when it is.
 #[derive(Clone, Copy)]
 struct Budget {
@@ -89,13 +92,50 @@
     core: &mut Core,
     board: &mut Board,
     round: &mut Round,
-    mut queue: Vec<String>,
-    Budget { ops, now, now_ms }: Budget,
+    queue: Vec<String>,
+    budget: Budget,
 ) {
-    let me = &node.me;
-    // What this round has ended is free already.
+    let Budget { now, now_ms, .. } = budget;
+    let leads = core.leads(&node.me);
+    let Core { world, reserved, searched, refused, .. } = core;
+    let world: &World = world;
+    free_what_ended(world, board, round);
+    reserved.retain(|id, (_, until)| now < *until && queue.contains(id));
+    searched.retain(|_, t| now.saturating_duration_since(*t) < SEARCH_PAUSE);
+    for (id, (machines, _)) in reserved.iter() {
+        let Some(spec) = world.jobs.get(id).and_then(|j| j.value.spec.as_deref()) else { continue };
+        board.reserve(machines, Amount::of_task(spec), 1.0);
+    }
+    let guaranteed = guaranteed(world, &node.teams);
+    let longest: HashSet<&str> = placement::longest_waiting(world, now_ms).into_iter().collect();
+    let queue = in_order(node, world, queue, &guaranteed, &longest, now_ms);
+    let mut pass = Pass {
+        node,
+        world,
+        board,
+        claims: claims(node, world, round),
+        round,
+        budget,
+        leads,
+        guaranteed,
+        longest,
+        reserved,
+        searched,
+        refused,
+        running: None,
+        // Services start within seconds, on room that is there: some is kept from
+        // everything else.
+        expected: forecast::services(world, now_ms),
+    };
+    for id in queue {
+        pass.place_job(id);
+    }
+}
+
+/// What this round has ended is free already.
+fn free_what_ended(world: &World, board: &mut Board, round: &Round) {
     for (id, record) in &round.jobs {
-        let Some(old) = core.world.jobs.get(id) else { continue };
+        let Some(old) = world.jobs.get(id) else { continue };
         let Some(spec) = old.value.spec.as_deref() else { continue };
         let size = Amount::of_task(spec);
         for a in &old.value.run {
@@ -108,34 +148,47 @@
             }
         }
     }
-    let within = guaranteed(&core.world, &node.teams);
-    let longest: BTreeSet<String> =
-        placement::longest_waiting(&core.world, now_ms).into_iter().map(str::to_owned).collect();
-    queue.sort_by(|a, b| {
-        let job = |id: &String| {
-            core.world.jobs.get(id).map(|j| {
-                (j.value.as_ref(), turn(node, &j.value, within.contains(id), longest.contains(id), now_ms))
-            })
-        };
-        match (job(a), job(b)) {
-            (Some(x), Some(y)) => placement::queue_order(x, y).then_with(|| a.cmp(b)),
-            _ => a.cmp(b),
-        }
-    });
-    // The share of its team's limit that a service or a gang waits for is not for
-    // arrays: their small tasks would take it piece by piece, for as long as one
-    // of them lasts.
-    // A gang's claim ends for an array whose own deadline comes near. No claim holds
-    // against work of a higher priority: what an array has stopped to make room for itself
-    // would claim that room at once, be placed there and be stopped again, without end.
-    // Nor is more claimed than arrays could ever leave: replicas end with their jobs only,
-    // and a gang that does not fit beside them would keep arrays out of the rest for good.
-    let open = core.world.open.iter().filter_map(|id| {
-        let job = round.jobs.get(id).or_else(|| core.world.jobs.get(id).map(|j| &j.value))?;
-        Some((job, job.spec.as_deref().filter(|s| s.kind != JobKind::Array)?))
-    });
-    let open: Vec<_> = open.collect();
-    let mut replicas: BTreeMap<&str, Amount> = BTreeMap::new();
+}
+
+/// The queue in the order in which it is served.
+fn in_order(
+    node: &Node,
+    world: &World,
+    queue: Vec<String>,
+    guaranteed: &HashSet<&str>,
+    longest: &HashSet<&str>,
+    now_ms: u64,
+) -> Vec<String> {
+    let with_turn = |id: String| {
+        let job = world.jobs.get(&id)?.value.as_ref();
+        let in_guarantee = guaranteed.contains(id.as_str());
+        let turn = turn(node, job, in_guarantee, longest.contains(id.as_str()), now_ms);
+        Some((id, job, turn))
+    };
+    let mut jobs: Vec<(String, &JobRecord, placement::Turn)> =
+        queue.into_iter().filter_map(with_turn).collect();
+    jobs.sort_by(|a, b| placement::queue_order((a.1, a.2), (b.1, b.2)).then_with(|| a.0.cmp(&b.0)));
+    jobs.into_iter().map(|(id, ..)| id).collect()
+}
+
+/// The shares of their teams' limits that services and gangs wait for. They are not for
+/// arrays, whose small tasks would take them piece by piece, for as long as one of them
+/// lasts.
+///
+/// A gang's claim ends for an array whose own deadline comes near. No claim holds
+/// against work of a higher priority: what an array has stopped to make room for itself
+/// would claim that room at once, be placed there and be stopped again, without end.
+/// Nor is more claimed than arrays could ever leave: replicas end with their jobs only,
+/// and a gang that does not fit beside them would keep arrays out of the rest for good.
+fn claims(node: &Node, world: &World, round: &Round) -> Vec<Claim> {
+    let open: Vec<(&JobRecord, &JobSpec)> = world
+        .open_jobs()
+        .filter_map(|(id, job)| {
+            let job = round.jobs.get(id).map_or(job, |j| j);
+            Some((job, job.spec.as_deref().filter(|s| s.kind != JobKind::Array)?))
+        })
+        .collect();
+    let mut replicas: HashMap<&str, Amount> = HashMap::default();
     for (job, spec) in open.iter().filter(|(_, s)| s.kind == JobKind::Service) {
         let run = job.run.iter().filter(|a| job.wants(a)).count();
         let used = replicas.entry(&spec.team).or_default();
@@ -143,12 +196,12 @@
     }
     let mut claims: Vec<Claim> = Vec::new();
     for (job, spec) in open {
-        let Some(team) = node.team(&spec.team) else { continue };
+        let waiting = placement::pending_count(job);
+        let Some(team) = node.team(&spec.team).filter(|_| waiting > 0) else { continue };
         let gang = spec.kind == JobKind::Gang;
-        let size = Amount { memory_gb: 0.0, ..Amount::of_task(spec) };
+        let size = Amount::of_task(spec).without_memory();
         let used = replicas.get(spec.team.as_str()).copied().unwrap_or_default();
-        let most = size.times_in(team.limit().plus(Amount { memory_gb: 0.0, ..used }, -1.0));
-        let waiting = placement::pending_count(job);
+        let most = size.times_in(team.limit().plus(used.without_memory(), -1.0));
         let claimed = if gang && waiting > most { 0 } else { waiting.min(most) };
         if claimed > 0 {
             claims.push(Claim {
@@ -159,71 +212,123 @@
             });
         }
     }
-    let leads = core.leads(me);
-    let Core { world, reserved, searched, refused, .. } = core;
-    let world: &World = world;
-    reserved.retain(|id, (_, until)| queue.contains(id) && now < *until);
-    searched.retain(|_, t| now.saturating_duration_since(*t) < LOOK_AGAIN);
-    let mut running: Option<preempt::Running> = None;
-    for (id, (machines, _)) in reserved.iter() {
-        let Some(spec) = world.jobs.get(id).and_then(|j| j.value.spec.as_deref()) else { continue };
-        board.reserve(machines, Amount::of_task(spec), 1.0);
-    }
-    // Services start within seconds, on room that is there: some is kept from
-    // everything else.
-    let mut expected = forecast::services(world, now_ms);
-    for id in queue {
-        let full = node.run_max();
-        let Some(old) = round.jobs.get(&id).or_else(|| world.jobs.get(&id).map(|j| &j.value)) else {
-            continue;
+    claims
+}
+
+/// One pass over the queue: what it looks at, and what it leaves behind.
+struct Pass<'a, 'w> {
+    node: &'a Node,
+    world: &'w World,
+    board: &'a mut Board,
+    round: &'a mut Round,
+    budget: Budget,
+    leads: bool,
+    claims: Vec<Claim>,
+    /// The jobs that are within their teams' guarantees.
+    guaranteed: HashSet<&'w str>,
+    /// The gangs that have waited longest, for which room is collected.
+    longest: HashSet<&'w str>,
+    reserved: &'a mut std::collections::HashMap<String, (Vec<Name>, Instant)>,
+    searched: &'a mut std::collections::HashMap<String, Instant>,
+    refused: &'a mut std::collections::HashMap<String, Instant>,
+    /// All that runs, once it was looked for.
+    running: Option<preempt::Running<'w>>,
+    /// Services to be expected, until room is kept for them.
+    expected: Option<(JobSpec, u32)>,
+}
+
+/// A job that a pass tries to place.
+struct Candidate<'a> {
+    id: &'a str,
+    spec: &'a JobSpec,
+    team: &'a Team,
+    priority: Priority,
+    size: Amount,
+    /// Whether it belongs to this controller's part, and so goes on its machines only.
+    in_part: bool,
+}
+
+/// What came of looking for a place.
+struct Found {
+    placed: Vec<Assignment>,
+    /// Whether the places of GPU jobs may be taken.
+    last_resort: bool,
+}
+
+impl Pass<'_, '_> {
+    fn place_job(&mut self, id: String) {
+        let world = self.world;
+        let Some(old) = self.round.jobs.get(&id).or_else(|| world.jobs.get(&id).map(|j| &j.value)) else {
+            return;
         };
-        let mut job = old.clone();
-        let Some(spec) = job.spec.clone() else { continue };
-        let priority = job.priority().unwrap_or(spec.priority);
-        let Some(team) = node.team(&spec.team) else { continue };
+        let Some(spec) = old.spec.as_deref() else { return };
+        let node = self.node;
+        let Some(team) = node.team(&spec.team) else { return };
         // A job that has a change in this round anyway costs no further one.
-        let cost =
-            usize::from(!round.jobs.contains_key(&id)) + usize::from(!round.teams.contains(&spec.team));
-        if round.puts() + cost > ops {
-            continue;
+        let cost = usize::from(!self.round.jobs.contains_key(&id))
+            + usize::from(!self.round.teams.contains(&spec.team));
+        if self.round.puts() + cost > self.budget.ops {
+            return;
         }
-        if spec.kind != JobKind::Service
-            && let Some((service, tasks)) = expected.take()
-        {
-            let room = placement::room_for(world, board, &service, tasks, now_ms);
-            board.reserve(&room, Amount::of_task(&service), 1.0);
+        let mut job = old.clone();
+        let spec = spec.clone();
+        let candidate = Candidate {
+            id: &id,
+            spec: &spec,
+            team,
+            priority: job.priority().unwrap_or(spec.priority),
+            size: Amount::of_task(&spec),
+            in_part: job.part.as_deref() == Some(node.me.name.as_str()),
+        };
+        self.keep_room_for_services(&spec);
+        let held = self.reserved.get(&id).map(|(m, _)| m.clone()).unwrap_or_default();
+        self.board.reserve(&held, candidate.size, -1.0);
+        let Found { placed, last_resort } = self.find_place(&candidate, &mut job, &held);
+        if !placed.is_empty() {
+            self.note_placed(&candidate, job, placed);
+            return;
+        }
+        self.board.reserve(&held, candidate.size, 1.0);
+        if !candidate.in_part {
+            self.make_room(&candidate, &job, last_resort);
+            self.collect_room(&candidate);
+        } else if placement::retry_at_ms(&job) <= self.budget.now_ms {
+            job.part = None;
+            self.round.log.push(Event::Escalated { job: id.clone() });
+            self.round.jobs.insert(id, job);
+        }
+    }
+
+    /// Before the first job that is no service, room is set aside for services to come.
+    fn keep_room_for_services(&mut self, next: &JobSpec) {
+        if next.kind == JobKind::Service {
+            return;
         }
-        let in_part = job.part.as_deref() == Some(me.name.as_str());
+        let Some((service, tasks)) = self.expected.take() else { return };
+        let room = placement::room_for(self.world, self.board, &service, tasks, self.budget.now_ms);
+        self.board.reserve(&room, Amount::of_task(&service), 1.0);
+    }
+
+    fn find_place(&mut self, candidate: &Candidate, job: &mut JobRecord, held: &[Name]) -> Found {
+        let Candidate { spec, team, in_part, .. } = *candidate;
+        let (world, me, leads) = (self.world, &self.node.me, self.leads);
         let reach = |s: &placement::Slot| leads && !in_part || s.owner == me.incarnation;
-        let most = full.saturating_sub(job.run.len());
-        let size = Amount::of_task(&spec);
-        let held = reserved.get(&id).map(|(m, _)| m.clone()).unwrap_or_default();
-        board.reserve(&held, size, -1.0);
         let limits = placement::Limits {
-            most,
-            window: node.window(),
+            most: self.node.run_max().saturating_sub(job.run.len()),
+            window: self.node.window(),
             lossy: false,
-            gang_wait_s: node.settings.facts.workers.gang_wait_s,
-            now_ms,
+            gang_wait_s: self.node.settings.facts.workers.gang_wait_s,
+            now_ms: self.budget.now_ms,
         };
-        let claim = match spec.kind {
-            JobKind::Array => {
-                let pressed = placement::pressed(&job, now_ms);
-                let holds =
-                    |c: &&Claim| c.team == spec.team && c.priority >= priority && !(c.gang && pressed);
-                claims.iter().filter(holds).fold(Amount::default(), |a, c| a.plus(c.amount, 1.0))
-            }
-            _ => Amount::default(),
-        };
-        claim_share(board, &spec.team, claim, 1.0);
+        let claim = self.claims_against(candidate, job);
+        claim_share(self.board, &spec.team, claim, 1.0);
         // What the leader collects room for comes first.
-        let mut placed = if in_part && collected_for(world, &spec, now_ms) {
+        let mut placed = if in_part && competes_with(world, spec, self.longest.iter().copied()) {
             Vec::new()
         } else {
-            placement::place(world, board, &mut job, team, reach, limits)
+            placement::place(world, self.board, job, team, reach, limits)
         };
-        claim_share(board, &spec.team, claim, -1.0);
-        let whole = |s: &placement::Slot| placement::gpu_loss(world, &spec, s) == 0;
+        claim_share(self.board, &spec.team, claim, -1.0);
         // A service that finds no other room takes, in this order: room that was
         // made for it, room of array tasks, room that GPU jobs could use, and at
         // last the place of a GPU job.
@@ -231,69 +336,178 @@
         if placed.is_empty() && spec.kind == JobKind::Service && !in_part {
             let limits = placement::Limits { lossy: true, ..limits };
             if !held.is_empty() {
-                placed = placement::place_at(world, board, &mut job, team, &held, limits);
-            } else if round.searches >= SEARCHES || {
-                round.searches += 1;
-                let running = running.get_or_insert_with(|| preempt::Running::new(world, board));
-                preempt::victims(running, board, (&spec, priority), &within, &[], true, whole).is_none()
-            } {
-                placed = placement::place(world, board, &mut job, team, reach, limits);
+                placed = placement::place_at(world, self.board, job, team, held, limits);
+            } else if !self.arrays_could_make_way(candidate) {
+                placed = placement::place(world, self.board, job, team, reach, limits);
                 last_resort = placed.is_empty();
             }
         }
-        // Nobody else is to wait for room that it cannot take.
-        if !placed.is_empty() && spec.kind == JobKind::Gang && !may_be_written(node, &id, &job) {
+        Found { placed, last_resort }
+    }
+
+    /// What of its team's limit others wait for that come before an array.
+    fn claims_against(&self, candidate: &Candidate, job: &JobRecord) -> Amount {
+        if candidate.spec.kind != JobKind::Array {
+            return Amount::default();
+        }
+        let pressed = placement::pressed(job, self.budget.now_ms);
+        let holds = |c: &&Claim| {
+            c.team == candidate.spec.team && c.priority >= candidate.priority && !(c.gang && pressed)
+        };
+        self.claims.iter().filter(holds).fold(Amount::default(), |sum, c| sum.plus(c.amount, 1.0))
+    }
+
+    /// Whether a service would find room where GPU jobs lose none. Not looked for any more
+    /// after many searches in one round.
+    fn arrays_could_make_way(&mut self, candidate: &Candidate) -> bool {
+        if self.round.searches >= SEARCHES {
+            return false;
+        }
+        self.round.searches += 1;
+        let (world, spec) = (self.world, candidate.spec);
+        let whole = |s: &placement::Slot| placement::gpu_loss(world, spec, s) == 0;
+        let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.board));
+        let asker = (spec, candidate.priority);
+        preempt::victims(running, self.board, asker, &self.guaranteed, &[], true, whole).is_some()
+    }
+
+    fn note_placed(&mut self, candidate: &Candidate, job: Box<JobRecord>, placed: Vec<Assignment>) {
+        let Candidate { id, spec, size, .. } = *candidate;
+        if spec.kind == JobKind::Gang && !may_be_written(self.node, id, &job) {
+            // Nobody else is to wait for room that it cannot take.
             info!(job = id, "a gang of so many machines waits until all controllers are upgraded");
-            refused.insert(id, now + REFUSED_FOR);
-            let machines: Vec<Name> = placed.iter().map(|a| a.machine.clone()).collect();
-            board.reserve(&machines, size, -1.0);
-            if let Some(used) = board.team_use.get_mut(&spec.team) {
-                *used = used.plus(size, -(machines.len() as f64));
-            }
-            continue;
+            self.refused.insert(id.to_owned(), self.budget.now + REFUSED_FOR);
+            self.give_up(spec, &placed);
+            return;
         }
-        if !placed.is_empty() {
-            round.log.push(Event::Placed { job: id.clone(), tasks: placed.len(), attempt: job.attempt });
-            round.teams.insert(spec.team.clone());
-            round.placing.insert(id.clone());
-            // The rest of the room that is made for it stays its own: given to others, it
-            // would be made again and again (recorded: a task was stopped eight times).
-            if let Some((machines, until)) = reserved.remove(&id) {
-                let left = still_held(machines, &placed, placement::pending_count(&job));
-                if !left.is_empty() {
-                    board.reserve(&left, size, 1.0);
-                    reserved.insert(id.clone(), (left, until));
-                }
+        self.round.log.push(Event::Placed { job: id.to_owned(), tasks: placed.len(), attempt: job.attempt });
+        self.round.teams.insert(spec.team.clone());
+        self.round.placing.insert(id.to_owned());
+        // The rest of the room that is made for it stays its own: given to others, it
+        // would be made again and again (recorded: a task was stopped eight times).
+        if let Some((machines, until)) = self.reserved.remove(id) {
+            let left = still_held(machines, &placed, placement::pending_count(&job));
+            if !left.is_empty() {
+                self.board.reserve(&left, size, 1.0);
+                self.reserved.insert(id.to_owned(), (left, until));
             }
-            round.jobs.insert(id, job);
-            continue;
         }
-        board.reserve(&held, size, 1.0);
-        if in_part && placement::retry_at_ms(&job) <= now_ms {
-            job.part = None;
-            round.log.push(Event::Escalated { job: id.clone() });
-            round.jobs.insert(id.clone(), job);
-            continue;
+        self.round.jobs.insert(id.to_owned(), job);
+    }
+
+    /// What was placed is not to be after all.
+    fn give_up(&mut self, spec: &JobSpec, placed: &[Assignment]) {
+        let size = Amount::of_task(spec);
+        let machines: Vec<Name> = placed.iter().map(|a| a.machine.clone()).collect();
+        self.board.reserve(&machines, size, -1.0);
+        if let Some(used) = self.board.team_use.get_mut(&spec.team) {
+            *used = used.plus(size, -(machines.len() as f64));
         }
-        if in_part {
-            continue;
+    }
+
+    /// A large gang never starts if smaller work takes every place that comes
+    /// free: what is there is kept for it until the rest is.
+    fn collect_room(&mut self, candidate: &Candidate) {
+        let Candidate { id, spec, team, size, .. } = *candidate;
+        if !self.longest.contains(id) || self.reserved.contains_key(id) {
+            return;
         }
-        let needs = Needs { id: &id, job: &job, last_resort, within: &within, now, now_ms };
-        let mut search = Search { world, reserved, searched, running: &mut running };
-        make_room(node, &mut search, round, board, &needs);
-        // A large gang never starts if smaller work takes every place that comes
-        // free: what is there is kept for it until the rest is.
-        if longest.contains(&id) && !reserved.contains_key(&id) {
-            let in_use = board.team_use.get(&spec.team).copied().unwrap_or_default();
-            let quota = team.limit().plus(Amount { memory_gb: 0.0, ..in_use }, -1.0);
-            if size.times_in(quota) >= spec.tasks {
-                let room = placement::collect(board, &spec, reach);
-                board.reserve(&room, size, 1.0);
-            }
+        let in_use = self.board.team_use.get(&spec.team).copied().unwrap_or_default();
+        let quota = team.limit().plus(in_use.without_memory(), -1.0);
+        if size.times_in(quota) >= spec.tasks {
+            let (leads, me) = (self.leads, self.node.me.incarnation);
+            let room = placement::collect(self.board, spec, |s| leads || s.owner == me);
+            self.board.reserve(&room, size, 1.0);
+        }
+    }
+
+    /// Stops what may be stopped so that the job, or the first tasks of it, will fit.
+    fn make_room(&mut self, candidate: &Candidate, job: &JobRecord, last_resort: bool) {
+        let Candidate { id, spec, .. } = *candidate;
+        if self.reserved.contains_key(id) || !self.may_search(candidate, job) {
+            return;
+        }
+        self.searched.insert(id.to_owned(), self.budget.now);
+        // A gang needs room for all its tasks; others start as room is made.
+        let gang = spec.kind == JobKind::Gang;
+        let tasks = if gang { spec.tasks } else { placement::pending_count(job).min(PREEMPT_MOST) };
+        let Some(room) = self.find_victims(candidate, tasks, last_resort) else { return };
+        let save = |v: &preempt::Victim| {
+            self.world.jobs.get(&v.job).and_then(|j| j.value.spec.as_ref()).map_or(0.0, |s| s.save_s)
+        };
+        // Of the team's own work none holds a machine that is waited for.
+        let save_s = match room.machines.is_empty() {
+            true => 0.0,
+            false => room.victims.iter().map(save).fold(0.0, f64::max).min(SAVE_MOST_S),
+        };
+        let until = self.budget.now + RESERVE_FOR + wire::seconds(save_s);
+        self.reserved.insert(id.to_owned(), (room.machines, until));
+        for v in room.victims {
+            let Some(record) = edit(self.round, self.world, &v.job) else { continue };
+            preempt::mark(record, &v);
+            self.round.log.push(Event::Preempted { by: id.to_owned(), victim: v });
+        }
+    }
+
+    /// Whether it may be looked for what could be stopped for a job. A look at all that
+    /// runs everywhere is dear, and what has not helped just now does not help yet.
+    fn may_search(&self, candidate: &Candidate, job: &JobRecord) -> bool {
+        let Budget { now, now_ms, .. } = self.budget;
+        let gang = candidate.spec.kind == JobKind::Gang;
+        let again = if gang { SEARCH_PAUSE } else { SEARCH_PAUSE / 3 };
+        let recent = |t: &Instant| now.saturating_duration_since(*t) < again;
+        placement::retry_at_ms(job) <= now_ms
+            && (!gang || job.run.is_empty())
+            && !is_patient(job, now_ms)
+            && self.round.searches < SEARCHES
+            && !self.searched.get(candidate.id).is_some_and(recent)
+    }
+
+    /// What to stop for so many tasks, and where; the room is taken on the board.
+    fn find_victims(&mut self, candidate: &Candidate, tasks: u32, last_resort: bool) -> Option<Room> {
+        let Candidate { spec, team, priority, size, .. } = *candidate;
+        let world = self.world;
+        let in_use = world.team_use.get(&spec.team).copied().unwrap_or_default();
+        let quota = team.limit().plus(in_use.without_memory(), -1.0);
+        if size.times_in(quota) < tasks {
+            let victims = preempt::within_team(world, self.board, (spec, priority), tasks, team)?;
+            return Some(Room { machines: Vec::new(), victims });
+        }
+        let whole = |s: &placement::Slot| last_resort || placement::gpu_loss(world, spec, s) == 0;
+        let mut room = Room { machines: Vec::new(), victims: Vec::new() };
+        for _ in 0..tasks {
+            self.round.searches += 1;
+            let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.board));
+            let asker = (spec, priority);
+            let found = preempt::victims(
+                running,
+                self.board,
+                asker,
+                &self.guaranteed,
+                &room.victims,
+                !last_resort,
+                whole,
+            );
+            let Some((machine, victims)) = found else { break };
+            self.board.reserve(std::slice::from_ref(&machine), size, 1.0);
+            room.machines.push(machine);
+            room.victims.extend(victims);
+        }
+        let too_few = spec.kind == JobKind::Gang && room.machines.len() < tasks as usize;
+        if room.victims.is_empty() || too_few {
+            self.board.reserve(&room.machines, size, -1.0);
+            return None;
         }
+        Some(room)
     }
 }
 
+/// Room that is made by stopping others.
+struct Room {
+    machines: Vec<Name>,
+    victims: Vec<preempt::Victim>,
+}
+
 /// Whether a gang's record fits into a value, or may be written in parts.
 fn may_be_written(node: &Node, id: &str, job: &JobRecord) -> bool {
     let plan = node.plan();
@@ -329,89 +543,6 @@
         && job.start_by_ms().is_some_and(|by| by > now_ms + SLACK_MS)
 }
 
-/// A job that found no room.
-struct Needs<'a> {
-    id: &'a str,
-    job: &'a JobRecord,
-    /// Whether the places of GPU jobs may be taken.
-    last_resort: bool,
-    /// The jobs that are within their teams' guarantees.
-    within: &'a BTreeSet<String>,
-    now: Instant,
-    now_ms: u64,
-}
-
-/// What a search for room looks at and leaves behind.
-struct Search<'a, 'w> {
-    world: &'w World,
-    reserved: &'a mut HashMap<String, (Vec<Name>, Instant)>,
-    searched: &'a mut HashMap<String, Instant>,
-    running: &'a mut Option<preempt::Running<'w>>,
-}
-
-/// Stops what may be stopped so that the job, or the first tasks of it, will fit.
-fn make_room(node: &Node, search: &mut Search, round: &mut Round, board: &mut Board, needs: &Needs) {
-    let Needs { id, job, last_resort, within, now, now_ms } = *needs;
-    let world = search.world;
-    let Some(spec) = job.spec.as_deref() else { return };
-    let Some(team) = node.team(&spec.team) else { return };
-    let priority = job.priority().unwrap_or(spec.priority);
-    let size = Amount::of_task(spec);
-    let gang = spec.kind == JobKind::Gang;
-    let quiet = placement::retry_at_ms(job) <= now_ms && (!gang || job.run.is_empty());
-    if search.reserved.contains_key(id) || !quiet || is_patient(job, now_ms) {
-        return;
-    }
-    // A look at all that runs everywhere is dear, and what has not helped just
-    // now does not help yet.
-    if round.searches >= SEARCHES {
-        return;
-    }
-    let again = if gang { LOOK_AGAIN } else { LOOK_AGAIN / 3 };
-    if search.searched.get(id).is_some_and(|t| now.saturating_duration_since(*t) < again) {
-        return;
-    }
-    search.searched.insert(id.to_owned(), now);
-    // A gang needs room for all its tasks; others start as room is made.
-    let tasks = if gang { spec.tasks } else { placement::pending_count(job).min(PREEMPT_MOST) };
-    let in_use = world.team_use.get(&spec.team).copied().unwrap_or_default();
-    let quota = team.limit().plus(Amount { memory_gb: 0.0, ..in_use }, -1.0);
-    let whole = |s: &placement::Slot| placement::gpu_loss(world, spec, s) == 0;
-    let (machines, victims, save) = if size.times_in(quota) < tasks {
-        let Some(victims) = preempt::within_team(world, board, (spec, priority), tasks, team) else { return };
-        (Vec::new(), victims, 0.0)
-    } else {
-        let mut machines = Vec::new();
-        let mut all = Vec::new();
-        for _ in 0..tasks {
-            round.searches += 1;
-            let running = search.running.get_or_insert_with(|| preempt::Running::new(world, board));
-            let found = preempt::victims(running, board, (spec, priority), within, &all, !last_resort, |s| {
-                last_resort || whole(s)
-            });
-            let Some((machine, victims)) = found else { break };
-            board.reserve(std::slice::from_ref(&machine), size, 1.0);
-            machines.push(machine);
-            all.extend(victims);
-        }
-        if all.is_empty() || (gang && machines.len() < tasks as usize) {
-            board.reserve(&machines, size, -1.0);
-            return;
-        }
-        let save = |v: &preempt::Victim| {
-            world.jobs.get(&v.job).and_then(|j| j.value.spec.as_ref()).map_or(0.0, |s| s.save_s)
-        };
-        let save = all.iter().map(save).fold(0.0, f64::max).min(600.0);
-        (machines, all, save)
-    };
-    search.reserved.insert(id.to_owned(), (machines, now + RESERVE_FOR + wire::seconds(save)));
-    for v in victims {
-        let Some(record) = edit(round, world, &v.job) else { continue };
-        preempt::mark(record, &v);
-        round.log.push(Event::Preempted { by: id.to_owned(), victim: v });
-    }
-}
-
 /// The job's turn, by the times that the settings state for its class.
 fn turn(node: &Node, job: &JobRecord, guaranteed: bool, longest: bool, now_ms: u64) -> placement::Turn {
     let times = job.spec.as_ref().and_then(|s| node.settings.start_times(&s.class));
@@ -421,9 +552,16 @@
 /// Whether room that the job could take is collected for a gang that has waited
 /// longer. Only the leader, who collects it, then places such jobs.
 pub(crate) fn collected_for(world: &World, spec: &JobSpec, now_ms: u64) -> bool {
+    competes_with(world, spec, placement::longest_waiting(world, now_ms).into_iter())
+}
+
+/// Whether the job could take room that one of these gangs needs, and comes after it.
+fn competes_with<'w>(world: &'w World, spec: &JobSpec, mut gangs: impl Iterator<Item = &'w str>) -> bool {
     let priority = world.jobs.get(&spec.id).map_or(Some(spec.priority), |j| j.value.priority());
-    placement::longest_waiting(world, now_ms).into_iter().filter(|id| *id != spec.id).any(|id| {
-        let Some(gang) = world.jobs.get(id).map(|j| &j.value) else { return false };
+    gangs.any(|id| {
+        let Some(gang) = world.jobs.get(id).map(|j| &j.value).filter(|_| *id != *spec.id) else {
+            return false;
+        };
         let competes = gang.spec.as_deref().is_some_and(|g| placement::competes(spec, g));
         competes && gang.priority() >= priority
     })
--- a/crates/daemon/tests/unit/fleet_duty_returns.rs
+++ b/crates/daemon/tests/unit/fleet_duty_returns.rs
@@ -30,9 +30,9 @@
     };
     let all = replicas(&core, &dark);
     assert!(all > 100, "{all}");
-    let cpus = |offers: &[Offer]| {
-        offers.iter().map(|o| core.world.types[&*o.machine_type].cpus).sum::<f64>() as usize
-    };
+    let types = core.world.types.clone();
+    let cpus = |offers: &[Offer]| offers.iter().map(|o| types[&*o.machine_type].cpus).sum::<f64>() as usize;
+    core.refresh_board(&node.me, node.report_every(), later);
     assert!(cpus(&fleet.wanted(&node, &core, later)) >= all * 4, "room for all of them is rented");
     let awake = |core: &mut Core, at: Instant| (core.fresh_at, core.beat) = (Some(at), at);
     awake(&mut core, later);
--- a/crates/daemon/tests/unit/placer.rs
+++ b/crates/daemon/tests/unit/placer.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::worker::tests::spec;
+use std::collections::BTreeMap;
 
 #[test]
 fn room_made_for_an_array_stays_its_own_until_its_tasks_are_placed() {
--- a/crates/sched/src/board.rs
+++ b/crates/sched/src/board.rs
@@ -1,11 +1,12 @@
 //! The machines as one round of decisions sees them.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, btree_set};
+use std::collections::{BTreeMap, BTreeSet, btree_set};
 
 use wire::JobSpec;
 
+use crate::hash::HashMap;
 use crate::records::{JobRecord, Name};
-use crate::world::{Amount, World};
+use crate::world::{Amount, InOrder, World};
 
 /// A machine as placement sees it within one round.
 #[derive(Debug, Clone)]
@@ -79,14 +80,13 @@
         let mut alike: BTreeMap<Alike, BTreeSet<usize>> = BTreeMap::new();
         // The first machine of each kind.
         let mut kinds: Vec<usize> = Vec::new();
-        let mut used = world.machine_use.iter().peekable();
+        let mut used = InOrder::new(&world.machine_use);
         for (id, m, owner) in world.owned_machines() {
             let m = &m.value;
             if m.release {
                 continue;
             }
-            while used.next_if(|(other, _)| *other < id).is_some() {}
-            let used = used.next_if(|(other, _)| *other == id).map(|(_, u)| *u).unwrap_or_default();
+            let used = used.get(id).copied().unwrap_or_default();
             let usable = usable(id, owner.incarnation);
             let like = |s: &Slot| {
                 (s.owner, s.spot) == (owner.incarnation, m.spot)
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -1,9 +1,10 @@
 //! What to rent for the tasks that have no place.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
 use wire::{JobKind, JobSpec, MachineType};
 
+use crate::hash::HashMap;
 use crate::placement::{allowed, zone_limit};
 use crate::records::Name;
 use crate::world::Amount;
@@ -62,7 +63,7 @@
     // How many of a kind there are is not known. One request's worth of each is
     // planned at a time, so that a large array does not plan for ever with what
     // is cheapest and leave nothing to those behind it.
-    let mut planned: HashMap<Offer, usize> = HashMap::new();
+    let mut planned: HashMap<Offer, usize> = HashMap::default();
     for d in demands {
         let size = Amount::of_task(d.spec);
         let limit = zone_limit(d.spec);
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod drain;
 pub mod fleet;
 pub mod forecast;
+pub mod hash;
 mod packed;
 pub mod pipeline;
 pub mod placement;
--- a/crates/sched/src/pipeline.rs
+++ b/crates/sched/src/pipeline.rs
@@ -3,8 +3,9 @@
 //! restart. Done and cancelled are final: what is concluded from them stands,
 //! however old the view is.
 
-use std::collections::{BTreeSet, HashMap};
+use std::collections::BTreeSet;
 
+use crate::hash::HashMap;
 use crate::records::Name;
 
 #[derive(Debug, Default)]
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -1,12 +1,13 @@
 //! Which machine a task goes to.
 
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use wire::{JobKind, JobSpec};
 
 use crate::board::Candidates;
 pub use crate::board::{Board, Slot};
+use crate::hash::HashMap;
 use crate::records::{Assignment, JobRecord, Name, Phase, Want};
 use crate::world::{Amount, Team, World};
 
@@ -323,7 +324,7 @@
     let Limits { lossy, now_ms, .. } = limits;
     let size = Amount::of_task(spec);
     let limit = zone_limit(spec);
-    let mut in_zone: HashMap<&str, u32> = HashMap::new();
+    let mut in_zone: HashMap<&str, u32> = HashMap::default();
     for a in &job.run {
         match world.machines.get(&a.machine) {
             Some(m) => *in_zone.entry(&*m.value.zone).or_default() += 1,
@@ -369,7 +370,7 @@
     // that changes for all of a zone at once. Each comes with its run: those that are
     // alike have the same rank but for their place, and follow one by one.
     let mut zones: BTreeMap<&str, BinaryHeap<Reverse<Ranked>>> = BTreeMap::new();
-    let none = HashMap::new();
+    let none = HashMap::default();
     let each = std::mem::take(&mut candidates.each);
     let heads: Vec<(usize, Option<usize>)> = (0..candidates.alike.len())
         .filter_map(|run| Some((candidates.next(run)?, Some(run))))
@@ -380,7 +381,7 @@
             zones.entry(&*board.slots[i].zone).or_default().push(Reverse((rank, run)));
         }
     }
-    let mut taken: HashMap<usize, Amount> = HashMap::new();
+    let mut taken: HashMap<usize, Amount> = HashMap::default();
     let mut out = Vec::new();
     for &task in wanted {
         let best = zones
@@ -470,8 +471,7 @@
 pub fn longest_waiting(world: &World, now_ms: u64) -> Vec<&str> {
     let mut running = 0;
     let mut waiting: Vec<(u64, &str, u32)> = Vec::new();
-    for (id, job) in world.open.iter().filter_map(|id| world.jobs.get_key_value(id)) {
-        let job = &job.value;
+    for (id, job) in world.open_jobs() {
         let Some(spec) = job.spec.as_deref().filter(|s| s.kind == JobKind::Gang) else { continue };
         running += job.run.len();
         if job.run.is_empty() && job.phase == Phase::Active && waited_s(job, now_ms) >= LONG_S {
@@ -520,7 +520,7 @@
 /// like each.
 pub fn fits_whole<'a>(spec: &JobSpec, rooms: impl Iterator<Item = (&'a Slot, u32)>) -> bool {
     let size = Amount::of_task(spec);
-    let mut by_zone: HashMap<&str, u32> = HashMap::new();
+    let mut by_zone: HashMap<&str, u32> = HashMap::default();
     for (s, machines) in rooms.filter(|(s, _)| allowed(spec, &s.machine_type, &s.zone, s.spot)) {
         let n = by_zone.entry(&*s.zone).or_default();
         *n = n.saturating_add(size.times_in(s.free()).saturating_mul(machines));
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -1,9 +1,8 @@
 //! Which tasks make way for more urgent work.
 
-use std::collections::BTreeSet;
-
 use wire::{JobKind, JobSpec, Priority};
 
+use crate::hash::HashSet;
 use crate::placement::{Board, Slot, allowed};
 use crate::records::{Assignment, JobRecord, Name, Want};
 use crate::world::{Amount, Team, World};
@@ -49,7 +48,7 @@
     running: &Running,
     board: &Board,
     (spec, priority): (&JobSpec, Priority),
-    guaranteed: &BTreeSet<String>,
+    guaranteed: &HashSet<&str>,
     chosen_before: &[Victim],
     spare_gpu_jobs: bool,
     within: impl Fn(&Slot) -> bool,
@@ -76,7 +75,7 @@
             }
             let rank = job.priority().unwrap_or(other.priority);
             let lower = rank < priority;
-            let beyond = guaranteed.contains(&spec.id)
+            let beyond = guaranteed.contains(spec.id.as_str())
                 && !guaranteed.contains(id)
                 && other.team != spec.team
                 && rank <= priority;
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -1,11 +1,12 @@
 //! Controlled rescheduling: which service task should move, after the design's
 //! threshold-gated evictions under a disruption budget.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use wire::{JobKind, JobSpec};
 
+use crate::hash::HashMap;
 use crate::placement::{Board, allowed, gpu_loss_at};
 use crate::records::{AVOID_MAX, Assignment, JobRecord, Name, Want};
 use crate::world::{Amount, World};
@@ -62,7 +63,7 @@
             continue;
         }
         let size = Amount::of_task(spec);
-        let mut in_zone: HashMap<&str, u32> = HashMap::new();
+        let mut in_zone: HashMap<&str, u32> = HashMap::default();
         for a in &job.run {
             if let Some(i) = board.find(&a.machine) {
                 *in_zone.entry(&*board.slots[i].zone).or_default() += 1;
--- a/crates/sched/src/world.rs
+++ b/crates/sched/src/world.rs
@@ -1,10 +1,12 @@
 //! A copy of the records, with what is derived from them.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque, btree_map};
+use std::iter::Peekable;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use wire::{JobSpec, JobState, MachineType};
 
+use crate::hash::{HashMap, HashSet};
 use crate::pipeline::Pipelines;
 use crate::records::*;
 
@@ -35,6 +37,11 @@
         }
     }
 
+    /// The same without memory, which teams' limits do not count.
+    pub fn without_memory(self) -> Self {
+        Self { memory_gb: 0.0, ..self }
+    }
+
     pub fn fits(self, room: Self) -> bool {
         self.cpus <= room.cpus + SLACK
             && self.gpus <= room.gpus + SLACK
@@ -232,6 +239,12 @@
         self.touched.insert(a.machine.clone());
     }
 
+    /// The jobs that are not final, or still have something on a machine, in the order of
+    /// their ids.
+    pub fn open_jobs(&self) -> impl Iterator<Item = (&String, &JobRecord)> {
+        self.open.iter().filter_map(|id| Some((id, self.jobs.get(id)?.value.as_ref())))
+    }
+
     /// The machines on which something has changed since the last call; None
     /// if that may be any.
     pub fn take_touched(&mut self) -> Option<BTreeSet<Name>> {
@@ -559,11 +572,8 @@
 
     /// All machines that have an owner, in the order of their names.
     pub fn owned_machines(&self) -> impl Iterator<Item = (&Name, &Versioned<MachineRecord>, &Member)> {
-        let mut owners = self.owners.iter().peekable();
-        self.machines.iter().filter_map(move |(id, m)| {
-            while owners.next_if(|(other, _)| *other < id).is_some() {}
-            owners.next_if(|(other, _)| *other == id).map(|(_, owner)| (id, m, &owner.0))
-        })
+        let mut owners = InOrder::new(&self.owners);
+        self.machines.iter().filter_map(move |(id, m)| Some((id, m, &owners.get(id)?.0)))
     }
 
     pub fn owner_of(&self, machine: &str) -> Option<&Member> {
@@ -591,6 +601,34 @@
     }
 }
 
+/// Looks up names in a table in their order, each but a step from the one before: finding
+/// each machine anew in several tables cost more than what was done with them.
+pub struct InOrder<'a, V> {
+    rest: Peekable<btree_map::Iter<'a, Name, V>>,
+}
+
+impl<'a, V> InOrder<'a, V> {
+    pub fn new(table: &'a BTreeMap<Name, V>) -> Self {
+        Self { rest: table.iter().peekable() }
+    }
+
+    /// What the table has for a name, which must come after all that were asked for before.
+    pub fn get(&mut self, id: &Name) -> Option<&'a V> {
+        // Equal first: names are mostly shared, and then compared by their place in memory.
+        while let Some((other, value)) = self.rest.peek().copied() {
+            if other == id {
+                self.rest.next();
+                return Some(value);
+            }
+            if other > id {
+                return None;
+            }
+            self.rest.next();
+        }
+        None
+    }
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/world.rs"]
 mod tests;
--- a/crates/sched/tests/unit/fleet.rs
+++ b/crates/sched/tests/unit/fleet.rs
@@ -2,7 +2,7 @@
 use crate::placement::tests::{spec, team, world};
 
 fn demand(spec: &JobSpec, tasks: u32) -> Demand<'_> {
-    Demand { spec, tasks, in_zone: HashMap::new(), unsuited: Vec::new() }
+    Demand { spec, tasks, in_zone: HashMap::default(), unsuited: Vec::new() }
 }
 
 #[test]
--- a/crates/sched/tests/unit/preempt.rs
+++ b/crates/sched/tests/unit/preempt.rs
@@ -10,7 +10,7 @@
     add(&mut w, old, &[(0, "a1"), (1, "a1"), (2, "a1"), (3, "a1")]);
     let s = spec("j-2", JobKind::Array, 1);
     let find = |within: &[&str]| {
-        let within = within.iter().map(|s| (*s).to_owned()).collect();
+        let within = within.iter().copied().collect();
         victims(&Running::new(&w, &board(&w)), &board(&w), (&s, s.priority), &within, &[], false, |_| true)
     };
     assert!(find(&[]).is_none(), "same priority, no guarantee");
@@ -33,7 +33,7 @@
             &Running::new(&w, &board(&w)),
             &board(&w),
             (&s, s.priority),
-            &BTreeSet::new(),
+            &HashSet::default(),
             chosen,
             false,
             |_| true,
@@ -47,7 +47,7 @@
             &Running::new(&w, &board(&w)),
             &board(&w),
             (&s, s.priority),
-            &BTreeSet::new(),
+            &HashSet::default(),
             &first,
             false,
             |_| true
@@ -70,7 +70,7 @@
         &Running::new(&w, &board(&w)),
         &board(&w),
         (&s, s.priority),
-        &BTreeSet::new(),
+        &HashSet::default(),
         &[],
         false,
         |_| true,
