--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -16,11 +16,11 @@
     TaskState, Txn,
 };
 
-use crate::engine;
+use crate::api;
+use crate::controller::{Controller, wall_ms};
 use crate::fleet_duty::Fleet;
-use crate::front;
-use crate::gossip;
-use crate::node::{Node, wall_ms};
+use crate::peers;
+use crate::reconcile;
 use crate::settings::{Operators, Settings};
 use crate::state_duty;
 use crate::worker::{Worker, first_token};
@@ -74,7 +74,7 @@
 
 /// A controller that leads two, with its half of the machines and all the jobs.
 pub struct Site {
-    pub node: Node,
+    pub controller: Controller,
     machines: usize,
     open: usize,
     seq: u64,
@@ -184,7 +184,7 @@
 impl Site {
     /// Takes in a record as it comes from the state service.
     fn apply(&self, put: Put) {
-        let mut core = self.node.core();
+        let mut core = self.controller.core();
         let version = core.world.revision + 1;
         let (change, _, version) = core.reader.take(&put.key, put.value, version);
         core.world.apply(change, version);
@@ -194,19 +194,19 @@
     pub fn empty() -> Self {
         let settings = Settings::parse("benchmark", SETTINGS).expect("valid");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let node = Node::new(settings, Operators::default(), 1);
-        let site = Self { node, machines: 0, open: 0, seq: 1, _runtime: runtime };
+        let controller = Controller::new(settings, Operators::default(), 1);
+        let site = Self { controller, machines: 0, open: 0, seq: 1, _runtime: runtime };
         let kinds = [kind("s", 8.0, 0.0), kind("m", 16.0, 0.0), kind("l", 32.0, 0.0), kind("g", 16.0, 2.0)];
-        let me = site.node.me.clone();
+        let me = site.controller.me.clone();
         let other = Member { name: "n-1".into(), zone: "b".into(), incarnation: 2 };
         site.apply(Put::new(key::TYPES.into(), &TypesRecord { types: kinds.to_vec() }));
         for m in [&me, &other] {
             site.apply(Put::new(key::member(&m.name), m));
-            site.apply(Put::new(key::upgraded(&m.name), &Upgraded { form: FORM }));
+            site.apply(Put::new(key::upgraded(&m.name), &Upgraded { schema_version: SCHEMA_VERSION }));
         }
         site.apply(Put::new(key::LEADER.into(), &me));
         site.apply(Put::new(key::MAP.into(), &MapRecord { epoch: EPOCH, live: vec![me, other] }));
-        let mut core = site.node.core();
+        let mut core = site.controller.core();
         core.ready = true;
         core.fresh_at = Some(Instant::now());
         drop(core);
@@ -236,7 +236,7 @@
     /// What the machine's worker reports: all that is on it runs, but that the first
     /// `ended` tasks are done.
     fn report(&self, n: usize, ended: usize) -> Report {
-        let core = self.node.core();
+        let core = self.controller.core();
         let id = machine_id(n);
         let m = machine(n);
         let on = core.world.assignments(&id).enumerate().map(|(i, (job, _, a))| TaskReport {
@@ -272,7 +272,7 @@
             let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
             worker.ingest(report, true, now);
             worker.renew(now);
-            self.node.core().workers.insert(machine_id(n).into(), worker);
+            self.controller.core().workers.insert(machine_id(n).into(), worker);
         }
     }
 
@@ -300,7 +300,7 @@
     }
 
     pub fn hear_peer(&self, count: u64) {
-        gossip::take(&self.node, self.rows(count));
+        peers::take(&self.controller, self.rows(count));
     }
 
     pub fn new(machines: usize, jobs: usize) -> Self {
@@ -315,9 +315,10 @@
         site
     }
 
-    fn decide(&self, ops: usize) -> engine::Round {
-        let mut core = self.node.core();
-        engine::decide(&self.node, &mut core, false, ops, Instant::now(), wall_ms()).expect("entitled")
+    fn decide(&self, ops: usize) -> reconcile::Round {
+        let mut core = self.controller.core();
+        reconcile::decide(&self.controller, &mut core, false, ops, Instant::now(), wall_ms())
+            .expect("entitled")
     }
 
     /// Lets all workers be looked at once.
@@ -337,7 +338,7 @@
     fn hello(&self, body: Vec<u8>) {
         let path = "/hello".to_owned();
         let request = Request { method: "POST".into(), path, body: body.into() };
-        let mut answer = std::pin::pin!(front::serve(self.node.clone(), request));
+        let mut answer = std::pin::pin!(api::serve(self.controller.clone(), request));
         let reply = poll(answer.as_mut()).expect("answered at once");
         assert_eq!(reply.status, 200);
     }
@@ -346,10 +347,10 @@
     fn ask(&self, n: usize) {
         let path = format!("/v1/jobs/{}", job_id(n));
         let request = Request { method: "GET".into(), path, body: Default::default() };
-        let mut answer = std::pin::pin!(front::serve(self.node.clone(), request));
+        let mut answer = std::pin::pin!(api::serve(self.controller.clone(), request));
         let reply = poll(answer.as_mut()).or_else(|| {
-            let asked = self.node.core().asked;
-            self.node.verified.send_modify(|v| v.granted = asked);
+            let asked = self.controller.core().asked;
+            self.controller.verified.send_modify(|v| v.granted = asked);
             poll(answer.as_mut())
         });
         assert_eq!(reply.map(|r| r.status), Some(200));
@@ -378,7 +379,7 @@
 
     /// Changes of running jobs, each with one task less, as the watch tells them.
     fn news(&self, jobs: usize) -> Vec<u8> {
-        let first = self.node.core().world.revision + 1;
+        let first = self.controller.core().world.revision + 1;
         let event = |n: usize| {
             let mut job = running(n, self.machines);
             job.run.remove(1);
@@ -435,7 +436,7 @@
     /// Runs each case once and tells in which order.
     pub fn run(&mut self) -> Vec<Case> {
         let mut cases = Vec::new();
-        let node = self.node.clone();
+        let controller = self.controller.clone();
         let handle = self._runtime.handle().clone();
         let _inside = handle.enter();
         // The first time warms up what is filled lazily.
@@ -456,8 +457,8 @@
             self.round(&mut done, "round that places 32 tasks", 8, 64);
             let round = self.decide(16);
             measured(|| {
-                let engine::Assembled { conditions, puts, .. } =
-                    engine::assemble(&node.core().world, &round, &node.plan(), usize::MAX);
+                let reconcile::Assembled { conditions, puts, .. } =
+                    reconcile::assemble(&controller.core().world, &round, &controller.plan(), usize::MAX);
                 let put = |p: Put| p.value.map(|value| Op::Put { put: p.key, value, lease: p.lease });
                 wire::encode(&Txn { conditions, ops: puts.into_iter().filter_map(put).collect() })
             });
@@ -467,40 +468,40 @@
             self.round(&mut done, "round with 32 jobs without room", 8, 16);
             let now = Instant::now();
             let mut fleet = Fleet::leading_since(now - Duration::from_secs(60));
-            node.core().refresh_board(&node.me, node.report_every(), now);
-            measured(|| fleet.wanted(&node, &node.core(), now));
+            controller.core().refresh_inventory(&controller.me, controller.report_every(), now);
+            measured(|| fleet.wanted(&controller, &controller.core(), now));
             case_over(&mut done, "rentals planned for 32 jobs", 1);
             self.drop_jobs(3_000_100, 32);
-            measured(|| fleet.wanted(&node, &node.core(), now));
+            measured(|| fleet.wanted(&controller, &controller.core(), now));
             case_over(&mut done, "rentals planned for none", 1);
-            node.core().fresh_at = Some(now);
-            node.core().beat(now);
-            measured(|| fleet.surplus(&node, &node.core(), now));
+            controller.core().fresh_at = Some(now);
+            controller.core().beat(now);
+            measured(|| fleet.surplus(&controller, &controller.core(), now));
             case_over(&mut done, "returns planned", 1);
-            node.core().given.since = None;
+            controller.core().given.since = None;
             let new = spec(4_000_000, JobKind::Array, 1);
-            measured(|| front::choose_part(&node, &new));
+            measured(|| api::choose_part(&controller, &new));
             case_over(&mut done, "part for a first new job", 1);
-            measured(|| (0..4).for_each(|_| drop(black_box(front::choose_part(&node, &new)))));
+            measured(|| (0..4).for_each(|_| drop(black_box(api::choose_part(&controller, &new)))));
             case_over(&mut done, "part for a new job", 4);
-            measured(|| peer::encode(&Message::Summary(gossip::summary(&node))));
+            measured(|| peer::encode(&Message::Summary(peers::summary(&controller))));
             case_over(&mut done, "summary told", 1);
             let told = peer::encode(&Message::Summary(self.rows(self.seq * 10)));
             measured(|| {
                 if let Some(Message::Summary(s)) = peer::decode(&told) {
-                    gossip::take(&node, s);
+                    peers::take(&controller, s);
                 }
             });
             case_over(&mut done, "summary heard", 1);
             measured(|| {
-                let mut core = node.core();
+                let mut core = controller.core();
                 core.beat(Instant::now());
-                core.stands_aside(&node.me, node.report_every(), Instant::now())
+                core.stands_aside(&controller.me, controller.report_every(), Instant::now())
             });
             case_over(&mut done, "pulse and membership", 1);
             measured(|| {
-                let mut core = node.core();
-                node.share_writes(&mut core, Instant::now() + Duration::from_secs(self.seq * 10));
+                let mut core = controller.core();
+                controller.share_writes(&mut core, Instant::now() + Duration::from_secs(self.seq * 10));
             });
             case_over(&mut done, "shares of the changes", 1);
             self.over_http(&mut done);
@@ -509,10 +510,10 @@
             measured(|| bodies.into_iter().for_each(|b| self.hello(b)));
             case_over(&mut done, "report with news", n);
             self.round(&mut done, "round after 64 ends", 1, 64);
-            node.core().handed.clear();
+            controller.core().handed.clear();
             let jobs = self.open.min(TIMES);
             let news = self.news(jobs);
-            measured(|| state_duty::take_in(&node, wire::decode(&news).expect("changes")));
+            measured(|| state_duty::take_in(&controller, wire::decode(&news).expect("changes")));
             case_over(&mut done, "watch event", jobs);
             let page = self.page();
             let mut world = sched::world::World::default();
@@ -531,7 +532,7 @@
             }
             let bodies = self.reports(0);
             bodies.into_iter().for_each(|b| self.hello(b));
-            node.core().handed.clear();
+            controller.core().handed.clear();
             self.settle();
             assert!(self.decide(16).jobs.is_empty(), "nothing is open");
             cases.extend(done);
--- a/crates/daemon/benches/load/main.rs
+++ b/crates/daemon/benches/load/main.rs
@@ -143,6 +143,16 @@
     told("worker with 4 tasks", machines / 2);
     site.hear_peer(1);
     told("machine of a peer", machines / 2);
+    // What grows with the site, all of it held by one controller.
+    let before = used();
+    let mut large = Site::empty();
+    large.add_machines(4000);
+    large.add_open(20_000 / cases::TASKS as usize);
+    large.add_finished(jobs);
+    large.add_workers();
+    large.hear_peer(1);
+    println!("| in all, 4,000 machines, 20,000 open tasks and 10,000 finished jobs | {} |", used() - before);
+    drop(large);
     println!("| idle connection | {} |", cases::idle_connections(1000, used) / 1000);
     ExitCode::SUCCESS
 }
--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -13,28 +13,28 @@
 use wire::{Condition, JobKind, JobSpec, JobState, JobStatus, Redirect, Report, ReportAnswer};
 
 use crate::clock;
-use crate::gossip;
-use crate::load::{Counts, Purpose, few};
-use crate::node::{Core, GivenToParts, Node, wall_ms};
+use crate::controller::{Controller, Core, GivenToParts, wall_ms};
+use crate::load::{Counts, Purpose, sample_names};
+use crate::peers;
 use crate::placer;
 use crate::worker::{Worker, final_stops, first_token};
 
-pub async fn serve(node: Node, request: Request) -> Reply {
+pub async fn serve(controller: Controller, request: Request) -> Reply {
     let path = request.path.split('?').next().unwrap_or_default();
     let post = request.method == "POST";
     let get = request.method == "GET";
     let wrong = || Reply::error(405, "method not allowed");
     match path {
-        "/hello" if post => report(&node, &request.body, false).await,
-        "/healthz" if get => healthz(&node),
-        "/v1/jobs" if post => in_time(submit(&node, &request.body)).await,
+        "/hello" if post => report(&controller, &request.body, false).await,
+        "/healthz" if get => healthz(&controller),
+        "/v1/jobs" if post => in_time(submit(&controller, &request.body)).await,
         "/hello" | "/healthz" | "/v1/jobs" => wrong(),
         _ => match path
             .strip_prefix("/v1/jobs/")
             .map(|rest| rest.split_once('/').map_or((rest, None), |(a, b)| (a, Some(b))))
         {
-            Some((id, None)) if get => status(&node, id).await,
-            Some((id, Some("withdraw"))) if post => in_time(cancel(&node, id)).await,
+            Some((id, None)) if get => status(&controller, id).await,
+            Some((id, Some("withdraw"))) if post => in_time(cancel(&controller, id)).await,
             Some((_, None | Some("withdraw"))) => wrong(),
             _ => Reply::error(404, "unknown path"),
         },
@@ -59,8 +59,8 @@
     usize::from(path != "/hello")
 }
 
-fn healthz(node: &Node) -> Reply {
-    let core = node.core();
+fn healthz(controller: &Controller) -> Reply {
+    let core = controller.core();
     if core.ready && !core.alone_without_state(clock::now()) {
         Reply { status: 200, body: wire::encode(&"ok"), retry_after: None }
     } else {
@@ -72,8 +72,8 @@
 const NEEDS_SHOWN: usize = 20;
 
 /// What the mirror knows of a job.
-fn look(node: &Node, id: &str) -> Option<JobStatus> {
-    let core = node.core();
+fn look(controller: &Controller, id: &str) -> Option<JobStatus> {
+    let core = controller.core();
     let job = core.world.jobs.get(id).map(|j| &j.value)?;
     let state = core.world.state_of(id)?;
     let running = if job.phase == Phase::Active { job.run.len() as u32 } else { 0 };
@@ -86,25 +86,25 @@
 
 /// The job's state as an answer must have it: a final state as soon as it is
 /// committed, anything else only after a check that the mirror is fresh.
-async fn known(node: &Node, id: &str) -> Result<Option<JobStatus>, Reply> {
-    if let Some(s) = look(node, id).filter(|s| s.state.is_final()) {
+async fn known(controller: &Controller, id: &str) -> Result<Option<JobStatus>, Reply> {
+    if let Some(s) = look(controller, id).filter(|s| s.state.is_final()) {
         return Ok(Some(s));
     }
-    let ready = node.core().ready;
-    if !ready || !node.fresh().await {
+    let ready = controller.core().ready;
+    if !ready || !controller.fresh().await {
         return Err(Reply::busy("the state service cannot be asked", 1));
     }
-    if node.core().world.unreadable.contains(id) {
+    if controller.core().world.unreadable.contains(id) {
         return Err(Reply::busy("the job's record cannot be read", 5));
     }
-    Ok(look(node, id))
+    Ok(look(controller, id))
 }
 
-async fn status(node: &Node, id: &str) -> Reply {
+async fn status(controller: &Controller, id: &str) -> Reply {
     if !wire::is_job_id(id) {
         return Reply::error(404, "no such job");
     }
-    match known(node, id).await {
+    match known(controller, id).await {
         Ok(Some(s)) => Reply::new(200, &s),
         Ok(None) => Reply::error(404, "no such job"),
         Err(reply) => reply,
@@ -116,8 +116,8 @@
 const GIVEN_FOR: Duration = Duration::from_millis(500);
 
 /// The part that a new job goes to: the one with most room, if any holds it.
-pub(crate) fn choose_part(node: &Node, spec: &JobSpec) -> Option<String> {
-    let mut guard = node.core();
+pub(crate) fn choose_part(controller: &Controller, spec: &JobSpec) -> Option<String> {
+    let mut guard = controller.core();
     let core = &mut *guard;
     if placer::collected_for(&core.world, spec, wall_ms()) {
         return None;
@@ -126,13 +126,13 @@
     let epoch = core.map()?.epoch;
     let recent = core.given.since.is_some_and(|t| now.saturating_duration_since(t) < GIVEN_FOR);
     if core.given.epoch != epoch || !recent {
-        core.refresh_board(&node.me, node.report_every(), now);
+        core.refresh_inventory(&controller.me, controller.report_every(), now);
         core.given = GivenToParts { since: Some(now), epoch, ..GivenToParts::default() };
     }
-    let Core { world, board, given, .. } = core;
+    let Core { world, inventory, given, .. } = core;
     let world: &World = world;
     let parts = world.map_record()?.live.iter().filter_map(|m| {
-        let rooms = || board.alike_of(m.incarnation).filter(|(s, _)| gpu_loss(world, spec, s) == 0);
+        let rooms = || inventory.alike_of(m.incarnation).filter(|(s, _)| gpu_loss(world, spec, s) == 0);
         let taken = given.cpus.get(&m.incarnation).copied().unwrap_or(0.0);
         let free = rooms().map(|(s, machines)| s.free().cpus * f64::from(machines)).sum::<f64>() - taken;
         fits_whole(spec, rooms()).then_some((free, m))
@@ -146,11 +146,11 @@
 /// no records: it is told whatever state this controller is in. But a job that was
 /// accepted is never refused, whatever else a repetition of its submission says, so the
 /// records are asked first, if they can be.
-async fn refuse(node: &Node, id: Option<&str>, status: u16, why: &str) -> Reply {
+async fn refuse(controller: &Controller, id: Option<&str>, status: u16, why: &str) -> Reply {
     let refused = Reply::error(status, why);
     let Some(id) = id else { return refused };
-    let listed = || look(node, id).is_some() || node.core().world.unreadable.contains(id);
-    match known(node, id).await {
+    let listed = || look(controller, id).is_some() || controller.core().world.unreadable.contains(id);
+    match known(controller, id).await {
         Ok(Some(s)) => Reply::new(200, &s),
         Ok(None) => refused,
         Err(reply) if listed() => reply,
@@ -159,8 +159,8 @@
 }
 
 /// Why a job can never run, as far as the settings and its own words tell.
-fn never_runs(node: &Node, spec: &JobSpec, needs: &[Name]) -> Option<&'static str> {
-    let Some(team) = node.team(&spec.team) else { return Some("unknown team") };
+fn never_runs(controller: &Controller, spec: &JobSpec, needs: &[Name]) -> Option<&'static str> {
+    let Some(team) = controller.team(&spec.team) else { return Some("unknown team") };
     if !fleet::within_limit(spec, team) {
         return Some("beyond the team's limit");
     }
@@ -168,8 +168,8 @@
 }
 
 /// Why a job can never run by the records; Err if that cannot be told now.
-fn refusal(node: &Node, spec: &JobSpec, needs: &[Name]) -> Result<Option<&'static str>, Reply> {
-    let core = node.core();
+fn refusal(controller: &Controller, spec: &JobSpec, needs: &[Name]) -> Result<Option<&'static str>, Reply> {
+    let core = controller.core();
     if core.world.types.is_empty() {
         return Err(Reply::busy("the machine types are not known yet", 1));
     }
@@ -196,8 +196,13 @@
 }
 
 /// The record of a new job, by what has become of those that it needs.
-pub(crate) fn new_record(node: &Node, spec: JobSpec, part: Option<String>, needs: Vec<Name>) -> JobRecord {
-    let core = node.core();
+pub(crate) fn new_record(
+    controller: &Controller,
+    spec: JobSpec,
+    part: Option<String>,
+    needs: Vec<Name>,
+) -> JobRecord {
+    let core = controller.core();
     let now_ms = wall_ms();
     let phase = |n: &Name| core.world.jobs.get(&**n).map(|j| j.value.phase);
     let cancelled = |n: &Name| phase(n) == Some(Phase::Cancelled) || core.world.pipelines.is_doomed(n);
@@ -218,10 +223,10 @@
 /// How old the view may be by which it is told what became of a job's needs.
 const NEEDS_FRESH: Duration = Duration::from_millis(1500);
 
-async fn submit(node: &Node, body: &[u8]) -> Reply {
+async fn submit(controller: &Controller, body: &[u8]) -> Reply {
     let mut spec = match JobSpec::read(body) {
         Ok(spec) => spec,
-        Err(bad) => return refuse(node, bad.id.as_deref(), 400, &bad.why).await,
+        Err(bad) => return refuse(controller, bad.id.as_deref(), 400, &bad.why).await,
     };
     let mut needs: Vec<Name> =
         spec.needs.take().unwrap_or_default().iter().map(|n| n.as_str().into()).collect();
@@ -229,22 +234,22 @@
     needs.dedup();
     let described = if needs.is_empty() { body.len() } else { wire::encode(&spec).len() };
     let id = spec.id.clone();
-    if look(node, &id).is_some() || node.core().world.unreadable.contains(&id) {
-        return match known(node, &id).await {
+    if look(controller, &id).is_some() || controller.core().world.unreadable.contains(&id) {
+        return match known(controller, &id).await {
             Ok(Some(s)) => Reply::new(200, &s),
             Ok(None) => Reply::busy("try again", 1),
             Err(reply) => reply,
         };
     }
-    if let Some(why) = never_runs(node, &spec, &needs) {
-        return refuse(node, Some(&id), 422, why).await;
+    if let Some(why) = never_runs(controller, &spec, &needs) {
+        return refuse(controller, Some(&id), 422, why).await;
     }
-    if !node.core().ready {
+    if !controller.core().ready {
         return Reply::busy("not ready", 1);
     }
-    if described > node.describe_bytes() {
+    if described > controller.describe_bytes() {
         // It may have been accepted when the limits were larger.
-        return match known(node, &id).await {
+        return match known(controller, &id).await {
             Ok(Some(s)) => Reply::new(200, &s),
             Ok(None) => Reply::error(400, "the description is too long to be kept"),
             Err(reply) => reply,
@@ -252,38 +257,39 @@
     }
     // What became of its needs must not be told by an old view: a job whose user was
     // told long ago that one before it is cancelled would be called queued.
-    let fresh = |node: &Node| node.core().fresh_at.is_some_and(|f| clock::since(f) < NEEDS_FRESH);
-    if !needs.is_empty() && !fresh(node) && !node.fresh().await {
+    let fresh =
+        |controller: &Controller| controller.core().fresh_at.is_some_and(|f| clock::since(f) < NEEDS_FRESH);
+    if !needs.is_empty() && !fresh(controller) && !controller.fresh().await {
         return Reply::busy("the state service cannot be asked", 1);
     }
-    match refusal(node, &spec, &needs) {
+    match refusal(controller, &spec, &needs) {
         Ok(None) => {}
         Err(reply) => return reply,
         Ok(Some(_)) => {
             // A job that was accepted must never be refused, nor for the sake of one that
             // was: look again, freshly.
-            match known(node, &id).await {
+            match known(controller, &id).await {
                 Ok(Some(s)) => return Reply::new(200, &s),
                 Ok(None) => {}
                 Err(reply) => return reply,
             }
-            match refusal(node, &spec, &needs) {
+            match refusal(controller, &spec, &needs) {
                 Ok(None) => {}
                 Ok(Some(why)) => return Reply::error(422, why),
                 Err(reply) => return reply,
             }
         }
     }
-    let part = choose_part(node, &spec);
+    let part = choose_part(controller, &spec);
     let (class, tasks) = (spec.class.clone(), spec.tasks);
-    let record = new_record(node, spec, part, needs);
-    node.write_for_user();
+    let record = new_record(controller, spec, part, needs);
+    controller.write_for_user();
     let conditions = vec![Condition { key: key::job(&id), version: 0 }];
-    match node.commit(conditions, vec![Put::new(key::job(&id), &record)]).await {
+    match controller.commit(conditions, vec![Put::new(key::job(&id), &record)]).await {
         Ok(Outcome::Committed { revision }) => {
             debug!(job = id, part = record.part, class, tasks, needs = record.needs.len(), "accepted");
-            node.core().world.apply(Change::Job(id.clone(), Some(Box::new(record))), revision);
-            node.kick.notify_one();
+            controller.core().world.apply(Change::Job(id.clone(), Some(Box::new(record))), revision);
+            controller.kick.notify_one();
             let queued = JobStatus {
                 id: id.clone(),
                 state: JobState::Queued,
@@ -291,43 +297,43 @@
                 running: 0,
                 waits_for: Vec::new(),
             };
-            Reply::new(201, &look(node, &id).filter(|s| s.state.is_final()).unwrap_or(queued))
+            Reply::new(201, &look(controller, &id).filter(|s| s.state.is_final()).unwrap_or(queued))
         }
         Ok(Outcome::Conflict { revision, .. }) => {
-            node.reach(revision, Duration::from_secs(1)).await;
-            match known(node, &id).await {
+            controller.reach(revision, Duration::from_secs(1)).await;
+            match known(controller, &id).await {
                 Ok(Some(s)) => Reply::new(200, &s),
                 Ok(None) => Reply::busy("try again", 1),
                 Err(reply) => reply,
             }
         }
-        Err(e) => not_written(node, &e),
+        Err(e) => not_written(controller, &e),
     }
 }
 
-fn not_written(node: &Node, e: &StoreError) -> Reply {
-    node.note_refusal(e);
+fn not_written(controller: &Controller, e: &StoreError) -> Reply {
+    controller.note_refusal(e);
     debug!(error = %e, "not written");
     Reply::busy("the state service did not take it", 1)
 }
 
-async fn cancel(node: &Node, id: &str) -> Reply {
+async fn cancel(controller: &Controller, id: &str) -> Reply {
     if !wire::is_job_id(id) {
         return Reply::error(404, "no such job");
     }
     for _ in 0..4 {
-        match look(node, id) {
+        match look(controller, id) {
             Some(s) if s.state.is_final() => return Reply::new(200, &s),
             Some(_) => {}
-            None => match known(node, id).await {
+            None => match known(controller, id).await {
                 Ok(Some(_)) => {}
                 Ok(None) => return Reply::error(404, "no such job"),
                 Err(reply) => return reply,
             },
         }
-        node.write_for_user();
+        controller.write_for_user();
         let Some((mut record, version)) =
-            node.core().world.jobs.get(id).map(|j| (j.value.clone(), j.version))
+            controller.core().world.jobs.get(id).map(|j| (j.value.clone(), j.version))
         else {
             continue;
         };
@@ -337,13 +343,13 @@
         record.phase = Phase::Cancelled;
         record.shrink();
         let conditions = vec![Condition { key: key::job(id), version }];
-        match node.commit(conditions, vec![Put::new(key::job(id), &record)]).await {
+        match controller.commit(conditions, vec![Put::new(key::job(id), &record)]).await {
             Ok(Outcome::Committed { revision }) => {
                 debug!(job = id, "cancelled");
                 let done = record.done.len();
                 // All that need it are cancelled with it from now on.
-                node.core().world.apply(Change::Job(id.to_owned(), Some(record)), revision);
-                node.kick.notify_one();
+                controller.core().world.apply(Change::Job(id.to_owned(), Some(record)), revision);
+                controller.kick.notify_one();
                 return Reply::new(
                     200,
                     &JobStatus {
@@ -356,9 +362,9 @@
                 );
             }
             Ok(Outcome::Conflict { revision, .. }) => {
-                node.reach(revision, Duration::from_secs(1)).await;
+                controller.reach(revision, Duration::from_secs(1)).await;
             }
-            Err(e) => return not_written(node, &e),
+            Err(e) => return not_written(controller, &e),
         }
     }
     Reply::busy("the job is changing; try again", 1)
@@ -378,7 +384,7 @@
 }
 
 /// A worker's report, straight from it or passed on by a peer.
-pub async fn report(node: &Node, body: &[u8], relayed: bool) -> Reply {
+pub async fn report(controller: &Controller, body: &[u8], relayed: bool) -> Reply {
     let report: Report = match wire::decode(body) {
         Ok(r) => r,
         Err(e) => return Reply::error(400, &e.to_string()),
@@ -386,18 +392,18 @@
     if !report.is_named() {
         return Reply::error(400, "frame: not a machine's name");
     }
-    Counts::add(&node.counts.reports, 1);
-    match take_report(node, &report, relayed, clock::now()) {
+    Counts::add(&controller.counts.reports, 1);
+    match take_report(controller, &report, relayed, clock::now()) {
         Disposal::Answer(reply) => {
-            Counts::add(&node.counts.turned_away, u64::from(reply.status != 200));
+            Counts::add(&controller.counts.turned_away, u64::from(reply.status != 200));
             reply
         }
         Disposal::Relay(owner) => {
-            gossip::relay(node, &owner, body.to_vec()).await.unwrap_or_else(|| elsewhere(None))
+            peers::relay(controller, &owner, body.to_vec()).await.unwrap_or_else(|| elsewhere(None))
         }
         Disposal::Adopt(epoch) => {
             // Nobody knows this machine yet: it is recorded before anything is launched.
-            arrived(node, &report);
+            arrived(controller, &report);
             Reply::new(200, &ReportAnswer { token: first_token(epoch), commands: Vec::new() })
         }
     }
@@ -414,9 +420,9 @@
 /// those are forgotten that were sent long ago.
 const MISDIRECTED_SPARE: usize = 1024;
 
-pub(crate) fn take_report(node: &Node, report: &Report, relayed: bool, now: Instant) -> Disposal {
+pub(crate) fn take_report(controller: &Controller, report: &Report, relayed: bool, now: Instant) -> Disposal {
     let machine = &report.machine;
-    let mut guard = node.core();
+    let mut guard = controller.core();
     let core = &mut *guard;
     let Some(map) = core.world.map_record() else { return Disposal::Answer(elsewhere(None)) };
     let known = core.world.owner_of(machine);
@@ -427,15 +433,15 @@
     // Only the owner can renew the lease of a worker that has to stop something: the
     // answers of others have no commands.
     let must_stop = |core: &Core| !final_stops(&report.tasks, &core.world).is_empty();
-    if owner != node.me {
-        if relayed || owner.name == node.me.name {
+    if owner != controller.me {
+        if relayed || owner.name == controller.me.name {
             return Disposal::Answer(elsewhere(None));
         }
         // The worker has seen nobody of this epoch yet: after a crash of several
         // controllers its lease may be about to end. Any live controller renews
         // it once, with the epoch's first token; the next report is sent on.
         let token = first_token(epoch);
-        if report.token < token && node.may_renew(core, now) && !must_stop(core) {
+        if report.token < token && controller.may_renew(core, now) && !must_stop(core) {
             return Disposal::Answer(Reply::new(200, &ReportAnswer { token, commands: Vec::new() }));
         }
         if core.misdirected.len() > core.world.machines.len() + MISDIRECTED_SPARE {
@@ -449,13 +455,13 @@
         core.misdirected.insert(machine.clone(), now);
         return Disposal::Answer(elsewhere(Some(owner.name)));
     }
-    if !node.may_renew(core, now) {
+    if !controller.may_renew(core, now) {
         return Disposal::Answer(elsewhere(None));
     }
     if !core.world.machines.contains_key(machine.as_str()) {
         return if must_stop(core) { Disposal::Answer(elsewhere(None)) } else { Disposal::Adopt(epoch) };
     }
-    let limits = node.worker_limits(core.fresh_at);
+    let limits = controller.worker_limits(core.fresh_at);
     let owned_since = core.world.owned_since(machine);
     if core.workers.get(machine.as_str()).is_some_and(|w| w.lapsed(owned_since)) {
         core.workers.remove(machine.as_str());
@@ -478,12 +484,12 @@
     };
     let answer = ReportAnswer { token: worker.token(), commands };
     if worker.due(now) {
-        node.kick.notify_one();
+        controller.kick.notify_one();
     }
     Disposal::Answer(Reply::new(200, &answer))
 }
 
-fn arrived(node: &Node, report: &Report) {
+fn arrived(controller: &Controller, report: &Report) {
     let record = MachineRecord {
         addr: report.addr.clone(),
         machine_type: report.machine_type.as_str().into(),
@@ -491,23 +497,23 @@
         spot: report.spot,
         release: false,
     };
-    node.core().arrivals.insert(report.machine.as_str().into(), record);
-    node.arrival.notify_one();
+    controller.core().arrivals.insert(report.machine.as_str().into(), record);
+    controller.arrival.notify_one();
 }
 
 /// Records machines that have reported for the first time, many at once. Each
 /// is asked itself first: a late copy of a report must not bring back a machine
 /// that was returned.
-pub async fn arrivals(node: Node) {
+pub async fn arrivals(controller: Controller) {
     loop {
-        node.arrival.notified().await;
+        controller.arrival.notified().await;
         sleep(Duration::from_millis(150)).await;
         loop {
             let list: Vec<(Name, MachineRecord)> = {
-                let mut core = node.core();
+                let mut core = controller.core();
                 let Core { arrivals, world, .. } = &mut *core;
                 arrivals.retain(|id, _| !world.machines.contains_key(id));
-                let ops = node.plan().txn_ops;
+                let ops = controller.plan().txn_ops;
                 let some: Vec<Name> = arrivals.keys().take(ops).cloned().collect();
                 some.into_iter().filter_map(|id| arrivals.remove_entry(&id)).collect()
             };
@@ -517,42 +523,44 @@
             let asked: Vec<_> = list
                 .into_iter()
                 .map(|(id, record)| {
-                    let node = node.clone();
-                    let tasks = node.tasks.clone();
-                    tasks.spawn(async move { answers(&node, &id, &record).await.then_some((id, record)) })
+                    let controller = controller.clone();
+                    let tasks = controller.tasks.clone();
+                    tasks.spawn(
+                        async move { answers(&controller, &id, &record).await.then_some((id, record)) },
+                    )
                 })
                 .collect();
             let mut there = Vec::new();
             for a in asked {
                 there.extend(a.await.ok().flatten());
             }
-            record_machines(&node, there).await;
+            record_machines(&controller, there).await;
         }
     }
 }
 
-async fn answers(node: &Node, machine: &str, record: &MachineRecord) -> bool {
+async fn answers(controller: &Controller, machine: &str, record: &MachineRecord) -> bool {
     let deadline = Duration::from_millis(1500);
-    let answer = node
+    let answer = controller
         .workers_http
         .request(&record.addr, "GET", "/status", Vec::new(), wire::BODY_LIMIT * 4, deadline)
         .await;
     answer.is_ok_and(|a| wire::decode::<Report>(&a.body).is_ok_and(|r| r.machine == machine))
 }
 
-async fn record_machines(node: &Node, list: Vec<(Name, MachineRecord)>) {
+async fn record_machines(controller: &Controller, list: Vec<(Name, MachineRecord)>) {
     if list.is_empty() {
         return;
     }
-    node.may_write(list.len(), 0.0).await;
-    node.counts.spend(Purpose::Machines, list.len());
+    controller.may_write(list.len(), 0.0).await;
+    controller.counts.spend(Purpose::Machines, list.len());
     let conditions = list.iter().map(|(id, _)| Condition { key: key::machine(id), version: 0 }).collect();
     let puts = list.iter().map(|(id, r)| Put::new(key::machine(id), r)).collect();
-    match node.commit(conditions, puts).await {
+    match controller.commit(conditions, puts).await {
         Ok(Outcome::Committed { revision }) => {
-            let mut core = node.core();
+            let mut core = controller.core();
             let names: Vec<&Name> = list.iter().map(|(id, _)| id).collect();
-            info!(count = names.len(), machines = few(&names), "machines are up");
+            info!(count = names.len(), machines = sample_names(&names), "machines are up");
             for (id, record) in list {
                 debug!(
                     machine = &*id,
@@ -563,23 +571,23 @@
                 );
                 core.world.apply(Change::Machine(id.to_string(), Some(record)), revision);
             }
-            node.kick.notify_one();
-            node.gossip.notify_one();
+            controller.kick.notify_one();
+            controller.summary_due.notify_one();
         }
         Ok(Outcome::Conflict { revision, .. }) => {
-            node.reach(revision, Duration::from_secs(1)).await;
+            controller.reach(revision, Duration::from_secs(1)).await;
         }
         Err(e) => {
             debug!(error = %e, "machines were not recorded");
-            node.note_refusal(&e);
+            controller.note_refusal(&e);
             if matches!(e, StoreError::Rate) {
                 // Not waited for until they report again.
-                node.core().arrivals.extend(list);
+                controller.core().arrivals.extend(list);
             }
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/front.rs"]
+#[path = "../tests/unit/api.rs"]
 mod tests;
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -10,8 +10,8 @@
 use wire::Condition;
 
 use crate::clock;
+use crate::controller::{Controller, Inner};
 use crate::load::Purpose;
-use crate::node::{Inner, Node};
 
 /// Most bytes of a transaction, which may have 64 KiB, that records take.
 pub const TXN_BYTES: usize = 52 * 1024;
@@ -35,7 +35,7 @@
         for put in &mut puts {
             let size = put.value_len();
             if size as f64 > plan.value_bytes {
-                if !plan.wide {
+                if !plan.chunked {
                     return Err(StoreError::Large(put.key.clone()));
                 }
                 let (head, first) = self.write_parts(put, plan.value_bytes as usize, plan.txn_ops).await?;
@@ -60,14 +60,14 @@
         txn_ops: usize,
     ) -> Result<(Put, Condition), StoreError> {
         let large = || StoreError::Large(put.key.clone());
-        let wide = split(put, rand::rng().random(), value_bytes).ok_or_else(large)?;
-        if wide.parts.len() > PARTS_MOST {
+        let chunked = split(put, rand::rng().random(), value_bytes).ok_or_else(large)?;
+        if chunked.parts.len() > PARTS_MOST {
             return Err(large());
         }
-        let first = wide.parts.last().map(|p| p.key.clone()).ok_or_else(large)?;
+        let first = chunked.parts.last().map(|p| p.key.clone()).ok_or_else(large)?;
         let at_once = txn_ops.min(TXN_BYTES / (value_bytes + 300)).max(1);
         let mut written = 0;
-        for some in wide.parts.chunks(at_once) {
+        for some in chunked.parts.chunks(at_once) {
             let mut tries = 0;
             written = loop {
                 self.core().writes.take(some.len() as f64, 0.0, clock::now());
@@ -90,7 +90,7 @@
                 }
             };
         }
-        Ok((wide.head, Condition { key: first, version: written }))
+        Ok((chunked.head, Condition { key: first, version: written }))
     }
 
     /// A transaction was refused as it was. It is never sent again unchanged: either the
@@ -103,7 +103,7 @@
         warn!(key, bytes, changes = puts.len(), "the state service refused a transaction");
         let beyond = next.value_kb.is_some_and(|kb| bytes as f64 > kb * 1024.0)
             || next.txn_ops.is_some_and(|ops| puts.len() > ops);
-        if beyond && !before.wide {
+        if beyond && !before.chunked {
             self.seen.fallen.store(true, Ordering::Relaxed);
             let plan = self.plan();
             info!(
@@ -147,12 +147,12 @@
 
 impl Sweeper {
     /// What to delete now: a transaction's conditions and keys.
-    pub fn next(&mut self, node: &Node, now: Instant) -> Option<(Vec<Condition>, Vec<Put>)> {
+    pub fn next(&mut self, controller: &Controller, now: Instant) -> Option<(Vec<Condition>, Vec<Put>)> {
         if self.looked.is_some_and(|t| now.saturating_duration_since(t) < LOOK) {
             return None;
         }
         self.looked = Some(now);
-        let mut core = node.core();
+        let mut core = controller.core();
         // While changes are short, they only cost memory.
         if core.writes.level(now) < 0.0 {
             return None;
@@ -160,7 +160,7 @@
         let orphans = core.reader.orphans();
         let id = |o: &Orphans| (o.of.clone(), o.nonce.clone());
         self.seen.retain(|k, _| orphans.iter().any(|o| id(o) == *k));
-        let ops = node.plan().txn_ops;
+        let ops = controller.plan().txn_ops;
         let due = orphans.into_iter().find(|o| {
             let since = *self.seen.entry(id(o)).or_insert(now);
             now.saturating_duration_since(since) >= ORPHANED_FOR
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -8,7 +8,7 @@
 use cloud::CloudClient;
 use net::{Client, Connections};
 use peer::{MachineRow, Summary};
-use sched::placement::{self, Board};
+use sched::placement::{self, Inventory};
 use sched::records::{End, MachineRecord, MapRecord, Member, Name};
 use sched::world::{Amount, InOrder, Team, World};
 use store::{Budget, Reader, StateClient};
@@ -18,9 +18,9 @@
 use tokio_util::task::TaskTracker;
 use wire::JobKind;
 
+use crate::api;
 use crate::clock;
 pub use crate::clock::wall_ms;
-use crate::front;
 use crate::limits::{self, Plan, Seen};
 use crate::load::{Counts, Purpose};
 use crate::read_index::ReadIndexes;
@@ -36,7 +36,7 @@
 const SUMMARY_FRESH: Duration = Duration::from_millis(2500);
 
 #[derive(Clone)]
-pub struct Node(Arc<Inner>);
+pub struct Controller(Arc<Inner>);
 
 pub struct Inner {
     pub settings: Settings,
@@ -51,14 +51,14 @@
     pub http: Client,
     /// To workers: however many they are, the others are always reached.
     pub workers_http: Client,
-    pub front: Arc<Connections>,
+    pub public_connections: Arc<Connections>,
     pub internal: Arc<Connections>,
     pub counts: Counts,
     core: Mutex<Core>,
     /// Something changed that a round of decisions should look at.
     pub kick: Notify,
     /// A free-room summary is worth sending now.
-    pub gossip: Notify,
+    pub summary_due: Notify,
     /// A machine without a record has reported.
     pub arrival: Notify,
     /// The mirror's revision.
@@ -71,7 +71,7 @@
     pub tasks: TaskTracker,
 }
 
-impl std::ops::Deref for Node {
+impl std::ops::Deref for Controller {
     type Target = Inner;
     fn deref(&self) -> &Inner {
         &self.0
@@ -84,12 +84,12 @@
     pub all_new: AtomicBool,
     pub fallen: AtomicBool,
     pub slow: AtomicBool,
-    /// How many controllers the new form waits for, as last told.
+    /// How many controllers chunked records wait for, as last told.
     missing: AtomicUsize,
 }
 
 impl SeenFlags {
-    /// Whether there is something new to tell of whom the new form waits for.
+    /// Whether there is something new to tell of whom chunked records wait for.
     pub fn waits_for(&self, missing: &[&String]) -> bool {
         self.missing.swap(missing.len(), Ordering::Relaxed) != missing.len()
     }
@@ -206,11 +206,11 @@
     pub shunned: HashMap<String, Instant>,
     /// Machines that reported and have no record yet.
     pub arrivals: HashMap<Name, MachineRecord>,
-    pub board: Board,
+    pub inventory: Inventory,
     pub given: GivenToParts,
     /// Jobs whose records lie in parts, and when they were last written: each time costs
     /// a change for every part.
-    pub widened: HashMap<String, Instant>,
+    pub written_in_chunks: HashMap<String, Instant>,
     /// Jobs whose records the state service refused for another reason than the limits
     /// that are known, until when they are left alone.
     pub refused: HashMap<String, Instant>,
@@ -222,7 +222,7 @@
     pub cautious: Option<Instant>,
 }
 
-impl Node {
+impl Controller {
     pub fn new(settings: Settings, operators: Operators, incarnation: u64) -> Self {
         let sockets = settings.sockets();
         let clients =
@@ -262,9 +262,9 @@
             handed: BTreeMap::new(),
             shunned: HashMap::new(),
             arrivals: HashMap::new(),
-            board: Board::default(),
+            inventory: Inventory::default(),
             given: GivenToParts::default(),
-            widened: HashMap::new(),
+            written_in_chunks: HashMap::new(),
             refused: HashMap::new(),
             cautious: None,
             started: now,
@@ -283,16 +283,16 @@
             cloud: CloudClient::new(http.clone(), settings.external.cloud.clone()),
             http,
             workers_http,
-            front: Arc::new(Connections::new(
+            public_connections: Arc::new(Connections::new(
                 sockets.front,
-                &[(front::SHARES[0], sockets.workers_kept), (front::SHARES[1], sockets.users_kept)],
-                front::share_of,
+                &[(api::SHARES[0], sockets.workers_kept), (api::SHARES[1], sockets.users_kept)],
+                api::share_of,
             )),
             counts: Counts::default(),
             internal: Arc::new(Connections::new(sockets.peers, &[], |_| 0)),
             core: Mutex::new(core),
             kick: Notify::new(),
-            gossip: Notify::new(),
+            summary_due: Notify::new(),
             arrival: Notify::new(),
             revision: watch::Sender::new(0),
             verify: Notify::new(),
@@ -383,7 +383,7 @@
         let leads = core.leads(&self.me);
         let per_s = self.plan().write_rps;
         let state = (live * 2 + usize::from(leads), per_s.to_bits());
-        let by_jobs = self.plan().wide && !core.old_is_live();
+        let by_jobs = self.plan().chunked && !core.old_is_live();
         let due = by_jobs && core.shared_at.is_none_or(|t| now.saturating_duration_since(t) >= SHARE_EVERY);
         if core.live != state || due {
             core.live = state;
@@ -632,11 +632,11 @@
             })
     }
 
-    /// Brings the board up to date: which machines placement may use, by their owners' word.
-    pub fn refresh_board(&mut self, me: &Member, report: Duration, now: Instant) {
-        let Self { workers, rows, world, board, .. } = self;
+    /// Brings the inventory up to date: which machines placement may use, by their owners' word.
+    pub fn refresh_inventory(&mut self, me: &Member, report: Duration, now: Instant) {
+        let Self { workers, rows, world, inventory, .. } = self;
         let (mut workers, mut rows) = (InOrder::new(workers), InOrder::new(rows));
-        board.refresh(world, |machine, owner| match owner == me.incarnation {
+        inventory.refresh(world, |machine, owner| match owner == me.incarnation {
             true => workers.get(machine).is_some_and(|w| takes_work(w, report, now)),
             false => rows.get(machine).is_none_or(|r| r.usable),
         });
@@ -689,5 +689,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/node.rs"]
+#[path = "../tests/unit/controller.rs"]
 mod tests;
--- a/crates/daemon/src/fleet_duty.rs
+++ b/crates/daemon/src/fleet_duty.rs
@@ -13,9 +13,9 @@
 use wire::{Condition, JobKind, JobSpec, ListedMachine};
 
 use crate::clock;
+use crate::commit::Sweeper;
+use crate::controller::{Controller, Core, wall_ms};
 use crate::load::Purpose;
-use crate::node::{Core, Node, wall_ms};
-use crate::wide::Sweeper;
 
 mod rentals;
 mod returns;
@@ -34,7 +34,7 @@
     /// Released for good, so that a lagging list does not bring them back.
     released: HashMap<Name, Instant>,
     led_since: Option<Instant>,
-    told_at: Option<Instant>,
+    logged_at: Option<Instant>,
     gpu_demand: GpuDemand,
     /// One job of each kind that waits for room and has its team's leave.
     waiting: Vec<JobSpec>,
@@ -69,18 +69,18 @@
 const LEAVE: u32 = 8;
 /// Room is kept ready for this long after the latest GPU job.
 const SPARE_FOR: Duration = Duration::from_secs(300);
-pub async fn fleet(node: Node) {
+pub async fn fleet(controller: Controller) {
     let mut fleet = Fleet::default();
     let mut cost = Duration::ZERO;
     loop {
         sleep(TICK.max(cost * LEAVE)).await;
         cost = Duration::ZERO;
-        if !node.core().leads(&node.me) {
+        if !controller.core().leads(&controller.me) {
             fleet = Fleet { requests: fleet.requests, ..Fleet::default() };
             continue;
         }
         fleet.led_since.get_or_insert_with(clock::now);
-        cost = fleet.step(&node).await;
+        cost = fleet.step(&controller).await;
     }
 }
 
@@ -92,33 +92,33 @@
     }
 
     /// One look at everything; tells how long the planning took.
-    async fn step(&mut self, node: &Node) -> Duration {
+    async fn step(&mut self, controller: &Controller) -> Duration {
         let every =
             |at: Option<Instant>, s: u64| at.is_none_or(|t| clock::since(t) >= Duration::from_secs(s));
-        let types_known = !node.core().world.types.is_empty();
+        let types_known = !controller.core().world.types.is_empty();
         if every(self.types_at, if types_known { 60 } else { 1 }) {
-            self.refresh_types(node).await;
+            self.refresh_types(controller).await;
         }
-        self.refresh_list(node).await;
-        if every(self.told_at, 10) {
-            self.told_at = Some(clock::now());
-            tell(&node.core());
+        self.refresh_list(controller).await;
+        if every(self.logged_at, 10) {
+            self.logged_at = Some(clock::now());
+            log_cluster(&controller.core());
         }
-        if let Some((conditions, puts)) = self.sweeper.next(node, clock::now()) {
-            write(node, conditions, puts).await;
+        if let Some((conditions, puts)) = self.sweeper.next(controller, clock::now()) {
+            write(controller, conditions, puts).await;
         }
-        self.give_back(node).await;
-        self.bury(node).await;
-        self.settle_rentals(node).await;
-        self.rent(node).await
+        self.give_back(controller).await;
+        self.bury(controller).await;
+        self.settle_rentals(controller).await;
+        self.rent(controller).await
     }
 
-    async fn refresh_types(&mut self, node: &Node) {
+    async fn refresh_types(&mut self, controller: &Controller) {
         self.types_at = Some(clock::now());
-        match node.cloud.machine_types().await {
+        match controller.cloud.machine_types().await {
             Ok(types) => {
                 let (version, same) = {
-                    let core = node.core();
+                    let core = controller.core();
                     let same = core.world.types.len() == types.len()
                         && types.iter().all(|t| core.world.types.get(&t.name) == Some(t));
                     (core.world.types_version, same)
@@ -127,14 +127,14 @@
                     return;
                 }
                 let put = Put::new(key::TYPES.into(), &TypesRecord { types });
-                write(node, vec![Condition { key: key::TYPES.into(), version }], vec![put]).await;
+                write(controller, vec![Condition { key: key::TYPES.into(), version }], vec![put]).await;
             }
             Err(e) => warn!(error = %e, "the cloud's machine types could not be had"),
         }
     }
 
     /// Goes on with the listing of the cloud's machines, or begins the next.
-    async fn refresh_list(&mut self, node: &Node) {
+    async fn refresh_list(&mut self, controller: &Controller) {
         let now = clock::now();
         if self.listing.is_none() {
             if self.listed_at.is_some_and(|t| now.saturating_duration_since(t) < LIST_EVERY) {
@@ -146,7 +146,7 @@
         for _ in 0..PAGES_AT_ONCE {
             let Some(listing) = self.listing.as_mut().filter(|l| now >= l.next_at) else { return };
             let after = listing.machines.last().map(|m| m.id.as_str());
-            match node.cloud.list_page(after).await {
+            match controller.cloud.list_page(after).await {
                 Ok(page) => {
                     let more = page.more && !page.machines.is_empty();
                     listing.machines.extend(page.machines);
@@ -175,14 +175,14 @@
         self.released.retain(|_, t| now.saturating_duration_since(*t) < RELEASED_FOR);
     }
 
-    async fn put_rentals(&self, node: &Node, change: impl Fn(&mut Vec<Rental>)) -> bool {
-        self.put_fleet(node, |f| change(&mut f.rentals)).await
+    async fn put_rentals(&self, controller: &Controller, change: impl Fn(&mut Vec<Rental>)) -> bool {
+        self.put_fleet(controller, |f| change(&mut f.rentals)).await
     }
 
-    async fn put_fleet(&self, node: &Node, change: impl Fn(&mut FleetRecord)) -> bool {
+    async fn put_fleet(&self, controller: &Controller, change: impl Fn(&mut FleetRecord)) -> bool {
         for _ in 0..3 {
             let (mut fleet, version) = {
-                let core = node.core();
+                let core = controller.core();
                 core.world
                     .fleet
                     .as_ref()
@@ -190,10 +190,10 @@
             };
             change(&mut fleet);
             let put = Put::new(key::FLEET.into(), &fleet);
-            if write(node, vec![Condition { key: key::FLEET.into(), version }], vec![put]).await {
+            if write(controller, vec![Condition { key: key::FLEET.into(), version }], vec![put]).await {
                 return true;
             }
-            if !node.core().leads(&node.me) {
+            if !controller.core().leads(&controller.me) {
                 return false;
             }
         }
@@ -208,10 +208,10 @@
 /// then costs one more for each of them.
 const FLEET_VALUES: f64 = 3.0;
 /// How many bytes the fleet's record may have.
-fn fleet_bytes(node: &Node) -> usize {
-    let plan = node.plan();
-    let now = node.settings.facts.state.value_kb * 1024.0;
-    let bytes = if plan.wide { now.min(plan.value_bytes * FLEET_VALUES) } else { plan.value_bytes };
+fn fleet_bytes(controller: &Controller) -> usize {
+    let plan = controller.plan();
+    let now = controller.settings.facts.state.value_kb * 1024.0;
+    let bytes = if plan.chunked { now.min(plan.value_bytes * FLEET_VALUES) } else { plan.value_bytes };
     (bytes * 0.95) as usize
 }
 
@@ -222,18 +222,18 @@
 /// How many names more the fleet's record surely holds. Without this bound it
 /// could be refused once hundreds of machines are rented and lost at a time, and
 /// nothing would be told gone any more.
-fn names_left(fleet: &FleetRecord, node: &Node) -> usize {
-    fleet_bytes(node).saturating_sub(written_bytes(fleet)) / NAME_CHARS
+fn names_left(fleet: &FleetRecord, controller: &Controller) -> usize {
+    fleet_bytes(controller).saturating_sub(written_bytes(fleet)) / NAME_CHARS
 }
 
 /// Whether machines that are gone should be taken out of the record although other changes
 /// wait: what comes next might else find no room.
-fn is_half_full(fleet: &FleetRecord, node: &Node) -> bool {
-    written_bytes(fleet) > fleet_bytes(node) / 2
+fn is_half_full(fleet: &FleetRecord, controller: &Controller) -> bool {
+    written_bytes(fleet) > fleet_bytes(controller) / 2
 }
 
 /// Says in the log what waits, by class, and how full the machines are, by kind.
-fn tell(core: &Core) {
+fn log_cluster(core: &Core) {
     let mut waiting: BTreeMap<&str, (u32, u32, u32)> = BTreeMap::new();
     for job in core.world.open.iter().filter_map(|id| core.world.jobs.get(id)) {
         let Some(spec) = job.value.spec.as_deref() else { continue };
@@ -263,44 +263,44 @@
 }
 
 /// The job whose next of a kind should find room ready.
-fn spare_spec<'a>(node: &Node, core: &'a Core) -> Option<&'a JobSpec> {
+fn spare_spec<'a>(controller: &Controller, core: &'a Core) -> Option<&'a JobSpec> {
     if wall_ms().saturating_sub(core.world.gpu_spec_ms) > SPARE_FOR.as_millis() as u64 {
         return None;
     }
     core.world.gpu_spec.as_deref().filter(|s| {
         s.kind == JobKind::Gang
-            && node.operators.spare_gpu_tasks > 0
-            && node.settings.starts_in_time(&s.class)
+            && controller.operators.spare_gpu_tasks > 0
+            && controller.settings.starts_in_time(&s.class)
     })
 }
 
 /// Whether the view of the records is one to give machines up by: not one from before this
 /// process stood still, nor from before the state service refused it.
-fn is_current(core: &Core, now: Instant) -> bool {
+fn is_view_fresh(core: &Core, now: Instant) -> bool {
     let fresh = |t: Instant| now.saturating_duration_since(t) < Duration::from_secs(4);
     !core.stood_still(now) && core.fresh_at.is_some_and(fresh)
 }
 
 /// Writes as the leader: nothing is written once the map has changed.
-async fn write(node: &Node, mut conditions: Vec<Condition>, puts: Vec<Put>) -> bool {
+async fn write(controller: &Controller, mut conditions: Vec<Condition>, puts: Vec<Put>) -> bool {
     {
-        let core = node.core();
-        let Some(map) = core.world.map.as_ref().filter(|_| core.leads(&node.me)) else { return false };
+        let core = controller.core();
+        let Some(map) = core.world.map.as_ref().filter(|_| core.leads(&controller.me)) else { return false };
         conditions.push(Condition { key: key::MAP.into(), version: map.version });
     }
     // Machines take long to boot; a request for some does not wait behind rounds
     // that are in debt.
-    node.core().writes.take(puts.len() as f64, 0.0, clock::now());
-    node.counts.spend(Purpose::Fleet, puts.len());
-    match node.commit(conditions, puts).await {
-        Ok(Outcome::Committed { revision }) => node.reach(revision, Duration::from_secs(2)).await,
+    controller.core().writes.take(puts.len() as f64, 0.0, clock::now());
+    controller.counts.spend(Purpose::Fleet, puts.len());
+    match controller.commit(conditions, puts).await {
+        Ok(Outcome::Committed { revision }) => controller.reach(revision, Duration::from_secs(2)).await,
         Ok(Outcome::Conflict { revision, .. }) => {
-            node.reach(revision, Duration::from_secs(2)).await;
+            controller.reach(revision, Duration::from_secs(2)).await;
             false
         }
         Err(e) => {
             debug!(error = %e, "not written");
-            node.note_refusal(&e);
+            controller.note_refusal(&e);
             sleep(Duration::from_millis(200)).await;
             false
         }
--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/fleet_duty/rentals.rs
@@ -14,10 +14,10 @@
 use tracing::{debug, info};
 use wire::{Condition, JobKind, JobSpec, MachineStatus, MachineType, RentRequest};
 
-use super::{Fleet, is_current, names, names_left, spare_spec, write};
+use super::{Fleet, is_view_fresh, names, names_left, spare_spec, write};
 use crate::clock;
-use crate::load::few;
-use crate::node::{Core, Node, wall_ms};
+use crate::controller::{Controller, Core, wall_ms};
+use crate::load::sample_names;
 
 /// Most kinds of machines asked for between two looks at what is wanted.
 const RENT_AT_ONCE: usize = 6;
@@ -28,8 +28,8 @@
 pub(super) const RENT_ROOM: usize = 60;
 
 /// Machine types that fetch a gang's image too slowly, unless all do.
-fn unsuited(node: &Node, core: &Core, spec: &JobSpec) -> Vec<Name> {
-    let wait = node.settings.facts.workers.gang_wait_s;
+fn unsuited(controller: &Controller, core: &Core, spec: &JobSpec) -> Vec<Name> {
+    let wait = controller.settings.facts.workers.gang_wait_s;
     let may = |t: &&MachineType| {
         Amount::of_task(spec).fits(Amount::of_type(t))
             && spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
@@ -77,21 +77,21 @@
 
 impl Fleet {
     /// Drops rentals whose machines are all up, and gives up on those that are not.
-    pub(super) async fn settle_rentals(&mut self, node: &Node) {
-        let settled = self.settled(&node.core(), clock::now(), wall_ms());
+    pub(super) async fn settle_rentals(&mut self, controller: &Controller) {
+        let settled = self.settled(&controller.core(), clock::now(), wall_ms());
         let Some((fleet, version, late)) = settled else { return };
         if !late.is_empty() {
-            if node.cloud.release(names(&late)).await.is_err() {
+            if controller.cloud.release(names(&late)).await.is_err() {
                 return;
             }
             let machines: Vec<&Name> = late.iter().collect();
-            info!(count = late.len(), machines = few(&machines), "released: they never came up");
+            info!(count = late.len(), machines = sample_names(&machines), "released: they never came up");
             for id in &late {
                 self.released.insert(id.clone(), clock::now());
             }
         }
         let put = Put::new(key::FLEET.into(), &fleet);
-        write(node, vec![Condition { key: key::FLEET.into(), version }], vec![put]).await;
+        write(controller, vec![Condition { key: key::FLEET.into(), version }], vec![put]).await;
     }
 
     /// The fleet's record without what is settled, its version, and the machines that never
@@ -102,7 +102,7 @@
         now: Instant,
         now_ms: u64,
     ) -> Option<(FleetRecord, u64, Vec<Name>)> {
-        let f = core.world.fleet.as_ref().filter(|_| is_current(core, now))?;
+        let f = core.world.fleet.as_ref().filter(|_| is_view_fresh(core, now))?;
         let mut late: Vec<Name> = Vec::new();
         let mut rentals = Vec::new();
         for r in &f.value.rentals {
@@ -128,12 +128,12 @@
     }
 
     /// Machines with tasks that have not been heard of for longer than placement would wait.
-    pub(super) fn about_to_go(&self, node: &Node, core: &Core, now: Instant) -> HashSet<Name> {
-        let limit = node.report_every() * 5 / 2;
+    pub(super) fn about_to_go(&self, controller: &Controller, core: &Core, now: Instant) -> HashSet<Name> {
+        let limit = controller.report_every() * 5 / 2;
         // An owner that hears hardly any of its machines is itself cut off.
         let mut by_owner: HashMap<u64, (usize, usize)> = HashMap::default();
         let mut quiet: Vec<(&Name, u64)> = Vec::new();
-        for m in core.machine_views(&node.me, now) {
+        for m in core.machine_views(&controller.me, now) {
             let is_quiet = m.health.is_some_and(|h| h.silent > limit);
             let count = by_owner.entry(m.owner.incarnation).or_default();
             *count = (count.0 + 1, count.1 + usize::from(is_quiet));
@@ -145,18 +145,18 @@
         quiet.into_iter().filter(|(_, owner)| !cut_off(owner)).map(|(id, _)| id.clone()).collect()
     }
 
-    /// What is wanted beyond the room that is there or coming. The board has to be up to date.
-    pub(crate) fn wanted(&mut self, node: &Node, core: &Core, now: Instant) -> Vec<Offer> {
+    /// What is wanted beyond the room that is there or coming. The inventory has to be up to date.
+    pub(crate) fn wanted(&mut self, controller: &Controller, core: &Core, now: Instant) -> Vec<Offer> {
         let settled =
             self.led_since.is_some_and(|t| now.saturating_duration_since(t) > Duration::from_secs(2));
         if !settled || core.world.types.is_empty() || self.listed_at.is_none() {
             return Vec::new();
         }
         let now_ms = wall_ms();
-        let mut demands = self.waiting_demands(node, core, now, now_ms);
+        let mut demands = self.waiting_demands(controller, core, now, now_ms);
         // What is to start within a time of its own comes before what is not.
         let in_time = |j: &JobRecord| {
-            let starts = j.spec.as_ref().is_some_and(|s| node.settings.starts_in_time(&s.class));
+            let starts = j.spec.as_ref().is_some_and(|s| controller.settings.starts_in_time(&s.class));
             (!starts, false, 0)
         };
         demands.sort_by(|a, b| placement::queue_order((a.0, in_time(a.0)), (b.0, in_time(b.0))));
@@ -167,16 +167,18 @@
         let mut demands: Vec<Demand> = demands.into_iter().map(|(_, d)| d).collect();
         let demand = |spec, tasks| Demand { spec, tasks, in_zone: HashMap::default(), unsuited: Vec::new() };
         demands.extend(
-            soon.iter()
-                .map(|spec| Demand { unsuited: unsuited(node, core, spec), ..demand(*spec, spec.tasks) }),
+            soon.iter().map(|spec| Demand {
+                unsuited: unsuited(controller, core, spec),
+                ..demand(*spec, spec.tasks)
+            }),
         );
         let expected = forecast::services(&core.world, now_ms);
         if let Some((spec, tasks)) = &expected {
             demands.insert(services, demand(spec, *tasks));
         }
-        let spare = spare_spec(node, core).map(|s| JobSpec { one_zone: false, ..s.clone() });
+        let spare = spare_spec(controller, core).map(|s| JobSpec { one_zone: false, ..s.clone() });
         if let Some(spec) = &spare {
-            demands.push(demand(spec, self.spare_tasks(node, now)));
+            demands.push(demand(spec, self.spare_tasks(controller, now)));
         }
         if demands.is_empty() {
             return Vec::new();
@@ -194,12 +196,12 @@
     /// What waits for room, as far as its teams' limits go, and what soon will.
     fn waiting_demands<'c>(
         &self,
-        node: &Node,
+        controller: &Controller,
         core: &'c Core,
         now: Instant,
         now_ms: u64,
     ) -> Vec<(&'c JobRecord, Demand<'c>)> {
-        let lost = self.about_to_go(node, core, now);
+        let lost = self.about_to_go(controller, core, now);
         let mut demands = Vec::new();
         let mut left: HashMap<&str, Amount> = HashMap::default();
         for (_, job) in core.world.open_jobs() {
@@ -215,7 +217,7 @@
             if waiting + replaced == 0 || job.errors >= 3 || now_ms.saturating_sub(job.submitted_ms) < 300 {
                 continue;
             }
-            let Some(team) = node.team(&spec.team) else { continue };
+            let Some(team) = controller.team(&spec.team) else { continue };
             let room = left.entry(&spec.team).or_insert_with(|| {
                 let used = core.world.team_use.get(&spec.team).copied().unwrap_or_default();
                 team.limit().plus(used.without_memory(), -1.0)
@@ -233,7 +235,7 @@
                     *in_zone.entry(m.value.zone.clone()).or_default() += 1;
                 }
             }
-            demands.push((job, Demand { spec, tasks, in_zone, unsuited: unsuited(node, core, spec) }));
+            demands.push((job, Demand { spec, tasks, in_zone, unsuited: unsuited(controller, core, spec) }));
         }
         demands
     }
@@ -264,7 +266,7 @@
             gpus: full(machine_type).gpus,
             up: false,
         };
-        let mut coming: Vec<Coming> = Vec::with_capacity(core.board.slots.len());
+        let mut coming: Vec<Coming> = Vec::with_capacity(core.inventory.slots.len());
         let mut counted: HashSet<&Name> = HashSet::default();
         for r in core.world.fleet.iter().flat_map(|f| f.value.rentals.iter()) {
             let n = match &r.machines {
@@ -283,7 +285,7 @@
                 coming.push(empty(&m.machine_type.as_str().into(), &m.zone.as_str().into(), m.spot));
             }
         }
-        coming.extend(core.board.usable().map(|s| Coming {
+        coming.extend(core.inventory.usable().map(|s| Coming {
             machine_type: s.machine_type.clone(),
             zone: s.zone.clone(),
             spot: s.spot,
@@ -295,17 +297,17 @@
     }
 
     /// Room kept ready for so many GPU tasks.
-    pub(super) fn spare_tasks(&self, node: &Node, now: Instant) -> u32 {
-        node.operators.spare_gpu_tasks.max(self.gpu_demand.growth(now))
+    pub(super) fn spare_tasks(&self, controller: &Controller, now: Instant) -> u32 {
+        controller.operators.spare_gpu_tasks.max(self.gpu_demand.growth(now))
     }
 
-    pub(super) async fn rent(&mut self, node: &Node) -> Duration {
+    pub(super) async fn rent(&mut self, controller: &Controller) -> Duration {
         let now = clock::now();
         let wanted = {
-            let mut core = node.core();
-            core.refresh_board(&node.me, node.report_every(), now);
+            let mut core = controller.core();
+            core.refresh_inventory(&controller.me, controller.report_every(), now);
             self.gpu_demand.note(&core.world, now);
-            self.wanted(node, &core, now)
+            self.wanted(controller, &core, now)
         };
         let cost = clock::since(now);
         let mut kinds: Vec<(Offer, u32)> = Vec::new();
@@ -317,23 +319,24 @@
         }
         kinds.truncate(RENT_AT_ONCE);
         // The record of rentals may be full until some of them are up.
-        let room = node.core().world.fleet.as_ref().map_or(usize::MAX, |f| names_left(&f.value, node));
+        let room =
+            controller.core().world.fleet.as_ref().map_or(usize::MAX, |f| names_left(&f.value, controller));
         kinds.truncate(room / (RENT_ROOM + RENT_MAX as usize));
         if !kinds.is_empty() {
-            self.rent_kinds(node, kinds, now).await;
+            self.rent_kinds(controller, kinds, now).await;
         }
         cost
     }
 
     /// Rents machines of some kinds: two changes of the record for all of them, as each
     /// costs more where the record is larger than a value.
-    async fn rent_kinds(&mut self, node: &Node, kinds: Vec<(Offer, u32)>, now: Instant) {
+    async fn rent_kinds(&mut self, controller: &Controller, kinds: Vec<(Offer, u32)>, now: Instant) {
         let rentals: Vec<Rental> = kinds
             .into_iter()
             .map(|(offer, count)| {
                 self.requests += 1;
                 Rental {
-                    request: format!("{:x}-{:x}", node.me.incarnation, self.requests),
+                    request: format!("{:x}-{:x}", controller.me.incarnation, self.requests),
                     machine_type: offer.machine_type,
                     zone: offer.zone,
                     spot: offer.spot,
@@ -344,7 +347,7 @@
             })
             .collect();
         // Recorded first: a successor knows what may still come.
-        if !self.put_rentals(node, |l| ask(l, &rentals)).await {
+        if !self.put_rentals(controller, |l| ask(l, &rentals)).await {
             return;
         }
         // What became of each; it stays unanswered if that is not known.
@@ -356,7 +359,7 @@
                 answers.push((rental.request.clone(), None));
                 continue;
             }
-            match self.rent_kind(node, rental, now).await {
+            match self.rent_kind(controller, rental, now).await {
                 Ok(machines) => answers.push((rental.request.clone(), Some(machines))),
                 Err(e) => {
                     trouble = !matches!(e, CloudError::NoCapacity);
@@ -366,12 +369,12 @@
                 }
             }
         }
-        self.put_rentals(node, |l| settle(l, &answers)).await;
+        self.put_rentals(controller, |l| settle(l, &answers)).await;
     }
 
     async fn rent_kind(
         &mut self,
-        node: &Node,
+        controller: &Controller,
         rental: &Rental,
         now: Instant,
     ) -> Result<Vec<Name>, CloudError> {
@@ -384,14 +387,14 @@
             spot,
             count,
         };
-        let mut answer = node.cloud.rent(&ask).await;
+        let mut answer = controller.cloud.rent(&ask).await;
         for _ in 0..2 {
             if !matches!(answer, Err(CloudError::Net(_))) {
                 break;
             }
             // The same name again: it cannot rent twice.
             sleep(Duration::from_millis(500)).await;
-            answer = node.cloud.rent(&ask).await;
+            answer = controller.cloud.rent(&ask).await;
         }
         match answer {
             Ok(machines) => {
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/fleet_duty/returns.rs
@@ -15,10 +15,10 @@
 use tracing::{debug, info, warn};
 use wire::{Condition, JobKind, JobSpec, MachineStatus};
 
-use super::{Fleet, Silent, is_current, is_half_full, names, names_left, spare_spec, write};
+use super::{Fleet, Silent, is_half_full, is_view_fresh, names, names_left, spare_spec, write};
 use crate::clock;
-use crate::load::few;
-use crate::node::{Core, MachineHealth, MachineView, Node, wall_ms};
+use crate::controller::{Controller, Core, MachineHealth, MachineView, wall_ms};
+use crate::load::sample_names;
 
 /// Of one kind, only so many idle machines are kept for as long as their boot
 /// would cost.
@@ -70,16 +70,16 @@
 }
 
 impl<'a> IdleRoom<'a> {
-    fn new(node: &Node, core: &'a Core, views: &[MachineView]) -> Self {
+    fn new(controller: &Controller, core: &'a Core, views: &[MachineView]) -> Self {
         // Room for the services to come is not given back either.
         let now_ms = wall_ms();
         let for_services = match forecast::services(&core.world, now_ms) {
             Some((spec, tasks)) => {
-                placement::room_for(&core.world, &core.board, &spec, tasks, now_ms).into_iter().collect()
+                placement::room_for(&core.world, &core.inventory, &spec, tasks, now_ms).into_iter().collect()
             }
             None => HashSet::default(),
         };
-        let spare = spare_spec(node, core);
+        let spare = spare_spec(controller, core);
         let of_kind = HashMap::default();
         let mut room = Self { for_services, spare, spare_left: 0, of_kind };
         if room.spare.is_some() {
@@ -102,14 +102,19 @@
 }
 
 impl Fleet {
-    /// Which machines to give back, and why. The board has to be up to date.
-    pub(crate) fn surplus(&mut self, node: &Node, core: &Core, now: Instant) -> Vec<(Name, &'static str)> {
+    /// Which machines to give back, and why. The inventory has to be up to date.
+    pub(crate) fn surplus(
+        &mut self,
+        controller: &Controller,
+        core: &Core,
+        now: Instant,
+    ) -> Vec<(Name, &'static str)> {
         let mut out = Vec::new();
-        if !is_current(core, now) {
+        if !is_view_fresh(core, now) {
             return out;
         }
-        let views: Vec<MachineView> = core.machine_views(&node.me, now).collect();
-        let silent = node.silent_limit();
+        let views: Vec<MachineView> = core.machine_views(&controller.me, now).collect();
+        let silent = controller.silent_limit();
         let mut hearing: HashMap<u64, Hearing> = HashMap::default();
         for m in views.iter().filter(|m| m.current) {
             let Some(health) = m.health else { continue };
@@ -120,7 +125,7 @@
         let idle =
             |id: &Name| core.world.machines.contains_key(id) && !core.world.on_machine.contains_key(id);
         self.idle_since.retain(|id, _| idle(id));
-        let mut idle_room = IdleRoom::new(node, core, &views);
+        let mut idle_room = IdleRoom::new(controller, core, &views);
         for m in views.iter().filter(|m| m.current) {
             let Some(health) = m.health else { continue };
             let of_owner = hearing.get(&m.owner.incarnation).copied().unwrap_or_default();
@@ -132,11 +137,11 @@
             let reason = if m.record.release {
                 Some("marked")
             } else if health.silent >= patience {
-                self.note_silent(node, m.id, health, now);
+                self.note_silent(controller, m.id, health, now);
                 Some("silent")
             } else if health.sick {
                 Some("sick")
-            } else if m.used.is_none() && self.is_idle_for_long(node, core, m, &mut idle_room, now) {
+            } else if m.used.is_none() && self.is_idle_for_long(controller, core, m, &mut idle_room, now) {
                 Some("idle")
             } else {
                 None
@@ -151,18 +156,18 @@
     }
 
     /// Notes when whatever is on a silent machine has surely lost its lease.
-    fn note_silent(&mut self, node: &Node, id: &Name, health: MachineHealth, now: Instant) {
+    fn note_silent(&mut self, controller: &Controller, id: &Name, health: MachineHealth, now: Instant) {
         // Until its owner came, a controller that is cut off with the machine
         // may have renewed its lease, for as long as it may at all.
-        let renewed = if health.met { Duration::ZERO } else { node.settings.renewal_bound() };
-        let left = (node.worker_limits(None).lease + renewed).saturating_sub(health.silent);
+        let renewed = if health.met { Duration::ZERO } else { controller.settings.renewal_bound() };
+        let left = (controller.worker_limits(None).lease + renewed).saturating_sub(health.silent);
         self.silent.entry(id.clone()).or_insert(Silent { ends: now + left });
     }
 
     /// Whether an idle machine is to be given back.
     fn is_idle_for_long(
         &mut self,
-        node: &Node,
+        controller: &Controller,
         core: &Core,
         m: &MachineView,
         room: &mut IdleRoom,
@@ -183,9 +188,9 @@
         let others = room.of_kind.entry(kind).or_default();
         *others += 1;
         let boot_s = if *others > IDLE_KEPT { 0.0 } else { boot_s };
-        let keep = node.operators.idle.max(wire::seconds(boot_s.min(BOOT_MOST_S)));
+        let keep = controller.operators.idle.max(wire::seconds(boot_s.min(BOOT_MOST_S)));
         let spare = room.spare_tasks(core, record, Amount::default());
-        let spared = spare > 0 && room.spare_left < spare + self.spare_tasks(node, now);
+        let spared = spare > 0 && room.spare_left < spare + self.spare_tasks(controller, now);
         let goes = now.saturating_duration_since(since) >= keep && !spared;
         if goes {
             room.spare_left -= spare;
@@ -222,22 +227,22 @@
         }
     }
 
-    pub(super) async fn give_back(&mut self, node: &Node) {
+    pub(super) async fn give_back(&mut self, controller: &Controller) {
         let now = clock::now();
         // Released already, but the state service did not take it then.
-        let known = |id: &&Name| node.core().world.machines.contains_key(*id);
+        let known = |id: &&Name| controller.core().world.machines.contains_key(*id);
         let left: Vec<Name> = self.released.keys().filter(known).cloned().collect();
         if !left.is_empty() {
-            self.forget(node, left).await;
+            self.forget(controller, left).await;
         }
         let list = {
-            let mut core = node.core();
-            core.refresh_board(&node.me, node.report_every(), now);
-            self.surplus(node, &core, now)
+            let mut core = controller.core();
+            core.refresh_inventory(&controller.me, controller.report_every(), now);
+            self.surplus(controller, &core, now)
         };
         // While changes are short, machines that cost nothing but money wait.
         let mut list = list;
-        if node.core().writes.level(now) < 0.0 {
+        if controller.core().writes.level(now) < 0.0 {
             list.retain(|(_, why)| *why != "idle");
         }
         if list.is_empty() {
@@ -250,7 +255,7 @@
         let mut ready = Vec::new();
         let mut reasons: HashMap<Name, &str> = HashMap::default();
         {
-            let core = node.core();
+            let core = controller.core();
             for (id, why) in list {
                 match core.world.machines.get(&id) {
                     Some(m) if why == "idle" && !m.value.release => marks.push((id, m.clone(), why)),
@@ -262,8 +267,8 @@
                 }
             }
         }
-        self.pace(node, &node.core(), &mut ready, now);
-        marks.truncate(node.plan().txn_ops);
+        self.pace(controller, &controller.core(), &mut ready, now);
+        marks.truncate(controller.plan().txn_ops);
         if !marks.is_empty() {
             let conditions = marks
                 .iter()
@@ -275,13 +280,13 @@
                     Put::new(key::machine(id), &MachineRecord { release: true, ..m.value.clone() })
                 })
                 .collect();
-            if !write(node, conditions, puts).await {
+            if !write(controller, conditions, puts).await {
                 return;
             }
             for (id, _, why) in marks {
                 debug!(machine = &*id, reason = why, "giving the machine back");
                 // A task may have been placed just before the mark.
-                if !node.core().world.on_machine.contains_key(&id) {
+                if !controller.core().world.on_machine.contains_key(&id) {
                     ready.push(id);
                 }
             }
@@ -290,25 +295,30 @@
         if ready.is_empty() {
             return;
         }
-        match node.cloud.release(names(&ready)).await {
+        match controller.cloud.release(names(&ready)).await {
             Ok(()) => {
                 let mut by_reason: BTreeMap<&str, Vec<&Name>> = BTreeMap::new();
                 for id in &ready {
                     by_reason.entry(reasons.get(id).copied().unwrap_or("idle")).or_default().push(id);
                 }
                 for (reason, machines) in by_reason {
-                    info!(count = machines.len(), machines = few(&machines), reason, "machines given back");
+                    info!(
+                        count = machines.len(),
+                        machines = sample_names(&machines),
+                        reason,
+                        "machines given back"
+                    );
                 }
                 debug!(machines = ?ready, "released");
                 for id in &ready {
                     self.released.insert(id.clone(), now);
                     // There is capacity for one of its kind again.
-                    if let Some(m) = node.core().world.machines.get(id).map(|m| m.value.clone()) {
+                    if let Some(m) = controller.core().world.machines.get(id).map(|m| m.value.clone()) {
                         let offer = Offer { machine_type: m.machine_type, zone: m.zone, spot: m.spot };
                         self.blocked.remove(&offer);
                     }
                 }
-                self.forget(node, ready).await;
+                self.forget(controller, ready).await;
             }
             Err(e) => {
                 warn!(error = %e, "a release was not confirmed");
@@ -322,7 +332,7 @@
     /// replicas can be placed anew: released all at once, most of them would wait
     /// for their turn of the changes a second, or for room that is nowhere else.
     /// What holds no replicas follows them.
-    pub(super) fn pace(&self, node: &Node, core: &Core, ready: &mut Vec<Name>, now: Instant) {
+    pub(super) fn pace(&self, controller: &Controller, core: &Core, ready: &mut Vec<Name>, now: Instant) {
         let service = |job: &JobRecord| job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service);
         let replicas =
             |id: &Name| core.world.assignments(id).filter(|(_, job, a)| service(job) && job.wants(a)).count();
@@ -335,7 +345,7 @@
         *ready = free;
         let (with, without): (Vec<Name>, Vec<Name>) = held.into_iter().partition(|id| replicas(id) > 0);
         let all = with.len();
-        let most = (node.plan().write_rps * PACE_S) as usize;
+        let most = (controller.plan().write_rps * PACE_S) as usize;
         let at_once = (with.iter().map(replicas).sum::<usize>() / PACE_PART).clamp(1, most.max(1));
         let mut left = at_once.saturating_sub(down);
         let released = with.into_iter().take_while(|id| {
@@ -352,11 +362,11 @@
     }
 
     /// The release is confirmed: whatever was on the machines is gone.
-    pub(super) async fn forget(&mut self, node: &Node, machines: Vec<Name>) {
+    pub(super) async fn forget(&mut self, controller: &Controller, machines: Vec<Name>) {
         let known: Vec<(Name, String)> = {
-            let core = node.core();
+            let core = controller.core();
             let record = |id: &Name| core.world.machines.get(id).map(|m| m.value.addr.clone());
-            let most = core.world.fleet.as_ref().map_or(usize::MAX, |f| names_left(&f.value, node));
+            let most = core.world.fleet.as_ref().map_or(usize::MAX, |f| names_left(&f.value, controller));
             machines.iter().filter_map(|id| Some((id.clone(), record(id)?))).take(most).collect()
         };
         if known.is_empty() {
@@ -368,22 +378,22 @@
             gone.sort_unstable();
             gone.dedup();
         };
-        if self.put_fleet(node, add).await {
+        if self.put_fleet(controller, add).await {
             for (_, addr) in &known {
-                node.workers_http.forget(addr);
+                controller.workers_http.forget(addr);
             }
         }
     }
 
     /// Deletes the records of machines that are gone, while nothing else needs
     /// the changes.
-    pub(super) async fn bury(&mut self, node: &Node) {
-        let ops = node.plan().txn_ops;
+    pub(super) async fn bury(&mut self, controller: &Controller) {
+        let ops = controller.plan().txn_ops;
         let (dead, mut fleet, version) = {
-            let mut core = node.core();
+            let mut core = controller.core();
             let (level, rate) = (core.writes.level(clock::now()), core.writes.per_second());
             let Some(f) = &core.world.fleet else { return };
-            if core.world.gone.is_empty() || level < rate * 0.6 && !is_half_full(&f.value, node) {
+            if core.world.gone.is_empty() || level < rate * 0.6 && !is_half_full(&f.value, controller) {
                 return;
             }
             let dead: Vec<(Name, u64)> =
@@ -398,7 +408,7 @@
         conditions.extend(dead.iter().map(|(id, v)| Condition { key: key::machine(id), version: *v }));
         let mut puts = vec![Put::new(key::FLEET.into(), &fleet)];
         puts.extend(dead.iter().map(|(id, _)| Put::delete(key::machine(id))));
-        write(node, conditions, puts).await;
+        write(controller, conditions, puts).await;
     }
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,15 +1,15 @@
 //! The duties of one controller, and the command line that starts them.
 
+mod api;
 #[cfg(feature = "bench")]
 #[path = "../benches/load/cases.rs"]
 pub mod cases;
 mod client;
 mod clock;
+mod commit;
+mod controller;
 mod emulated;
-mod engine;
 mod fleet_duty;
-mod front;
-mod gossip;
 #[cfg(test)]
 #[path = "../tests/unit/large_site.rs"]
 mod large_site;
@@ -24,7 +24,7 @@
 #[cfg(test)]
 #[path = "../tests/unit/meetings_machines.rs"]
 mod meetings_machines;
-mod node;
+mod peers;
 #[cfg(test)]
 #[path = "../tests/unit/pipelines.rs"]
 mod pipelines;
@@ -33,6 +33,7 @@
 #[path = "../tests/unit/production.rs"]
 mod production;
 mod read_index;
+mod reconcile;
 #[cfg(test)]
 #[path = "../tests/unit/scale.rs"]
 mod scale;
@@ -44,7 +45,6 @@
 #[path = "../tests/unit/stand_in.rs"]
 mod stand_in;
 mod state_duty;
-mod wide;
 mod worker;
 
 use std::path::PathBuf;
@@ -56,7 +56,7 @@
 use tokio::net::TcpListener;
 use tracing::info;
 
-use node::Node;
+use controller::Controller;
 use settings::{Operators, Settings};
 
 /// A cluster scheduler: jobs from users, machines from a cloud.
@@ -186,58 +186,58 @@
     // Also part of names that must never be used again, hence drawn anew.
     let incarnation = rand::rng().random::<u64>() >> 12;
     info!(name = settings.node_name, zone = settings.zone, incarnation, "starting");
-    let node = Node::new(settings, operators, incarnation);
-    spawn_duties(&node);
-    let n = node.clone();
-    let peers = move |request| gossip::serve(n.clone(), request);
-    node.spawn_duty(net::serve(
+    let controller = Controller::new(settings, operators, incarnation);
+    spawn_duties(&controller);
+    let n = controller.clone();
+    let peers = move |request| peers::serve(n.clone(), request);
+    controller.spawn_duty(net::serve(
         peer_listener,
-        node.internal.clone(),
+        controller.internal.clone(),
         1 << 20,
         peers,
-        node.stop.clone(),
-        node.tasks.clone(),
+        controller.stop.clone(),
+        controller.tasks.clone(),
     ));
-    let n = node.clone();
-    let users = move |request| front::serve(n.clone(), request);
-    node.spawn_duty(net::serve(
+    let n = controller.clone();
+    let users = move |request| api::serve(n.clone(), request);
+    controller.spawn_duty(net::serve(
         front_listener,
-        node.front.clone(),
+        controller.public_connections.clone(),
         wire::BODY_LIMIT,
         users,
-        node.stop.clone(),
-        node.tasks.clone(),
+        controller.stop.clone(),
+        controller.tasks.clone(),
     ));
     stop.await;
     info!("stopping");
-    node.stop.cancel();
-    node.tasks.close();
-    let _ = tokio::time::timeout(Duration::from_secs(2), node.tasks.wait()).await;
-    leave(&node).await;
+    controller.stop.cancel();
+    controller.tasks.close();
+    let _ = tokio::time::timeout(Duration::from_secs(2), controller.tasks.wait()).await;
+    leave(&controller).await;
     Ok(())
 }
 
 /// Starts all duties but the servers.
-fn spawn_duties(node: &Node) {
-    node.spawn_duty(state_duty::mirror(node.clone()));
-    node.spawn_duty(state_duty::verifier(node.clone()));
-    node.spawn_duty(state_duty::membership(node.clone()));
-    node.spawn_duty(engine::pulse(node.clone()));
-    node.spawn_duty(engine::rounds(node.clone()));
-    node.spawn_duty(engine::prober(node.clone()));
-    node.spawn_duty(front::arrivals(node.clone()));
-    node.spawn_duty(fleet_duty::fleet(node.clone()));
-    node.spawn_duty(load::tell(node.clone()));
-    for peer in &node.settings.peers {
-        node.spawn_duty(gossip::tell(node.clone(), peer.address.clone()));
+fn spawn_duties(controller: &Controller) {
+    controller.spawn_duty(state_duty::mirror(controller.clone()));
+    controller.spawn_duty(state_duty::verifier(controller.clone()));
+    controller.spawn_duty(state_duty::membership(controller.clone()));
+    controller.spawn_duty(reconcile::heartbeat(controller.clone()));
+    controller.spawn_duty(reconcile::rounds(controller.clone()));
+    controller.spawn_duty(reconcile::prober(controller.clone()));
+    controller.spawn_duty(api::arrivals(controller.clone()));
+    controller.spawn_duty(fleet_duty::fleet(controller.clone()));
+    controller.spawn_duty(load::log_regularly(controller.clone()));
+    for peer in &controller.settings.peers {
+        controller.spawn_duty(peers::exchange_summaries(controller.clone(), peer.address.clone()));
     }
 }
 
 /// Leaving at once saves the others the wait for the lease's end.
-async fn leave(node: &Node) {
-    let lease = node.core().lease;
+async fn leave(controller: &Controller) {
+    let lease = controller.core().lease;
     if let Some(lease) = lease {
-        let _ = node.state.end_lease(lease).await;
+        let _ = controller.state.end_lease(lease).await;
     }
 }
 
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -6,7 +6,7 @@
 /// What is known of the change.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Seen {
-    /// No controller comes back old: records may have the new form, and the limits may
+    /// No controller comes back old: records may be chunked, and the limits may
     /// change from now on.
     pub all_new: bool,
     /// The state service refused what the present limits allow, which it only does
@@ -28,7 +28,7 @@
     /// old form may be smaller than it has to be.
     pub place_bytes: f64,
     /// Whether records that are larger may be written in parts.
-    pub wide: bool,
+    pub chunked: bool,
 }
 
 pub fn plan(state: &State, seen: Seen) -> Plan {
@@ -43,7 +43,7 @@
         value_bytes: if smaller { value } else { state.value_kb * 1024.0 },
         txn_ops: if smaller { ops } else { state.txn_ops },
         place_bytes: value,
-        wide: smaller,
+        chunked: smaller,
     }
 }
 
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::node::Node;
+use crate::controller::Controller;
 
 /// What changes of the state service are spent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,31 +63,32 @@
 }
 
 /// A few names, as hundreds at a time make no readable line.
-pub fn few<T: AsRef<str>>(names: &[T]) -> String {
+pub fn sample_names<T: AsRef<str>>(names: &[T]) -> String {
     let some: Vec<&str> = names.iter().take(5).map(AsRef::as_ref).collect();
     some.join(" ") + if names.len() > some.len() { " …" } else { "" }
 }
 
 const EVERY: Duration = Duration::from_secs(10);
 
-pub async fn tell(node: Node) {
+pub async fn log_regularly(controller: Controller) {
     loop {
         sleep(EVERY).await;
         let take = |c: &AtomicU64| c.swap(0, Ordering::Relaxed);
-        let c = &node.counts;
-        let front: Vec<String> = node.front.by_share().map(|(name, n)| format!("{name} {n}")).collect();
+        let c = &controller.counts;
+        let front: Vec<String> =
+            controller.public_connections.by_share().map(|(name, n)| format!("{name} {n}")).collect();
         let rounds = take(&c.rounds);
         let round_us = take(&c.round_us);
         info!(
             connections = format!(
                 "{}, peers {}, to workers {}, to the state service {}, to others {}",
                 front.join(", "),
-                node.internal.open(),
-                node.workers_http.open(),
-                node.state_http.open(),
-                node.http.open()
+                controller.internal.open(),
+                controller.workers_http.open(),
+                controller.state_http.open(),
+                controller.http.open()
             ),
-            closed_for_want = node.front.take_closed() + node.internal.take_closed(),
+            closed_for_want = controller.public_connections.take_closed() + controller.internal.take_closed(),
             changes = c.take_changes(),
             conflicts = take(&c.conflicts),
             rounds,
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -8,22 +8,22 @@
 use sched::world::InOrder;
 use tokio::time::timeout;
 
+use crate::api;
 use crate::clock;
-use crate::engine;
-use crate::front;
-use crate::node::{Core, Node, PeerView, takes_work};
+use crate::controller::{Controller, Core, PeerView, takes_work};
 use crate::read_index;
+use crate::reconcile;
 
 pub(crate) const LARGE: usize = 1 << 20;
 
-pub(crate) fn summary(node: &Node) -> Summary {
-    let core = node.core();
+pub(crate) fn summary(controller: &Controller) -> Summary {
+    let core = controller.core();
     let now = clock::now();
-    let report = node.report_every();
+    let report = controller.report_every();
     let stood_still = core.stood_still(now);
     let mut workers = InOrder::new(&core.workers);
     let mut used = InOrder::new(&core.world.machine_use);
-    let owned = core.world.owned_machines().filter(|(.., owner)| **owner == node.me);
+    let owned = core.world.owned_machines().filter(|(.., owner)| **owner == controller.me);
     let machines = owned
         .filter_map(|(id, record, _)| {
             let worker = workers.get(id)?;
@@ -43,9 +43,9 @@
         })
         .collect();
     Summary {
-        name: node.me.name.clone(),
-        incarnation: node.me.incarnation,
-        count: node.counts.summaries.fetch_add(1, Ordering::Relaxed) + 1,
+        name: controller.me.name.clone(),
+        incarnation: controller.me.incarnation,
+        count: controller.counts.summaries.fetch_add(1, Ordering::Relaxed) + 1,
         epoch: core.map().map_or(0, |m| m.epoch),
         state_silent_ms: core.fresh_at.map_or(u64::MAX, |f| millis(now.saturating_duration_since(f))),
         machines,
@@ -56,9 +56,9 @@
     d.as_millis() as u64
 }
 
-pub(crate) fn take(node: &Node, mut summary: Summary) {
-    let mut core = node.core();
-    if !node.settings.peers.iter().any(|p| p.node_name == summary.name) || !newer(&core, &summary) {
+pub(crate) fn take(controller: &Controller, mut summary: Summary) {
+    let mut core = controller.core();
+    if !controller.settings.peers.iter().any(|p| p.node_name == summary.name) || !newer(&core, &summary) {
         return;
     }
     let Core { world, rows, .. } = &mut *core;
@@ -98,48 +98,49 @@
 }
 
 /// How often a peer is told of this controller's machines.
-const TELL_EVERY: Duration = Duration::from_millis(1000);
+const SUMMARY_EVERY: Duration = Duration::from_millis(1000);
 /// A peer that has told of its own machines within this time was answered with a summary then.
 const ANSWERED_FOR: Duration = Duration::from_millis(700);
 /// Least time between two summaries to a peer.
-const TELL_PAUSE: Duration = Duration::from_millis(100);
+const SUMMARY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Tells one peer about this controller's machines, and hears of its own. Of two controllers
 /// one asks and the other answers, whoever comes first.
-pub async fn tell(node: Node, address: String) {
+pub async fn exchange_summaries(controller: Controller, address: String) {
     let mut urgent = true;
     loop {
-        read_index::ask(&node, &address).await;
-        if urgent || !answered_lately(&node, &address) {
-            exchange(&node, &address).await;
+        read_index::ask(&controller, &address).await;
+        if urgent || !answered_lately(&controller, &address) {
+            exchange(&controller, &address).await;
         }
-        urgent = timeout(TELL_EVERY, node.gossip.notified()).await.is_ok();
-        tokio::time::sleep(TELL_PAUSE).await;
+        urgent = timeout(SUMMARY_EVERY, controller.summary_due.notified()).await.is_ok();
+        tokio::time::sleep(SUMMARY_PAUSE).await;
     }
 }
 
-fn answered_lately(node: &Node, address: &str) -> bool {
-    let Some(peer) = node.settings.peers.iter().find(|p| p.address == address) else { return false };
-    let core = node.core();
+fn answered_lately(controller: &Controller, address: &str) -> bool {
+    let Some(peer) = controller.settings.peers.iter().find(|p| p.address == address) else { return false };
+    let core = controller.core();
     let asked_at = core.peers.get(&peer.node_name).map(|p| p.at);
     asked_at.is_some_and(|t| clock::since(t) < ANSWERED_FOR)
 }
 
-async fn exchange(node: &Node, address: &str) {
-    let body = peer::encode(&Message::Summary(summary(node)));
-    let answer = node.http.request(address, "POST", "/peer", body, LARGE, Duration::from_millis(900)).await;
+async fn exchange(controller: &Controller, address: &str) {
+    let body = peer::encode(&Message::Summary(summary(controller)));
+    let answer =
+        controller.http.request(address, "POST", "/peer", body, LARGE, Duration::from_millis(900)).await;
     if let Ok(answer) = answer
         && let Some(Message::Summary(s)) = peer::decode(&answer.body)
     {
-        take(node, s);
+        take(controller, s);
     }
 }
 
 /// Passes a worker's report on to the machine's owner.
-pub async fn relay(node: &Node, owner: &str, report: Vec<u8>) -> Option<Reply> {
-    let peer = node.settings.peers.iter().find(|p| p.node_name == owner)?;
+pub async fn relay(controller: &Controller, owner: &str, report: Vec<u8>) -> Option<Reply> {
+    let peer = controller.settings.peers.iter().find(|p| p.node_name == owner)?;
     let body = peer::encode(&Message::Relay(peer::Relay { report }));
-    let answer = node
+    let answer = controller
         .http
         .request(&peer.address, "POST", "/peer", body, LARGE, Duration::from_millis(2000))
         .await
@@ -151,16 +152,16 @@
 }
 
 /// Hands proofs over to a peer; false if it did not take them.
-pub async fn hand_over(node: &Node, to: &str, epoch: u64, list: Vec<peer::Proof>) -> bool {
-    let Some(peer) = node.settings.peers.iter().find(|p| p.node_name == to) else { return false };
+pub async fn hand_over(controller: &Controller, to: &str, epoch: u64, list: Vec<peer::Proof>) -> bool {
+    let Some(peer) = controller.settings.peers.iter().find(|p| p.node_name == to) else { return false };
     let body = peer::encode(&Message::Proofs(peer::Proofs { epoch, list }));
     let deadline = Duration::from_millis(1200);
-    let answer = node.http.request(&peer.address, "POST", "/peer", body, LARGE, deadline).await;
+    let answer = controller.http.request(&peer.address, "POST", "/peer", body, LARGE, deadline).await;
     answer.is_ok_and(|a| peer::decode(&a.body) == Some(Message::Taken))
 }
 
 /// Serves the peers.
-pub async fn serve(node: Node, request: Request) -> Reply {
+pub async fn serve(controller: Controller, request: Request) -> Reply {
     if !matches!(request.path.as_str(), "/peer" | read_index::PATH) {
         return Reply::error(404, "unknown path");
     }
@@ -168,19 +169,19 @@
         return Reply::error(405, "POST only");
     }
     if request.path == read_index::PATH {
-        return read_index::serve(&node, &request.body);
+        return read_index::serve(&controller, &request.body);
     }
     let answer = match peer::decode(&request.body) {
         Some(Message::Summary(s)) => {
-            take(&node, s);
-            Message::Summary(summary(&node))
+            take(&controller, s);
+            Message::Summary(summary(&controller))
         }
         Some(Message::Relay(r)) => {
-            let reply = front::report(&node, &r.report, true).await;
+            let reply = api::report(&controller, &r.report, true).await;
             Message::Relayed { status: reply.status, body: reply.body }
         }
         Some(Message::Proofs(p)) => {
-            engine::take_proofs(&node, p.epoch, p.list, clock::now());
+            reconcile::take_proofs(&controller, p.epoch, p.list, clock::now());
             Message::Taken
         }
         _ => return Reply::error(400, "not a message between controllers"),
@@ -189,5 +190,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/gossip.rs"]
+#[path = "../tests/unit/peers.rs"]
 mod tests;
--- a/crates/daemon/src/placer.rs
+++ b/crates/daemon/src/placer.rs
@@ -4,7 +4,7 @@
 
 use sched::forecast;
 use sched::hash::{HashMap, HashSet};
-use sched::placement::{self, Board};
+use sched::placement::{self, Inventory};
 use sched::preempt;
 use sched::records::*;
 use sched::world::{Amount, Team, World};
@@ -12,8 +12,8 @@
 use tracing::info;
 use wire::{JobKind, JobSpec, Priority};
 
-use crate::engine::{Event, REFUSED_FOR, Round, edit};
-use crate::node::{Core, Node};
+use crate::controller::{Controller, Core};
+use crate::reconcile::{Event, REFUSED_FOR, Round, edit};
 
 /// Most tasks of an array or service that room is made for at a time.
 const PREEMPT_MOST: u32 = 4;
@@ -53,25 +53,32 @@
 
 /// Places what waits, in the order of priority, guarantee and age, and makes room
 /// for what finds none.
-pub(crate) fn place(node: &Node, core: &mut Core, round: &mut Round, ops: usize, now: Instant, now_ms: u64) {
-    let queue = waiting_here(node, core, round);
+pub(crate) fn place(
+    controller: &Controller,
+    core: &mut Core,
+    round: &mut Round,
+    ops: usize,
+    now: Instant,
+    now_ms: u64,
+) {
+    let queue = waiting_here(controller, core, round);
     if queue.is_empty() {
         return;
     }
-    core.refresh_board(&node.me, node.report_every(), now);
-    let mut board = std::mem::take(&mut core.board);
-    board.begin();
-    place_queue(node, core, &mut board, round, queue, Budget { ops, now, now_ms });
-    board.roll_back();
-    core.board = board;
+    core.refresh_inventory(&controller.me, controller.report_every(), now);
+    let mut inventory = std::mem::take(&mut core.inventory);
+    inventory.begin();
+    place_queue(controller, core, &mut inventory, round, queue, Budget { ops, now, now_ms });
+    inventory.roll_back();
+    core.inventory = inventory;
 }
 
 /// The jobs with tasks that wait and that this controller places.
-fn waiting_here(node: &Node, core: &Core, round: &Round) -> Vec<String> {
+fn waiting_here(controller: &Controller, core: &Core, round: &Round) -> Vec<String> {
     let waits = |(id, job): &(&String, &JobRecord)| {
         let job = round.jobs.get(*id).map_or(*job, |j| j);
         placement::pending_count(job) > 0
-            && core.world.placer_of(job) == Some(&node.me.name)
+            && core.world.placer_of(job) == Some(&controller.me.name)
             && !round.held.contains(*id)
     };
     core.world.open_jobs().filter(waits).map(|(id, _)| id.clone()).collect()
@@ -86,34 +93,34 @@
     now_ms: u64,
 }
 
-/// Places these jobs on the board.
+/// Places these jobs on the inventory.
 fn place_queue(
-    node: &Node,
+    controller: &Controller,
     core: &mut Core,
-    board: &mut Board,
+    inventory: &mut Inventory,
     round: &mut Round,
     queue: Vec<String>,
     budget: Budget,
 ) {
     let Budget { now, now_ms, .. } = budget;
-    let leads = core.leads(&node.me);
+    let leads = core.leads(&controller.me);
     let Core { world, reserved, searched, refused, .. } = core;
     let world: &World = world;
-    free_what_ended(world, board, round);
+    free_what_ended(world, inventory, round);
     reserved.retain(|id, (_, until)| now < *until && queue.contains(id));
     searched.retain(|_, t| now.saturating_duration_since(*t) < SEARCH_PAUSE);
     for (id, (machines, _)) in reserved.iter() {
         let Some(spec) = world.jobs.get(id).and_then(|j| j.value.spec.as_deref()) else { continue };
-        board.reserve(machines, Amount::of_task(spec), 1.0);
+        inventory.reserve(machines, Amount::of_task(spec), 1.0);
     }
-    let guaranteed = guaranteed(world, &node.teams);
+    let guaranteed = guaranteed(world, &controller.teams);
     let longest: HashSet<&str> = placement::longest_waiting(world, now_ms).into_iter().collect();
-    let queue = in_order(node, world, queue, &guaranteed, &longest, now_ms);
+    let queue = in_order(controller, world, queue, &guaranteed, &longest, now_ms);
     let mut pass = Pass {
-        node,
+        controller,
         world,
-        board,
-        claims: claims(node, world, round),
+        inventory,
+        claims: claims(controller, world, round),
         round,
         budget,
         leads,
@@ -133,7 +140,7 @@
 }
 
 /// What this round has ended is free already.
-fn free_what_ended(world: &World, board: &mut Board, round: &Round) {
+fn free_what_ended(world: &World, inventory: &mut Inventory, round: &Round) {
     for (id, record) in &round.jobs {
         let Some(old) = world.jobs.get(id) else { continue };
         let Some(spec) = old.value.spec.as_deref() else { continue };
@@ -142,8 +149,8 @@
             if record.run.binary_search_by_key(&a.task, |b| b.task).is_ok() {
                 continue;
             }
-            board.reserve(std::slice::from_ref(&a.machine), size, -1.0);
-            if let Some(u) = board.team_use.get_mut(&spec.team) {
+            inventory.reserve(std::slice::from_ref(&a.machine), size, -1.0);
+            if let Some(u) = inventory.team_use.get_mut(&spec.team) {
                 *u = u.plus(size, -1.0);
             }
         }
@@ -152,7 +159,7 @@
 
 /// The queue in the order in which it is served.
 fn in_order(
-    node: &Node,
+    controller: &Controller,
     world: &World,
     queue: Vec<String>,
     guaranteed: &HashSet<&str>,
@@ -162,7 +169,7 @@
     let with_turn = |id: String| {
         let job = world.jobs.get(&id)?.value.as_ref();
         let in_guarantee = guaranteed.contains(id.as_str());
-        let turn = turn(node, job, in_guarantee, longest.contains(id.as_str()), now_ms);
+        let turn = turn(controller, job, in_guarantee, longest.contains(id.as_str()), now_ms);
         Some((id, job, turn))
     };
     let mut jobs: Vec<(String, &JobRecord, placement::Turn)> =
@@ -180,7 +187,7 @@
 /// would claim that room at once, be placed there and be stopped again, without end.
 /// Nor is more claimed than arrays could ever leave: replicas end with their jobs only,
 /// and a gang that does not fit beside them would keep arrays out of the rest for good.
-fn claims(node: &Node, world: &World, round: &Round) -> Vec<Claim> {
+fn claims(controller: &Controller, world: &World, round: &Round) -> Vec<Claim> {
     let open: Vec<(&JobRecord, &JobSpec)> = world
         .open_jobs()
         .filter_map(|(id, job)| {
@@ -197,7 +204,7 @@
     let mut claims: Vec<Claim> = Vec::new();
     for (job, spec) in open {
         let waiting = placement::pending_count(job);
-        let Some(team) = node.team(&spec.team).filter(|_| waiting > 0) else { continue };
+        let Some(team) = controller.team(&spec.team).filter(|_| waiting > 0) else { continue };
         let gang = spec.kind == JobKind::Gang;
         let size = Amount::of_task(spec).without_memory();
         let used = replicas.get(spec.team.as_str()).copied().unwrap_or_default();
@@ -217,9 +224,9 @@
 
 /// One pass over the queue: what it looks at, and what it leaves behind.
 struct Pass<'a, 'w> {
-    node: &'a Node,
+    controller: &'a Controller,
     world: &'w World,
-    board: &'a mut Board,
+    inventory: &'a mut Inventory,
     round: &'a mut Round,
     budget: Budget,
     leads: bool,
@@ -262,8 +269,8 @@
             return;
         };
         let Some(spec) = old.spec.as_deref() else { return };
-        let node = self.node;
-        let Some(team) = node.team(&spec.team) else { return };
+        let controller = self.controller;
+        let Some(team) = controller.team(&spec.team) else { return };
         // A job that has a change in this round anyway costs no further one.
         let cost = usize::from(!self.round.jobs.contains_key(&id))
             + usize::from(!self.round.teams.contains(&spec.team));
@@ -278,17 +285,17 @@
             team,
             priority: job.priority().unwrap_or(spec.priority),
             size: Amount::of_task(&spec),
-            in_part: job.part.as_deref() == Some(node.me.name.as_str()),
+            in_part: job.part.as_deref() == Some(controller.me.name.as_str()),
         };
         self.keep_room_for_services(&spec);
         let held = self.reserved.get(&id).map(|(m, _)| m.clone()).unwrap_or_default();
-        self.board.reserve(&held, candidate.size, -1.0);
+        self.inventory.reserve(&held, candidate.size, -1.0);
         let Found { placed, last_resort } = self.find_place(&candidate, &mut job, &held);
         if !placed.is_empty() {
             self.note_placed(&candidate, job, placed);
             return;
         }
-        self.board.reserve(&held, candidate.size, 1.0);
+        self.inventory.reserve(&held, candidate.size, 1.0);
         if !candidate.in_part {
             self.make_room(&candidate, &job, last_resort);
             self.collect_room(&candidate);
@@ -305,30 +312,30 @@
             return;
         }
         let Some((service, tasks)) = self.expected.take() else { return };
-        let room = placement::room_for(self.world, self.board, &service, tasks, self.budget.now_ms);
-        self.board.reserve(&room, Amount::of_task(&service), 1.0);
+        let room = placement::room_for(self.world, self.inventory, &service, tasks, self.budget.now_ms);
+        self.inventory.reserve(&room, Amount::of_task(&service), 1.0);
     }
 
     fn find_place(&mut self, candidate: &Candidate, job: &mut JobRecord, held: &[Name]) -> Found {
         let Candidate { spec, team, in_part, .. } = *candidate;
-        let (world, me, leads) = (self.world, &self.node.me, self.leads);
+        let (world, me, leads) = (self.world, &self.controller.me, self.leads);
         let reach = |s: &placement::Slot| leads && !in_part || s.owner == me.incarnation;
         let limits = placement::Limits {
-            most: self.node.run_max().saturating_sub(job.run.len()),
-            window: self.node.window(),
+            most: self.controller.run_max().saturating_sub(job.run.len()),
+            window: self.controller.window(),
             lossy: false,
-            gang_wait_s: self.node.settings.facts.workers.gang_wait_s,
+            gang_wait_s: self.controller.settings.facts.workers.gang_wait_s,
             now_ms: self.budget.now_ms,
         };
         let claim = self.claims_against(candidate, job);
-        claim_share(self.board, &spec.team, claim, 1.0);
+        claim_share(self.inventory, &spec.team, claim, 1.0);
         // What the leader collects room for comes first.
         let mut placed = if in_part && competes_with(world, spec, self.longest.iter().copied()) {
             Vec::new()
         } else {
-            placement::place(world, self.board, job, team, reach, limits)
+            placement::place(world, self.inventory, job, team, reach, limits)
         };
-        claim_share(self.board, &spec.team, claim, -1.0);
+        claim_share(self.inventory, &spec.team, claim, -1.0);
         // A service that finds no other room takes, in this order: room that was
         // made for it, room of array tasks, room that GPU jobs could use, and at
         // last the place of a GPU job.
@@ -336,9 +343,9 @@
         if placed.is_empty() && spec.kind == JobKind::Service && !in_part {
             let limits = placement::Limits { lossy: true, ..limits };
             if !held.is_empty() {
-                placed = placement::place_at(world, self.board, job, team, held, limits);
+                placed = placement::place_at(world, self.inventory, job, team, held, limits);
             } else if !self.arrays_could_make_way(candidate) {
-                placed = placement::place(world, self.board, job, team, reach, limits);
+                placed = placement::place(world, self.inventory, job, team, reach, limits);
                 last_resort = placed.is_empty();
             }
         }
@@ -366,14 +373,14 @@
         self.round.searches += 1;
         let (world, spec) = (self.world, candidate.spec);
         let whole = |s: &placement::Slot| placement::gpu_loss(world, spec, s) == 0;
-        let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.board));
+        let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
         let asker = (spec, candidate.priority);
-        preempt::victims(running, self.board, asker, &self.guaranteed, &[], true, whole).is_some()
+        preempt::victims(running, self.inventory, asker, &self.guaranteed, &[], true, whole).is_some()
     }
 
     fn note_placed(&mut self, candidate: &Candidate, job: Box<JobRecord>, placed: Vec<Assignment>) {
         let Candidate { id, spec, size, .. } = *candidate;
-        if spec.kind == JobKind::Gang && !may_be_written(self.node, id, &job) {
+        if spec.kind == JobKind::Gang && !may_be_written(self.controller, id, &job) {
             // Nobody else is to wait for room that it cannot take.
             info!(job = id, "a gang of so many machines waits until all controllers are upgraded");
             self.refused.insert(id.to_owned(), self.budget.now + REFUSED_FOR);
@@ -388,7 +395,7 @@
         if let Some((machines, until)) = self.reserved.remove(id) {
             let left = still_held(machines, &placed, placement::pending_count(&job));
             if !left.is_empty() {
-                self.board.reserve(&left, size, 1.0);
+                self.inventory.reserve(&left, size, 1.0);
                 self.reserved.insert(id.to_owned(), (left, until));
             }
         }
@@ -399,8 +406,8 @@
     fn give_up(&mut self, spec: &JobSpec, placed: &[Assignment]) {
         let size = Amount::of_task(spec);
         let machines: Vec<Name> = placed.iter().map(|a| a.machine.clone()).collect();
-        self.board.reserve(&machines, size, -1.0);
-        if let Some(used) = self.board.team_use.get_mut(&spec.team) {
+        self.inventory.reserve(&machines, size, -1.0);
+        if let Some(used) = self.inventory.team_use.get_mut(&spec.team) {
             *used = used.plus(size, -(machines.len() as f64));
         }
     }
@@ -412,12 +419,12 @@
         if !self.longest.contains(id) || self.reserved.contains_key(id) {
             return;
         }
-        let in_use = self.board.team_use.get(&spec.team).copied().unwrap_or_default();
+        let in_use = self.inventory.team_use.get(&spec.team).copied().unwrap_or_default();
         let quota = team.limit().plus(in_use.without_memory(), -1.0);
         if size.times_in(quota) >= spec.tasks {
-            let (leads, me) = (self.leads, self.node.me.incarnation);
-            let room = placement::collect(self.board, spec, |s| leads || s.owner == me);
-            self.board.reserve(&room, size, 1.0);
+            let (leads, me) = (self.leads, self.controller.me.incarnation);
+            let room = placement::collect(self.inventory, spec, |s| leads || s.owner == me);
+            self.inventory.reserve(&room, size, 1.0);
         }
     }
 
@@ -463,25 +470,25 @@
             && !self.searched.get(candidate.id).is_some_and(recent)
     }
 
-    /// What to stop for so many tasks, and where; the room is taken on the board.
+    /// What to stop for so many tasks, and where; the room is taken on the inventory.
     fn find_victims(&mut self, candidate: &Candidate, tasks: u32, last_resort: bool) -> Option<Room> {
         let Candidate { spec, team, priority, size, .. } = *candidate;
         let world = self.world;
         let in_use = world.team_use.get(&spec.team).copied().unwrap_or_default();
         let quota = team.limit().plus(in_use.without_memory(), -1.0);
         if size.times_in(quota) < tasks {
-            let victims = preempt::within_team(world, self.board, (spec, priority), tasks, team)?;
+            let victims = preempt::within_team(world, self.inventory, (spec, priority), tasks, team)?;
             return Some(Room { machines: Vec::new(), victims });
         }
         let whole = |s: &placement::Slot| last_resort || placement::gpu_loss(world, spec, s) == 0;
         let mut room = Room { machines: Vec::new(), victims: Vec::new() };
         for _ in 0..tasks {
             self.round.searches += 1;
-            let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.board));
+            let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
             let asker = (spec, priority);
             let found = preempt::victims(
                 running,
-                self.board,
+                self.inventory,
                 asker,
                 &self.guaranteed,
                 &room.victims,
@@ -489,13 +496,13 @@
                 whole,
             );
             let Some((machine, victims)) = found else { break };
-            self.board.reserve(std::slice::from_ref(&machine), size, 1.0);
+            self.inventory.reserve(std::slice::from_ref(&machine), size, 1.0);
             room.machines.push(machine);
             room.victims.extend(victims);
         }
         let too_few = spec.kind == JobKind::Gang && room.machines.len() < tasks as usize;
         if room.victims.is_empty() || too_few {
-            self.board.reserve(&room.machines, size, -1.0);
+            self.inventory.reserve(&room.machines, size, -1.0);
             return None;
         }
         Some(room)
@@ -509,11 +516,13 @@
 }
 
 /// Whether a gang's record fits into a value, or may be written in parts.
-fn may_be_written(node: &Node, id: &str, job: &JobRecord) -> bool {
-    let plan = node.plan();
+fn may_be_written(controller: &Controller, id: &str, job: &JobRecord) -> bool {
+    let plan = controller.plan();
     // Below this many assignments it surely fits.
     let surely = (plan.value_bytes / GANG_TASK_BYTES) as usize / 2;
-    plan.wide || job.run.len() < surely || Put::new(key::job(id), job).value_len() as f64 <= plan.value_bytes
+    plan.chunked
+        || job.run.len() < surely
+        || Put::new(key::job(id), job).value_len() as f64 <= plan.value_bytes
 }
 
 /// What is still held for a job of which some tasks were placed.
@@ -544,8 +553,14 @@
 }
 
 /// The job's turn, by the times that the settings state for its class.
-fn turn(node: &Node, job: &JobRecord, guaranteed: bool, longest: bool, now_ms: u64) -> placement::Turn {
-    let times = job.spec.as_ref().and_then(|s| node.settings.start_times(&s.class));
+fn turn(
+    controller: &Controller,
+    job: &JobRecord,
+    guaranteed: bool,
+    longest: bool,
+    now_ms: u64,
+) -> placement::Turn {
+    let times = job.spec.as_ref().and_then(|s| controller.settings.start_times(&s.class));
     placement::turn(job, guaranteed, longest, times, now_ms)
 }
 
@@ -576,9 +591,9 @@
 }
 
 /// Counts a part of a team's limit as used, or gives it back.
-fn claim_share(board: &mut Board, team: &str, amount: Amount, sign: f64) {
+fn claim_share(inventory: &mut Inventory, team: &str, amount: Amount, sign: f64) {
     if amount != Amount::default() {
-        let used = board.team_use.entry(team.to_owned()).or_default();
+        let used = inventory.team_use.entry(team.to_owned()).or_default();
         *used = used.plus(amount, sign);
     }
 }
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -28,8 +28,8 @@
 use tracing::{info, warn};
 
 use crate::clock;
-use crate::gossip::LARGE;
-use crate::node::{Core, Node};
+use crate::controller::{Controller, Core};
+use crate::peers::LARGE;
 
 /// Answers in parts are in the order of versions. Those of `/read-index`, which came before,
 /// were in the order of ids, and could not be continued.
@@ -95,12 +95,12 @@
 }
 
 /// This controller's answer: what it has read, and what it knows of beyond.
-pub(crate) fn answer(node: &Node, core: &Core, request: &ReadIndexRequest) -> ReadIndex {
+pub(crate) fn answer(controller: &Controller, core: &Core, request: &ReadIndexRequest) -> ReadIndex {
     let (cancelled, truncated) = cancelled_after(&core.world, request.after);
     ReadIndex {
         nonce: request.nonce,
-        name: node.me.name.clone(),
-        incarnation: node.me.incarnation,
+        name: controller.me.name.clone(),
+        incarnation: controller.me.incarnation,
         epoch: core.map().map_or(0, |m| m.epoch),
         revision: core.world.revision,
         cancelled,
@@ -196,23 +196,23 @@
 }
 
 /// Asks a peer while the state service cannot be asked, for as many parts as there are.
-pub async fn ask(node: &Node, address: &str) {
-    let Some(peer) = node.settings.peers.iter().find(|p| p.address == address) else { return };
+pub async fn ask(controller: &Controller, address: &str) {
+    let Some(peer) = controller.settings.peers.iter().find(|p| p.address == address) else { return };
     let sent = clock::now();
-    let Some(mut asked) = request(&node.core(), rand::rng().random(), sent) else { return };
+    let Some(mut asked) = request(&controller.core(), rand::rng().random(), sent) else { return };
     // All parts have to be one process's: another may know less than the first did.
     let mut incarnation = None;
     loop {
-        let Some(index) = exchange(node, address, &asked).await else { return };
+        let Some(index) = exchange(controller, address, &asked).await else { return };
         let revision = index.revision;
         let same = *incarnation.get_or_insert(index.incarnation) == index.incarnation;
         let word = match same {
-            true => take(&mut node.core(), &peer.node_name, &asked, index, sent, clock::now()),
+            true => take(&mut controller.core(), &peer.node_name, &asked, index, sent, clock::now()),
             false => Word::Void,
         };
         match word {
             Word::Counts => {
-                node.kick.notify_one();
+                controller.kick.notify_one();
                 return;
             }
             Word::Continues(after) => asked = ReadIndexRequest { nonce: rand::rng().random(), after },
@@ -226,18 +226,18 @@
 
 /// Sends one request. A controller of the version in production knows none of its kind: for
 /// as long as it is there, leases are renewed within the bound alone.
-async fn exchange(node: &Node, address: &str, asked: &ReadIndexRequest) -> Option<ReadIndex> {
+async fn exchange(controller: &Controller, address: &str, asked: &ReadIndexRequest) -> Option<ReadIndex> {
     let body = peer::encode_request(asked);
-    let answer = node.http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
+    let answer = controller.http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
     (answer.status == 200).then(|| peer::decode_index(&answer.body)).flatten()
 }
 
 /// Answers a peer's request.
-pub fn serve(node: &Node, body: &[u8]) -> Reply {
+pub fn serve(controller: &Controller, body: &[u8]) -> Reply {
     let Some(request) = peer::decode_request(body) else {
         return Reply::error(400, "not a request for a read index");
     };
-    let index = answer(node, &node.core(), &request);
+    let index = answer(controller, &controller.core(), &request);
     Reply { status: 200, body: peer::encode_index(&index), retry_after: None }
 }
 
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -17,12 +17,12 @@
 use wire::{Command, Commands, Condition, JobKind, Priority, Report};
 
 use crate::clock;
-use crate::gossip;
+use crate::commit::TXN_BYTES;
+use crate::controller::{Controller, Core, HandedProof, wall_ms};
 use crate::limits::Plan;
 use crate::load::{Counts, Purpose};
-use crate::node::{Core, HandedProof, Node, wall_ms};
+use crate::peers;
 use crate::placer;
-use crate::wide::TXN_BYTES;
 use crate::worker::{Key, Worker};
 
 /// What one round wants to have done.
@@ -47,8 +47,8 @@
 
 impl Round {
     /// Nothing was stopped after all: no room is being made.
-    fn release(&self, node: &Node) {
-        let mut core = node.core();
+    fn release(&self, controller: &Controller) {
+        let mut core = controller.core();
         for e in &self.log {
             if let Event::Preempted { by, .. } = e {
                 core.reserved.remove(by);
@@ -79,7 +79,7 @@
 /// How long another controller has to write an end that was handed to it.
 const HANDED_FOR: Duration = Duration::from_millis(5000);
 /// How often a record in parts is written at the most.
-const WIDE_EVERY: Duration = Duration::from_millis(1200);
+const CHUNKED_EVERY: Duration = Duration::from_millis(1200);
 /// How long a record that is refused is left alone.
 pub(crate) const REFUSED_FOR: Duration = Duration::from_secs(20);
 /// How long rounds hold one job each after a refusal.
@@ -87,37 +87,37 @@
 /// How long a controller that could not be reached is left alone.
 const SHUN: Duration = Duration::from_secs(3);
 
-pub async fn rounds(node: Node) {
+pub async fn rounds(controller: Controller) {
     let mut scanned = clock::now();
     loop {
-        let _ = timeout(Duration::from_millis(250), node.kick.notified()).await;
+        let _ = timeout(Duration::from_millis(250), controller.kick.notified()).await;
         let now = clock::now();
-        let scan = now.saturating_duration_since(scanned) >= node.operators.rescheduler.scan;
+        let scan = now.saturating_duration_since(scanned) >= controller.operators.rescheduler.scan;
         if scan {
             scanned = now;
         }
         let round = {
-            let mut core = node.core();
+            let mut core = controller.core();
             // Without changes to spend, a round only sees to the workers. What
             // waits meanwhile goes into a larger round later.
-            let ops = core.writes.allowance(now).min(node.plan().txn_ops);
-            decide(&node, &mut core, scan, ops, now, wall_ms())
+            let ops = core.writes.allowance(now).min(controller.plan().txn_ops);
+            decide(&controller, &mut core, scan, ops, now, wall_ms())
         };
         let cost = clock::since(now);
-        Counts::add(&node.counts.rounds, 1);
-        Counts::add(&node.counts.round_us, cost.as_micros() as u64);
+        Counts::add(&controller.counts.rounds, 1);
+        Counts::add(&controller.counts.round_us, cost.as_micros() as u64);
         let Some(mut round) = round else {
             sleep(GAP).await;
             continue;
         };
         for (machine, addr, commands) in std::mem::take(&mut round.sends) {
-            send(&node, machine, addr, commands);
+            send(&controller, machine, addr, commands);
         }
         for (to, proofs) in std::mem::take(&mut round.proofs) {
-            hand_over(&node, to, proofs);
+            hand_over(&controller, to, proofs);
         }
         if !round.jobs.is_empty() {
-            commit(&node, round).await;
+            commit(&controller, round).await;
         }
         sleep(GAP.max(cost * LEAVE)).await;
     }
@@ -136,7 +136,7 @@
 }
 
 pub(crate) fn decide(
-    node: &Node,
+    controller: &Controller,
     core: &mut Core,
     scan: bool,
     ops: usize,
@@ -147,31 +147,31 @@
         // The records are being read again; the tokens given out still count.
         return None;
     }
-    if !core.in_map(&node.me) {
+    if !core.in_map(&controller.me) {
         core.workers.clear();
         return None;
     }
     // Ends leave some of the round for what starts: where much ends all the time,
     // nothing would ever take its place.
     let mut round = Round { most_ended: (ops * 2 / 3).max(1), ..Round::default() };
-    core.widened.retain(|_, t| now.saturating_duration_since(*t) < WIDE_EVERY);
+    core.written_in_chunks.retain(|_, t| now.saturating_duration_since(*t) < CHUNKED_EVERY);
     core.refused.retain(|_, until| now < *until);
-    round.held = core.widened.keys().chain(core.refused.keys()).cloned().collect();
-    cascade(node, core, &mut round, ops);
+    round.held = core.written_in_chunks.keys().chain(core.refused.keys()).cloned().collect();
+    cascade(controller, core, &mut round, ops);
     // First what was on machines that are gone: it is bounded, and its jobs can go on
     // nowhere else meanwhile. Behind the ends of arrays, which come without end on a
     // busy site, it waited for minutes.
-    drop_gone(node, core, &mut round, now_ms);
-    own_machines(node, core, &mut round, now, now_ms);
+    drop_gone(controller, core, &mut round, now_ms);
+    own_machines(controller, core, &mut round, now, now_ms);
     if ops == 0 {
         round.jobs.clear();
         round.log.clear();
         return Some(round);
     }
-    handed(node, core, &mut round, now, now_ms);
-    placer::place(node, core, &mut round, ops, now, now_ms);
-    if scan && core.leads(&node.me) {
-        reschedule(node, core, &mut round, ops, now, now_ms);
+    handed(controller, core, &mut round, now, now_ms);
+    placer::place(controller, core, &mut round, ops, now, now_ms);
+    if scan && core.leads(&controller.me) {
+        reschedule(controller, core, &mut round, ops, now, now_ms);
     }
     Some(round)
 }
@@ -179,12 +179,12 @@
 /// Writes down that jobs are cancelled with one before them. Users are told so from
 /// the records as they are; this lets go of what is kept of them, a few at a time, and
 /// whoever places such a job goes on with it whenever it gets to it.
-fn cascade(node: &Node, core: &Core, round: &mut Round, ops: usize) {
+fn cascade(controller: &Controller, core: &Core, round: &mut Round, ops: usize) {
     for id in core.world.pipelines.doomed() {
         if round.jobs.len() >= (ops / 2).max(1) {
             break;
         }
-        let mine = |j: &JobRecord| core.world.placer_of(j) == Some(&node.me.name);
+        let mine = |j: &JobRecord| core.world.placer_of(j) == Some(&controller.me.name);
         if !core.world.jobs.get(&**id).is_some_and(|j| mine(&j.value)) {
             continue;
         }
@@ -197,21 +197,21 @@
 }
 
 /// Reconciles the owned workers with the records, as far as either has changed.
-fn own_machines(node: &Node, core: &mut Core, round: &mut Round, now: Instant, now_ms: u64) {
+fn own_machines(controller: &Controller, core: &mut Core, round: &mut Round, now: Instant, now_ms: u64) {
     let Core { world, workers, peers, shunned, fresh_at, handed, .. } = core;
     let Some(epoch) = world.map_record().map(|m| m.epoch) else { return };
     let changed: Vec<Name> = match world.take_touched() {
         Some(touched) => touched.into_iter().collect(),
         None => {
             let kept = |id: &Name, w: &Worker| {
-                world.owner_of(id) == Some(&node.me) && !w.lapsed(world.owned_since(id))
+                world.owner_of(id) == Some(&controller.me) && !w.lapsed(world.owned_since(id))
             };
             workers.retain(|id, w| kept(id, w));
-            world.owned_by(&node.me).cloned().collect()
+            world.owned_by(&controller.me).cloned().collect()
         }
     };
     for id in changed {
-        match world.machines.get(&id).filter(|_| world.owner_of(&id) == Some(&node.me)) {
+        match world.machines.get(&id).filter(|_| world.owner_of(&id) == Some(&controller.me)) {
             Some(record) => {
                 let new = || Worker::new(record.value.addr.clone(), epoch, now);
                 workers.entry(id).or_insert_with(new).look_again();
@@ -221,7 +221,7 @@
             }
         }
     }
-    let limits = node.worker_limits(*fresh_at);
+    let limits = controller.worker_limits(*fresh_at);
     for (id, worker) in workers.iter_mut() {
         worker.enter_epoch(epoch);
         if !worker.due(now) {
@@ -234,7 +234,7 @@
             let since = worker.ended_since(&key, now);
             // One writer for each job: two owners that write the same record at
             // the same time only make each other's transactions fail.
-            if placer == node.me.name {
+            if placer == controller.me.name {
                 // Written with all that is known to have ended of its job.
                 let machine = id.to_string();
                 handed.insert(key, HandedProof { machine, how, epoch, at: now, since });
@@ -304,12 +304,12 @@
 
 /// Takes in the ends that owners have proven and handed over. A proof holds
 /// under the map it was made under: a later owner may launch what is absent.
-fn handed(node: &Node, core: &mut Core, round: &mut Round, now: Instant, now_ms: u64) {
+fn handed(controller: &Controller, core: &mut Core, round: &mut Round, now: Instant, now_ms: u64) {
     let Some(epoch) = core.map().map(|m| m.epoch) else { return };
     let Core { world, handed, .. } = core;
     handed.retain(|key, proof| {
         let stands = world.jobs.get(&key.0).is_some_and(|job| {
-            world.placer_of(&job.value) == Some(&node.me.name)
+            world.placer_of(&job.value) == Some(&controller.me.name)
                 && job.value.run.binary_search_by_key(&key.1, |a| a.task).is_ok_and(|i| {
                     let a = &job.value.run[i];
                     a.attempt == key.2 && *a.machine == *proof.machine
@@ -359,16 +359,16 @@
 const PROOFS_AT_ONCE: usize = 2048;
 
 /// Hands ends over to the controller that places the jobs.
-fn hand_over(node: &Node, to: String, proofs: Vec<Proof>) {
-    let Some(epoch) = node.core().map().map(|m| m.epoch) else { return };
-    let node = node.clone();
-    let tasks = node.tasks.clone();
+fn hand_over(controller: &Controller, to: String, proofs: Vec<Proof>) {
+    let Some(epoch) = controller.core().map().map(|m| m.epoch) else { return };
+    let controller = controller.clone();
+    let tasks = controller.tasks.clone();
     tasks.spawn(async move {
         for some in proofs.chunks(PROOFS_AT_ONCE) {
-            if !gossip::hand_over(&node, &to, epoch, some.to_vec()).await {
+            if !peers::hand_over(&controller, &to, epoch, some.to_vec()).await {
                 // Its jobs' ends are written here for a while.
-                node.core().shunned.insert(to, clock::now() + SHUN);
-                node.kick.notify_one();
+                controller.core().shunned.insert(to, clock::now() + SHUN);
+                controller.kick.notify_one();
                 return;
             }
         }
@@ -376,23 +376,23 @@
 }
 
 /// Keeps proofs that a peer has handed over until they are written.
-pub fn take_proofs(node: &Node, epoch: u64, proofs: Vec<Proof>, at: Instant) {
-    let mut core = node.core();
+pub fn take_proofs(controller: &Controller, epoch: u64, proofs: Vec<Proof>, at: Instant) {
+    let mut core = controller.core();
     for p in proofs {
         let Some(how) = End::from_code(p.end) else { continue };
         let proof = HandedProof { machine: p.machine, how, epoch, at, since: at };
         core.handed.insert((p.job, p.task, p.attempt), proof);
     }
     drop(core);
-    node.kick.notify_one();
+    controller.kick.notify_one();
 }
 
 /// Ends assignments on machines without a record: a record goes only after the
 /// cloud has confirmed the release, and nothing is launched without one.
-fn drop_gone(node: &Node, core: &Core, round: &mut Round, now_ms: u64) {
+fn drop_gone(controller: &Controller, core: &Core, round: &mut Round, now_ms: u64) {
     for machine in &core.world.orphaned {
         for (id, job, a) in core.world.assignments(machine) {
-            if core.world.placer_of(job) != Some(&node.me.name) {
+            if core.world.placer_of(job) != Some(&controller.me.name) {
                 continue;
             }
             // The rest has its turn in the next rounds: what ends in this one can
@@ -413,10 +413,17 @@
     }
 }
 
-fn reschedule(node: &Node, core: &mut Core, round: &mut Round, ops: usize, now: Instant, now_ms: u64) {
-    let policy = &node.operators.rescheduler;
-    core.refresh_board(&node.me, node.report_every(), now);
-    for e in rescheduler::scan(&core.world, &core.board, policy, now_ms) {
+fn reschedule(
+    controller: &Controller,
+    core: &mut Core,
+    round: &mut Round,
+    ops: usize,
+    now: Instant,
+    now_ms: u64,
+) {
+    let policy = &controller.operators.rescheduler;
+    core.refresh_inventory(&controller.me, controller.report_every(), now);
+    for e in rescheduler::scan(&core.world, &core.inventory, policy, now_ms) {
         if round.jobs.contains_key(&e.job) || round.puts() >= ops {
             continue;
         }
@@ -427,30 +434,30 @@
 }
 
 /// Commits a round in one transaction, as far as the limits of one go.
-pub(crate) async fn commit(node: &Node, round: Round) {
-    let Assembled { conditions, puts, left_out, teams, wide } = {
-        let mut core = node.core();
+pub(crate) async fn commit(controller: &Controller, round: Round) {
+    let Assembled { conditions, puts, left_out, teams, chunked } = {
+        let mut core = controller.core();
         let cautious = core.cautious.is_some_and(|until| clock::now() < until);
         let most_jobs = if cautious { 1 } else { usize::MAX };
-        let assembled = assemble(&core.world, &round, &node.plan(), most_jobs);
+        let assembled = assemble(&core.world, &round, &controller.plan(), most_jobs);
         core.writes.take(assembled.puts.len() as f64, 0.0, clock::now());
-        node.counts.spend(Purpose::Rounds, assembled.puts.len());
+        controller.counts.spend(Purpose::Rounds, assembled.puts.len());
         assembled
     };
     if puts.is_empty() {
         return;
     }
-    let limits = node.seen.get();
+    let limits = controller.seen.get();
     let sent: Vec<String> = round.jobs.keys().filter(|id| !left_out.contains(*id)).cloned().collect();
-    let result = node.commit(conditions, puts).await;
-    if let Some(id) = wide {
-        node.core().widened.insert(id, clock::now());
+    let result = controller.commit(conditions, puts).await;
+    if let Some(id) = chunked {
+        controller.core().written_in_chunks.insert(id, clock::now());
     }
     match result {
         Ok(Outcome::Committed { revision }) => {
-            tell(round.log.iter().filter(|e| !left_out.contains(e.job())));
+            log_events(round.log.iter().filter(|e| !left_out.contains(e.job())));
             // The next round need not wait until the news of this one arrives.
-            let mut core = node.core();
+            let mut core = controller.core();
             for (id, record) in round.jobs {
                 if !left_out.contains(&id) {
                     core.world.apply(Change::Job(id, Some(record)), revision);
@@ -461,29 +468,30 @@
             }
         }
         Ok(Outcome::Conflict { failed, revision }) => {
-            Counts::add(&node.counts.conflicts, 1);
+            Counts::add(&controller.counts.conflicts, 1);
             debug!(?failed, puts = round.puts(), "a round met newer records");
-            round.release(node);
-            node.reach(revision, Duration::from_secs(2)).await;
+            round.release(controller);
+            controller.reach(revision, Duration::from_secs(2)).await;
         }
         Err(e) => {
             debug!(error = %e, "a round was not committed, as far as is known");
-            round.release(node);
-            node.note_refusal(&e);
-            if matches!(e, StoreError::Refused(400) | StoreError::Large(_)) && node.seen.get() == limits {
-                set_apart(node, sent);
+            round.release(controller);
+            controller.note_refusal(&e);
+            if matches!(e, StoreError::Refused(400) | StoreError::Large(_)) && controller.seen.get() == limits
+            {
+                set_apart(controller, sent);
             }
             sleep(Duration::from_millis(200)).await;
         }
     }
-    node.kick.notify_one();
+    controller.kick.notify_one();
 }
 
 /// The state service refuses a round for what it is, though it keeps the limits that
 /// are known: its jobs have rounds of their own for a while, and the one that is
 /// refused alone waits. None of the others is to wait with it.
-fn set_apart(node: &Node, jobs: Vec<String>) {
-    let mut core = node.core();
+fn set_apart(controller: &Controller, jobs: Vec<String>) {
+    let mut core = controller.core();
     let now = clock::now();
     match <[String; 1]>::try_from(jobs) {
         Ok([job]) => {
@@ -502,11 +510,11 @@
     pub(crate) left_out: BTreeSet<String>,
     pub(crate) teams: Vec<(String, TeamRecord)>,
     /// The job whose record is larger than a value, one at most.
-    pub(crate) wide: Option<String>,
+    pub(crate) chunked: Option<String>,
 }
 
 pub(crate) fn assemble(world: &World, round: &Round, plan: &Plan, most_jobs: usize) -> Assembled {
-    let mut wide = None;
+    let mut chunked = None;
     let mut puts = Vec::new();
     // By the ids in their keys: a name with a space was never found here once another
     // controller had written its record, and nothing of the team was placed any more.
@@ -528,13 +536,13 @@
         if puts.len() + 1 + usize::from(new_team.is_some()) > plan.txn_ops
             || jobs >= most_jobs
             || (bytes + size > TXN_BYTES && bytes > 0)
-            || (large && (!plan.wide || wide.is_some()))
+            || (large && (!plan.chunked || chunked.is_some()))
         {
             left_out.insert(id.clone());
             continue;
         }
         if large {
-            wide = Some(id.clone());
+            chunked = Some(id.clone());
         }
         jobs += 1;
         bytes += size + 200;
@@ -553,7 +561,7 @@
         conditions.push(Condition { key: key::MAP.into(), version });
     }
     let teams = teams.into_iter().collect();
-    Assembled { conditions, puts, left_out, teams, wide }
+    Assembled { conditions, puts, left_out, teams, chunked }
 }
 
 impl Event {
@@ -569,7 +577,7 @@
         }
     }
 
-    fn tell(&self) {
+    fn log_one(&self) {
         match self {
             Event::Placed { job, tasks, attempt } => debug!(job, tasks, attempt, "placed"),
             Event::Ended { job, task, attempt, how } => debug!(job, task, attempt, ?how, "ended"),
@@ -597,10 +605,10 @@
 
 /// Tells what a round has done: each event for those who debug, and what often
 /// comes by the hundred as one line with its number and a few names.
-fn tell<'a>(events: impl Iterator<Item = &'a Event>) {
+fn log_events<'a>(events: impl Iterator<Item = &'a Event>) {
     let (mut lost, mut preempted, mut drained) = (Vec::new(), Vec::new(), Vec::new());
     for e in events {
-        e.tell();
+        e.log_one();
         match e {
             Event::Ended { job, task, how: End::Lost, .. } => lost.push(format!("{job}/{task}")),
             Event::Preempted { by, victim: v } => preempted.push(format!("{}/{} by {by}", v.job, v.task)),
@@ -608,27 +616,29 @@
             _ => {}
         }
     }
-    let told = [
+    let kinds = [
         (lost, "proven lost"),
         (preempted, "preempted"),
         (drained, "stopped: their machines are about to be taken away"),
     ];
-    for (tasks, what) in told.into_iter().filter(|(t, _)| !t.is_empty()) {
-        info!(count = tasks.len(), tasks = crate::load::few(&tasks), "{what}");
+    for (tasks, what) in kinds.into_iter().filter(|(t, _)| !t.is_empty()) {
+        info!(count = tasks.len(), tasks = crate::load::sample_names(&tasks), "{what}");
     }
 }
 
 /// Sends commands to a worker and takes in the report that answers them.
-fn send(node: &Node, machine: Name, addr: String, commands: Commands) {
+fn send(controller: &Controller, machine: Name, addr: String, commands: Commands) {
     let token = commands.token;
-    let node = node.clone();
-    let tasks = node.tasks.clone();
+    let controller = controller.clone();
+    let tasks = controller.tasks.clone();
     tasks.spawn(async move {
         debug!(machine = &*machine, token = commands.token, orders = ?commands.commands, "commands");
         let body = wire::encode(&commands);
         let deadline = Duration::from_millis(2500);
-        let answer =
-            node.workers_http.request(&addr, "POST", "/commands", body, wire::BODY_LIMIT * 4, deadline).await;
+        let answer = controller
+            .workers_http
+            .request(&addr, "POST", "/commands", body, wire::BODY_LIMIT * 4, deadline)
+            .await;
         let report = match answer {
             Ok(a) if a.status == 200 || a.status == 409 => wire::decode::<Report>(&a.body).ok(),
             Ok(a) => {
@@ -640,8 +650,8 @@
                 None
             }
         };
-        answered(&mut node.core(), &machine, token, report, clock::now());
-        node.kick.notify_one();
+        answered(&mut controller.core(), &machine, token, report, clock::now());
+        controller.kick.notify_one();
     });
 }
 
@@ -657,9 +667,9 @@
 }
 
 /// Notices when the process has stood still.
-pub async fn pulse(node: Node) {
+pub async fn heartbeat(controller: Controller) {
     loop {
-        node.core().beat(clock::now());
+        controller.core().beat(clock::now());
         sleep(Duration::from_millis(250)).await;
     }
 }
@@ -676,12 +686,12 @@
 
 /// Asks owned workers that have not been heard of for their status, so that a
 /// new owner need not wait for their reports.
-pub async fn prober(node: Node) {
+pub async fn prober(controller: Controller) {
     let mut turn = 0;
     loop {
         sleep(PROBE_EVERY).await;
-        let mut quiet = quiet_workers(&node, clock::now());
-        let most = node.settings.sockets().to_workers / PROBED_SOCKETS_PART;
+        let mut quiet = quiet_workers(&controller, clock::now());
+        let most = controller.settings.sockets().to_workers / PROBED_SOCKETS_PART;
         let at_once = probed_at_once(quiet.len(), most);
         if !quiet.is_empty() {
             let from = turn % quiet.len();
@@ -689,9 +699,9 @@
             turn = from + at_once;
         }
         for (machine, addr) in quiet.into_iter().take(at_once) {
-            let node = node.clone();
-            let tasks = node.tasks.clone();
-            tasks.spawn(async move { probe(&node, &machine, &addr).await });
+            let controller = controller.clone();
+            let tasks = controller.tasks.clone();
+            tasks.spawn(async move { probe(&controller, &machine, &addr).await });
         }
     }
 }
@@ -702,9 +712,9 @@
 }
 
 /// The owned workers that have not been heard of for longer than a report may take.
-fn quiet_workers(node: &Node, now: Instant) -> Vec<(Name, String)> {
-    let limit = node.report_every() * 3 / 2 + Duration::from_millis(500);
-    let core = node.core();
+fn quiet_workers(controller: &Controller, now: Instant) -> Vec<(Name, String)> {
+    let limit = controller.report_every() * 3 / 2 + Duration::from_millis(500);
+    let core = controller.core();
     let quiet = |w: &Worker| w.heard.is_none() || w.silent_for(now) > limit;
     core.workers
         .iter()
@@ -714,16 +724,22 @@
 }
 
 /// Asks one worker for its status.
-async fn probe(node: &Node, machine: &Name, addr: &str) {
-    let asked =
-        node.workers_http.request(addr, "GET", "/status", Vec::new(), wire::BODY_LIMIT * 4, PROBE_DEADLINE);
+async fn probe(controller: &Controller, machine: &Name, addr: &str) {
+    let asked = controller.workers_http.request(
+        addr,
+        "GET",
+        "/status",
+        Vec::new(),
+        wire::BODY_LIMIT * 4,
+        PROBE_DEADLINE,
+    );
     let report = match asked.await {
         Ok(answer) => wire::decode::<Report>(&answer.body).ok().filter(|r| *r.machine == **machine),
         // It was not asked at all.
         Err(NetError::Busy(_)) => return,
         Err(_) => None,
     };
-    if let Some(w) = node.core().workers.get_mut(machine) {
+    if let Some(w) = controller.core().workers.get_mut(machine) {
         match report {
             Some(report) => {
                 w.ingest(report, false, clock::now());
@@ -731,9 +747,9 @@
             None => w.did_not_answer(),
         }
     }
-    node.kick.notify_one();
+    controller.kick.notify_one();
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/engine.rs"]
+#[path = "../tests/unit/reconcile.rs"]
 mod tests;
--- a/crates/daemon/src/state_duty.rs
+++ b/crates/daemon/src/state_duty.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rmpv::Value;
-use sched::records::{FORM, MapRecord, Member, Upgraded};
+use sched::records::{MapRecord, Member, SCHEMA_VERSION, Upgraded};
 use sched::world::{Change, World};
 use store::{Outcome, Put, Reader, StoreError, key};
 use tokio::time::{sleep, timeout};
@@ -12,8 +12,8 @@
 use wire::{Changes, Condition};
 
 use crate::clock;
+use crate::controller::{Controller, Core, MEMBER_TTL};
 use crate::load::Purpose;
-use crate::node::{Core, MEMBER_TTL, Node};
 use crate::worker::Worker;
 
 const WATCH: Duration = Duration::from_secs(8);
@@ -26,16 +26,16 @@
 const CHECK: Duration = Duration::from_millis(1500);
 
 /// Keeps the mirror: reads all records once, then follows the changes.
-pub async fn mirror(node: Node) {
+pub async fn mirror(controller: Controller) {
     let mut failing = false;
     loop {
-        let ready = node.core().ready;
-        let step = if ready { follow(&node).await } else { read_all(&node).await };
+        let ready = controller.core().ready;
+        let step = if ready { follow(&controller).await } else { read_all(&controller).await };
         match step {
             Ok(()) => failing = false,
             Err(StoreError::TooOld) => {
                 info!("changes are too far back; reading all records again");
-                node.core().ready = false;
+                controller.core().ready = false;
             }
             Err(e) => {
                 if !failing {
@@ -48,11 +48,11 @@
     }
 }
 
-async fn read_all(node: &Node) -> Result<(), StoreError> {
+async fn read_all(controller: &Controller) -> Result<(), StoreError> {
     let (mut world, mut reader) = (World::default(), Reader::default());
     let mut after: Option<String> = None;
     loop {
-        let page = page(node, after.as_deref()).await?;
+        let page = page(controller, after.as_deref()).await?;
         if after.is_none() {
             // Changes since the first page are followed from here, even if a
             // later page shows them already.
@@ -79,16 +79,16 @@
     let revision = world.revision;
     let (jobs, machines) = (world.jobs.len(), world.machines.len());
     {
-        let mut core = node.core();
+        let mut core = controller.core();
         keep_newer(&mut world, &core.world);
         core.world = world;
         core.reader = reader;
         core.ready = true;
-        tell_form(node, &core);
+        check_schema_version(controller, &core);
     }
     info!(revision, jobs, machines, "records read");
-    node.revision.send_replace(revision);
-    node.kick.notify_one();
+    controller.revision.send_replace(revision);
+    controller.kick.notify_one();
     Ok(())
 }
 
@@ -113,10 +113,10 @@
 
 /// One page of the records. Whatever changes while it is asked for again is told by the
 /// changes since the first page.
-async fn page(node: &Node, after: Option<&str>) -> Result<wire::Items<Value>, StoreError> {
+async fn page(controller: &Controller, after: Option<&str>) -> Result<wire::Items<Value>, StoreError> {
     let mut tries = 0;
     loop {
-        match node.state.list(after).await {
+        match controller.state.list(after).await {
             Err(e) if after.is_some() && tries < PAGE_TRIES => {
                 debug!(error = %e, "a page of the records could not be read");
                 tries += 1;
@@ -128,22 +128,22 @@
 }
 
 /// Waits for changes and takes them in.
-async fn follow(node: &Node) -> Result<(), StoreError> {
-    let after = node.core().world.revision;
-    let changes = node.state.watch(after, WATCH).await?;
-    take_in(node, changes);
+async fn follow(controller: &Controller) -> Result<(), StoreError> {
+    let after = controller.core().world.revision;
+    let changes = controller.state.watch(after, WATCH).await?;
+    take_in(controller, changes);
     // Each answer is a request more, and the news of many changes can come in
     // one of them.
-    sleep(node.watch_pause()).await;
+    sleep(controller.watch_pause()).await;
     Ok(())
 }
 
 /// Applies changes to the mirror. Answers may overlap and cross each other: what
 /// is known already is passed over.
-pub(crate) fn take_in(node: &Node, mut changes: Changes<Value>) {
+pub(crate) fn take_in(controller: &Controller, mut changes: Changes<Value>) {
     // The latest of a key's changes has to come last, in whatever order they are told.
     changes.events.sort_by_key(|e| e.version);
-    let mut core = node.core();
+    let mut core = controller.core();
     let known = core.world.revision;
     if changes.revision <= known {
         return;
@@ -169,54 +169,55 @@
             core.world.apply(change, version);
         }
     }
-    tell_form(node, &core);
+    check_schema_version(controller, &core);
     core.world.revision = changes.revision;
     if core.map().map(|m| m.epoch) != map_before {
         core.forget_rows(&owners_before);
         let (epoch, live) = core.map().map_or((0, 0), |m| (m.epoch, m.live.len()));
-        info!(epoch, live, entitled = core.in_map(&node.me), "new map");
+        info!(epoch, live, entitled = core.in_map(&controller.me), "new map");
     }
-    node.share_writes(&mut core, clock::now());
+    controller.share_writes(&mut core, clock::now());
     drop(core);
-    node.revision.send_replace(changes.revision);
-    node.kick.notify_one();
+    controller.revision.send_replace(changes.revision);
+    controller.kick.notify_one();
 }
 
-/// Opens the new form once every controller that there is has said that it will not
+/// Allows chunked records once every controller that there is has said that it will not
 /// come back old; one that is dead or cut off still may, until it has.
-fn tell_form(node: &Node, core: &Core) {
-    if node.seen.all_new.load(Ordering::Relaxed) {
+fn check_schema_version(controller: &Controller, core: &Core) {
+    if controller.seen.all_new.load(Ordering::Relaxed) {
         return;
     }
-    let names = node.settings.peers.iter().map(|p| &p.node_name).chain([&node.settings.node_name]);
+    let names =
+        controller.settings.peers.iter().map(|p| &p.node_name).chain([&controller.settings.node_name]);
     let missing: Vec<&String> = names.filter(|n| !core.world.upgraded.contains(*n)).collect();
     if missing.is_empty() {
-        node.seen.all_new.store(true, Ordering::Relaxed);
-        let plan = node.plan();
-        info!(value_bytes = plan.value_bytes, txn_ops = plan.txn_ops, "the new form is open");
-    } else if node.seen.waits_for(&missing) {
-        info!(controllers = crate::load::few(&missing), "the new form waits for");
+        controller.seen.all_new.store(true, Ordering::Relaxed);
+        let plan = controller.plan();
+        info!(value_bytes = plan.value_bytes, txn_ops = plan.txn_ops, "records may be chunked from now on");
+    } else if controller.seen.waits_for(&missing) {
+        info!(controllers = crate::load::sample_names(&missing), "chunked records wait for");
     }
 }
 
 /// Answers freshness requests, all that wait with one check, and makes one a
 /// second by itself. The check asks for all changes up to now, so that it also
 /// brings the mirror up to date.
-pub async fn verifier(node: Node) {
+pub async fn verifier(controller: Controller) {
     let mut failing = false;
     loop {
-        let _ = timeout(Duration::from_secs(1), node.verify.notified()).await;
+        let _ = timeout(Duration::from_secs(1), controller.verify.notified()).await;
         let (asked, ready, after) = {
-            let core = node.core();
+            let core = controller.core();
             (core.asked, core.ready, core.world.revision)
         };
         if !ready {
-            node.verified.send_modify(|v| v.refused = asked);
+            controller.verified.send_modify(|v| v.refused = asked);
             sleep(RETRY).await;
             continue;
         }
         let sent = clock::now();
-        let answer = node.state.watch(after, Duration::ZERO);
+        let answer = controller.state.watch(after, Duration::ZERO);
         tokio::pin!(answer);
         let result = match timeout(CHECK, &mut answer).await {
             Ok(result) => result,
@@ -224,7 +225,7 @@
                 // Whoever waits is better off told, but the answer still shows that this
                 // controller is entitled. Were it asked anew instead, a state service
                 // that takes two seconds would cost the leases of all workers.
-                node.verified.send_modify(|v| v.refused = asked);
+                controller.verified.send_modify(|v| v.refused = asked);
                 answer.await
             }
         };
@@ -234,10 +235,10 @@
                     info!("the state service answers again");
                 }
                 failing = false;
-                take_in(&node, changes);
-                node.core().fresh_at = Some(sent);
-                node.verified.send_modify(|v| v.granted = asked);
-                sleep(node.watch_pause()).await;
+                take_in(&controller, changes);
+                controller.core().fresh_at = Some(sent);
+                controller.verified.send_modify(|v| v.granted = asked);
+                sleep(controller.watch_pause()).await;
             }
             Err(e) => {
                 if !failing {
@@ -245,7 +246,7 @@
                 }
                 // Its rate limit is no sign of failure: the next check is soon.
                 failing = !matches!(e, StoreError::Rate);
-                node.verified.send_modify(|v| v.refused = asked);
+                controller.verified.send_modify(|v| v.refused = asked);
                 sleep(RETRY).await;
             }
         }
@@ -253,31 +254,31 @@
 }
 
 /// Keeps this controller among the members, and leads when nobody does.
-pub async fn membership(node: Node) {
+pub async fn membership(controller: Controller) {
     let mut touched = clock::now();
     loop {
-        let aside = node.core().stands_aside(&node.me, node.report_every(), clock::now());
+        let aside = controller.core().stands_aside(&controller.me, controller.report_every(), clock::now());
         if aside {
-            let lease = node.core().lease.take();
+            let lease = controller.core().lease.take();
             if let Some(lease) = lease {
                 warn!("out of reach of the others and of its workers; the others go on without it");
-                let _ = node.state.end_lease(lease).await;
+                let _ = controller.state.end_lease(lease).await;
             }
             sleep(RETRY).await;
             continue;
         }
-        let lease = node.core().lease;
+        let lease = controller.core().lease;
         let kept = match lease {
             Some(lease) if clock::since(touched) >= MEMBER_TTL / 4 => {
                 touched = clock::now();
-                node.state.touch(lease).await
+                controller.state.touch(lease).await
             }
             Some(_) => Ok(()),
             None => {
                 touched = clock::now();
-                match node.state.new_lease(MEMBER_TTL).await {
+                match controller.state.new_lease(MEMBER_TTL).await {
                     Ok(lease) => {
-                        node.core().lease = Some(lease);
+                        controller.core().lease = Some(lease);
                         Ok(())
                     }
                     Err(e) => Err(e),
@@ -286,24 +287,24 @@
         };
         if let Err(StoreError::NoLease) = kept {
             info!("this controller's lease has run out");
-            node.core().lease = None;
+            controller.core().lease = None;
         } else if matches!(kept, Ok(()) | Err(StoreError::Net(_))) {
             // An answer that is late says nothing of the lease, and a claim by one that is
             // over is refused. Were claims held back meanwhile, nobody would lead for as
             // long as the state service takes more than a second.
-            let lease = node.core().lease;
+            let lease = controller.core().lease;
             if let Some(lease) = lease {
-                match claim(&node, lease).await {
+                match claim(&controller, lease).await {
                     // Joining, leading and the map follow each other at once:
                     // after a crash of all, workers' leases are about to end.
                     Ok(true) => continue,
-                    Err(StoreError::NoLease) => node.core().lease = None,
+                    Err(StoreError::NoLease) => controller.core().lease = None,
                     Ok(false) | Err(_) => {}
                 }
             }
         }
         let moved = async {
-            let mut r = node.revision.subscribe();
+            let mut r = controller.revision.subscribe();
             let _ = r.changed().await;
         };
         let _ = timeout(Duration::from_millis(400), moved).await;
@@ -356,34 +357,37 @@
 }
 
 /// Makes the next claim, if there is one; true if it was committed.
-async fn claim(node: &Node, lease: u64) -> Result<bool, StoreError> {
+async fn claim(controller: &Controller, lease: u64) -> Result<bool, StoreError> {
     let claim = {
-        let core = node.core();
+        let core = controller.core();
         if !core.ready {
             return Ok(false);
         }
         let tokens_run_low = core.workers.values().any(Worker::tokens_run_low);
-        next_claim(&core.world, &node.me, tokens_run_low)
+        next_claim(&core.world, &controller.me, tokens_run_low)
     };
     let (conditions, puts) = match claim {
         None => return Ok(false),
         Some(Claim::Member(version, first)) => {
-            info!(incarnation = node.me.incarnation, "joining the members");
+            info!(incarnation = controller.me.incarnation, "joining the members");
             // A late copy of a predecessor's request must not push this one out.
-            let me = key::member(&node.me.name);
-            let mut puts = vec![Put::leased(me.clone(), &node.me, lease)];
+            let me = key::member(&controller.me.name);
+            let mut puts = vec![Put::leased(me.clone(), &controller.me, lease)];
             if first {
                 // With the entry, so that no live controller passes for an old one.
-                puts.push(Put::new(key::upgraded(&node.me.name), &Upgraded { form: FORM }));
+                puts.push(Put::new(
+                    key::upgraded(&controller.me.name),
+                    &Upgraded { schema_version: SCHEMA_VERSION },
+                ));
             }
             (vec![Condition { key: me, version }], puts)
         }
         Some(Claim::Leader(version, member)) => {
             let conditions = vec![
                 Condition { key: key::LEADER.into(), version },
-                Condition { key: key::member(&node.me.name), version: member },
+                Condition { key: key::member(&controller.me.name), version: member },
             ];
-            (conditions, vec![Put::leased(key::LEADER.into(), &node.me, lease)])
+            (conditions, vec![Put::leased(key::LEADER.into(), &controller.me, lease)])
         }
         Some(Claim::Map(map, version, leader)) => {
             info!(epoch = map.epoch, live = map.live.len(), "writing a new map");
@@ -397,19 +401,19 @@
             info!(epoch = map.epoch, "a new epoch, as the tokens of the last are nearly used up");
             let conditions = vec![
                 Condition { key: key::MAP.into(), version },
-                Condition { key: key::member(&node.me.name), version: member },
+                Condition { key: key::member(&controller.me.name), version: member },
             ];
             (conditions, vec![Put::new(key::MAP.into(), &map)])
         }
     };
     // Never behind other changes: the lease would run out meanwhile, and a
     // controller in debt would join again and again without ever being live.
-    node.core().writes.take(puts.len() as f64, 0.0, clock::now());
-    node.counts.spend(Purpose::Members, puts.len());
-    match node.state.txn(conditions, puts).await? {
-        Outcome::Committed { revision } => Ok(node.reach(revision, Duration::from_secs(2)).await),
+    controller.core().writes.take(puts.len() as f64, 0.0, clock::now());
+    controller.counts.spend(Purpose::Members, puts.len());
+    match controller.state.txn(conditions, puts).await? {
+        Outcome::Committed { revision } => Ok(controller.reach(revision, Duration::from_secs(2)).await),
         Outcome::Conflict { revision, .. } => {
-            node.reach(revision, Duration::from_secs(2)).await;
+            controller.reach(revision, Duration::from_secs(2)).await;
             Ok(false)
         }
     }
--- a/crates/daemon/src/worker.rs
+++ b/crates/daemon/src/worker.rs
@@ -5,14 +5,14 @@
 //! each with a token above all before it. So an unanswered launch is ruled out
 //! as soon as the worker has shown any later token.
 
-use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
+use sched::hash::{HashMap, HashSet};
 use sched::records::{End, Phase};
 use sched::world::World;
 use wire::{Cause, Command, JobState, Report, TaskReport, TaskState};
 
-use crate::node::MEMBER_TTL;
+use crate::controller::MEMBER_TTL;
 
 /// Job, task and attempt.
 pub type Key = (String, u32, u64);
@@ -137,19 +137,19 @@
             excused: None,
             tasks: Vec::new(),
             trusted: false,
-            present: HashSet::new(),
-            stops: HashMap::new(),
-            strays: HashMap::new(),
+            present: HashSet::default(),
+            stops: HashMap::default(),
+            strays: HashMap::default(),
             notice_until: None,
             deaf_since: None,
             told: 0,
             unheard: 0,
             look_at: Some(now),
-            ended: HashMap::new(),
+            ended: HashMap::default(),
             retry_at: None,
             sent: None,
             failures: 0,
-            error_jobs: HashSet::new(),
+            error_jobs: HashSet::default(),
             errors: 0,
         }
     }
@@ -309,9 +309,9 @@
         let lease_over = self.lease_over(limits, now);
         let fresh = limits.fresh_at.is_some_and(|f| now.saturating_duration_since(f) < LAUNCH_FRESH);
         let mut withheld = false;
-        let mut wanted: HashMap<(&str, u32), u64> = HashMap::new();
+        let mut wanted: HashMap<(&str, u32), u64> = HashMap::default();
         let (mut stops, mut launches) = (Vec::new(), Vec::new());
-        let mut keys = HashSet::new();
+        let mut keys = HashSet::default();
         for (id, job, a) in world.assignments(machine) {
             let key: Key = (id.to_owned(), a.task, a.attempt);
             wanted.insert((id, a.task), a.attempt);
@@ -375,7 +375,7 @@
         self.present.retain(|k| keys.contains(k));
         self.stops.retain(|k, _| keys.contains(k));
         let mut clears = Vec::new();
-        let mut strays = HashMap::new();
+        let mut strays = HashMap::default();
         for t in &self.tasks {
             let known = t.parts().is_some_and(|(j, n)| wanted.get(&(j, n)) == Some(&t.attempt));
             if known {
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -49,13 +49,13 @@
     addr
 }
 
-async fn node(state: String) -> Node {
+async fn controller(state: String) -> Controller {
     let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
     settings.external.state = state;
-    let node = Node::new(settings, Operators::default(), 1);
-    node.spawn_duty(state_duty::mirror(node.clone()));
-    node.spawn_duty(state_duty::verifier(node.clone()));
-    node
+    let controller = Controller::new(settings, Operators::default(), 1);
+    controller.spawn_duty(state_duty::mirror(controller.clone()));
+    controller.spawn_duty(state_duty::verifier(controller.clone()));
+    controller
 }
 
 /// Through start, outage and return, a job that was accepted is answered for
@@ -63,8 +63,8 @@
 #[tokio::test]
 async fn an_accepted_job_stays_known() {
     let out = Arc::new(AtomicBool::new(true));
-    let node = node(state_service(out.clone()).await).await;
-    let ask = async |id: &str| status(&node, id).await;
+    let controller = controller(state_service(out.clone()).await).await;
+    let ask = async |id: &str| status(&controller, id).await;
     for id in ["j-1", "j-2", "j-3", "j-4"] {
         let reply = ask(id).await;
         assert_eq!((reply.status, reply.retry_after), (503, Some(1)), "{id}: nothing is known yet");
@@ -86,15 +86,15 @@
         assert_eq!(ask(id).await.status, 503, "{id}: it may have changed meanwhile");
     }
     assert!(since.elapsed() < Duration::from_secs(4), "refused, not held back");
-    node.stop.cancel();
+    controller.stop.cancel();
 }
 
 /// A worker that cannot reach its owner is passed on for a while only.
 #[test]
 fn workers_are_sent_to_their_owner_again_and_again() {
-    let node = crate::scale::node(40, 2);
+    let controller = crate::scale::controller(40, 2);
     let machine = {
-        let core = node.core();
+        let core = controller.core();
         let others = |id: &&Name| core.world.owner_of(id).is_some_and(|o| o.name == "n-1");
         core.world.machines.keys().find(others).cloned().expect("one of the other's")
     };
@@ -103,7 +103,7 @@
         "threads": []})))
     .expect("a report");
     let start = Instant::now();
-    let relayed = |s: u64| match take_report(&node, &report, false, start + Duration::from_secs(s)) {
+    let relayed = |s: u64| match take_report(&controller, &report, false, start + Duration::from_secs(s)) {
         Disposal::Relay(owner) => {
             assert_eq!(owner, "n-1");
             true
@@ -133,7 +133,7 @@
     let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
     let connections = Arc::new(net::Connections::new(64, &[], |_| 0));
     tokio::spawn(net::serve(listener, connections, 1 << 16, serve, stop, tasks));
-    let node = node("127.0.0.1:1".into()).await;
+    let controller = controller("127.0.0.1:1".into()).await;
     let record = |addr: &str| MachineRecord {
         addr: addr.into(),
         machine_type: "m".into(),
@@ -141,7 +141,7 @@
         spot: false,
         release: false,
     };
-    assert!(answers(&node, "host-2", &record(&addr)).await);
-    assert!(!answers(&node, "host-1", &record(&addr)).await, "another machine has its address now");
-    assert!(!answers(&node, "host-1", &record("127.0.0.1:1")).await, "nobody is there");
+    assert!(answers(&controller, "host-2", &record(&addr)).await);
+    assert!(!answers(&controller, "host-1", &record(&addr)).await, "another machine has its address now");
+    assert!(!answers(&controller, "host-1", &record("127.0.0.1:1")).await, "nobody is there");
 }
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -10,13 +10,13 @@
 /// can renew its workers' leases; one that has its workers or a peer does not.
 #[test]
 fn a_controller_that_reaches_nobody_stands_aside_until_it_hears_others() {
-    let node = crate::scale::node(40, 2);
-    let (me, report) = (node.me.clone(), node.report_every());
+    let controller = crate::scale::controller(40, 2);
+    let (me, report) = (controller.me.clone(), controller.report_every());
     let start = Instant::now() + Duration::from_secs(60);
-    let mut core = node.core();
+    let mut core = controller.core();
     let member = |n: &str| Member { name: n.into(), zone: "a".into(), incarnation: 1 };
     core.world.apply(Change::Member("n-1".into(), Some(member("n-1"))), 1 << 40);
-    crate::engine::decide(&node, &mut core, false, 4, start, 0);
+    crate::reconcile::decide(&controller, &mut core, false, 4, start, 0);
     assert!(core.workers.len() >= 3);
     let aside = |core: &mut Core, heard: bool, peer: bool, s: u64| {
         let now = start + Duration::from_secs(s);
@@ -43,10 +43,10 @@
 /// The changes a second go where the jobs are that have to be written.
 #[test]
 fn shares_follow_the_jobs_that_each_places() {
-    let node = crate::scale::node(40, 4);
-    let mut core = node.core();
+    let controller = crate::scale::controller(40, 4);
+    let mut core = controller.core();
     let fixed = |core: &Core, name: &str| share_by_jobs(core, name).expect("live");
-    let me = node.me.name.clone();
+    let me = controller.me.name.clone();
     let sum = |core: &Core| {
         let names = [me.as_str(), "n-1", "n-2", "n-3"];
         names.iter().map(|n| fixed(core, n)).sum::<f64>()
@@ -76,9 +76,9 @@
     // accepted right after the last contact must have taken effect.
     let over = bound.as_secs_f64() * 1.0005 + w.lease_s * 1.0005;
     assert!(over < w.cancel_s && bound > Duration::from_secs(5), "{over}");
-    let node = Node::new(settings, Operators::default(), 1);
-    let (start, me) = (Instant::now(), node.me.clone());
-    let mut core = node.core();
+    let controller = Controller::new(settings, Operators::default(), 1);
+    let (start, me) = (Instant::now(), controller.me.clone());
+    let mut core = controller.core();
     core.ready = true;
     core.world.apply(Change::Map(Some(MapRecord { epoch: 4, live: vec![me.clone()] })), 1);
     core.fresh_at = Some(start);
--- a/crates/daemon/tests/unit/fleet_duty_rentals.rs
+++ b/crates/daemon/tests/unit/fleet_duty_rentals.rs
@@ -27,9 +27,9 @@
 /// and the cloud would still take them back at its word.
 #[test]
 fn machines_that_came_up_unseen_are_not_released() {
-    let node = crate::scale::node(4, 1);
+    let controller = crate::scale::controller(4, 1);
     let now = Instant::now();
-    let mut core = node.core();
+    let mut core = controller.core();
     let rental = Rental {
         request: String::new(),
         machine_type: "m".into(),
--- a/crates/daemon/tests/unit/fleet_duty_returns.rs
+++ b/crates/daemon/tests/unit/fleet_duty_returns.rs
@@ -8,13 +8,13 @@
 /// fast as they find room, and room for all is asked for at once.
 #[test]
 fn a_dark_zone_is_given_up_as_its_replicas_find_room() {
-    let node = scale::node(2400, 1);
+    let controller = scale::controller(2400, 1);
     let now = Instant::now();
-    scale::fill(&node, now);
-    let mut core = node.core();
+    scale::fill(&controller, now);
+    let mut core = controller.core();
     let dark: Vec<Name> =
         core.world.machines.iter().filter(|(_, m)| *m.value.zone == *"d").map(|(id, _)| id.clone()).collect();
-    let later = now + node.report_every() * 3;
+    let later = now + controller.report_every() * 3;
     let hear = |core: &mut Core, at: Instant| {
         core.workers.iter_mut().filter(|(id, _)| !dark.contains(id)).for_each(|(_, w)| w.heard = Some(at));
     };
@@ -32,30 +32,30 @@
     assert!(all > 100, "{all}");
     let types = core.world.types.clone();
     let cpus = |offers: &[Offer]| offers.iter().map(|o| types[&*o.machine_type].cpus).sum::<f64>() as usize;
-    core.refresh_board(&node.me, node.report_every(), later);
-    assert!(cpus(&fleet.wanted(&node, &core, later)) >= all * 4, "room for all of them is rented");
+    core.refresh_inventory(&controller.me, controller.report_every(), later);
+    assert!(cpus(&fleet.wanted(&controller, &core, later)) >= all * 4, "room for all of them is rented");
     let awake = |core: &mut Core, at: Instant| (core.fresh_at, core.beat) = (Some(at), at);
     awake(&mut core, later);
-    assert_eq!(fleet.surplus(&node, &core, later), [], "too early to give them up");
-    let silent = now + node.silent_limit();
+    assert_eq!(fleet.surplus(&controller, &core, later), [], "too early to give them up");
+    let silent = now + controller.silent_limit();
     hear(&mut core, silent);
     awake(&mut core, silent);
-    let mut ready: Vec<Name> = fleet.surplus(&node, &core, silent).into_iter().map(|s| s.0).collect();
+    let mut ready: Vec<Name> = fleet.surplus(&controller, &core, silent).into_iter().map(|s| s.0).collect();
     assert_eq!(ready.len(), dark.len());
-    fleet.pace(&node, &core, &mut ready, silent);
+    fleet.pace(&controller, &core, &mut ready, silent);
     let first = replicas(&core, &ready);
     assert!(first > 0 && first <= all / PACE_PART + 16, "{first} of {all}");
     // They find no room: hardly any others follow.
     let gone = Some(ready.clone());
     core.world.apply(Change::Fleet(Some(FleetRecord { rentals: Vec::new(), gone })), 1 << 40);
-    let mut more: Vec<Name> = fleet.surplus(&node, &core, silent).into_iter().map(|s| s.0).collect();
+    let mut more: Vec<Name> = fleet.surplus(&controller, &core, silent).into_iter().map(|s| s.0).collect();
     let left = more.clone();
-    fleet.pace(&node, &core, &mut more, silent);
+    fleet.pace(&controller, &core, &mut more, silent);
     assert!(more.is_empty(), "{}", more.len());
     // Once their leases are over there is nothing to wait for.
-    let over = silent + node.worker_limits(None).lease;
+    let over = silent + controller.worker_limits(None).lease;
     let mut rest = left.clone();
-    fleet.pace(&node, &core, &mut rest, over);
+    fleet.pace(&controller, &core, &mut rest, over);
     assert_eq!(rest, left);
 }
 
@@ -63,34 +63,34 @@
 /// machines were silent for so long. It gives up none of them for that.
 #[test]
 fn nothing_is_given_up_on_waking() {
-    let node = scale::node(100, 1);
+    let controller = scale::controller(100, 1);
     let now = Instant::now();
-    scale::fill(&node, now);
-    let mut core = node.core();
+    scale::fill(&controller, now);
+    let mut core = controller.core();
     let mut fleet = Fleet::default();
     core.beat(now);
     let woken = now + Duration::from_secs(32);
     // Some reports are taken in before anything else runs.
     core.workers.values_mut().take(40).for_each(|w| w.heard = Some(woken));
-    assert_eq!(fleet.surplus(&node, &core, woken), [], "before the beat");
+    assert_eq!(fleet.surplus(&controller, &core, woken), [], "before the beat");
     core.fresh_at = Some(woken);
     core.beat(woken);
-    assert_eq!(fleet.surplus(&node, &core, woken), [], "after it");
-    let later = woken + node.silent_limit();
-    (0..9).for_each(|n| core.beat(woken + node.silent_limit() * n / 8));
+    assert_eq!(fleet.surplus(&controller, &core, woken), [], "after it");
+    let later = woken + controller.silent_limit();
+    (0..9).for_each(|n| core.beat(woken + controller.silent_limit() * n / 8));
     core.fresh_at = Some(later);
     core.workers.values_mut().take(40).for_each(|w| w.heard = Some(later));
-    assert_eq!(fleet.surplus(&node, &core, later).len(), 60, "but for what it does not hear now");
+    assert_eq!(fleet.surplus(&controller, &core, later).len(), 60, "but for what it does not hear now");
 }
 
 /// Hundreds of rentals and hundreds of machines gone at a time: whatever the
 /// record is said to have room for, the state service takes.
 #[test]
 fn the_fleets_record_never_outgrows_a_value() {
-    let node = scale::node(4, 1);
+    let controller = scale::controller(4, 1);
     let mut fleet = FleetRecord::default();
     let mut host = 0u32;
-    while names_left(&fleet, &node) >= RENT_ROOM + RENT_MAX as usize {
+    while names_left(&fleet, &controller) >= RENT_ROOM + RENT_MAX as usize {
         // Scattered names, as when several controllers' requests cross.
         host += RENT_MAX;
         let number = |n: u32| u64::from(host + n) * 7919 % 1_000_000;
@@ -107,16 +107,16 @@
     }
     let rented = fleet.rentals.len();
     assert!(rented >= 20, "{rented}");
-    assert!(is_half_full(&fleet, &node), "what is gone is taken out before others' changes");
+    assert!(is_half_full(&fleet, &controller), "what is gone is taken out before others' changes");
     loop {
-        let room = names_left(&fleet, &node).min(400);
+        let room = names_left(&fleet, &controller).min(400);
         if room == 0 {
             break;
         }
         let gone = fleet.gone.get_or_insert_default();
         gone.extend((0..room).map(|n| Name::from(format!("host-{:06}", n * 104_729 % 1_000_000))));
         let json = serde_json::to_string(&fleet).expect("encodes").len() as f64;
-        assert!(json < node.plan().value_bytes, "{json}");
+        assert!(json < controller.plan().value_bytes, "{json}");
     }
 }
 
@@ -124,11 +124,11 @@
 /// them in one change, as their names follow each other, and is not full then.
 #[test]
 fn a_zone_of_thousands_is_told_gone_at_once() {
-    let node = scale::node(4, 1);
+    let controller = scale::controller(4, 1);
     let zone: Vec<Name> = (0..1300).map(|n| format!("host-{:06}", n * 3 + 1).as_str().into()).collect();
     let empty = FleetRecord::default();
-    assert!(names_left(&empty, &node) >= zone.len(), "{}", names_left(&empty, &node));
+    assert!(names_left(&empty, &controller) >= zone.len(), "{}", names_left(&empty, &controller));
     let fleet = FleetRecord { rentals: Vec::new(), gone: Some(zone) };
-    assert!(!is_half_full(&fleet, &node));
-    assert!(names_left(&fleet, &node) > 1000, "{}", names_left(&fleet, &node));
+    assert!(!is_half_full(&fleet, &controller));
+    assert!(names_left(&fleet, &controller) > 1000, "{}", names_left(&fleet, &controller));
 }
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -8,10 +8,10 @@
 use sched::world::{Change, World};
 use wire::{JobKind, Report, TaskReport, TaskState};
 
-use crate::engine;
-use crate::front::{self, Disposal};
-use crate::gossip;
-use crate::node::Node;
+use crate::api::{self, Disposal};
+use crate::controller::Controller;
+use crate::peers;
+use crate::reconcile;
 use crate::scale;
 use crate::worker::tests::spec;
 use crate::worker::{Worker, first_token};
@@ -26,9 +26,9 @@
 }
 
 /// Takes in what a round would write, as if it had been committed; tells how many changes.
-fn commit(node: &Node, world: &mut World, mut round: engine::Round) -> usize {
-    let engine::Assembled { puts, left_out, teams, .. } =
-        engine::assemble(world, &round, &node.plan(), usize::MAX);
+fn commit(controller: &Controller, world: &mut World, mut round: reconcile::Round) -> usize {
+    let reconcile::Assembled { puts, left_out, teams, .. } =
+        reconcile::assemble(world, &round, &controller.plan(), usize::MAX);
     for (id, record) in std::mem::take(&mut round.jobs) {
         if !left_out.contains(&id) {
             apply(world, Change::Job(id, Some(record)));
@@ -40,8 +40,8 @@
     puts.len()
 }
 
-fn report(node: &Node, machine: &str, seq: u64, token: u64) -> Report {
-    let core = node.core();
+fn report(controller: &Controller, machine: &str, seq: u64, token: u64) -> Report {
+    let core = controller.core();
     let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskReport {
         task: format!("{job}/{}", a.task),
         attempt: a.attempt,
@@ -68,10 +68,10 @@
 /// and it takes no more rounds than that.
 #[test]
 fn thousands_of_tasks_are_placed_in_as_many_rounds_as_changes_need() {
-    let node = scale::node(MACHINES, 1);
+    let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
-    scale::fill(&node, now);
-    let mut core = node.core();
+    scale::fill(&controller, now);
+    let mut core = controller.core();
     let free_before: usize = core.world.machines.len() - core.world.on_machine.len();
     for n in 0..40 {
         let mut job = spec(&format!("j-{}", 5_000_000 + n), JobKind::Array);
@@ -92,8 +92,8 @@
         let at = now + Duration::from_millis(100 * rounds);
         core.fresh_at = Some(at);
         core.workers.values_mut().for_each(|w| w.heard = Some(at));
-        let round = engine::decide(&node, &mut core, false, 16, at, NOW_MS).expect("entitled");
-        assert!(commit(&node, &mut core.world, round) <= 16);
+        let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
+        assert!(commit(&controller, &mut core.world, round) <= 16);
     }
     assert_eq!(waiting(&core.world), 0, "after {rounds} rounds, {free_before} machines were empty");
     assert!(rounds <= 8, "{rounds}");
@@ -104,25 +104,25 @@
 /// up that was not.
 #[test]
 fn one_controller_takes_over_all_machines() {
-    let node = scale::node(MACHINES, 5);
+    let controller = scale::controller(MACHINES, 5);
     let now = Instant::now();
-    scale::fill(&node, now);
-    let before = node.core().workers.len();
+    scale::fill(&controller, now);
+    let before = controller.core().workers.len();
     assert!(before < MACHINES / 2, "{before}");
-    let map = MapRecord { epoch: 8, live: vec![node.me.clone()] };
+    let map = MapRecord { epoch: 8, live: vec![controller.me.clone()] };
     {
-        let mut core = node.core();
+        let mut core = controller.core();
         apply(&mut core.world, Change::Map(Some(map)));
-        let round = engine::decide(&node, &mut core, false, 16, now, NOW_MS).expect("entitled");
+        let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
         assert!(round.jobs.is_empty(), "nothing is over");
         assert_eq!(core.workers.len(), MACHINES);
     }
     // Half of the workers find the new owner; each is answered and its lease renewed.
-    let machines: Vec<Name> = node.core().world.machines.keys().cloned().collect();
+    let machines: Vec<Name> = controller.core().world.machines.keys().cloned().collect();
     let later = now + Duration::from_secs(2);
     for id in machines.iter().step_by(2) {
-        let report = report(&node, id, 2, first_token(7));
-        match front::take_report(&node, &report, false, later) {
+        let report = report(&controller, id, 2, first_token(7));
+        match api::take_report(&controller, &report, false, later) {
             Disposal::Answer(reply) => assert_eq!(reply.status, 200, "{id}"),
             Disposal::Relay(_) | Disposal::Adopt(_) => {
                 unreachable!("{id} has a record and its owner is here")
@@ -131,8 +131,8 @@
     }
     // The others are late. None of them has been asked yet: whatever time has passed, they
     // are not silent.
-    let silent = now + node.silent_limit() * 2;
-    let mut core = node.core();
+    let silent = now + controller.silent_limit() * 2;
+    let mut core = controller.core();
     let unmet: Vec<Name> =
         core.workers.iter().filter(|(_, w)| w.heard.is_none()).map(|(id, _)| id.clone()).collect();
     assert!(unmet.len() > MACHINES / 4, "{}", unmet.len());
@@ -140,17 +140,17 @@
     for id in &unmet {
         core.workers.get_mut(id).expect("owned").did_not_answer();
     }
-    assert!(unmet.iter().all(|id| core.workers[id].silent_for(silent) > node.silent_limit()));
+    assert!(unmet.iter().all(|id| core.workers[id].silent_for(silent) > controller.silent_limit()));
 }
 
 /// A zone of a third of all machines is lost: a change for each job that had something there,
 /// whatever their number, and the machines are told gone in one change of one record.
 #[test]
 fn a_zone_of_a_thousand_machines_costs_a_change_for_each_job() {
-    let node = scale::node(MACHINES, 1);
+    let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
-    scale::fill(&node, now);
-    let mut core = node.core();
+    scale::fill(&controller, now);
+    let mut core = controller.core();
     let lost: Vec<Name> =
         core.world.machines.iter().filter(|(_, m)| *m.value.zone == *"d").map(|(id, _)| id.clone()).collect();
     assert_eq!(lost.len(), MACHINES / 4);
@@ -164,8 +164,8 @@
         rounds += 1;
         assert!(rounds < 200, "{} left", core.world.orphaned.len());
         let at = now + Duration::from_millis(100 * rounds);
-        let round = engine::decide(&node, &mut core, false, 16, at, NOW_MS).expect("entitled");
-        changes += commit(&node, &mut core.world, round);
+        let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
+        changes += commit(&controller, &mut core.world, round);
     }
     assert!(hit.len() > 100, "{}", hit.len());
     assert!(changes <= hit.len() * 3 / 2, "{changes} changes for {} jobs", hit.len());
@@ -175,46 +175,46 @@
 /// into a message, with room for twice as many.
 #[test]
 fn what_one_owner_says_of_all_machines_fits_into_a_message() {
-    let node = scale::node(2 * MACHINES, 1);
+    let controller = scale::controller(2 * MACHINES, 1);
     let now = Instant::now();
     {
-        let mut core = node.core();
-        let owned: Vec<Name> = core.world.owned_by(&node.me).cloned().collect();
+        let mut core = controller.core();
+        let owned: Vec<Name> = core.world.owned_by(&controller.me).cloned().collect();
         assert_eq!(owned.len(), 2 * MACHINES);
         for id in owned {
             core.workers.insert(id, Worker::new("10.1.0.1:9000".into(), 7, now));
         }
     }
-    let summary = gossip::summary(&node);
+    let summary = peers::summary(&controller);
     assert_eq!(summary.machines.len(), 2 * MACHINES);
     let bytes = peer::encode(&peer::Message::Summary(summary));
-    assert!(bytes.len() < gossip::LARGE, "{}", bytes.len());
+    assert!(bytes.len() < peers::LARGE, "{}", bytes.len());
 }
 
 /// A gang on every machine. Before all controllers are upgraded its record cannot be written:
 /// it takes nobody's room then. Afterwards it is placed, and its record lies in parts.
 #[test]
 fn a_gang_on_all_machines_waits_for_the_upgrade_and_is_placed_after_it() {
-    let node = scale::node(MACHINES, 1);
+    let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
     {
-        let mut core = node.core();
-        let owned: Vec<Name> = core.world.owned_by(&node.me).cloned().collect();
+        let mut core = controller.core();
+        let owned: Vec<Name> = core.world.owned_by(&controller.me).cloned().collect();
         for id in owned {
             let mut worker = Worker::new("10.1.0.1:9000".into(), 7, now);
             worker.owned_since = now;
             core.workers.insert(id, worker);
         }
     }
-    let machines: Vec<Name> = node.core().world.machines.keys().cloned().collect();
+    let machines: Vec<Name> = controller.core().world.machines.keys().cloned().collect();
     for id in &machines {
-        let report = report(&node, id, 1, first_token(7));
-        let mut core = node.core();
+        let report = report(&controller, id, 1, first_token(7));
+        let mut core = controller.core();
         let worker = core.workers.get_mut(id).expect("owned");
         worker.ingest(report, true, now);
         worker.renew(now);
     }
-    let mut core = node.core();
+    let mut core = controller.core();
     core.fresh_at = Some(now);
     let add = |world: &mut World, id: &str, kind, tasks, cpus| {
         let mut job = spec(id, kind);
@@ -224,24 +224,24 @@
     // So many that there is one on nearly every machine without GPUs, three thousand.
     add(&mut core.world, "j-1", JobKind::Gang, 6900, 4.0);
     add(&mut core.world, "j-2", JobKind::Array, 4, 2.0);
-    let round = engine::decide(&node, &mut core, false, 16, now, NOW_MS).expect("entitled");
+    let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
     assert!(!round.placing.contains("j-1"), "its record cannot be written");
     assert!(round.placing.contains("j-2"), "nobody waits with it");
-    commit(&node, &mut core.world, round);
-    node.seen.all_new.store(true, std::sync::atomic::Ordering::Relaxed);
+    commit(&controller, &mut core.world, round);
+    controller.seen.all_new.store(true, std::sync::atomic::Ordering::Relaxed);
     let later = now + Duration::from_secs(21);
     core.fresh_at = Some(later);
     core.workers.values_mut().for_each(|w| {
         w.excuse(later);
         w.heard = Some(later);
     });
-    let round = engine::decide(&node, &mut core, false, 16, later, NOW_MS).expect("entitled");
+    let round = reconcile::decide(&controller, &mut core, false, 16, later, NOW_MS).expect("entitled");
     let record = round.jobs.get("j-1").expect("placed");
     assert_eq!(record.run.len(), 6900);
     let machines: std::collections::BTreeSet<&Name> = record.run.iter().map(|a| &a.machine).collect();
     assert!(machines.len() > 2900, "{}", machines.len());
     let put = store::Put::new(store::key::job("j-1"), record);
-    assert!(put.value_len() as f64 > node.plan().value_bytes);
-    let assembled = engine::assemble(&core.world, &round, &node.plan(), usize::MAX);
-    assert_eq!(assembled.wide.as_deref(), Some("j-1"));
+    assert!(put.value_len() as f64 > controller.plan().value_bytes);
+    let assembled = reconcile::assemble(&core.world, &round, &controller.plan(), usize::MAX);
+    assert_eq!(assembled.chunked.as_deref(), Some("j-1"));
 }
--- a/crates/daemon/tests/unit/meetings/controllers.rs
+++ b/crates/daemon/tests/unit/meetings/controllers.rs
@@ -9,18 +9,18 @@
 use super::network::{CLOUD, STATE, link, peer_address};
 use super::state::{RPS, WRITE_RPS};
 use super::{CONTROLLERS, LIMIT, LIMIT_U, Sabotage, Site};
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::settings::{Operators, Settings};
 
 #[derive(Default)]
-pub(super) struct Controller {
-    pub(super) node: Option<Node>,
+pub(super) struct Process {
+    pub(super) controller: Option<Controller>,
     pub(super) incarnation: u64,
 }
 
-impl Controller {
+impl Process {
     pub(super) fn runs(&self, incarnation: u64) -> bool {
-        self.node.is_some() && self.incarnation == incarnation
+        self.controller.is_some() && self.incarnation == incarnation
     }
 }
 
@@ -69,24 +69,25 @@
         let incarnation = all.incarnations * 1000 + n as u64;
         let client = || Client::over(link(self, n, incarnation));
         let clients = (client(), client(), client());
-        let node = Node::with_clients(settings(n, all.sabotage), Operators::default(), incarnation, clients);
-        crate::spawn_duties(&node);
-        all.controllers[n] = Controller { node: Some(node), incarnation };
+        let controller =
+            Controller::with_clients(settings(n, all.sabotage), Operators::default(), incarnation, clients);
+        crate::spawn_duties(&controller);
+        all.controllers[n] = Process { controller: Some(controller), incarnation };
     }
 
     /// It ends without a word.
     pub(super) fn kill_controller(&self, n: usize) {
-        if let Some(node) = self.lock().controllers[n].node.take() {
-            node.stop.cancel();
+        if let Some(controller) = self.lock().controllers[n].controller.take() {
+            controller.stop.cancel();
         }
     }
 
     /// It is told to stop, and ends its lease.
     pub(super) async fn stop_controller(&self, n: usize) {
-        let node = self.lock().controllers[n].node.clone();
-        if let Some(node) = node {
-            node.stop.cancel();
-            let _ = timeout(Duration::from_secs(3), crate::leave(&node)).await;
+        let controller = self.lock().controllers[n].controller.clone();
+        if let Some(controller) = controller {
+            controller.stop.cancel();
+            let _ = timeout(Duration::from_secs(3), crate::leave(&controller)).await;
             self.kill_controller(n);
         }
     }
--- a/crates/daemon/tests/unit/meetings/mod.rs
+++ b/crates/daemon/tests/unit/meetings/mod.rs
@@ -29,7 +29,7 @@
 use tokio::time::{Instant, sleep};
 use wire::Report;
 
-use controllers::Controller;
+use controllers::Process;
 use machines::{LEASE_MS, Machine};
 use network::{Cut, Held, Party};
 use troubles::Event;
@@ -117,7 +117,7 @@
     sabotage: Sabotage,
     state: state::State,
     cloud: cloud::Cloud,
-    controllers: Vec<Controller>,
+    controllers: Vec<Process>,
     incarnations: u64,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
@@ -213,7 +213,7 @@
             sabotage: day.sabotage,
             state: state::State::default(),
             cloud: cloud::Cloud::default(),
-            controllers: (0..CONTROLLERS).map(|_| Controller::default()).collect(),
+            controllers: (0..CONTROLLERS).map(|_| Process::default()).collect(),
             incarnations: 0,
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
