--- a/crates/daemon/tests/unit/meetings/network.rs
+++ b/crates/daemon/tests/unit/meetings/network.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use super::{All, Site};
-use crate::{front, gossip, read_index};
+use crate::{api, peers, read_index};
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Party {
@@ -126,14 +126,14 @@
     async fn serve(&self, from: &Party, to: &Party, request: Request) -> Option<(u16, Vec<u8>)> {
         match (to, from) {
             (Party::Controller(n), _) => {
-                let (node, incarnation) = {
+                let (controller, incarnation) = {
                     let all = self.lock();
                     let c = &all.controllers[*n];
-                    (c.node.clone()?, c.incarnation)
+                    (c.controller.clone()?, c.incarnation)
                 };
                 let reply = match request.path.as_str() {
-                    "/peer" | read_index::PATH => gossip::serve(node, request).await,
-                    _ => front::serve(node, request).await,
+                    "/peer" | read_index::PATH => peers::serve(controller, request).await,
+                    _ => api::serve(controller, request).await,
                 };
                 if !self.lock().controllers[*n].runs(incarnation) {
                     std::future::pending::<()>().await;
--- a/crates/daemon/tests/unit/meetings/troubles.rs
+++ b/crates/daemon/tests/unit/meetings/troubles.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Who {
     Leader,
-    Node(usize),
+    Controller(usize),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -163,8 +163,11 @@
     }
 
     fn draw(rng: &mut StdRng) -> Self {
-        let who =
-            if rng.random_bool(0.6) { Who::Leader } else { Who::Node(rng.random_range(0..CONTROLLERS)) };
+        let who = if rng.random_bool(0.6) {
+            Who::Leader
+        } else {
+            Who::Controller(rng.random_range(0..CONTROLLERS))
+        };
         let share = rng.random_range(0.1..0.6);
         let count = rng.random_range(1..5);
         // About a lease, more than what a cancellation may take, or short.
@@ -242,7 +245,7 @@
         2 => vec![Trouble::ZoneCut { b: rng.random_bool(0.5), for_ms: lease }, cancel],
         3 => vec![copies(true), ends],
         4 => vec![copies(true), copies(false), quick],
-        5 => vec![quick, Trouble::Restart { who: Who::Node(1), orderly: true, away_ms: 300 }, ends],
+        5 => vec![quick, Trouble::Restart { who: Who::Controller(1), orderly: true, away_ms: 300 }, ends],
         6 => vec![Trouble::CancelAtEnd { share: 0.8, for_ms: 25_000 }, looks],
         7 => vec![burst, looks, quick],
         8 => vec![Trouble::Leaders { count: 10, every_ms: 5000 }, Trouble::Outage { for_ms: lease }],
@@ -297,7 +300,7 @@
     fn node_of(&self, who: Who) -> usize {
         match who {
             Who::Leader => self.leader(),
-            Who::Node(n) => n,
+            Who::Controller(n) => n,
         }
     }
 
--- a/crates/daemon/tests/unit/meetings/users.rs
+++ b/crates/daemon/tests/unit/meetings/users.rs
@@ -178,7 +178,7 @@
         let mut all = self.lock();
         for _ in 0..3 {
             let n = all.rng.random_range(0..CONTROLLERS);
-            if all.controllers[n].node.is_some() {
+            if all.controllers[n].controller.is_some() {
                 return n;
             }
         }
--- a/crates/daemon/tests/unit/meetings_front.rs
+++ b/crates/daemon/tests/unit/meetings_front.rs
@@ -11,13 +11,13 @@
 use tokio::time::sleep;
 use wire::{JobKind, JobSpec, JobState, Report, TaskReport, TaskState};
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Operators, Peer, Settings};
 use crate::stand_in::*;
 use crate::worker::tests::spec;
 use crate::worker::{Limits, Worker, first_token};
-use crate::{engine, state_duty};
+use crate::{reconcile, state_duty};
 
 /// A description without one of its fields, or with another value in it.
 fn odd(id: &str, field: &str, value: Option<serde_json::Value>) -> Vec<u8> {
@@ -66,34 +66,35 @@
         [unknown, too_large].map(|s| wire::encode(&s))
     };
     let fits_nowhere = wire::encode(&JobSpec { cpus: 41.0, ..spec("j-6", JobKind::Array) });
-    let post = async |node: &Node, body: &[u8]| ask(node, "POST", "/v1/jobs", body.to_vec()).await;
+    let post =
+        async |controller: &Controller, body: &[u8]| ask(controller, "POST", "/v1/jobs", body.to_vec()).await;
 
     let service = Service::default();
-    let (node, door) = service.controller(0, 1, 1).await;
+    let (controller, door) = service.controller(0, 1, 1).await;
     let (other, _) = service.follower(1, 2).await;
     let all_refused = async |state: &str| {
         for body in bad("j-5").iter().chain(&not_a_job) {
-            assert_eq!(post(&node, body).await.0, 400, "{state}");
+            assert_eq!(post(&controller, body).await.0, 400, "{state}");
         }
         for body in never("j-5") {
-            assert_eq!(post(&node, &body).await.0, 422, "{state}");
+            assert_eq!(post(&controller, &body).await.0, 422, "{state}");
         }
     };
     all_refused("no records read, nothing running").await;
-    assert_eq!(post(&node, &fits_nowhere).await.0, 503);
+    assert_eq!(post(&controller, &fits_nowhere).await.0, 503);
     door.set(Trouble::Refused);
-    follow(&node);
+    follow(&controller);
     all_refused("refused by the state service from the start").await;
-    assert_eq!(post(&node, &fits_nowhere).await.0, 503);
+    assert_eq!(post(&controller, &fits_nowhere).await.0, 503);
     door.set(Trouble::None);
-    assert!(soon(20, || node.core().ready).await);
+    assert!(soon(20, || controller.core().ready).await);
     all_refused("no machine types").await;
-    assert_eq!(post(&node, &fits_nowhere).await.0, 503, "nobody knows yet");
+    assert_eq!(post(&controller, &fits_nowhere).await.0, 503, "nobody knows yet");
     let (key, (types, ..)) = Service::with_types().store().keys.pop_first().expect("the types");
     service.store().put(Put { key, value: Some(types), lease: None });
-    caught_up(&service, &node).await;
+    caught_up(&service, &controller).await;
     all_refused("all is well").await;
-    assert_eq!(again(async || (post(&node, &fits_nowhere).await.0, None)).await.0, 422);
+    assert_eq!(again(async || (post(&controller, &fits_nowhere).await.0, None)).await.0, 422);
 
     // Accepted by another controller, and this one has not heard of it yet.
     door.deaf.store(true, Ordering::Relaxed);
@@ -104,7 +105,7 @@
     for (id, state) in [("j-1", JobState::Queued), ("j-2", JobState::Cancelled)] {
         for body in bad(id).iter().chain(&never(id)) {
             let told = again(async || {
-                let (status, job) = post(&node, body).await;
+                let (status, job) = post(&controller, body).await;
                 (status, job.map(|j| j.state))
             });
             assert_eq!(told.await, (200, Some(state)), "{id}");
@@ -112,13 +113,13 @@
     }
     door.set(Trouble::Refused);
     for body in bad("j-1").iter().chain(&never("j-1")) {
-        assert_eq!(post(&node, body).await.0, 503, "accepted, and may be over by now");
+        assert_eq!(post(&controller, body).await.0, 503, "accepted, and may be over by now");
     }
     for body in bad("j-2").iter().chain(&never("j-2")) {
-        assert_eq!(post(&node, body).await.0, 200, "what is final is known");
+        assert_eq!(post(&controller, body).await.0, 200, "what is final is known");
     }
     all_refused("refused by the state service").await;
-    assert_eq!(post(&node, &fits_nowhere).await.0, 503);
+    assert_eq!(post(&controller, &fits_nowhere).await.0, 503);
     assert!(service.store().keys.keys().filter(|k| k.starts_with("sageloom/jobs/")).count() == 2);
 }
 
@@ -234,28 +235,28 @@
 #[tokio::test]
 async fn machines_are_recorded_by_names_that_a_key_can_have() {
     let service = Service::default();
-    let (node, _) = service.follower(0, 1).await;
-    service.elect(&[&node], 1);
-    caught_up(&service, &node).await;
+    let (controller, _) = service.follower(0, 1).await;
+    service.elect(&[&controller], 1);
+    caught_up(&service, &controller).await;
     for name in ["", "host 1", "host\u{7}1", &"x".repeat(300)] {
         let body = wire::encode(&report(name, 1));
-        assert_eq!(ask(&node, "POST", "/hello", body).await.0, 400, "{name:?}");
+        assert_eq!(ask(&controller, "POST", "/hello", body).await.0, 400, "{name:?}");
     }
-    assert_ne!(ask(&node, "POST", "/hello", wire::encode(&report("host-1", 1))).await.0, 400);
+    assert_ne!(ask(&controller, "POST", "/hello", wire::encode(&report("host-1", 1))).await.0, 400);
     for body in [b"\xc1".to_vec(), Vec::new(), wire::encode(&7), odd("j-1", "cpus", None)] {
-        assert_eq!(ask(&node, "POST", "/hello", body).await.0, 400);
+        assert_eq!(ask(&controller, "POST", "/hello", body).await.0, 400);
     }
 }
 
 /// One round that gives a job's only task to a machine.
-async fn place(node: &Node, id: &str, machine: &str) {
-    let mut round = engine::Round::default();
-    let Some(mut job) = node.core().world.jobs.get(id).map(|j| j.value.clone()) else { return };
+async fn place(controller: &Controller, id: &str, machine: &str) {
+    let mut round = reconcile::Round::default();
+    let Some(mut job) = controller.core().world.jobs.get(id).map(|j| j.value.clone()) else { return };
     job.attempt += 1;
     job.run = vec![Assignment { task: 0, attempt: job.attempt, machine: machine.into(), want: Want::Run }];
     round.jobs.insert(id.into(), job);
     round.placing.insert(id.into());
-    engine::commit(node, round).await;
+    reconcile::commit(controller, round).await;
 }
 
 /// Names of teams are free text, and a key has no spaces: the fence of such a team must be
@@ -267,12 +268,12 @@
     let (b, _) = service.follower(1, 2).await;
     service.elect(&[&a, &b], 1);
     let team = |id: &str| JobSpec { team: "ocean desk".into(), ..spec(id, JobKind::Array) };
-    for (n, node) in [&a, &b, &a, &b].into_iter().enumerate() {
+    for (n, controller) in [&a, &b, &a, &b].into_iter().enumerate() {
         let id = format!("j-{n}");
         let record = JobRecord::new(team(&id), None, 0);
         service.store().put(Put::new(key::job(&id), &record));
-        caught_up(&service, node).await;
-        place(node, &id, "m-1").await;
+        caught_up(&service, controller).await;
+        place(controller, &id, "m-1").await;
         assert_eq!(service.store().job(&id).map(|j| j.run.len()), Some(1), "{id} is placed");
     }
 }
@@ -286,11 +287,11 @@
         let record = JobRecord::new(spec(&format!("j-{n}"), JobKind::Array), None, 0);
         service.store().put(Put::new(key::job(&format!("j-{n}")), &record));
     }
-    let (node, door) = service.controller(0, 1, 1).await;
+    let (controller, door) = service.controller(0, 1, 1).await;
     door.set(Trouble::Flaky);
-    follow(&node);
-    assert!(soon(20, || node.core().ready).await, "the records are read");
-    assert_eq!(node.core().world.jobs.len(), 9);
+    follow(&controller);
+    assert!(soon(20, || controller.core().ready).await, "the records are read");
+    assert_eq!(controller.core().world.jobs.len(), 9);
 }
 
 /// The state service answers, but takes longer than users wait: they are told so in time,
@@ -299,24 +300,26 @@
 #[tokio::test]
 async fn slow_answers_cost_no_authority_and_keep_nobody_waiting() {
     let service = Service::with_types();
-    let (node, door) = service.follower(0, 1).await;
+    let (controller, door) = service.follower(0, 1).await;
     for id in ["j-1", "j-2"] {
-        assert_eq!(submit(&node, &spec(id, JobKind::Array)).await.0, 201);
+        assert_eq!(submit(&controller, &spec(id, JobKind::Array)).await.0, 201);
     }
-    assert_eq!(cancel(&node, "j-2").await.0, 200);
+    assert_eq!(cancel(&controller, "j-2").await.0, 200);
     door.set(Trouble::Slow(Duration::from_millis(1900)));
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(7) {
         let asked = Instant::now();
-        assert_eq!(state_once(&node, "j-2").await, (200, Some(JobState::Cancelled)));
-        assert_eq!(state_once(&node, "j-1").await.0, 503);
+        assert_eq!(state_once(&controller, "j-2").await, (200, Some(JobState::Cancelled)));
+        assert_eq!(state_once(&controller, "j-1").await.0, 503);
         assert!(asked.elapsed() < Duration::from_millis(2500), "{:?}", asked.elapsed());
     }
-    let fresh = node.core().fresh_at.map(|t| t.elapsed());
+    let fresh = controller.core().fresh_at.map(|t| t.elapsed());
     assert!(fresh.is_some_and(|f| f < Duration::from_millis(5800)), "{fresh:?}");
     door.set(Trouble::Slow(Duration::from_millis(300)));
-    assert!(soon(20, || node.core().fresh_at.is_some_and(|t| t.elapsed() < Duration::from_secs(1))).await);
-    assert_eq!(state(&node, "j-1").await, (200, Some(JobState::Queued)), "slow, but in time");
+    assert!(
+        soon(20, || controller.core().fresh_at.is_some_and(|t| t.elapsed() < Duration::from_secs(1))).await
+    );
+    assert_eq!(state(&controller, "j-1").await, (200, Some(JobState::Queued)), "slow, but in time");
 }
 
 /// A cancellation meets newer records while each answer takes seconds: its user has an
@@ -324,19 +327,19 @@
 #[tokio::test]
 async fn users_are_answered_while_they_wait() {
     let service = Service::with_types();
-    let (node, door) = service.follower(0, 1).await;
-    assert_eq!(submit(&node, &spec("j-1", JobKind::Array)).await.0, 201);
+    let (controller, door) = service.follower(0, 1).await;
+    assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await.0, 201);
     door.deaf.store(true, Ordering::Relaxed);
     let mut newer = service.store().job("j-1").expect("accepted");
     newer.errors = 1;
     service.store().put(Put::new(key::job("j-1"), &newer));
     door.set(Trouble::Slow(Duration::from_millis(2400)));
     let asked = Instant::now();
-    assert_eq!(cancel_once(&node, "j-1").await.0, 503);
+    assert_eq!(cancel_once(&controller, "j-1").await.0, 503);
     assert!(asked.elapsed() < Duration::from_millis(4900), "{:?}", asked.elapsed());
     door.set(Trouble::None);
-    assert_eq!(cancel(&node, "j-1").await, (200, Some(JobState::Cancelled)));
-    assert_eq!(state(&node, "j-1").await, (200, Some(JobState::Cancelled)));
+    assert_eq!(cancel(&controller, "j-1").await, (200, Some(JobState::Cancelled)));
+    assert_eq!(state(&controller, "j-1").await, (200, Some(JobState::Cancelled)));
 }
 
 /// The leader ends while the state service takes longer for each answer than a lease is
@@ -344,12 +347,12 @@
 #[tokio::test]
 async fn a_leader_is_found_while_the_state_service_is_slow() {
     let service = Service::default();
-    let (node, door) = service.controller(0, 2, 1).await;
+    let (controller, door) = service.controller(0, 2, 1).await;
     let (other, _) = service.controller(1, 2, 2).await;
     service.elect(&[&other], 1);
-    follow(&node);
-    node.spawn_duty(state_duty::membership(node.clone()));
-    assert!(soon(20, || node.core().world.members.contains_key("n-0")).await);
+    follow(&controller);
+    controller.spawn_duty(state_duty::membership(controller.clone()));
+    assert!(soon(20, || controller.core().world.members.contains_key("n-0")).await);
     door.set(Trouble::Slow(Duration::from_millis(1700)));
     sleep(Duration::from_millis(1500)).await;
     service.store().put(Put::delete(key::LEADER.into()));
@@ -369,17 +372,17 @@
     let (addr, mut settings) = (service.door().await.1, Settings::parse("s", EXAMPLE).expect("valid"));
     (settings.external.state, settings.facts.limits.max_connections) = (addr, 900);
     settings.peers = vec![Peer { node_name: "n-1".into(), address: hangs }];
-    let node = Node::new(settings, Operators::default(), 1);
-    follow(&node);
-    node.spawn_duty(state_duty::membership(node.clone()));
-    assert!(soon(20, || node.core().in_map(&node.me)).await);
-    assert_eq!(submit(&node, &spec("j-1", JobKind::Array)).await.0, 201);
+    let controller = Controller::new(settings, Operators::default(), 1);
+    follow(&controller);
+    controller.spawn_duty(state_duty::membership(controller.clone()));
+    assert!(soon(20, || controller.core().in_map(&controller.me)).await);
+    assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await.0, 201);
     for n in 0..200 {
-        let (node, report) = (node.clone(), wire::encode(&report(&format!("host-{n}"), 1)));
-        tokio::spawn(async move { crate::gossip::relay(&node, "n-1", report).await });
+        let (controller, report) = (controller.clone(), wire::encode(&report(&format!("host-{n}"), 1)));
+        tokio::spawn(async move { crate::peers::relay(&controller, "n-1", report).await });
     }
     let since = Instant::now();
-    assert_eq!(state(&node, "j-1").await, (200, Some(JobState::Queued)));
+    assert_eq!(state(&controller, "j-1").await, (200, Some(JobState::Queued)));
     // Each of them gives up after two seconds.
     assert!(since.elapsed() < Duration::from_millis(1900), "{:?}", since.elapsed());
 }
@@ -428,25 +431,25 @@
 
 /// Users ask at all nodes within milliseconds, repeat the submission and cancel, right
 /// after a job was accepted, ended or cancelled, and the nodes hear of nothing unless they
-/// ask: no node answers something older than what was told before the question.
+/// ask: no controller answers something older than what was told before the question.
 #[tokio::test]
 async fn no_node_answers_something_older() {
     let service = Service::with_types();
     let mut nodes = Vec::new();
     for n in 0..3 {
-        let (node, door) = service.follower(n, 3).await;
+        let (controller, door) = service.follower(n, 3).await;
         door.deaf.store(true, Ordering::Relaxed);
-        nodes.push(node);
+        nodes.push(controller);
     }
     service.elect(&nodes.iter().collect::<Vec<_>>(), 1);
     let mut dice = Dice(16);
     for n in 0..25 {
         let id = format!("j-{n}");
-        // What users have been told of the job, at any node.
+        // What users have been told of the job, at any controller.
         let told: Arc<Mutex<Option<JobState>>> = Arc::default();
         let mut users = Vec::new();
         for user in 0..12usize {
-            let (node, id, told) = (nodes[dice.below(3)].clone(), id.clone(), told.clone());
+            let (controller, id, told) = (nodes[dice.below(3)].clone(), id.clone(), told.clone());
             let (what, after) = (dice.below(8), Duration::from_millis(dice.below(60) as u64));
             let service = service.clone();
             users.push(tokio::spawn(async move {
@@ -455,8 +458,8 @@
                 }
                 let before = *told.lock().expect("no panic");
                 let (status, state) = match (user, what) {
-                    (0, _) | (_, 0 | 1) => submit_once(&node, &spec(&id, JobKind::Array)).await,
-                    (1, 2..=4) => cancel_once(&node, &id).await,
+                    (0, _) | (_, 0 | 1) => submit_once(&controller, &spec(&id, JobKind::Array)).await,
+                    (1, 2..=4) => cancel_once(&controller, &id).await,
                     (2, 2..=4) => {
                         // Its last task ends, by the word of some controller.
                         let mut store = service.store();
@@ -468,7 +471,7 @@
                         }
                         return;
                     }
-                    _ => state_once(&node, &id).await,
+                    _ => state_once(&controller, &id).await,
                 };
                 let mut told = told.lock().expect("no panic");
                 if let Some(before) = before {
@@ -490,9 +493,9 @@
             user.await.expect("nothing older");
         }
         let last = service.store().job(&id).expect("accepted").state();
-        for node in &nodes {
-            assert_eq!(state(node, &id).await, (200, Some(last)));
-            assert_eq!(submit(node, &spec(&id, JobKind::Array)).await, (200, Some(last)));
+        for controller in &nodes {
+            assert_eq!(state(controller, &id).await, (200, Some(last)));
+            assert_eq!(submit(controller, &spec(&id, JobKind::Array)).await, (200, Some(last)));
         }
     }
 }
@@ -502,7 +505,7 @@
     JobSpec { needs: Some(needs), ..spec(id, JobKind::Array) }
 }
 
-/// A job that needs one just cancelled is told cancelled by every node from then on,
+/// A job that needs one just cancelled is told cancelled by every controller from then on,
 /// though none has heard of it, and whoever was to place it is gone: the leader, when there
 /// is one again, writes it down.
 #[tokio::test]
@@ -526,23 +529,23 @@
     door.deaf.store(true, Ordering::Relaxed);
     assert_eq!(cancel(&a, "j-1").await, (200, Some(JobState::Cancelled)));
     let all_told = async || {
-        for node in [&b, &a] {
+        for controller in [&b, &a] {
             for id in ["j-3", "j-2", "j-1"] {
-                assert_eq!(state(node, id).await, (200, Some(JobState::Cancelled)), "{id}");
-                assert_eq!(cancel(node, id).await, (200, Some(JobState::Cancelled)), "{id}");
+                assert_eq!(state(controller, id).await, (200, Some(JobState::Cancelled)), "{id}");
+                assert_eq!(cancel(controller, id).await, (200, Some(JobState::Cancelled)), "{id}");
             }
         }
     };
     all_told().await;
-    // Named by a submission in the same moment, at a node that has not heard of it.
+    // Named by a submission in the same moment, at a controller that has not heard of it.
     let (c, door) = service.follower(2, 3).await;
     assert_eq!(submit(&c, &step("j-5", &[])).await.0, 201);
     assert!(soon(20, || c.core().fresh_at.is_some_and(|t| t.elapsed() < Duration::from_millis(300))).await);
     door.deaf.store(true, Ordering::Relaxed);
     assert_eq!(cancel(&a, "j-5").await.0, 200);
     assert!(matches!(submit(&c, &step("j-6", &["j-5"])).await, (201, Some(_))));
-    for node in [&a, &b, &c] {
-        assert_eq!(state(node, "j-6").await, (200, Some(JobState::Cancelled)));
+    for controller in [&a, &b, &c] {
+        assert_eq!(state(controller, "j-6").await, (200, Some(JobState::Cancelled)));
     }
     // The placer is gone, and its leadership with it: nobody is to write it down yet.
     door.deaf.store(false, Ordering::Relaxed);
@@ -566,7 +569,7 @@
 }
 
 /// Transactions are carried out at once and only their answers are lost, while another
-/// node reads what they wrote: nobody hears something older, nothing is done twice.
+/// controller reads what they wrote: nobody hears something older, nothing is done twice.
 #[tokio::test]
 async fn lost_answers_are_found_out_by_reading() {
     let service = Service::with_types();
@@ -621,11 +624,11 @@
 #[tokio::test]
 async fn membership_comes_about_without_a_single_answer() {
     let service = Service::default();
-    let (node, door) = service.controller(0, 1, 7).await;
+    let (controller, door) = service.controller(0, 1, 7).await;
     door.set(Trouble::Unanswered);
-    follow(&node);
-    node.spawn_duty(state_duty::membership(node.clone()));
-    assert!(soon(20, || node.core().leads(&node.me)).await);
+    follow(&controller);
+    controller.spawn_duty(state_duty::membership(controller.clone()));
+    assert!(soon(20, || controller.core().leads(&controller.me)).await);
     assert_eq!(service.store().map().map(|m| m.epoch), Some(1), "one map, written once");
 }
 
@@ -636,11 +639,11 @@
     let service = Service::with_types();
     let mut nodes = Vec::new();
     for n in 0..2 {
-        let (node, _) = service.controller(n, 2, 1 + n as u64).await;
-        follow(&node);
-        node.spawn_duty(state_duty::membership(node.clone()));
-        assert!(soon(20, || node.core().in_map(&node.me)).await);
-        nodes.push(node);
+        let (controller, _) = service.controller(n, 2, 1 + n as u64).await;
+        follow(&controller);
+        controller.spawn_duty(state_duty::membership(controller.clone()));
+        assert!(soon(20, || controller.core().in_map(&controller.me)).await);
+        nodes.push(controller);
     }
     let (a, b) = (&nodes[0], &nodes[1]);
     assert!(soon(20, || service.store().map().is_some_and(|m| m.live.len() == 2)).await);
@@ -691,7 +694,7 @@
 }
 
 /// A submission and a cancellation get no answer and are carried out seconds later, after
-/// the same user's newer ones at another node, and after the job's end.
+/// the same user's newer ones at another controller, and after the job's end.
 #[tokio::test]
 async fn late_requests_of_users_do_not_undo_newer_ones() {
     let service = Service::with_types();
@@ -719,11 +722,11 @@
         assert_eq!(request.await.expect("an answer"), 503);
     }
     assert!(service.store().sent.len() >= 4);
-    for node in [&a, &b] {
-        assert_eq!(state(node, "j-1").await, (200, Some(JobState::Done)));
-        assert_eq!(cancel(node, "j-1").await, (200, Some(JobState::Done)));
-        assert_eq!(state(node, "j-2").await, (200, Some(JobState::Cancelled)));
-        assert_eq!(submit(node, &spec("j-2", JobKind::Array)).await, (200, Some(JobState::Cancelled)));
+    for controller in [&a, &b] {
+        assert_eq!(state(controller, "j-1").await, (200, Some(JobState::Done)));
+        assert_eq!(cancel(controller, "j-1").await, (200, Some(JobState::Done)));
+        assert_eq!(state(controller, "j-2").await, (200, Some(JobState::Cancelled)));
+        assert_eq!(submit(controller, &spec("j-2", JobKind::Array)).await, (200, Some(JobState::Cancelled)));
     }
 }
 
@@ -737,7 +740,7 @@
     for n in 0..3 {
         nodes.push(join(&service, n, 1 + n as u64).await);
     }
-    let leader = |nodes: &[(Node, Arc<Door>)]| {
+    let leader = |nodes: &[(Controller, Arc<Door>)]| {
         nodes.iter().position(|(n, _)| n.core().leads(&n.me) && n.core().in_map(&n.me))
     };
     assert!(soon(20, || service.store().map().is_some_and(|m| m.live.len() == 3)).await);
@@ -765,8 +768,8 @@
         if change == 5 {
             nodes[i].1.set(Trouble::Refused);
             sleep(Duration::from_millis(400)).await;
-            for (node, _) in &nodes {
-                assert_eq!(state_once(node, "j-1").await.0, 503, "nobody can tell");
+            for (controller, _) in &nodes {
+                assert_eq!(state_once(controller, "j-1").await.0, 503, "nobody can tell");
             }
             nodes.iter().for_each(|(_, door)| door.set(Trouble::None));
         }
@@ -777,27 +780,27 @@
         };
         assert!(soon(20, settled).await, "after change {change}: {:?}", service.store().map());
         let revision = service.store().revision;
-        for (node, _) in &nodes {
-            assert!(node.reach(revision, Duration::from_secs(5)).await);
+        for (controller, _) in &nodes {
+            assert!(controller.reach(revision, Duration::from_secs(5)).await);
         }
         epoch = service.store().map().expect("a map").epoch;
         let leading: Vec<_> = nodes.iter().filter(|(n, _)| n.core().leads(&n.me)).collect();
         assert_eq!(leading.len(), 1, "one leads");
         assert_ne!(leading[0].0.me, old);
-        for (node, _) in &nodes {
+        for (controller, _) in &nodes {
             for (id, last) in &told {
-                assert_eq!(state(node, id).await, (200, Some(*last)), "{id}");
+                assert_eq!(state(controller, id).await, (200, Some(*last)), "{id}");
             }
         }
     }
 }
 
 /// A controller that is live as soon as it can be.
-async fn join(service: &Service, n: usize, incarnation: u64) -> (Node, Arc<Door>) {
-    let (node, door) = service.controller(n, 3, incarnation).await;
-    follow(&node);
-    node.spawn_duty(state_duty::membership(node.clone()));
-    (node, door)
+async fn join(service: &Service, n: usize, incarnation: u64) -> (Controller, Arc<Door>) {
+    let (controller, door) = service.controller(n, 3, incarnation).await;
+    follow(&controller);
+    controller.spawn_duty(state_duty::membership(controller.clone()));
+    (controller, door)
 }
 
 /// A cancellation and the end of a job's last task meet: whichever is committed first
@@ -832,21 +835,21 @@
     follows.iter().for_each(|f| f.abort());
     let view = b.core().world.jobs["j-2"].value.clone();
     assert_eq!(cancel(&a, "j-2").await, (200, Some(JobState::Cancelled)));
-    let mut late = engine::Round::default();
+    let mut late = reconcile::Round::default();
     late.jobs.insert("j-2".into(), Box::new(done(*view)));
-    engine::commit(&b, late).await;
+    reconcile::commit(&b, late).await;
     follow(&b);
     // And once more by who has heard of it: its only task is done all the same.
     caught_up(&service, &b).await;
     let record = b.core().world.jobs["j-2"].value.clone();
     assert_eq!((record.phase, record.run.len()), (Phase::Cancelled, 1));
-    let mut after = engine::Round::default();
+    let mut after = reconcile::Round::default();
     after.jobs.insert("j-2".into(), Box::new(done(*record)));
-    engine::commit(&b, after).await;
+    reconcile::commit(&b, after).await;
     assert!(service.store().job("j-2").is_some_and(|j| j.run.is_empty()));
-    for node in [&a, &b] {
-        assert_eq!(state(node, "j-2").await, (200, Some(JobState::Cancelled)));
-        assert_eq!(cancel(node, "j-2").await, (200, Some(JobState::Cancelled)));
+    for controller in [&a, &b] {
+        assert_eq!(state(controller, "j-2").await, (200, Some(JobState::Cancelled)));
+        assert_eq!(cancel(controller, "j-2").await, (200, Some(JobState::Cancelled)));
     }
 }
 
@@ -881,15 +884,15 @@
     assert_eq!(submit_once(&b, &spec("j-4", JobKind::Array)).await.0, 503);
     door_a.set(Trouble::None);
     door_b.set(Trouble::None);
-    for node in [&a, &b] {
+    for controller in [&a, &b] {
         let since = Instant::now();
-        while state_once(node, "j-2").await.0 == 503 {
+        while state_once(controller, "j-2").await.0 == 503 {
             assert!(since.elapsed() < Duration::from_secs(3), "answers soon again");
             sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(state(node, "j-1").await, (200, Some(JobState::Cancelled)));
-        assert_eq!(state(node, "j-2").await, (200, Some(JobState::Queued)));
-        assert_eq!(state(node, "j-4").await.0, 404, "it was never accepted");
+        assert_eq!(state(controller, "j-1").await, (200, Some(JobState::Cancelled)));
+        assert_eq!(state(controller, "j-2").await, (200, Some(JobState::Queued)));
+        assert_eq!(state(controller, "j-4").await.0, 404, "it was never accepted");
     }
 }
 
@@ -899,13 +902,13 @@
 #[tokio::test]
 async fn minutes_of_small_jobs_leave_nothing_but_their_final_states() {
     let service = Service::with_types();
-    let (node, _) = service.follower(0, 1).await;
-    service.elect(&[&node], 1);
-    caught_up(&service, &node).await;
+    let (controller, _) = service.follower(0, 1).await;
+    service.elect(&[&controller], 1);
+    caught_up(&service, &controller).await;
     let mut version = service.store().revision;
     let mut apply = |id: &str, record: &JobRecord| {
         version += 1;
-        node.core().world.apply(Change::Job(id.into(), Some(Box::new(record.clone()))), version);
+        controller.core().world.apply(Change::Job(id.into(), Some(Box::new(record.clone()))), version);
     };
     for n in 0..2400u32 {
         let id = format!("j-{n}");
@@ -926,13 +929,16 @@
         }
         if n >= 40 {
             let old = format!("j-{}", n - 40);
-            let record = node.core().world.jobs[&old].value.clone();
+            let record = controller.core().world.jobs[&old].value.clone();
             let mut record = *record;
             if (n - 40) % 4 == 0 {
                 record.phase = Phase::Cancelled;
             }
-            record.phase =
-                if node.core().world.pipelines.is_doomed(&old) { Phase::Cancelled } else { record.phase };
+            record.phase = if controller.core().world.pipelines.is_doomed(&old) {
+                Phase::Cancelled
+            } else {
+                record.phase
+            };
             if record.phase == Phase::Active && record.run.is_empty() {
                 record.done = Ranges::all(1);
                 record.phase = Phase::Done;
@@ -942,7 +948,7 @@
             apply(&old, &record);
         }
     }
-    let core = node.core();
+    let core = controller.core();
     let w = &core.world;
     assert_eq!(w.jobs.len(), 2400);
     assert!(w.open.len() <= 41 && w.on_machine.len() <= 40 && w.machine_use.len() <= 40, "{}", w.open.len());
--- a/crates/daemon/tests/unit/meetings_machines.rs
+++ b/crates/daemon/tests/unit/meetings_machines.rs
@@ -12,9 +12,9 @@
     TaskState,
 };
 
-use crate::engine;
-use crate::front::{Disposal, take_report};
-use crate::node::Node;
+use crate::api::{Disposal, take_report};
+use crate::controller::Controller;
+use crate::reconcile;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Operators, Settings};
 use crate::worker::tests::spec;
@@ -29,7 +29,7 @@
 
 /// Controllers and the state service.
 struct Site {
-    nodes: Vec<Node>,
+    nodes: Vec<Controller>,
     keys: HashMap<String, u64>,
     log: Vec<(u64, Put)>,
     /// How much of the log each controller's mirror has.
@@ -41,13 +41,13 @@
 impl Site {
     /// All controllers are live, the first leads; the machines have eight CPUs each.
     fn new(controllers: usize, machines: &[(&str, &str)]) -> Self {
-        let node = |n: usize| {
+        let controller = |n: usize| {
             let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
             settings.node_name = format!("n-{n}");
-            Node::new(settings, Operators::default(), 100 + n as u64)
+            Controller::new(settings, Operators::default(), 100 + n as u64)
         };
         let mut site = Self {
-            nodes: (0..controllers).map(node).collect(),
+            nodes: (0..controllers).map(controller).collect(),
             keys: HashMap::new(),
             log: Vec::new(),
             seen: vec![0; controllers],
@@ -119,7 +119,7 @@
     fn restart(&mut self, n: usize) {
         let settings = self.nodes[n].settings.clone();
         let incarnation = self.nodes[n].me.incarnation + 1000;
-        self.nodes[n] = Node::new(settings, Operators::default(), incarnation);
+        self.nodes[n] = Controller::new(settings, Operators::default(), incarnation);
         self.seen[n] = 0;
     }
 
@@ -140,12 +140,12 @@
     /// which commands to send.
     fn round(&mut self, n: usize) -> Vec<(Name, Commands)> {
         let (sends, conditions, puts) = {
-            let node = &self.nodes[n];
-            let mut core = node.core();
-            let Some(round) = engine::decide(node, &mut core, false, 16, self.now, 1_000_000) else {
+            let controller = &self.nodes[n];
+            let mut core = controller.core();
+            let Some(round) = reconcile::decide(controller, &mut core, false, 16, self.now, 1_000_000) else {
                 return Vec::new();
             };
-            let assembled = engine::assemble(&core.world, &round, &node.plan(), usize::MAX);
+            let assembled = reconcile::assemble(&core.world, &round, &controller.plan(), usize::MAX);
             (round.sends, assembled.conditions, assembled.puts)
         };
         self.txn(&conditions, puts);
@@ -161,7 +161,7 @@
     }
 
     fn answered(&mut self, n: usize, machine: &str, commands: &Commands, report: Option<Report>) {
-        engine::answered(&mut self.nodes[n].core(), machine, commands.token, report, self.now);
+        reconcile::answered(&mut self.nodes[n].core(), machine, commands.token, report, self.now);
     }
 
     fn job(&self, id: &str) -> Box<JobRecord> {
--- a/crates/daemon/tests/unit/meetings_records.rs
+++ b/crates/daemon/tests/unit/meetings_records.rs
@@ -208,10 +208,10 @@
     assert_eq!(site.log.len(), before);
     // Nor does it hand such an end to another controller: this one knows the newer map.
     let proof = peer::Proof { job: "j-1".into(), task: 0, attempt: 1, machine: "host-1".into(), end: 3 };
-    engine::take_proofs(&site.nodes[new], site.epoch - 1, vec![proof.clone()], site.now);
+    reconcile::take_proofs(&site.nodes[new], site.epoch - 1, vec![proof.clone()], site.now);
     site.round(new);
     assert_eq!(site.attempt("j-1"), Some(1), "it runs");
-    engine::take_proofs(&site.nodes[new], site.epoch, vec![proof], site.now);
+    reconcile::take_proofs(&site.nodes[new], site.epoch, vec![proof], site.now);
     site.round(new);
     assert!(site.attempt("j-1").is_none_or(|a| a > 1), "of this map it would count");
 }
--- a/crates/daemon/tests/unit/peers.rs
+++ b/crates/daemon/tests/unit/peers.rs
@@ -11,17 +11,21 @@
         "[[peers]]\nnode_name = \"n-1\"\naddress = \"127.0.0.1:3\"\n[external]",
         1,
     );
-    let node = Node::new(Settings::parse("example", &text).expect("valid"), Operators::default(), 1);
+    let controller =
+        Controller::new(Settings::parse("example", &text).expect("valid"), Operators::default(), 1);
     let hear = |incarnation, count, state_silent_ms| {
         let name = "n-1".to_owned();
-        take(&node, Summary { name, incarnation, count, epoch: 3, state_silent_ms, machines: Vec::new() });
-        node.core().peers["n-1"].summary.state_silent_ms
+        take(
+            &controller,
+            Summary { name, incarnation, count, epoch: 3, state_silent_ms, machines: Vec::new() },
+        );
+        controller.core().peers["n-1"].summary.state_silent_ms
     };
     assert_eq!(hear(7, 1, 60_000), 60_000, "an outage");
     assert_eq!(hear(7, 2, 100), 100);
     assert_eq!(hear(7, 1, 60_000), 100, "a copy of the first");
     let member = Member { name: "n-1".into(), zone: "a".into(), incarnation: 8 };
-    node.core().world.apply(Change::Member("n-1".into(), Some(member)), 1);
+    controller.core().world.apply(Change::Member("n-1".into(), Some(member)), 1);
     assert_eq!(hear(8, 1, 50), 50, "a new process counts anew");
     assert_eq!(hear(7, 9, 60_000), 50, "its predecessor is gone");
 }
@@ -30,8 +34,8 @@
 /// leaves the map: its word is not that of their next owner.
 #[test]
 fn what_was_said_of_a_machine_goes_with_its_owner() {
-    let node = crate::scale::node(40, 2);
-    let mut core = node.core();
+    let controller = crate::scale::controller(40, 2);
+    let mut core = controller.core();
     let theirs: Vec<_> = core.world.machines.keys().cloned().collect();
     let other = |core: &Core, id: &str| core.world.owner_of(id).is_some_and(|o| o.name == "n-1");
     for id in &theirs {
@@ -55,7 +59,7 @@
     let before = core.row_owners();
     core.forget_rows(&before);
     assert_eq!(core.rows.len(), said, "nothing has changed");
-    let map = sched::records::MapRecord { epoch: 8, live: vec![node.me.clone()] };
+    let map = sched::records::MapRecord { epoch: 8, live: vec![controller.me.clone()] };
     core.world.apply(Change::Map(Some(map)), 1 << 40);
     core.forget_rows(&before);
     assert!(core.rows.is_empty());
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -15,12 +15,12 @@
 use tokio_util::task::TaskTracker;
 use wire::{Changes, Condition, Event, Item, Items, JobKind, JobSpec, JobState, JobStatus, Op, Txn};
 
-use crate::node::Node;
+use crate::commit::Sweeper;
+use crate::controller::Controller;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Operators, Settings};
-use crate::wide::Sweeper;
 use crate::worker::tests::spec;
-use crate::{engine, front, state_duty};
+use crate::{api, reconcile, state_duty};
 
 #[derive(Default)]
 struct Store {
@@ -151,32 +151,32 @@
     }
 
     /// A controller that follows the records, alone among its kind.
-    async fn controller(&self, incarnation: u64, text: &str) -> Node {
+    async fn controller(&self, incarnation: u64, text: &str) -> Controller {
         let mut settings = Settings::parse("example", text).expect("valid");
         settings.external.state = self.listen().await;
         (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e4, 1e4);
-        let node = Node::new(settings, Operators::default(), incarnation);
-        node.spawn_duty(state_duty::mirror(node.clone()));
-        node.spawn_duty(state_duty::verifier(node.clone()));
+        let controller = Controller::new(settings, Operators::default(), incarnation);
+        controller.spawn_duty(state_duty::mirror(controller.clone()));
+        controller.spawn_duty(state_duty::verifier(controller.clone()));
         assert!(
             timeout(Duration::from_secs(5), async {
-                while !node.core().ready {
+                while !controller.core().ready {
                     sleep(Duration::from_millis(5)).await;
                 }
             })
             .await
             .is_ok()
         );
-        node
+        controller
     }
 
     /// This controller leads, and is the only one.
-    fn elect(&self, node: &Node, epoch: u64) {
+    fn elect(&self, controller: &Controller, epoch: u64) {
         let mut store = self.store();
-        store.put(Put::new(key::MAP.into(), &MapRecord { epoch, live: vec![node.me.clone()] }));
-        store.put(Put::new(key::LEADER.into(), &node.me));
-        store.put(Put::new(key::member(&node.me.name), &node.me));
-        store.put(Put::new(key::upgraded(&node.me.name), &Upgraded { form: FORM }));
+        store.put(Put::new(key::MAP.into(), &MapRecord { epoch, live: vec![controller.me.clone()] }));
+        store.put(Put::new(key::LEADER.into(), &controller.me));
+        store.put(Put::new(key::member(&controller.me.name), &controller.me));
+        store.put(Put::new(key::upgraded(&controller.me.name), &Upgraded { schema_version: SCHEMA_VERSION }));
     }
 
     fn with_types() -> Self {
@@ -188,24 +188,24 @@
 }
 
 /// The mirror has all that there is.
-async fn caught_up(service: &Service, node: &Node) {
+async fn caught_up(service: &Service, controller: &Controller) {
     let revision = service.store().revision;
-    assert!(node.reach(revision, Duration::from_secs(5)).await);
+    assert!(controller.reach(revision, Duration::from_secs(5)).await);
 }
 
-async fn ask(node: &Node, method: &str, path: &str, body: Vec<u8>) -> (u16, Option<JobStatus>) {
+async fn ask(controller: &Controller, method: &str, path: &str, body: Vec<u8>) -> (u16, Option<JobStatus>) {
     let request = Request { method: method.into(), path: path.into(), body: body.into() };
-    let reply = front::serve(node.clone(), request).await;
+    let reply = api::serve(controller.clone(), request).await;
     (reply.status, wire::decode(&reply.body).ok())
 }
 
-async fn submit(node: &Node, spec: &JobSpec) -> (u16, Option<JobState>) {
-    let (status, job) = ask(node, "POST", "/v1/jobs", wire::encode(spec)).await;
+async fn submit(controller: &Controller, spec: &JobSpec) -> (u16, Option<JobState>) {
+    let (status, job) = ask(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
     (status, job.map(|j| j.state))
 }
 
-async fn state(node: &Node, id: &str) -> Option<JobState> {
-    ask(node, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await.1.map(|j| j.state)
+async fn state(controller: &Controller, id: &str) -> Option<JobState> {
+    ask(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await.1.map(|j| j.state)
 }
 
 fn step(id: &str, needs: &[&str]) -> JobSpec {
@@ -214,49 +214,52 @@
 }
 
 /// One round of a controller, committed.
-async fn round(node: &Node) {
+async fn round(controller: &Controller) {
     let decided = {
-        let mut core = node.core();
-        let ops = node.plan().txn_ops;
-        engine::decide(node, &mut core, false, ops, Instant::now(), crate::node::wall_ms())
+        let mut core = controller.core();
+        let ops = controller.plan().txn_ops;
+        reconcile::decide(controller, &mut core, false, ops, Instant::now(), crate::controller::wall_ms())
     };
     if let Some(round) = decided {
-        engine::commit(node, round).await;
+        reconcile::commit(controller, round).await;
     }
 }
 
 #[tokio::test]
 async fn submissions_that_await_others_are_answered_by_what_is_known() {
     let service = Service::with_types();
-    let node = service.controller(1, &with_next()).await;
-    service.elect(&node, 1);
-    caught_up(&service, &node).await;
-    assert_eq!(submit(&node, &spec("j-1", JobKind::Array)).await, (201, Some(JobState::Queued)));
-    assert_eq!(submit(&node, &spec("j-2", JobKind::Service)).await.0, 201);
+    let controller = service.controller(1, &with_next()).await;
+    service.elect(&controller, 1);
+    caught_up(&service, &controller).await;
+    assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await, (201, Some(JobState::Queued)));
+    assert_eq!(submit(&controller, &spec("j-2", JobKind::Service)).await.0, 201);
     // Null, absent and empty are none; duplicates count once.
-    assert_eq!(submit(&node, &step("j-3", &[])).await.0, 201);
-    assert_eq!(submit(&node, &step("j-4", &["j-1", "j-1", "j-3"])).await, (201, Some(JobState::Queued)));
-    let shown = ask(&node, "GET", "/v1/jobs/j-4", Vec::new()).await.1.expect("a job");
+    assert_eq!(submit(&controller, &step("j-3", &[])).await.0, 201);
+    assert_eq!(
+        submit(&controller, &step("j-4", &["j-1", "j-1", "j-3"])).await,
+        (201, Some(JobState::Queued))
+    );
+    let shown = ask(&controller, "GET", "/v1/jobs/j-4", Vec::new()).await.1.expect("a job");
     assert_eq!(shown.waits_for, ["j-1", "j-3"]);
     for (needs, status) in [(&["j-9"], 422), (&["j-2"], 422), (&["j-5"], 422), (&["x-1"], 400)] {
-        assert_eq!(submit(&node, &step("j-5", needs)).await.0, status, "{needs:?}");
+        assert_eq!(submit(&controller, &step("j-5", needs)).await.0, status, "{needs:?}");
     }
     let mut odd: serde_json::Value = wire::decode(&wire::encode(&step("j-6", &[]))).expect("a description");
     for (awaits, status) in
         [(serde_json::json!("j-1"), 400), (serde_json::json!([7]), 400), (serde_json::Value::Null, 201)]
     {
         odd["awaits"] = awaits;
-        assert_eq!(ask(&node, "POST", "/v1/jobs", wire::encode(&odd)).await.0, status, "{odd}");
+        assert_eq!(ask(&controller, "POST", "/v1/jobs", wire::encode(&odd)).await.0, status, "{odd}");
     }
     // A late copy of a submission keeps its 200, whatever it names.
-    assert_eq!(submit(&node, &step("j-4", &["j-9"])).await, (200, Some(JobState::Queued)));
+    assert_eq!(submit(&controller, &step("j-4", &["j-9"])).await, (200, Some(JobState::Queued)));
     // One that is too long now may have been accepted when more was allowed.
     let text = |n: usize| "x".repeat(n);
     let long = JobSpec { types: Some(vec![text(200); 20]), ..spec("j-66", JobKind::Array) };
-    assert_eq!(submit(&node, &long).await.0, 400);
+    assert_eq!(submit(&controller, &long).await.0, 400);
     let short = spec("j-66", JobKind::Array);
     service.store().put(Put::new(key::job("j-66"), &JobRecord::new(short, None, 0)));
-    assert_eq!(submit(&node, &long).await, (200, Some(JobState::Queued)));
+    assert_eq!(submit(&controller, &long).await, (200, Some(JobState::Queued)));
     // A description near the limit that is there now is taken, with a list of thousands.
     let ids: Vec<String> = (0..6000).map(|n| format!("j-{}", 10_000 + n)).collect();
     for id in &ids {
@@ -264,28 +267,28 @@
         record.phase = Phase::Active;
         service.store().put(Put::new(key::job(id), &record));
     }
-    caught_up(&service, &node).await;
+    caught_up(&service, &controller).await;
     let long = JobSpec { needs: Some(ids), ..spec("j-7", JobKind::Array) };
     service.store().limits = Some((2048, 4));
-    assert_eq!(submit(&node, &long).await, (201, Some(JobState::Queued)));
-    caught_up(&service, &node).await;
-    assert!(service.store().refused.is_empty() && node.core().reader.is_wide(&key::job("j-7")));
-    assert_eq!(node.core().world.jobs["j-7"].value.needs.len(), 6000);
+    assert_eq!(submit(&controller, &long).await, (201, Some(JobState::Queued)));
+    caught_up(&service, &controller).await;
+    assert!(service.store().refused.is_empty() && controller.core().reader.is_chunked(&key::job("j-7")));
+    assert_eq!(controller.core().world.jobs["j-7"].value.needs.len(), 6000);
     // Only checked if it can be.
     service.store().out = true;
     sleep(Duration::from_millis(1700)).await;
-    assert_eq!(submit(&node, &step("j-8", &["j-1"])).await.0, 503);
+    assert_eq!(submit(&controller, &step("j-8", &["j-1"])).await.0, 503);
     service.store().out = false;
     // With an old controller live, nothing is taken that it could not read.
     let old = Member { name: "n-9".into(), zone: "a".into(), incarnation: 9 };
     service.store().put(Put::new(key::member("n-9"), &old));
     let since = Instant::now();
-    while !node.core().old_is_live() && since.elapsed() < Duration::from_secs(5) {
+    while !controller.core().old_is_live() && since.elapsed() < Duration::from_secs(5) {
         sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(submit(&node, &step("j-8", &["j-1"])).await.0, 503);
-    assert_eq!(submit(&node, &spec("j-8", JobKind::Array)).await.0, 201);
-    node.stop.cancel();
+    assert_eq!(submit(&controller, &step("j-8", &["j-1"])).await.0, 503);
+    assert_eq!(submit(&controller, &spec("j-8", JobKind::Array)).await.0, 201);
+    controller.stop.cancel();
 }
 
 /// The first of a chain is cancelled, and the controller ends at once; all others too,
@@ -323,7 +326,7 @@
     service.store().out = true;
     round(&second).await;
     service.store().out = false;
-    let left = |node: &Node| node.core().world.pipelines.doomed().count();
+    let left = |controller: &Controller| controller.core().world.pipelines.doomed().count();
     assert!((1..38).contains(&left(&second)), "a few at a time");
     second.stop.cancel();
     let third = service.controller(3, EXAMPLE).await;
@@ -343,21 +346,21 @@
 #[tokio::test]
 async fn a_cancellation_that_comes_too_late_is_answered_with_done() {
     let service = Service::with_types();
-    let node = service.controller(1, EXAMPLE).await;
-    service.elect(&node, 1);
-    caught_up(&service, &node).await;
-    assert_eq!(submit(&node, &spec("j-0", JobKind::Array)).await.0, 201);
-    assert_eq!(submit(&node, &step("j-1", &["j-0"])).await.0, 201);
+    let controller = service.controller(1, EXAMPLE).await;
+    service.elect(&controller, 1);
+    caught_up(&service, &controller).await;
+    assert_eq!(submit(&controller, &spec("j-0", JobKind::Array)).await.0, 201);
+    assert_eq!(submit(&controller, &step("j-1", &["j-0"])).await.0, 201);
     // Done, as another controller has written; this one does not know.
     let mut done = JobRecord::new(spec("j-0", JobKind::Array), None, 0);
     (done.phase, done.ended_ms) = (Phase::Done, 5);
     done.shrink();
     service.store().put(Put::new(key::job("j-0"), &done));
-    let (status, told) = ask(&node, "POST", "/v1/jobs/j-0/withdraw", Vec::new()).await;
+    let (status, told) = ask(&controller, "POST", "/v1/jobs/j-0/withdraw", Vec::new()).await;
     assert_eq!((status, told.map(|t| t.state)), (200, Some(JobState::Done)));
-    caught_up(&service, &node).await;
-    assert!(node.core().world.open.contains("j-1"), "it may begin");
-    node.stop.cancel();
+    caught_up(&service, &controller).await;
+    assert!(controller.core().world.open.contains("j-1"), "it may begin");
+    controller.stop.cancel();
 }
 
 const SMALL: &str = "txn_ops = 16\nnext = { value_kb = 2, txn_ops = 4, write_rps = 20 }";
@@ -398,27 +401,27 @@
         });
     }
     service.store().put(Put::new(key::FLEET.into(), &fleet));
-    let node = service.controller(1, &with_next()).await;
-    service.elect(&node, 1);
-    caught_up(&service, &node).await;
-    assert!(node.plan().wide, "all have said that they are new");
+    let controller = service.controller(1, &with_next()).await;
+    service.elect(&controller, 1);
+    caught_up(&service, &controller).await;
+    assert!(controller.plan().chunked, "all have said that they are new");
     service.store().limits = Some((2048, 4));
     let mut tasks: Vec<u32> = (500..1800).collect();
     let mut seen = 0;
     while !tasks.is_empty() {
         let (mut record, version) = {
-            let core = node.core();
+            let core = controller.core();
             (core.world.jobs["j-1"].value.clone(), core.world.jobs["j-1"].version)
         };
         let some: Vec<u32> = tasks.drain(..tasks.len().min(130)).collect();
         some.iter().for_each(|t| record.end(*t, 1, End::Done, 2000, 60));
         let conditions = vec![Condition { key: key::job("j-1"), version }];
         let put = Put::new(key::job("j-1"), &record);
-        let Ok(Outcome::Committed { .. }) = node.commit(conditions, vec![put]).await else {
+        let Ok(Outcome::Committed { .. }) = controller.commit(conditions, vec![put]).await else {
             unreachable!("the record stays changeable")
         };
-        caught_up(&service, &node).await;
-        assert_eq!(node.core().world.jobs["j-1"].value.run.len(), tasks.len());
+        caught_up(&service, &controller).await;
+        assert_eq!(controller.core().world.jobs["j-1"].value.run.len(), tasks.len());
         // Whoever reads all of it anew sees the same.
         let other = service.controller(9, &with_next()).await;
         assert_eq!(other.core().world.jobs["j-1"].value.run, record.run);
@@ -427,29 +430,29 @@
     }
     assert!(seen >= 10);
     // The record of the fleet: hundreds of rentals, one dropped.
-    let version = node.core().world.fleet.as_ref().map_or(0, |f| f.version);
+    let version = controller.core().world.fleet.as_ref().map_or(0, |f| f.version);
     fleet.rentals.pop();
     let put = Put::new(key::FLEET.into(), &fleet);
     let conditions = vec![Condition { key: key::FLEET.into(), version }];
-    assert!(matches!(node.commit(conditions, vec![put]).await, Ok(Outcome::Committed { .. })));
-    caught_up(&service, &node).await;
-    assert_eq!(node.core().world.fleet.as_ref().map(|f| f.value.rentals.len()), Some(99));
+    assert!(matches!(controller.commit(conditions, vec![put]).await, Ok(Outcome::Committed { .. })));
+    caught_up(&service, &controller).await;
+    assert_eq!(controller.core().world.fleet.as_ref().map(|f| f.value.rentals.len()), Some(99));
     assert!(service.store().refused.is_empty(), "{:?}", service.store().refused);
     // What no head names goes after a while, and nothing else.
     let before = service.store().keys.len();
     let (mut sweeper, mut now) = (Sweeper::default(), Instant::now());
     for _ in 0..200 {
         now += Duration::from_secs(6);
-        if let Some((conditions, puts)) = sweeper.next(&node, now) {
-            assert!(matches!(node.commit(conditions, puts).await, Ok(Outcome::Committed { .. })));
-            caught_up(&service, &node).await;
+        if let Some((conditions, puts)) = sweeper.next(&controller, now) {
+            assert!(matches!(controller.commit(conditions, puts).await, Ok(Outcome::Committed { .. })));
+            caught_up(&service, &controller).await;
         }
     }
     assert!(service.store().keys.len() + 8 < before);
-    assert!(node.core().reader.orphans().is_empty());
+    assert!(controller.core().reader.orphans().is_empty());
     let last = service.controller(8, &with_next()).await;
     assert_eq!(last.core().world.fleet.as_ref().map(|f| f.value.rentals.len()), Some(99));
-    node.stop.cancel();
+    controller.stop.cancel();
     last.stop.cancel();
 }
 
@@ -459,27 +462,27 @@
     let service = Service::with_types();
     let job = production_array();
     service.store().put(Put::new(key::job("j-1"), &job));
-    let node = service.controller(1, &with_next()).await;
-    service.elect(&node, 1);
-    caught_up(&service, &node).await;
-    let version = node.core().world.jobs["j-1"].version;
-    let wide = store::split(&Put::new(key::job("j-1"), &job), 77, 2048).expect("parts");
-    let first = wide.parts.last().expect("parts").key.clone();
-    wide.parts.into_iter().for_each(|p| service.store().put(p));
+    let controller = service.controller(1, &with_next()).await;
+    service.elect(&controller, 1);
+    caught_up(&service, &controller).await;
+    let version = controller.core().world.jobs["j-1"].version;
+    let chunked = store::split(&Put::new(key::job("j-1"), &job), 77, 2048).expect("parts");
+    let first = chunked.parts.last().expect("parts").key.clone();
+    chunked.parts.into_iter().for_each(|p| service.store().put(p));
     let at = service.store().revision;
-    caught_up(&service, &node).await;
+    caught_up(&service, &controller).await;
     let (mut sweeper, mut now) = (Sweeper::default(), Instant::now());
     for _ in 0..20 {
         now += Duration::from_secs(6);
-        if let Some((conditions, puts)) = sweeper.next(&node, now) {
-            assert!(matches!(node.commit(conditions, puts).await, Ok(Outcome::Committed { .. })));
-            caught_up(&service, &node).await;
+        if let Some((conditions, puts)) = sweeper.next(&controller, now) {
+            assert!(matches!(controller.commit(conditions, puts).await, Ok(Outcome::Committed { .. })));
+            caught_up(&service, &controller).await;
         }
     }
     let conditions = vec![Condition { key: key::job("j-1"), version }, Condition { key: first, version: at }];
-    let late = node.state.txn(conditions, vec![wide.head]).await;
+    let late = controller.state.txn(conditions, vec![chunked.head]).await;
     assert!(matches!(late, Ok(Outcome::Conflict { .. })));
-    node.stop.cancel();
+    controller.stop.cancel();
 }
 
 /// The limits that are to come are there, though one controller has not said that it is
@@ -494,27 +497,27 @@
     );
     let job = production_array();
     service.store().put(Put::new(key::job("j-1"), &job));
-    let node = service.controller(1, &text).await;
-    service.elect(&node, 1);
-    caught_up(&service, &node).await;
-    assert!(!node.plan().wide, "the other may still come back old");
+    let controller = service.controller(1, &text).await;
+    service.elect(&controller, 1);
+    caught_up(&service, &controller).await;
+    assert!(!controller.plan().chunked, "the other may still come back old");
     service.store().limits = Some((2048, 4));
     let write = async || {
-        let version = node.core().world.jobs["j-1"].version;
+        let version = controller.core().world.jobs["j-1"].version;
         let conditions = vec![Condition { key: key::job("j-1"), version }];
-        node.commit(conditions, vec![Put::new(key::job("j-1"), &job)]).await
+        controller.commit(conditions, vec![Put::new(key::job("j-1"), &job)]).await
     };
     assert!(matches!(write().await, Err(StoreError::Refused(400))));
-    assert!(node.plan().wide && node.plan().txn_ops == 4);
+    assert!(controller.plan().chunked && controller.plan().txn_ops == 4);
     assert!(matches!(write().await, Ok(Outcome::Committed { .. })), "in smaller pieces");
-    caught_up(&service, &node).await;
+    caught_up(&service, &controller).await;
     assert_eq!(service.store().refused, [400], "never sent again unchanged");
-    assert_eq!(node.plan().write_rps, 30.0, "the full rate until then");
+    assert_eq!(controller.plan().write_rps, 30.0, "the full rate until then");
     service.store().rate = Some(0);
-    let e = node.state.txn(Vec::new(), vec![Put::delete(key::job("j-2"))]).await.expect_err("429");
-    node.note_refusal(&e);
-    assert_eq!(node.plan().write_rps, 20.0, "from the first refusal on");
-    node.share_writes(&mut node.core(), Instant::now());
-    assert!(node.core().writes.per_second() <= 20.0);
-    node.stop.cancel();
+    let e = controller.state.txn(Vec::new(), vec![Put::delete(key::job("j-2"))]).await.expect_err("429");
+    controller.note_refusal(&e);
+    assert_eq!(controller.plan().write_rps, 20.0, "from the first refusal on");
+    controller.share_writes(&mut controller.core(), Instant::now());
+    assert!(controller.core().writes.per_second() <= 20.0);
+    controller.stop.cancel();
 }
--- a/crates/daemon/tests/unit/placer.rs
+++ b/crates/daemon/tests/unit/placer.rs
@@ -37,11 +37,12 @@
     use crate::worker::{Worker, first_token};
     use sched::world::Change;
 
-    let node = Node::new(Settings::parse("example", EXAMPLE).expect("valid"), Operators::default(), 1);
+    let controller =
+        Controller::new(Settings::parse("example", EXAMPLE).expect("valid"), Operators::default(), 1);
     let now = Instant::now();
-    let mut core = node.core();
+    let mut core = controller.core();
     core.ready = true;
-    let kind = crate::worker::tests::kind(node.teams[0].cpus_max * 2.0, 64.0, &["a"]);
+    let kind = crate::worker::tests::kind(controller.teams[0].cpus_max * 2.0, 64.0, &["a"]);
     let machine = MachineRecord {
         addr: "host-1".into(),
         machine_type: "m".into(),
@@ -51,8 +52,8 @@
     };
     let mut changes = vec![
         Change::Types(Some(TypesRecord { types: vec![kind] })),
-        Change::Leader(Some(node.me.clone())),
-        Change::Map(Some(MapRecord { epoch: 7, live: vec![node.me.clone()] })),
+        Change::Leader(Some(controller.me.clone())),
+        Change::Map(Some(MapRecord { epoch: 7, live: vec![controller.me.clone()] })),
         Change::Machine("host-1".into(), Some(machine)),
     ];
     let id = |j: &JobRecord| j.spec.as_ref().expect("open").id.clone();
@@ -65,7 +66,7 @@
         "loaner": false, "stint": 1, "tally": 1, "baton": first_token(7), "threads": []});
     worker.ingest(wire::decode(&wire::encode(&report)).expect("a report"), true, now);
     core.workers.insert("host-1".into(), worker);
-    let round = crate::engine::decide(&node, &mut core, false, 16, now, 1000).expect("a round");
+    let round = crate::reconcile::decide(&controller, &mut core, false, 16, now, 1000).expect("a round");
     round.jobs.iter().map(|(id, j)| (id.clone(), j.run.len())).collect()
 }
 
--- a/crates/daemon/tests/unit/production.rs
+++ b/crates/daemon/tests/unit/production.rs
@@ -289,12 +289,13 @@
         let Read::Record(old) = read(key, &value(&done)) else { unreachable!("a final record") };
         let Change::Job(_, Some(back)) = decode_change(key, Some(old)).0 else { unreachable!("a job") };
         assert_eq!((back.phase, back.done.len(), back.ended_ms), (now::Phase::Done, tasks, 0));
-        let wide = store::split(&Put::new(key.into(), &job), 7, 100).expect("parts");
-        assert_eq!(read(key, &wide.head.value.expect("a value")), Read::Unreadable);
-        for put in wide.parts {
+        let chunked = store::split(&Put::new(key.into(), &job), 7, 100).expect("parts");
+        assert_eq!(read(key, &chunked.head.value.expect("a value")), Read::Unreadable);
+        for put in chunked.parts {
             assert_eq!(read(&put.key, &put.value.expect("a value")), Read::Ignored);
         }
-        let mark = Put::new(store::key::upgraded("n-1"), &now::Upgraded { form: now::FORM });
+        let mark =
+            Put::new(store::key::upgraded("n-1"), &now::Upgraded { schema_version: now::SCHEMA_VERSION });
         assert_eq!(read(&mark.key, &mark.value.expect("a value")), Read::Ignored);
     }
 }
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -10,7 +10,7 @@
 
 /// One of three controllers, which all know a job with a task on the machine, up to
 /// revision 3. The first one owns it.
-fn node(n: usize, incarnation: u64) -> Node {
+fn controller(n: usize, incarnation: u64) -> Controller {
     let mut text = EXAMPLE.replacen("n-0", &format!("n-{n}"), 1);
     for other in (0..3).filter(|o| *o != n) {
         text = text.replacen(
@@ -23,11 +23,11 @@
         );
     }
     let settings = Settings::parse("example", &text).expect("valid");
-    Node::new(settings, Operators::default(), incarnation)
+    Controller::new(settings, Operators::default(), incarnation)
 }
 
-fn read(node: &Node) {
-    let mut core = node.core();
+fn read(controller: &Controller) {
+    let mut core = controller.core();
     let live = vec![Member { name: "n-0".into(), zone: "a".into(), incarnation: 1 }];
     core.world.apply(Change::Map(Some(MapRecord { epoch: 4, live })), 1);
     let machine = MachineRecord {
@@ -48,8 +48,8 @@
 }
 
 /// What a controller does when it confirms a cancellation to a user.
-fn confirm(node: &Node, id: &str, revision: u64) {
-    let mut core = node.core();
+fn confirm(controller: &Controller, id: &str, revision: u64) {
+    let mut core = controller.core();
     let mut record = core.world.jobs[id].value.clone();
     record.phase = Phase::Cancelled;
     record.shrink();
@@ -57,7 +57,7 @@
 }
 
 /// One question and its answer between two controllers; whether its word counts.
-fn exchange(asker: &Node, of: &Node, at: Instant) -> bool {
+fn exchange(asker: &Controller, of: &Controller, at: Instant) -> bool {
     let mut core = asker.core();
     let Some(asked) = request(&core, 77, at) else { return false };
     let bytes = peer::encode_index(&answer(of, &of.core(), &asked));
@@ -65,8 +65,8 @@
     take(&mut core, &of.me.name, &asked, index, at, at) == Word::Counts
 }
 
-fn three() -> [Node; 3] {
-    let all = [node(0, 1), node(1, 2), node(2, 3)];
+fn three() -> [Controller; 3] {
+    let all = [controller(0, 1), controller(1, 2), controller(2, 3)];
     all.iter().for_each(read);
     all
 }
@@ -154,7 +154,7 @@
     let late = start + bound;
     assert!(exchange(&leader, &third, late));
     // Back after this controller's last reading: its predecessor may have confirmed more.
-    let back = node(1, 9);
+    let back = controller(1, 9);
     assert!(!exchange(&leader, &back, late) && !leader.may_renew(&leader.core(), late));
     // The same process, heard of before the last reading: whatever was confirmed before it
     // began was read, and it has confirmed nothing.
@@ -164,7 +164,7 @@
     assert!(exchange(&leader, &third, later));
     assert!(exchange(&leader, &back, later) && leader.may_renew(&leader.core(), later));
     // It has read the records: it knows all that its predecessors confirmed.
-    let [.., read] = [node(1, 10), node(1, 11)];
+    let [.., read] = [controller(1, 10), controller(1, 11)];
     super::tests::read(&read);
     assert!(exchange(&leader, &read, later));
 }
@@ -204,8 +204,8 @@
 }
 
 /// Adds cancelled jobs that still have a task on a machine: two for each revision from 10 on.
-fn cancel_many(node: &Node, jobs: u64) {
-    let mut core = node.core();
+fn cancel_many(controller: &Controller, jobs: u64) {
+    let mut core = controller.core();
     for n in 0..jobs {
         let id = format!("j-{}", 1000 + (n * 7919) % jobs);
         let mut job = JobRecord::new(spec(&id, JobKind::Array), None, 0);
@@ -279,7 +279,7 @@
     confirm(&other, "j-1", 4);
     let post = |path: &str, body: Vec<u8>| {
         let request = Request { method: "POST".into(), path: path.into(), body: body.into() };
-        crate::gossip::serve(other.clone(), request)
+        crate::peers::serve(other.clone(), request)
     };
     let asked = peer::encode_request(&ReadIndexRequest { nonce: 8, after: 3 });
     let reply = post(PATH, asked.clone()).await;
--- a/crates/daemon/tests/unit/reconcile.rs
+++ b/crates/daemon/tests/unit/reconcile.rs
@@ -5,11 +5,11 @@
 
 /// As large as placement makes an array's record: as many tasks as it admits,
 /// scattered over many machines and over the whole window.
-fn largest(node: &Node, id: &str) -> JobRecord {
+fn largest(controller: &Controller, id: &str) -> JobRecord {
     let mut s = spec(id, JobKind::Array);
     s.tasks = 100_000;
     let mut job = JobRecord::new(s, None, 1_764_547_200_000);
-    let (most, window) = (node.run_max() as u32, node.window());
+    let (most, window) = (controller.run_max() as u32, controller.window());
     let first = 50_000;
     (0..first).chain((first + 1..first + window).step_by(2)).for_each(|t| job.done.insert(t));
     let step = (window / most / 2 * 2).max(2);
@@ -26,7 +26,7 @@
 
 #[test]
 fn the_largest_records_and_rounds_keep_the_state_services_limits() {
-    let node = Node::new(
+    let controller = Controller::new(
         Settings::parse("example", EXAMPLE).expect("the example is valid"),
         Operators::default(),
         1,
@@ -34,15 +34,15 @@
     let (mut world, mut round) = (World::default(), Round::default());
     for n in 0..30 {
         let id = format!("j-{n:06}");
-        let job = Box::new(largest(&node, &id));
+        let job = Box::new(largest(&controller, &id));
         let json = serde_json::to_string(&*job).expect("encodes").len() as f64;
-        assert!(json < node.plan().value_bytes, "{json}");
+        assert!(json < controller.plan().value_bytes, "{json}");
         let put = Put::new(key::job(&id), &job);
         assert!(put.json_len() as f64 >= json, "the estimate is no less than what it is");
         world.apply(Change::Job(id.clone(), Some(job.clone())), 3);
         round.jobs.insert(id, job);
     }
-    let plan = node.plan();
+    let plan = controller.plan();
     let Assembled { conditions, puts, left_out, .. } = assemble(&world, &round, &plan, usize::MAX);
     let bytes: usize = puts.iter().map(Put::json_len).sum();
     assert!(puts.len() >= 4 && bytes + conditions.len() * 60 < 64 * 1024, "{bytes}");
@@ -52,8 +52,8 @@
     let small = Plan { value_bytes: 1000.0, ..plan };
     let none = assemble(&world, &round, &small, usize::MAX);
     assert!(none.puts.is_empty(), "what a value cannot hold is not sent");
-    let one = assemble(&world, &round, &Plan { wide: true, ..small }, usize::MAX);
-    assert!(one.puts.len() == 1 && one.wide.is_some(), "but in parts, one at a time");
+    let one = assemble(&world, &round, &Plan { chunked: true, ..small }, usize::MAX);
+    assert!(one.puts.len() == 1 && one.chunked.is_some(), "but in parts, one at a time");
     assert_eq!(assemble(&world, &round, &plan, 1).puts.len(), 1);
 }
 
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -3,13 +3,13 @@
 
 use std::time::{Duration, Instant};
 
-use sched::placement::{Board, Limits, place};
+use sched::placement::{Inventory, Limits, place};
 use sched::records::*;
 use sched::world::{Change, World};
 use wire::{JobKind, JobSpec, MachineType, Priority, Report, TaskReport, TaskState};
 
-use crate::engine;
-use crate::node::{Core, Node};
+use crate::controller::{Controller, Core};
+use crate::reconcile;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Operators, Settings};
 use crate::worker::tests::spec;
@@ -41,21 +41,21 @@
 }
 
 /// The leader of `live` controllers, with so many empty machines of five kinds.
-pub fn node(machines: usize, live: usize) -> Node {
+pub fn controller(machines: usize, live: usize) -> Controller {
     let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
     (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e6, 1e6);
-    let node = Node::new(settings, Operators::default(), 1);
+    let controller = Controller::new(settings, Operators::default(), 1);
     let kinds = [kind("s", 4.0, 0.0), kind("m", 8.0, 0.0), kind("l", 16.0, 0.0), kind("g", 16.0, 2.0)];
-    let mut core = node.core();
+    let mut core = controller.core();
     let w = &mut core.world;
     apply(w, Change::Types(Some(TypesRecord { types: kinds.to_vec() })));
-    let mut members = vec![node.me.clone()];
+    let mut members = vec![controller.me.clone()];
     members.extend((1..live).map(|n| Member {
         name: format!("n-{n}"),
         zone: ZONES[n % 4].into(),
         incarnation: 1 + n as u64,
     }));
-    apply(w, Change::Leader(Some(node.me.clone())));
+    apply(w, Change::Leader(Some(controller.me.clone())));
     apply(w, Change::Map(Some(MapRecord { epoch: EPOCH, live: members })));
     for n in 0..machines {
         let record = MachineRecord {
@@ -69,23 +69,23 @@
     }
     core.ready = true;
     drop(core);
-    node
+    controller
 }
 
 /// Adds a job; it is placed as far as there is room.
-fn add(node: &Node, board: &mut Board, core: &mut Core, spec: JobSpec) {
+fn add(controller: &Controller, inventory: &mut Inventory, core: &mut Core, spec: JobSpec) {
     let id = spec.id.clone();
     let mut job = JobRecord::new(spec, None, 1000);
     let limits = Limits { most: 400, window: 9999, lossy: true, gang_wait_s: 30.0, now_ms: NOW_MS };
-    place(&core.world, board, &mut job, &node.teams[0], |_| true, limits);
+    place(&core.world, inventory, &mut job, &controller.teams[0], |_| true, limits);
     apply(&mut core.world, Change::Job(id, Some(Box::new(job))));
 }
 
 /// Fills the machines with services, gangs and arrays; their workers report what
 /// the records say.
-pub fn fill(node: &Node, now: Instant) {
-    let mut core = node.core();
-    let mut board = Board::new(&core.world, |_| true);
+pub fn fill(controller: &Controller, now: Instant) {
+    let mut core = controller.core();
+    let mut inventory = Inventory::new(&core.world, |_| true);
     for n in 0..600 {
         let mut s = spec(&format!("j-{n:06}"), [JobKind::Service, JobKind::Gang, JobKind::Array][n / 200]);
         s.image = format!("i-{}", n % 40);
@@ -97,9 +97,9 @@
             JobKind::Gang => (s.tasks, s.cpus, s.gpus, s.one_zone) = ([1, 2, 4][n % 3], 14.0, 2.0, true),
             JobKind::Array => (s.tasks, s.cpus) = (80, 1.0),
         }
-        add(node, &mut board, &mut core, s);
+        add(controller, &mut inventory, &mut core, s);
     }
-    let ids: Vec<Name> = core.world.owned_by(&node.me).cloned().collect();
+    let ids: Vec<Name> = core.world.owned_by(&controller.me).cloned().collect();
     for id in ids {
         let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskReport {
             task: format!("{job}/{}", a.task),
@@ -134,13 +134,13 @@
 
 #[test]
 fn a_round_looks_only_at_machines_with_news() {
-    let node = node(2000, 1);
+    let controller = controller(2000, 1);
     let now = Instant::now();
-    fill(&node, now);
-    let mut core = node.core();
+    fill(&controller, now);
+    let mut core = controller.core();
     let tasks: usize = core.world.on_machine.values().flatten().map(|(_, t)| t.len()).sum();
     assert!(core.workers.len() == 2000 && tasks > 10_000, "{} machines, {tasks} tasks", core.workers.len());
-    let round = engine::decide(&node, &mut core, false, 0, now, NOW_MS).expect("entitled");
+    let round = reconcile::decide(&controller, &mut core, false, 0, now, NOW_MS).expect("entitled");
     assert!(round.sends.is_empty(), "what runs is left alone");
     assert_eq!(due(&core, now + Duration::from_millis(100)), 0, "nothing is open");
     // One job is cancelled: only its machines are looked at.
@@ -150,7 +150,7 @@
     let machines: std::collections::BTreeSet<_> = job.run.iter().map(|a| a.machine.clone()).collect();
     apply(&mut core.world, Change::Job(id, Some(job)));
     let later = now + Duration::from_millis(200);
-    let round = engine::decide(&node, &mut core, false, 0, later, NOW_MS).expect("entitled");
+    let round = reconcile::decide(&controller, &mut core, false, 0, later, NOW_MS).expect("entitled");
     let sent: std::collections::BTreeSet<_> = round.sends.iter().map(|s| s.0.clone()).collect();
     assert!(sent == machines && !sent.is_empty());
 }
@@ -160,10 +160,10 @@
 /// anew in the same round costs no further one but its team's.
 #[test]
 fn a_lost_zone_costs_a_change_for_each_job() {
-    let node = node(2000, 1);
+    let controller = controller(2000, 1);
     let now = Instant::now();
-    fill(&node, now);
-    let mut core = node.core();
+    fill(&controller, now);
+    let mut core = controller.core();
     let lost: Vec<Name> =
         core.world.machines.iter().filter(|(_, m)| *m.value.zone == *"d").map(|(id, _)| id.clone()).collect();
     assert_eq!(lost.len(), 500);
@@ -179,9 +179,9 @@
         rounds += 1;
         assert!(rounds < 200, "{} left", core.world.orphaned.len());
         let at = now + Duration::from_millis(100 * rounds);
-        let mut round = engine::decide(&node, &mut core, false, 16, at, NOW_MS).expect("entitled");
-        let engine::Assembled { puts, left_out, teams, .. } =
-            engine::assemble(&core.world, &round, &node.plan(), usize::MAX);
+        let mut round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
+        let reconcile::Assembled { puts, left_out, teams, .. } =
+            reconcile::assemble(&core.world, &round, &controller.plan(), usize::MAX);
         changes += puts.len();
         for (id, record) in std::mem::take(&mut round.jobs) {
             if !left_out.contains(&id) {
@@ -200,10 +200,10 @@
 /// had something on machines that are gone.
 #[test]
 fn what_was_on_lost_machines_ends_before_what_ends_all_the_time() {
-    let node = node(2000, 1);
+    let controller = controller(2000, 1);
     let now = Instant::now();
-    fill(&node, now);
-    let mut core = node.core();
+    fill(&controller, now);
+    let mut core = controller.core();
     let kind = |core: &Core, id: &str| core.world.jobs[id].value.spec.as_ref().map(|s| s.kind);
     let service = core.world.open.iter().find(|id| kind(&core, id) == Some(JobKind::Service)).cloned();
     let service = service.expect("some");
@@ -224,13 +224,13 @@
     let proofs: Vec<peer::Proof> = proofs.collect();
     assert!(proofs.len() > 16, "more than a round holds");
     drop(core);
-    engine::take_proofs(&node, EPOCH, proofs, now);
-    core = node.core();
+    reconcile::take_proofs(&controller, EPOCH, proofs, now);
+    core = controller.core();
     apply(
         &mut core.world,
         Change::Fleet(Some(FleetRecord { rentals: Vec::new(), gone: Some(vec![lost.clone()]) })),
     );
-    let round = engine::decide(&node, &mut core, false, 16, now, NOW_MS).expect("entitled");
+    let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
     let record = round.jobs.get(&service).expect("its task is over");
     assert!(record.run.iter().all(|a| a.machine != lost));
     assert!(round.jobs.len() > 4, "the arrays have the rest");
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Sim {
-    pub(super) fn node(n: usize, incarnation: u64, sabotage: Sabotage, old: bool) -> Node {
+    pub(super) fn new_controller(n: usize, incarnation: u64, sabotage: Sabotage, old: bool) -> Controller {
         let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
         settings.node_name = format!("n-{n}");
         // The others: their word is never asked for here, so that leases are renewed within
@@ -18,7 +18,7 @@
             settings.facts.state.next = Some(NextState { value_kb, txn_ops, ..NextState::default() });
         }
         settings.facts.teams[0].cpus_max = if sabotage == Sabotage::Limit { LIMIT + 4.0 } else { LIMIT };
-        Node::new(settings, Operators::default(), incarnation)
+        Controller::new(settings, Operators::default(), incarnation)
     }
 
     /// The next controller gets the new version, and leaves its lasting word.
@@ -26,7 +26,8 @@
         let Some(n) = self.old.iter().position(|old| *old) else { return };
         self.old[n] = false;
         self.back(n);
-        let put = Put::new(key::upgraded(&self.nodes[n].me.name), &Upgraded { form: FORM });
+        let put =
+            Put::new(key::upgraded(&self.nodes[n].me.name), &Upgraded { schema_version: SCHEMA_VERSION });
         assert!(self.state.txn(&[], vec![put]) == Outcome::Committed);
         if !self.old.contains(&true) {
             self.small_at = Some(self.step + self.rng.random_range(0..200));
@@ -82,12 +83,12 @@
         }
         let plan = self.nodes[n].plan();
         let decided = {
-            let node = &self.nodes[n];
-            let mut core = node.core();
+            let controller = &self.nodes[n];
+            let mut core = controller.core();
             let scan = self.step.is_multiple_of(50);
-            engine::decide(node, &mut core, scan, plan.txn_ops, now, self.step * 100).map(|r| {
-                let engine::Assembled { conditions, puts, .. } =
-                    engine::assemble(&core.world, &r, &node.plan(), usize::MAX);
+            reconcile::decide(controller, &mut core, scan, plan.txn_ops, now, self.step * 100).map(|r| {
+                let reconcile::Assembled { conditions, puts, .. } =
+                    reconcile::assemble(&core.world, &r, &controller.plan(), usize::MAX);
                 let epoch = core.map().map_or(0, |m| m.epoch);
                 (r.sends, conditions, puts, r.proofs, epoch)
             })
@@ -113,11 +114,11 @@
                         *put = Put::new(put.key.clone(), &job);
                     }
                 }
-            } else if plan.wide {
+            } else if plan.chunked {
                 let nonce = self.rng.random();
                 self.state.widen(&mut conditions, &mut puts, nonce, plan.value_bytes);
             }
-            self.post(Message::Txn { from: n, conditions, puts, sized: plan.wide });
+            self.post(Message::Txn { from: n, conditions, puts, sized: plan.chunked });
         }
     }
 
@@ -128,7 +129,7 @@
     }
 
     pub(super) fn back(&mut self, n: usize) {
-        self.nodes[n] = Self::node(n, 1000 + self.step, self.sabotage, self.old[n]);
+        self.nodes[n] = Self::new_controller(n, 1000 + self.step, self.sabotage, self.old[n]);
         self.seen[n] = 0;
         self.frozen[n] = 0;
         self.waiting.retain(|(of, _), _| *of != n);
--- a/crates/daemon/tests/unit/sim/machines.rs
+++ b/crates/daemon/tests/unit/sim/machines.rs
@@ -135,17 +135,17 @@
             return None;
         }
         let now = self.now();
-        let node = &self.nodes[n];
-        let mut core = node.core();
+        let controller = &self.nodes[n];
+        let mut core = controller.core();
         let core = &mut *core;
-        let mine = core.world.owner_of(&id(m)).is_some_and(|o| *o == node.me);
-        if !mine || !node.may_renew(core, now) {
+        let mine = core.world.owner_of(&id(m)).is_some_and(|o| *o == controller.me);
+        if !mine || !controller.may_renew(core, now) {
             return None;
         }
         let worker = core.workers.get_mut(id(m).as_str()).filter(|w| !w.overtaken_by(&report))?;
         let news = worker.ingest(report, true, now);
         worker.renew(now);
-        let limits = node.worker_limits(core.fresh_at);
+        let limits = controller.worker_limits(core.fresh_at);
         let orders = if news { worker.answer(&id(m), &core.world, &limits, now) } else { Vec::new() };
         Some((worker.token(), orders))
     }
--- a/crates/daemon/tests/unit/sim/mail.rs
+++ b/crates/daemon/tests/unit/sim/mail.rs
@@ -70,7 +70,7 @@
                         let at = self.step + self.rng.random_range(1..400);
                         self.mail.push((at, Message::Proofs { to, epoch, list: list.clone() }));
                     }
-                    engine::take_proofs(&self.nodes[to], epoch, list, self.now());
+                    reconcile::take_proofs(&self.nodes[to], epoch, list, self.now());
                 }
                 Message::Txn { from, conditions, puts, sized } => {
                     if self.state.txn(&conditions, puts) == Outcome::Refused {
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -22,10 +22,10 @@
 use store::{Put, Reader, decode_change, key, split};
 use wire::{Cause, Command, Commands, Condition, JobKind, Report, TaskReport, TaskState};
 
-use crate::engine;
-use crate::front;
-use crate::node::Node;
+use crate::api;
+use crate::controller::Controller;
 use crate::production;
+use crate::reconcile;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{NextState, Operators, Peer, Settings};
 use crate::worker::tests::spec;
@@ -85,7 +85,7 @@
     start: Instant,
     step: u64,
     state: State,
-    nodes: Vec<Node>,
+    nodes: Vec<Controller>,
     /// Controllers that have the version in production.
     old: Vec<bool>,
     /// When the smaller limits come.
@@ -114,8 +114,8 @@
 
 impl Sim {
     fn new(seed: u64, sabotage: Sabotage) -> Self {
-        let nodes: Vec<Node> =
-            (0..CONTROLLERS).map(|n| Self::node(n, n as u64 + 1, sabotage, true)).collect();
+        let nodes: Vec<Controller> =
+            (0..CONTROLLERS).map(|n| Self::new_controller(n, n as u64 + 1, sabotage, true)).collect();
         let machine = || Machine {
             up: true,
             session: 1,
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -18,10 +18,10 @@
 use tokio_util::task::TaskTracker;
 use wire::{Changes, Event, Item, Items, JobSpec, JobState, JobStatus, Lease, LeaseRequest, Op, Txn};
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Operators, Peer, Settings};
-use crate::{engine, front, state_duty};
+use crate::{api, reconcile, state_duty};
 
 /// What a controller meets at the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -256,7 +256,7 @@
     }
 
     /// One of `size` controllers, without any duty yet.
-    pub async fn controller(&self, n: usize, size: usize, incarnation: u64) -> (Node, Arc<Door>) {
+    pub async fn controller(&self, n: usize, size: usize, incarnation: u64) -> (Controller, Arc<Door>) {
         let (door, addr) = self.door().await;
         let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
         settings.node_name = format!("n-{n}");
@@ -267,26 +267,29 @@
         settings.peers =
             others.map(|p| Peer { node_name: format!("n-{p}"), address: "127.0.0.1:1".into() }).collect();
         (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e4, 1e4);
-        (Node::new(settings, Operators::default(), incarnation), door)
+        (Controller::new(settings, Operators::default(), incarnation), door)
     }
 
     /// One that follows the records, and knows them.
-    pub async fn follower(&self, n: usize, size: usize) -> (Node, Arc<Door>) {
-        let (node, door) = self.controller(n, size, 1 + n as u64).await;
-        follow(&node);
-        assert!(soon(20, || node.core().ready).await);
-        (node, door)
+    pub async fn follower(&self, n: usize, size: usize) -> (Controller, Arc<Door>) {
+        let (controller, door) = self.controller(n, size, 1 + n as u64).await;
+        follow(&controller);
+        assert!(soon(20, || controller.core().ready).await);
+        (controller, door)
     }
 
     /// These controllers are live, the first of them leads.
-    pub fn elect(&self, nodes: &[&Node], epoch: u64) {
+    pub fn elect(&self, nodes: &[&Controller], epoch: u64) {
         let mut store = self.store();
         let live = nodes.iter().map(|n| n.me.clone()).collect();
         store.put(Put::new(key::MAP.into(), &MapRecord { epoch, live }));
         store.put(Put::new(key::LEADER.into(), &nodes[0].me));
-        for node in nodes {
-            store.put(Put::new(key::member(&node.me.name), &node.me));
-            store.put(Put::new(key::upgraded(&node.me.name), &Upgraded { form: FORM }));
+        for controller in nodes {
+            store.put(Put::new(key::member(&controller.me.name), &controller.me));
+            store.put(Put::new(
+                key::upgraded(&controller.me.name),
+                &Upgraded { schema_version: SCHEMA_VERSION },
+            ));
         }
     }
 
@@ -299,9 +302,9 @@
 }
 
 /// Starts the duties that keep the mirror.
-pub fn follow(node: &Node) {
-    node.spawn_duty(state_duty::mirror(node.clone()));
-    node.spawn_duty(state_duty::verifier(node.clone()));
+pub fn follow(controller: &Controller) {
+    controller.spawn_duty(state_duty::mirror(controller.clone()));
+    controller.spawn_duty(state_duty::verifier(controller.clone()));
 }
 
 /// Whether something comes about within so many seconds.
@@ -316,29 +319,34 @@
 }
 
 /// The mirror has all that there is, and by itself.
-pub async fn caught_up(service: &Service, node: &Node) {
+pub async fn caught_up(service: &Service, controller: &Controller) {
     let revision = service.store().revision;
-    assert!(node.reach(revision, Duration::from_secs(20)).await);
+    assert!(controller.reach(revision, Duration::from_secs(20)).await);
 }
 
-pub async fn ask(node: &Node, method: &str, path: &str, body: Vec<u8>) -> (u16, Option<JobStatus>) {
+pub async fn ask(
+    controller: &Controller,
+    method: &str,
+    path: &str,
+    body: Vec<u8>,
+) -> (u16, Option<JobStatus>) {
     let request = Request { method: method.into(), path: path.into(), body: body.into() };
-    let reply = front::serve(node.clone(), request).await;
+    let reply = api::serve(controller.clone(), request).await;
     (reply.status, wire::decode(&reply.body).ok())
 }
 
-pub async fn submit_once(node: &Node, spec: &JobSpec) -> (u16, Option<JobState>) {
-    let (status, job) = ask(node, "POST", "/v1/jobs", wire::encode(spec)).await;
+pub async fn submit_once(controller: &Controller, spec: &JobSpec) -> (u16, Option<JobState>) {
+    let (status, job) = ask(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
     (status, job.map(|j| j.state))
 }
 
-pub async fn state_once(node: &Node, id: &str) -> (u16, Option<JobState>) {
-    let (status, job) = ask(node, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await;
+pub async fn state_once(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+    let (status, job) = ask(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await;
     (status, job.map(|j| j.state))
 }
 
-pub async fn cancel_once(node: &Node, id: &str) -> (u16, Option<JobState>) {
-    let (status, job) = ask(node, "POST", &format!("/v1/jobs/{id}/withdraw"), Vec::new()).await;
+pub async fn cancel_once(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+    let (status, job) = ask(controller, "POST", &format!("/v1/jobs/{id}/withdraw"), Vec::new()).await;
     (status, job.map(|j| j.state))
 }
 
@@ -355,26 +363,26 @@
     }
 }
 
-pub async fn submit(node: &Node, spec: &JobSpec) -> (u16, Option<JobState>) {
-    again(async || submit_once(node, spec).await).await
+pub async fn submit(controller: &Controller, spec: &JobSpec) -> (u16, Option<JobState>) {
+    again(async || submit_once(controller, spec).await).await
 }
 
-pub async fn state(node: &Node, id: &str) -> (u16, Option<JobState>) {
-    again(async || state_once(node, id).await).await
+pub async fn state(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+    again(async || state_once(controller, id).await).await
 }
 
-pub async fn cancel(node: &Node, id: &str) -> (u16, Option<JobState>) {
-    again(async || cancel_once(node, id).await).await
+pub async fn cancel(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+    again(async || cancel_once(controller, id).await).await
 }
 
 /// One round of a controller, committed.
-pub async fn round(node: &Node) {
+pub async fn round(controller: &Controller) {
     let decided = {
-        let mut core = node.core();
-        let ops = node.plan().txn_ops;
-        engine::decide(node, &mut core, false, ops, Instant::now(), crate::node::wall_ms())
+        let mut core = controller.core();
+        let ops = controller.plan().txn_ops;
+        reconcile::decide(controller, &mut core, false, ops, Instant::now(), crate::controller::wall_ms())
     };
     if let Some(round) = decided {
-        engine::commit(node, round).await;
+        reconcile::commit(controller, round).await;
     }
 }
--- a/crates/net/tests/unit/server.rs
+++ b/crates/net/tests/unit/server.rs
@@ -46,3 +46,44 @@
     assert_eq!(connections.take_closed(), 0);
     stop.cancel();
 }
+
+/// Four thousand workers report to the one controller that is left, which has far fewer
+/// sockets: they are served in turns, none of them is refused, and neither are health checks.
+#[tokio::test]
+async fn thousands_of_workers_are_served_in_turns() {
+    const WORKERS: usize = 4000;
+    const AT_ONCE: usize = 20;
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let addr = listener.local_addr().expect("an address");
+    let share_of = |path: &str| usize::from(path != "/hello");
+    let connections = Arc::new(Connections::new(160, &[("workers", 100), ("users", 30)], share_of));
+    let handler = |_| async { Reply::new(200, &"fine") };
+    let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
+    tokio::spawn(serve(listener, connections.clone(), 1 << 16, handler, stop.clone(), tasks));
+    let mut kept: Vec<Option<TcpStream>> = (0..WORKERS).map(|_| None).collect();
+    for _ in 0..2 {
+        for some in kept.chunks_mut(AT_ONCE) {
+            let mut reports = Vec::new();
+            for stream in some.iter_mut() {
+                let stream = stream.take();
+                reports.push(tokio::spawn(async move {
+                    let mut stream = match stream {
+                        Some(stream) => stream,
+                        None => TcpStream::connect(addr).await.expect("accepted"),
+                    };
+                    let answer = ask(&mut stream, "/hello").await;
+                    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+                    (!answer.contains("connection: close")).then_some(stream)
+                }));
+            }
+            for (stream, report) in some.iter_mut().zip(reports) {
+                *stream = report.await.expect("answered");
+            }
+            let mut check = TcpStream::connect(addr).await.expect("accepted");
+            assert!(ask(&mut check, "/healthz").await.starts_with("HTTP/1.1 200"));
+        }
+        assert!(kept.iter().flatten().count() <= 100);
+    }
+    assert_eq!(connections.take_closed(), 0, "none was refused");
+    stop.cancel();
+}
--- a/crates/sched/src/compact.rs
+++ b/crates/sched/src/compact.rs
@@ -229,5 +229,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/packed.rs"]
+#[path = "../tests/unit/compact.rs"]
 mod tests;
--- a/crates/sched/src/inventory.rs
+++ b/crates/sched/src/inventory.rs
@@ -53,21 +53,23 @@
 /// and brought up to date by what has changed; what a round gives away is undone after it, as
 /// the records will tell what of it was committed.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Inventory {
     /// All machines that have an owner and are not being given back, in the order of their
-    /// names. What is used is changed by [`Board::take`] only.
+    /// names. What is used is changed by [`Inventory::take`] only.
     pub slots: Vec<Slot>,
     pub team_use: HashMap<String, Amount>,
     /// The usable machines that are alike. Choosing looks at one of each: at every machine for
     /// every job, a round cost millions of instructions on a site of a thousand.
     pub(crate) alike: BTreeMap<Alike, BTreeSet<usize>>,
+    /// The machines' places among the slots.
+    positions: HashMap<Name, usize>,
     /// Of which set of machines, owners and types it was made.
     layout: u64,
-    /// What was in use of the slots that were changed since [`Board::begin`], in that order.
+    /// What was in use of the slots that were changed since [`Inventory::begin`], in that order.
     undo: Vec<(usize, Amount)>,
 }
 
-impl Board {
+impl Inventory {
     /// All machines, of which those may be used that `usable` admits.
     pub fn new(world: &World, usable: impl Fn(&str) -> bool) -> Self {
         Self::made_of(world, |id, _| usable(id))
@@ -118,10 +120,12 @@
             }
             slots.push(slot);
         }
-        Self { slots, team_use: world.team_use.clone(), alike, layout: world.layout(), undo: Vec::new() }
+        let positions = slots.iter().enumerate().map(|(i, s)| (s.id.clone(), i)).collect();
+        let team_use = world.team_use.clone();
+        Self { slots, team_use, alike, positions, layout: world.layout(), undo: Vec::new() }
     }
 
-    /// Brings the board up to date: by the machines on which something has changed, and by
+    /// Brings the inventory up to date: by the machines on which something has changed, and by
     /// `usable`, which is asked for each machine in the order of the names, with its owner's
     /// incarnation. Made anew only if machines, owners or types are others.
     pub fn refresh(&mut self, world: &mut World, mut usable: impl FnMut(&Name, u64) -> bool) {
@@ -131,7 +135,7 @@
             return;
         }
         for id in changed {
-            if let Ok(i) = self.position(&id) {
+            if let Some(i) = self.positions.get(&id).copied() {
                 self.set_used(i, world.machine_use.get(&id).copied().unwrap_or_default());
             }
         }
@@ -150,7 +154,7 @@
         self.undo.clear();
     }
 
-    /// All that was given away on the machines since [`Board::begin`] is free again, to the
+    /// All that was given away on the machines since [`Inventory::begin`] is free again, to the
     /// last bit of each number.
     pub fn roll_back(&mut self) {
         while let Some((i, used)) = self.undo.pop() {
@@ -158,13 +162,9 @@
         }
     }
 
-    fn position(&self, machine: &str) -> Result<usize, usize> {
-        self.slots.binary_search_by(|s| (*s.id).cmp(machine))
-    }
-
     /// A machine's place among the slots, if it may be used.
     pub fn find(&self, machine: &str) -> Option<usize> {
-        self.position(machine).ok().filter(|i| self.slots[*i].usable)
+        self.positions.get(machine).copied().filter(|i| self.slots[*i].usable)
     }
 
     /// The machines that may be used.
@@ -282,5 +282,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/board.rs"]
+#[path = "../tests/unit/inventory.rs"]
 mod tests;
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,12 +1,12 @@
 //! The decisions of sageloom, without any input or output: callers pass in what
 //! is known and what time it is.
 
-mod board;
+mod compact;
 pub mod drain;
 pub mod fleet;
 pub mod forecast;
 pub mod hash;
-mod packed;
+mod inventory;
 pub mod pipeline;
 pub mod placement;
 pub mod preempt;
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -5,9 +5,9 @@
 
 use wire::{JobKind, JobSpec};
 
-use crate::board::Candidates;
-pub use crate::board::{Board, Slot};
 use crate::hash::HashMap;
+use crate::inventory::Candidates;
+pub use crate::inventory::{Inventory, Slot};
 use crate::records::{Assignment, JobRecord, Name, Phase, Want};
 use crate::world::{Amount, Team, World};
 
@@ -69,34 +69,34 @@
 }
 
 /// Places as many of the job's pending tasks as there is room for, all or none
-/// for a gang, at most `most`. The job and the board are changed to match. `within` must
+/// for a gang, at most `most`. The job and the inventory are changed to match. `within` must
 /// not tell machines apart of the same owner, type, zone and purchase with the same in use.
 pub fn place(
     world: &World,
-    board: &mut Board,
+    inventory: &mut Inventory,
     job: &mut JobRecord,
     team: &Team,
     within: impl Fn(&Slot) -> bool,
     limits: Limits,
 ) -> Vec<Assignment> {
-    place_on(world, board, job, team, (within, None), limits)
+    place_on(world, inventory, job, team, (within, None), limits)
 }
 
 /// The same on machines of these names only.
 pub fn place_at(
     world: &World,
-    board: &mut Board,
+    inventory: &mut Inventory,
     job: &mut JobRecord,
     team: &Team,
     machines: &[Name],
     limits: Limits,
 ) -> Vec<Assignment> {
-    place_on(world, board, job, team, (|_: &Slot| true, Some(machines)), limits)
+    place_on(world, inventory, job, team, (|_: &Slot| true, Some(machines)), limits)
 }
 
 fn place_on(
     world: &World,
-    board: &mut Board,
+    inventory: &mut Inventory,
     job: &mut JobRecord,
     team: &Team,
     (within, only): (impl Fn(&Slot) -> bool, Option<&[Name]>),
@@ -115,7 +115,7 @@
     }
     let most = if gang { usize::MAX } else { most };
     let size = Amount::of_task(&spec);
-    let in_use = board.team_use.get(&spec.team).copied().unwrap_or_default();
+    let in_use = inventory.team_use.get(&spec.team).copied().unwrap_or_default();
     let quota = size.times_in(team.limit().plus(Amount { memory_gb: 0.0, ..in_use }, -1.0)) as usize;
     let horizon = job.done.first_missing().saturating_add(window);
     let wanted: Vec<u32> = pending(job).take_while(|t| *t < horizon).take(most.min(quota)).collect();
@@ -126,13 +126,13 @@
     let apart = gang && spec.tasks > 1 && limits.gang_wait_s > 0.0 && job.run.is_empty();
     // Only these are chosen by more than a machine's own rank.
     let list: Option<Vec<usize>> = (spec.one_zone || apart || only.is_some()).then(|| {
-        let stays_away = |i: &usize| !job.left.contains(&board.slots[*i].id);
+        let stays_away = |i: &usize| !job.left.contains(&inventory.slots[*i].id);
         match only {
             Some(machines) => {
-                let all: BTreeSet<usize> = machines.iter().filter_map(|m| board.find(m)).collect();
-                all.into_iter().filter(|i| may(&board.slots[*i])).filter(stays_away).collect()
+                let all: BTreeSet<usize> = machines.iter().filter_map(|m| inventory.find(m)).collect();
+                all.into_iter().filter(|i| may(&inventory.slots[*i])).filter(stays_away).collect()
             }
-            None => board.matching(may).into_iter().filter(stays_away).collect(),
+            None => inventory.matching(may).into_iter().filter(stays_away).collect(),
         }
     });
     let attempt = match gang {
@@ -140,7 +140,7 @@
         true => job.attempt,
         false => job.attempt.max(1),
     };
-    let choose = |candidates| choose(world, board, job, &spec, candidates, &wanted, limits);
+    let choose = |candidates| choose(world, inventory, job, &spec, candidates, &wanted, limits);
     let whole = |list: &[usize]| {
         if !spec.one_zone {
             return choose(Candidates::list(list));
@@ -148,18 +148,18 @@
         // All tasks of a one-zone job share the zone of those that are still out.
         let zones: BTreeSet<Name> = match zone_of(world, job) {
             Some(z) => [z].into(),
-            None => list.iter().map(|&i| board.slots[i].zone.clone()).collect(),
+            None => list.iter().map(|&i| inventory.slots[i].zone.clone()).collect(),
         };
         let tries = zones.iter().map(|z| {
-            let here: Vec<usize> = list.iter().copied().filter(|&i| board.slots[i].zone == *z).collect();
+            let here: Vec<usize> = list.iter().copied().filter(|&i| inventory.slots[i].zone == *z).collect();
             choose(Candidates::list(&here))
         });
         tries.max_by_key(Vec::len).unwrap_or_default()
     };
     let chosen = match &list {
-        None => choose(board.candidates(world, job, &spec, may)),
+        None => choose(inventory.candidates(world, job, &spec, may)),
         Some(list) if apart => {
-            let sets = ready_together(world, board, &spec, list, limits.gang_wait_s);
+            let sets = ready_together(world, inventory, &spec, list, limits.gang_wait_s);
             let of_sets = sets.iter().map(|s| whole(s)).find(|c| c.len() == wanted.len());
             // Better to try than to wait for ever.
             let tries = waited_s(job, now_ms) >= TRY_ANYHOW_S;
@@ -180,11 +180,11 @@
     let placed: Vec<Assignment> = chosen
         .into_iter()
         .map(|(task, i)| {
-            board.take(i, size, 1.0);
-            Assignment { task, attempt, machine: board.slots[i].id.clone(), want: Want::Run }
+            inventory.take(i, size, 1.0);
+            Assignment { task, attempt, machine: inventory.slots[i].id.clone(), want: Want::Run }
         })
         .collect();
-    let used = board.team_use.entry(spec.team.clone()).or_default();
+    let used = inventory.team_use.entry(spec.team.clone()).or_default();
     *used = used.plus(size, placed.len() as f64);
     job.attempt = attempt;
     job.run.extend(placed.iter().cloned());
@@ -209,7 +209,7 @@
 /// and the next try is no better.
 fn ready_together(
     world: &World,
-    board: &Board,
+    inventory: &Inventory,
     spec: &JobSpec,
     candidates: &[usize],
     gang_wait_s: f64,
@@ -217,7 +217,7 @@
     let times: Vec<(usize, f64, f64)> = candidates
         .iter()
         .map(|&i| {
-            let s = &board.slots[i];
+            let s = &inventory.slots[i];
             let there = world.has_image(&s.id, &spec.image);
             let (early, late) = if there { (0.0, 0.0) } else { fetch_s(spec, s.gb_per_s) };
             (i, early, late)
@@ -233,7 +233,7 @@
     let mut sets: Vec<Vec<usize>> = starts.iter().map(set).filter(|s| !s.is_empty()).collect();
     // On one machine there is one fetch for all.
     let size = Amount::of_task(spec);
-    let one = candidates.iter().find(|&&i| size.times_in(board.slots[i].free()) >= spec.tasks);
+    let one = candidates.iter().find(|&&i| size.times_in(inventory.slots[i].free()) >= spec.tasks);
     sets.extend(one.map(|i| vec![*i]));
     sets
 }
@@ -260,12 +260,12 @@
 
 /// The free places that a gang could use once there are enough: of one zone, the
 /// one with most of them, if all its tasks have to be in one.
-pub fn collect(board: &Board, spec: &JobSpec, within: impl Fn(&Slot) -> bool) -> Vec<Name> {
+pub fn collect(inventory: &Inventory, spec: &JobSpec, within: impl Fn(&Slot) -> bool) -> Vec<Name> {
     let size = Amount::of_task(spec);
     let mut places: BTreeMap<&str, Vec<&Name>> = BTreeMap::new();
     let suits =
         |s: &Slot| size.fits(s.free()) && allowed(spec, &s.machine_type, &s.zone, s.spot) && within(s);
-    for s in board.matching(suits).into_iter().map(|i| &board.slots[i]) {
+    for s in inventory.matching(suits).into_iter().map(|i| &inventory.slots[i]) {
         let zone = if spec.one_zone { &*s.zone } else { "" };
         let n = size.times_in(s.free()).min(spec.tasks) as usize;
         places.entry(zone).or_default().extend(std::iter::repeat_n(&s.id, n));
@@ -275,14 +275,14 @@
 }
 
 /// The machines that would take so many tasks of a job that is yet to come.
-pub fn room_for(world: &World, board: &Board, spec: &JobSpec, tasks: u32, now_ms: u64) -> Vec<Name> {
+pub fn room_for(world: &World, inventory: &Inventory, spec: &JobSpec, tasks: u32, now_ms: u64) -> Vec<Name> {
     let job = JobRecord::new(spec.clone(), None, 0);
     let may = |s: &Slot| allowed(spec, &s.machine_type, &s.zone, s.spot);
-    let candidates = board.candidates(world, &job, spec, may);
+    let candidates = inventory.candidates(world, &job, spec, may);
     let wanted: Vec<u32> = (0..tasks).collect();
     let limits = Limits { most: wanted.len(), window: tasks, lossy: true, gang_wait_s: 0.0, now_ms };
-    let chosen = choose(world, board, &job, spec, candidates, &wanted, limits);
-    chosen.into_iter().map(|(_, i)| board.slots[i].id.clone()).collect()
+    let chosen = choose(world, inventory, &job, spec, candidates, &wanted, limits);
+    chosen.into_iter().map(|(_, i)| inventory.slots[i].id.clone()).collect()
 }
 
 /// How many tasks of the usual GPU job a machine loses room for by one task
@@ -311,10 +311,10 @@
     job.run.iter().find_map(|a| world.machines.get(&a.machine)).map(|m| m.value.zone.clone())
 }
 
-/// Chooses a machine for each task in turn, without changing the board.
+/// Chooses a machine for each task in turn, without changing the inventory.
 fn choose(
     world: &World,
-    board: &Board,
+    inventory: &Inventory,
     job: &JobRecord,
     spec: &JobSpec,
     mut candidates: Candidates,
@@ -334,7 +334,7 @@
         }
     }
     let rank = |i: usize, taken: &HashMap<usize, Amount>| -> Option<Rank> {
-        let s = &board.slots[i];
+        let s = &inventory.slots[i];
         let used = taken.get(&i).copied().unwrap_or(s.used);
         if !size.fits(s.whole.plus(used, -1.0)) {
             return None;
@@ -378,7 +378,7 @@
         .collect();
     for (i, run) in heads {
         if let Some(rank) = rank(i, &none) {
-            zones.entry(&*board.slots[i].zone).or_default().push(Reverse((rank, run)));
+            zones.entry(&*inventory.slots[i].zone).or_default().push(Reverse((rank, run)));
         }
     }
     let mut taken: HashMap<usize, Amount> = HashMap::default();
@@ -402,7 +402,7 @@
             rank.then.3 = next;
             heap.push(Reverse((rank, run)));
         }
-        let used = taken.get(&slot).copied().unwrap_or(board.slots[slot].used);
+        let used = taken.get(&slot).copied().unwrap_or(inventory.slots[slot].used);
         taken.insert(slot, used.plus(size, 1.0));
         if let Some(rank) = rank(slot, &taken) {
             heap.push(Reverse((rank, None)));
@@ -480,11 +480,11 @@
     }
     waiting.sort_unstable();
     let mut left = running as f64 * COLLECT_SHARE;
-    let few = waiting.iter().enumerate().take_while(|(i, (.., tasks))| {
+    let served = waiting.iter().enumerate().take_while(|(i, (.., tasks))| {
         left -= f64::from(*tasks);
         *i == 0 || left >= 0.0
     });
-    few.map(|(_, (_, id, _))| *id).collect()
+    served.map(|(_, (_, id, _))| *id).collect()
 }
 
 /// A job's turn. Where more is asked than can be done, serving strictly by age
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -3,7 +3,7 @@
 use wire::{JobKind, JobSpec, Priority};
 
 use crate::hash::HashSet;
-use crate::placement::{Board, Slot, allowed};
+use crate::placement::{Inventory, Slot, allowed};
 use crate::records::{Assignment, JobRecord, Name, Want};
 use crate::world::{Amount, Team, World};
 
@@ -16,14 +16,14 @@
     pub machine: Name,
 }
 
-/// What runs on each machine of a board, gathered once for all the searches of a
+/// What runs on each machine of a inventory, gathered once for all the searches of a
 /// round.
 pub struct Running<'a> {
     slots: Vec<Vec<(&'a str, &'a JobRecord, &'a Assignment, &'a JobSpec)>>,
 }
 
 impl<'a> Running<'a> {
-    pub fn new(world: &'a World, board: &Board) -> Self {
+    pub fn new(world: &'a World, inventory: &Inventory) -> Self {
         let of_slot = |slot: &Slot| {
             if !slot.usable {
                 return Vec::new();
@@ -33,7 +33,7 @@
             };
             world.assignments(&slot.id).filter_map(specs).collect()
         };
-        Self { slots: board.slots.iter().map(of_slot).collect() }
+        Self { slots: inventory.slots.iter().map(of_slot).collect() }
     }
 }
 
@@ -46,7 +46,7 @@
 /// `priority` is the job's own or what it inherits; so it is for those that run.
 pub fn victims(
     running: &Running,
-    board: &Board,
+    inventory: &Inventory,
     (spec, priority): (&JobSpec, Priority),
     guaranteed: &HashSet<&str>,
     chosen_before: &[Victim],
@@ -55,7 +55,7 @@
 ) -> Option<(Name, Vec<Victim>)> {
     let size = Amount::of_task(spec);
     let mut best: Option<(usize, &Name, Vec<Victim>)> = None;
-    for (slot, on_it) in board.slots.iter().zip(&running.slots) {
+    for (slot, on_it) in inventory.slots.iter().zip(&running.slots) {
         if !slot.usable
             || !allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
             || !within(slot)
@@ -119,7 +119,7 @@
 /// what is being stopped already will do.
 pub fn within_team(
     world: &World,
-    board: &Board,
+    inventory: &Inventory,
     (spec, priority): (&JobSpec, Priority),
     tasks: u32,
     team: &Team,
@@ -137,7 +137,8 @@
         for a in &job.run {
             if !job.wants(a) {
                 free = free.plus(flat(Amount::of_task(other)), 1.0);
-            } else if rank < priority && other.kind == JobKind::Array && board.find(&a.machine).is_some() {
+            } else if rank < priority && other.kind == JobKind::Array && inventory.find(&a.machine).is_some()
+            {
                 list.push((rank, id, a, flat(Amount::of_task(other))));
             }
         }
--- a/crates/sched/src/records.rs
+++ b/crates/sched/src/records.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use wire::{JobKind, JobSpec, JobState, MachineType, Priority};
 
-use crate::packed;
+use crate::compact;
 
 /// A machine's name. Many assignments share one.
 pub type Name = Arc<str>;
@@ -70,7 +70,7 @@
 impl From<(u32, String)> for Ranges {
     fn from((prefix, bits): (u32, String)) -> Self {
         let mut out = Self(if prefix > 0 { vec![(0, prefix)] } else { Vec::new() });
-        packed::each_bit(&bits, |i| {
+        compact::each_bit(&bits, |i| {
             // A range ends before a number that has to be one, too.
             if let Some(n) = prefix.checked_add(i).filter(|n| *n < u32::MAX) {
                 out.insert(n);
@@ -84,7 +84,7 @@
     fn from(ranges: Ranges) -> Self {
         let prefix = ranges.first_missing();
         let rest = ranges.0.into_iter().filter(|r| r.0 >= prefix).map(|r| (r.0 - prefix, r.1 - prefix));
-        (prefix, packed::bitmap(rest))
+        (prefix, compact::bitmap(rest))
     }
 }
 
@@ -151,7 +151,7 @@
     #[serde(default, skip_serializing_if = "Ranges::is_empty")]
     pub done: Ranges,
     /// Sorted by task.
-    #[serde(default, skip_serializing_if = "Vec::is_empty", with = "packed::assignments")]
+    #[serde(default, skip_serializing_if = "Vec::is_empty", with = "compact::assignments")]
     pub run: Vec<Assignment>,
     /// Machines that placement avoids, and until what time of day.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -170,7 +170,7 @@
     #[serde(default)]
     pub error_ms: u64,
     /// The jobs that a waiting one needs, but for those that were done before.
-    #[serde(default, skip_serializing_if = "Vec::is_empty", with = "packed::ids")]
+    #[serde(default, skip_serializing_if = "Vec::is_empty", with = "compact::ids")]
     pub needs: Vec<Name>,
     /// When a job that had to wait was accepted: its deadline counts from then, all
     /// else from `submitted_ms`, which is when the last job that it needed was done.
@@ -417,11 +417,12 @@
 /// knows. The version before did not leave any.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upgraded {
-    pub form: u32,
+    #[serde(rename = "form")]
+    pub schema_version: u32,
 }
 
-/// The form with pipelines and records of several values.
-pub const FORM: u32 = 2;
+/// The schema with pipelines and chunked records.
+pub const SCHEMA_VERSION: u32 = 2;
 
 /// Who is entitled to act. Every token given out carries the epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -482,7 +483,7 @@
     #[serde(rename = "a")]
     pub asked_ms: u64,
     /// None: not answered yet.
-    #[serde(rename = "m", with = "packed::names")]
+    #[serde(rename = "m", with = "compact::names")]
     pub machines: Option<Vec<Name>>,
 }
 
@@ -491,7 +492,7 @@
     pub rentals: Vec<Rental>,
     /// Machines whose release the cloud has confirmed, while their own records
     /// are still to be deleted. One change tells of hundreds.
-    #[serde(default, skip_serializing_if = "Option::is_none", with = "packed::names")]
+    #[serde(default, skip_serializing_if = "Option::is_none", with = "compact::names")]
     pub gone: Option<Vec<Name>>,
 }
 
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -7,7 +7,7 @@
 use wire::{JobKind, JobSpec};
 
 use crate::hash::HashMap;
-use crate::placement::{Board, allowed, gpu_loss_at};
+use crate::placement::{Inventory, allowed, gpu_loss_at};
 use crate::records::{AVOID_MAX, Assignment, JobRecord, Name, Want};
 use crate::world::{Amount, World};
 
@@ -48,8 +48,8 @@
 }
 
 /// Finds at most one eviction for each service.
-pub fn scan(world: &World, board: &Board, policy: &Policy, now_ms: u64) -> Vec<Eviction> {
-    let mut board_use: Vec<Amount> = board.slots.iter().map(|s| s.used).collect();
+pub fn scan(world: &World, inventory: &Inventory, policy: &Policy, now_ms: u64) -> Vec<Eviction> {
+    let mut planned_use: Vec<Amount> = inventory.slots.iter().map(|s| s.used).collect();
     let mut out = Vec::new();
     // The least-used fitting machines, for every kind of task met so far.
     let mut least = Vec::new();
@@ -65,25 +65,25 @@
         let size = Amount::of_task(spec);
         let mut in_zone: HashMap<&str, u32> = HashMap::default();
         for a in &job.run {
-            if let Some(i) = board.find(&a.machine) {
-                *in_zone.entry(&*board.slots[i].zone).or_default() += 1;
+            if let Some(i) = inventory.find(&a.machine) {
+                *in_zone.entry(&*inventory.slots[i].zone).or_default() += 1;
             }
         }
         let misplaced = (spec.gpus == 0.0).then(|| {
-            let rooms = Rooms { world, board, used: &board_use, in_zone: &in_zone };
+            let rooms = Rooms { world, inventory, used: &planned_use, in_zone: &in_zone };
             rooms.better_than_gpus(job, spec)
         });
         let kind = (size, &spec.types, &spec.zone, spec.spot);
         if !least.iter().any(|(k, _)| *k == kind) {
-            least.push((kind, least_used(board, &board_use, spec, size)));
+            least.push((kind, least_used(inventory, &planned_use, spec, size)));
         }
         let rooms = least.iter().find(|(k, _)| *k == kind).map(|(_, rooms)| rooms);
         let found = misplaced.flatten().or_else(|| {
             job.run.iter().find_map(|a| {
-                let from = board.find(&a.machine)?;
-                let here = &*board.slots[from].zone;
+                let from = inventory.find(&a.machine)?;
+                let here = &*inventory.slots[from].zone;
                 let mine = in_zone.get(here).copied().unwrap_or(0);
-                let share = board_use[from].share_of(board.slots[from].whole);
+                let share = planned_use[from].share_of(inventory.slots[from].whole);
                 rooms.into_iter().flatten().find_map(|(zone, to, least)| {
                     let there = in_zone.get(*zone).copied().unwrap_or(0);
                     if *to == from {
@@ -99,8 +99,8 @@
             })
         });
         if let Some((a, from, to, reason)) = found {
-            board_use[from] = board_use[from].plus(size, -1.0);
-            board_use[to] = board_use[to].plus(size, 1.0);
+            planned_use[from] = planned_use[from].plus(size, -1.0);
+            planned_use[to] = planned_use[to].plus(size, 1.0);
             least.clear();
             out.push(Eviction { job: id.clone(), task: a.task, machine: a.machine.clone(), reason });
         }
@@ -111,13 +111,13 @@
 /// The least-used machine of each zone that a task of this kind fits on, and the
 /// share that is used of it.
 fn least_used<'a>(
-    board: &'a Board,
+    inventory: &'a Inventory,
     used: &[Amount],
     spec: &JobSpec,
     size: Amount,
 ) -> Vec<(&'a str, usize, f64)> {
     let mut zones: BTreeMap<&str, (usize, f64)> = BTreeMap::new();
-    for (i, s) in board.slots.iter().enumerate() {
+    for (i, s) in inventory.slots.iter().enumerate() {
         let gpus_kept = s.whole.gpus > 0.0 && spec.gpus == 0.0;
         if gpus_kept
             || !s.usable
@@ -138,7 +138,7 @@
 /// Where one service's tasks are, and what room there is.
 struct Rooms<'a> {
     world: &'a World,
-    board: &'a Board,
+    inventory: &'a Inventory,
     used: &'a [Amount],
     in_zone: &'a HashMap<&'a str, u32>,
 }
@@ -152,22 +152,22 @@
         job: &'j JobRecord,
         spec: &JobSpec,
     ) -> Option<(&'j Assignment, usize, usize, &'static str)> {
-        let Self { world, board, used, in_zone } = self;
+        let Self { world, inventory, used, in_zone } = self;
         let size = Amount::of_task(spec);
-        let share = |i: usize| used[i].share_of(board.slots[i].whole);
+        let share = |i: usize| used[i].share_of(inventory.slots[i].whole);
         let on_gpus = job.run.iter().filter_map(|a| {
-            let from = board.find(&a.machine)?;
+            let from = inventory.find(&a.machine)?;
             let only_services = || {
                 let kinds = world.assignments(&a.machine).filter_map(|(_, j, _)| j.spec.as_ref());
                 kinds.map(|s| s.kind).all(|k| k == JobKind::Service)
             };
-            (board.slots[from].whole.gpus > 0.0 && only_services()).then_some((a, from))
+            (inventory.slots[from].whole.gpus > 0.0 && only_services()).then_some((a, from))
         });
         let (a, from) = on_gpus.min_by(|x, y| share(x.1).total_cmp(&share(y.1)))?;
-        let here = &*board.slots[from].zone;
+        let here = &*inventory.slots[from].zone;
         let mine = in_zone.get(here).copied().unwrap_or(0);
-        let to = (0..board.slots.len()).find(|&i| {
-            let s = &board.slots[i];
+        let to = (0..inventory.slots.len()).find(|&i| {
+            let s = &inventory.slots[i];
             let there = in_zone.get(&*s.zone).copied().unwrap_or(0);
             let lossless = || gpu_loss_at(world, spec, s, used[i]) == 0;
             i != from
--- a/crates/sched/tests/unit/alike.rs
+++ b/crates/sched/tests/unit/alike.rs
@@ -91,24 +91,24 @@
             };
             let mine = draw.one_in(3);
             let within = |s: &Slot| !mine || s.owner == 1;
-            let (mut board, mut other) = (Board::new(&w, |_| true), Board::new(&w, |_| true));
+            let (mut inventory, mut other) = (Inventory::new(&w, |_| true), Inventory::new(&w, |_| true));
             let all: Vec<Name> = other.slots.iter().filter(|s| within(s)).map(|s| s.id.clone()).collect();
             let (mut by_kind, mut by_each) = (job.clone(), job);
             // Twice, as what was placed changes who is alike.
             for _ in 0..2 {
-                let a = place(&w, &mut board, &mut by_kind, &team(), within, limits);
+                let a = place(&w, &mut inventory, &mut by_kind, &team(), within, limits);
                 let b = place_at(&w, &mut other, &mut by_each, &team(), &all, limits);
                 assert_eq!(a, b);
                 assert_eq!(by_kind, by_each);
                 placed += a.len();
             }
-            let used = |b: &Board| b.slots.iter().map(|s| s.used).collect::<Vec<_>>();
-            assert_eq!(used(&board), used(&other));
-            // Who is alike is the same as if the board were made of what is used now.
-            for (alike, set) in &board.alike {
-                assert!(!set.is_empty() && set.iter().all(|i| board.slots[*i].alike() == *alike));
+            let used = |b: &Inventory| b.slots.iter().map(|s| s.used).collect::<Vec<_>>();
+            assert_eq!(used(&inventory), used(&other));
+            // Who is alike is the same as if the inventory were made of what is used now.
+            for (alike, set) in &inventory.alike {
+                assert!(!set.is_empty() && set.iter().all(|i| inventory.slots[*i].alike() == *alike));
             }
-            assert_eq!(board.alike.values().map(BTreeSet::len).sum::<usize>(), board.slots.len());
+            assert_eq!(inventory.alike.values().map(BTreeSet::len).sum::<usize>(), inventory.slots.len());
             let id = by_kind.spec.as_ref().map(|s| s.id.clone()).expect("open");
             w.apply(Change::Job(id, Some(Box::new(by_kind))), 2);
         }
--- a/crates/sched/tests/unit/inventory.rs
+++ b/crates/sched/tests/unit/inventory.rs
@@ -1,4 +1,4 @@
-//! A board that is kept up to date is the one that would be made anew.
+//! A inventory that is kept up to date is the one that would be made anew.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,14 +10,14 @@
 use crate::world::Change;
 use wire::JobKind;
 
-fn assert_same(kept: &Board, new: &Board) {
-    let of = |b: &Board| {
+fn assert_same(kept: &Inventory, new: &Inventory) {
+    let of = |b: &Inventory| {
         let slot = |s: &Slot| (s.id.clone(), s.owner, s.used, s.usable);
         b.slots.iter().map(slot).collect::<Vec<_>>()
     };
     assert_eq!(of(kept), of(new));
     // The numbers of kinds may differ, who is alike may not.
-    let alike = |b: &Board| b.alike.values().cloned().collect::<BTreeSet<_>>();
+    let alike = |b: &Inventory| b.alike.values().cloned().collect::<BTreeSet<_>>();
     assert_eq!(alike(kept), alike(new));
     assert_eq!(kept.team_use, new.team_use);
 }
@@ -27,7 +27,7 @@
     let mut draw = Draw(11);
     let machines = 50;
     let mut world = site(&mut draw, machines);
-    let mut board = Board::default();
+    let mut inventory = Inventory::default();
     let unusable: RefCell<BTreeSet<String>> = RefCell::default();
     let name = |n: usize| format!("h-{n:03}");
     let (mut kept, mut made) = (0, 0);
@@ -68,20 +68,20 @@
             }
             _ => {}
         }
-        let before = board.layout;
-        board.refresh(&mut world, |id, _| !unusable.borrow().contains(&**id));
-        let new = Board::new(&world, |id| !unusable.borrow().contains(id));
-        assert_same(&board, &new);
-        *(if board.layout == before { &mut kept } else { &mut made }) += 1;
+        let before = inventory.layout;
+        inventory.refresh(&mut world, |id, _| !unusable.borrow().contains(&**id));
+        let new = Inventory::new(&world, |id| !unusable.borrow().contains(id));
+        assert_same(&inventory, &new);
+        *(if inventory.layout == before { &mut kept } else { &mut made }) += 1;
         // What a round gives away is gone after it.
-        board.begin();
+        inventory.begin();
         for _ in 0..draw.below(6) {
             let machine: Name = name(draw.below(machines)).as_str().into();
             let size = Amount { cpus: 0.1, gpus: 0.0, memory_gb: 0.3 };
-            board.reserve(&[machine], size, [1.0, -1.0][draw.below(2)]);
+            inventory.reserve(&[machine], size, [1.0, -1.0][draw.below(2)]);
         }
-        board.roll_back();
-        assert_same(&board, &new);
+        inventory.roll_back();
+        assert_same(&inventory, &new);
     }
     assert!(kept > 1000 && made > 20, "{kept} kept, {made} made anew");
 }
--- a/crates/sched/tests/unit/placement.rs
+++ b/crates/sched/tests/unit/placement.rs
@@ -74,14 +74,14 @@
     w.apply(Change::Job(spec.id, Some(Box::new(job))), 2);
 }
 
-pub fn board(w: &World) -> Board {
-    Board::new(w, |_| true)
+pub fn inventory(w: &World) -> Inventory {
+    Inventory::new(w, |_| true)
 }
 
 fn placed(w: &World, id: &str, team: &Team) -> Vec<(u32, String)> {
     let mut job = w.jobs[id].value.as_ref().clone();
     let limits = Limits { most: 100, window: 1000, lossy: false, gang_wait_s: 0.0, now_ms: 1000 };
-    let list = place(w, &mut board(w), &mut job, team, |_| true, limits);
+    let list = place(w, &mut inventory(w), &mut job, team, |_| true, limits);
     list.into_iter().map(|a| (a.task, a.machine.to_string())).collect()
 }
 
@@ -176,7 +176,7 @@
         small.id = format!("j-{n}");
         add(&mut w, small.clone(), &[]);
         version += 1;
-        let mut b = board(&w);
+        let mut b = inventory(&w);
         for id in w.open.clone() {
             let mut job = w.jobs[&id].value.as_ref().clone();
             let spec = job.spec.clone().expect("open");
@@ -205,16 +205,16 @@
     job.end(1, 1, End::Lost, 0, 0);
     let limits = Limits { most: 9, window: 9, lossy: false, gang_wait_s: 0.0, now_ms: 1000 };
     let mut whole = job.clone();
-    let placed = place(&w, &mut board(&w), &mut whole, &team(), |_| true, limits);
+    let placed = place(&w, &mut inventory(&w), &mut whole, &team(), |_| true, limits);
     assert_eq!(placed.len(), 1);
     assert_eq!((placed[0].task, placed[0].attempt, &*placed[0].machine), (1, 1, "a2"));
     // Once its tasks say that it broke up, it starts anew, when all is over.
     job.end(0, 1, End::Stopped, 0, 0);
-    let placed = place(&w, &mut board(&w), &mut job, &team(), |_| true, limits);
+    let placed = place(&w, &mut inventory(&w), &mut job, &team(), |_| true, limits);
     assert!(placed.is_empty() && job.run.is_empty(), "one zone holds only one of two now");
     let mut w2 = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     w2.apply(Change::Job("j-1".into(), Some(Box::new(job.clone()))), 9);
-    let placed = place(&w2, &mut board(&w2), &mut job, &team(), |_| true, limits);
+    let placed = place(&w2, &mut inventory(&w2), &mut job, &team(), |_| true, limits);
     assert_eq!(placed.iter().map(|a| a.attempt).collect::<Vec<_>>(), [2, 2]);
 }
 
@@ -260,7 +260,7 @@
     let on = |w: &World, now_ms| -> Vec<String> {
         let mut job = w.jobs["j-2"].value.as_ref().clone();
         let limits = Limits { most: 9, window: 9, lossy: false, gang_wait_s: 30.0, now_ms };
-        let placed = place(w, &mut board(w), &mut job, &team(), |_| true, limits);
+        let placed = place(w, &mut inventory(w), &mut job, &team(), |_| true, limits);
         placed.into_iter().map(|a| a.machine.to_string()).collect()
     };
     assert_eq!(on(&w, 1000), ["a2", "a3"], "a1 has the image, the others take 40 s");
@@ -289,18 +289,18 @@
     assert_eq!(job.run.iter().map(|a| a.want).collect::<Vec<_>>(), [Want::Run], "it goes on fetching");
     w.apply(Change::Job("j-1".into(), Some(Box::new(job.clone()))), 3);
     let limits = Limits { most: 9, window: 9, lossy: false, gang_wait_s: 30.0, now_ms: 1000 };
-    let placed = place(&w, &mut board(&w), &mut job, &team(), |_| true, limits);
+    let placed = place(&w, &mut inventory(&w), &mut job, &team(), |_| true, limits);
     assert_eq!(placed.len(), 1);
     assert_eq!((placed[0].task, placed[0].attempt, &*placed[0].machine), (0, 1, "a3"));
     // Nor may any machine see the same attempt twice.
     let mut alone = w.jobs["j-1"].value.as_ref().clone();
     w.apply(Change::Machine("a3".into(), None), 4);
-    assert!(place(&w, &mut board(&w), &mut alone, &team(), |_| true, limits).is_empty());
+    assert!(place(&w, &mut inventory(&w), &mut alone, &team(), |_| true, limits).is_empty());
     // At last all have given up: the next attempt may be anywhere.
     alone.end(1, 1, End::Alone, 0, 0);
     assert!(alone.run.is_empty() && alone.left.is_empty());
     w.apply(Change::Job("j-1".into(), Some(Box::new(alone.clone()))), 5);
-    let placed = place(&w, &mut board(&w), &mut alone, &team(), |_| true, limits);
+    let placed = place(&w, &mut inventory(&w), &mut alone, &team(), |_| true, limits);
     assert_eq!(placed.iter().map(|a| a.attempt).collect::<Vec<_>>(), [2, 2]);
     for _ in 0..LEFT_MAX {
         job.left.push("x".into());
--- a/crates/sched/tests/unit/preempt.rs
+++ b/crates/sched/tests/unit/preempt.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::{add, board, spec, team, world};
+use crate::placement::tests::{add, inventory, spec, team, world};
 use wire::Priority;
 
 #[test]
@@ -11,7 +11,15 @@
     let s = spec("j-2", JobKind::Array, 1);
     let find = |within: &[&str]| {
         let within = within.iter().copied().collect();
-        victims(&Running::new(&w, &board(&w)), &board(&w), (&s, s.priority), &within, &[], false, |_| true)
+        victims(
+            &Running::new(&w, &inventory(&w)),
+            &inventory(&w),
+            (&s, s.priority),
+            &within,
+            &[],
+            false,
+            |_| true,
+        )
     };
     assert!(find(&[]).is_none(), "same priority, no guarantee");
     assert!(find(&["j-1", "j-2"]).is_none(), "both within their guarantees");
@@ -30,8 +38,8 @@
     s.priority = Priority::High;
     let found = |chosen: &[Victim]| {
         victims(
-            &Running::new(&w, &board(&w)),
-            &board(&w),
+            &Running::new(&w, &inventory(&w)),
+            &inventory(&w),
             (&s, s.priority),
             &HashSet::default(),
             chosen,
@@ -44,8 +52,8 @@
     s.cpus = 4.0;
     assert!(
         victims(
-            &Running::new(&w, &board(&w)),
-            &board(&w),
+            &Running::new(&w, &inventory(&w)),
+            &inventory(&w),
             (&s, s.priority),
             &HashSet::default(),
             &first,
@@ -67,8 +75,8 @@
     let mut s = spec("j-3", JobKind::Service, 1);
     (s.priority, s.cpus) = (Priority::Production, 7.0);
     let found = victims(
-        &Running::new(&w, &board(&w)),
-        &board(&w),
+        &Running::new(&w, &inventory(&w)),
+        &inventory(&w),
         (&s, s.priority),
         &HashSet::default(),
         &[],
@@ -85,9 +93,9 @@
     let mut s = spec("j-2", JobKind::Service, 1);
     s.priority = Priority::Production;
     let limited = Team { cpus_max: 7.0, ..team() };
-    assert_eq!(within_team(&w, &board(&w), (&s, s.priority), 1, &limited).map(|v| v.len()), Some(1));
+    assert_eq!(within_team(&w, &inventory(&w), (&s, s.priority), 1, &limited).map(|v| v.len()), Some(1));
     assert!(
-        within_team(&w, &board(&w), (&s, s.priority), 1, &team()).is_none(),
+        within_team(&w, &inventory(&w), (&s, s.priority), 1, &team()).is_none(),
         "there is room in the limit"
     );
 }
--- a/crates/store/src/chunks.rs
+++ b/crates/store/src/chunks.rs
@@ -31,13 +31,13 @@
 
 /// A record in parts: these are written first, in this order; then the head.
 #[derive(Debug)]
-pub struct Wide {
+pub struct Chunked {
     pub parts: Vec<Put>,
     pub head: Put,
 }
 
 /// Splits a record's value. The nonce must never have been used for this key.
-pub fn split(put: &Put, nonce: u64, value_bytes: usize) -> Option<Wide> {
+pub fn split(put: &Put, nonce: u64, value_bytes: usize) -> Option<Chunked> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, put.value.as_ref()?).ok()?;
     let text = STANDARD_NO_PAD.encode(bytes);
@@ -57,10 +57,10 @@
     parts.reverse();
     let names = Value::Array(vec![Value::from(nonce), Value::from(count)]);
     let head = Value::Map(vec![(Value::from(FIELD), names)]);
-    Some(Wide { parts, head: Put { key: put.key.clone(), value: Some(head), lease: None } })
+    Some(Chunked { parts, head: Put { key: put.key.clone(), value: Some(head), lease: None } })
 }
 
-/// The nonce and the number of parts, if the value is the head of a wide record.
+/// The nonce and the number of parts, if the value is the head of a chunked record.
 fn head_of(value: &Value) -> Option<(String, usize)> {
     let [(field, names)] = value.as_map()?.as_slice() else { return None };
     let [nonce, count] = names.as_array().filter(|_| field.as_str() == Some(FIELD))?.as_slice() else {
@@ -77,7 +77,7 @@
     pending: bool,
 }
 
-/// What is known of wide records: reads changes of keys as changes of records.
+/// What is known of chunked records: reads changes of keys as changes of records.
 #[derive(Default)]
 pub struct Reader {
     heads: HashMap<String, Head>,
@@ -146,7 +146,7 @@
     }
 
     /// Whether a record lies in parts.
-    pub fn is_wide(&self, key: &str) -> bool {
+    pub fn is_chunked(&self, key: &str) -> bool {
         self.heads.contains_key(key)
     }
 
@@ -169,5 +169,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/wide.rs"]
+#[path = "../tests/unit/chunks.rs"]
 mod tests;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,11 +1,11 @@
 //! The state service: client, record encoding, and the write budget.
 
 mod budget;
+mod chunks;
 mod client;
 mod codec;
-mod wide;
 
 pub use budget::Budget;
+pub use chunks::{Chunked, Orphans, Reader, split};
 pub use client::{Outcome, StateClient, StoreError};
 pub use codec::{Put, decode_change, key};
-pub use wide::{Orphans, Reader, Wide, split};
--- a/crates/store/tests/unit/chunks.rs
+++ b/crates/store/tests/unit/chunks.rs
@@ -6,7 +6,7 @@
     FleetRecord { rentals: Vec::new(), gone: Some(gone) }
 }
 
-fn wide(nonce: u64) -> Wide {
+fn wide(nonce: u64) -> Chunked {
     split(&Put::new(key::FLEET.into(), &large()), nonce, 500).expect("parts")
 }
 
@@ -56,5 +56,5 @@
     assert_eq!(Some(first), old.parts.last().map(|p| &p.key), "the first part is written last, gone first");
     reader.take(key::FLEET, Put::new(key::FLEET.into(), &FleetRecord::default()).value, 3);
     assert_eq!(nonces(&reader), ["7", "8"], "it fits into one value again");
-    assert!(!reader.is_wide(key::FLEET));
+    assert!(!reader.is_chunked(key::FLEET));
 }
