--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -23,6 +23,7 @@
 pub use crate::clock::wall_ms;
 use crate::limits::{self, Plan, Seen};
 use crate::load::{Counts, Purpose};
+use crate::placer::Guaranteed;
 use crate::read_index::ReadIndexes;
 use crate::settings::{Operators, Settings};
 use crate::worker::{Key, Limits, Worker};
@@ -131,6 +132,9 @@
     pub cpus: HashMap<u64, f64>,
 }
 
+/// How often each machine is looked at whether it may be used. What makes one unusable takes
+/// seconds to show.
+const USABLE_EVERY: Duration = Duration::from_millis(250);
 /// How long a peer's word of its machines counts for giving them up.
 const PEER_WORD_FOR: Duration = Duration::from_secs(4);
 
@@ -207,6 +211,9 @@
     /// Machines that reported and have no record yet.
     pub arrivals: HashMap<Name, MachineRecord>,
     pub inventory: Inventory,
+    /// When it was last asked of each machine whether it may be used.
+    usable_at: Option<Instant>,
+    pub guaranteed: Guaranteed,
     pub given: GivenToParts,
     /// Jobs whose records lie in parts, and when they were last written: each time costs
     /// a change for every part.
@@ -263,6 +270,8 @@
             shunned: HashMap::new(),
             arrivals: HashMap::new(),
             inventory: Inventory::default(),
+            usable_at: None,
+            guaranteed: Guaranteed::default(),
             given: GivenToParts::default(),
             written_in_chunks: HashMap::new(),
             refused: HashMap::new(),
@@ -632,9 +641,15 @@
             })
     }
 
-    /// Brings the inventory up to date: which machines placement may use, by their owners' word.
+    /// Brings the inventory up to date: what is in use, and, a few times a second, which
+    /// machines placement may use by their owners' word.
     pub fn refresh_inventory(&mut self, me: &Member, report: Duration, now: Instant) {
-        let Self { workers, rows, world, inventory, .. } = self;
+        let Self { workers, rows, world, inventory, usable_at, .. } = self;
+        let recent = usable_at.is_some_and(|t| now.saturating_duration_since(t) < USABLE_EVERY);
+        if recent && inventory.refresh_use(world) {
+            return;
+        }
+        *usable_at = Some(now);
         let (mut workers, mut rows) = (InOrder::new(workers), InOrder::new(rows));
         inventory.refresh(world, |machine, owner| match owner == me.incarnation {
             true => workers.get(machine).is_some_and(|w| takes_work(w, report, now)),
--- a/crates/daemon/src/placer.rs
+++ b/crates/daemon/src/placer.rs
@@ -30,13 +30,28 @@
 const RESERVE_FOR: Duration = Duration::from_millis(1800);
 
 /// The open jobs that fit into their teams' guarantees along with the earlier unfinished
-/// jobs of the same team.
-fn guaranteed<'w>(world: &'w World, teams: &[Team]) -> HashSet<&'w str> {
-    let active = |(id, job): (&'w String, &'w JobRecord)| {
-        let spec = job.spec.as_deref().filter(|_| job.phase == Phase::Active)?;
-        Some((job.submitted_ms, id.as_str(), spec))
-    };
-    let mut by_age: Vec<(u64, &str, &JobSpec)> = world.open_jobs().filter_map(active).collect();
+/// jobs of the same team. Kept until the open jobs are others: a job's tasks do not matter.
+#[derive(Debug, Default)]
+pub struct Guaranteed {
+    /// Of which set of open jobs.
+    open_layout: u64,
+    jobs: HashSet<String>,
+}
+
+impl Guaranteed {
+    fn refresh(&mut self, world: &World, teams: &[Team]) {
+        if self.open_layout != world.open_layout() {
+            self.open_layout = world.open_layout();
+            self.jobs = guaranteed(world, teams);
+        }
+    }
+}
+
+fn guaranteed(world: &World, teams: &[Team]) -> HashSet<String> {
+    let mut by_age: Vec<(u64, &str, &JobSpec)> = Vec::new();
+    for (id, job) in world.open_jobs().filter(|(_, job)| job.phase == Phase::Active) {
+        by_age.extend(job.spec.as_deref().map(|spec| (job.submitted_ms, id.as_str(), spec)));
+    }
     by_age.sort_unstable_by_key(|(submitted_ms, id, _)| (*submitted_ms, *id));
     let mut used: HashMap<&str, Amount> = HashMap::default();
     let mut within = HashSet::default();
@@ -45,7 +60,7 @@
         let sum = used.entry(&spec.team).or_default();
         *sum = sum.plus(Amount::of_task(spec).without_memory(), f64::from(spec.tasks));
         if sum.fits(team.guarantee()) {
-            within.insert(id);
+            within.insert(id.to_owned());
         }
     }
     within
@@ -104,8 +119,10 @@
 ) {
     let Budget { now, now_ms, .. } = budget;
     let leads = core.leads(&controller.me);
-    let Core { world, reserved, searched, refused, .. } = core;
+    let Core { world, reserved, searched, refused, guaranteed, .. } = core;
     let world: &World = world;
+    guaranteed.refresh(world, &controller.teams);
+    let guaranteed = &guaranteed.jobs;
     free_what_ended(world, inventory, round);
     reserved.retain(|id, (_, until)| now < *until && queue.contains(id));
     searched.retain(|_, t| now.saturating_duration_since(*t) < SEARCH_PAUSE);
@@ -113,14 +130,13 @@
         let Some(spec) = world.jobs.get(id).and_then(|j| j.value.spec.as_deref()) else { continue };
         inventory.reserve(machines, Amount::of_task(spec), 1.0);
     }
-    let guaranteed = guaranteed(world, &controller.teams);
     let longest: HashSet<&str> = placement::longest_waiting(world, now_ms).into_iter().collect();
-    let queue = in_order(controller, world, queue, &guaranteed, &longest, now_ms);
+    let queue = in_order(controller, world, queue, guaranteed, &longest, now_ms);
     let mut pass = Pass {
         controller,
         world,
         inventory,
-        claims: claims(controller, world, round),
+        claims: claims(controller, world, round, &queue),
         round,
         budget,
         leads,
@@ -162,13 +178,13 @@
     controller: &Controller,
     world: &World,
     queue: Vec<String>,
-    guaranteed: &HashSet<&str>,
+    guaranteed: &HashSet<String>,
     longest: &HashSet<&str>,
     now_ms: u64,
 ) -> Vec<String> {
     let with_turn = |id: String| {
         let job = world.jobs.get(&id)?.value.as_ref();
-        let in_guarantee = guaranteed.contains(id.as_str());
+        let in_guarantee = guaranteed.contains(&id);
         let turn = turn(controller, job, in_guarantee, longest.contains(id.as_str()), now_ms);
         Some((id, job, turn))
     };
@@ -187,7 +203,14 @@
 /// would claim that room at once, be placed there and be stopped again, without end.
 /// Nor is more claimed than arrays could ever leave: replicas end with their jobs only,
 /// and a gang that does not fit beside them would keep arrays out of the rest for good.
-fn claims(controller: &Controller, world: &World, round: &Round) -> Vec<Claim> {
+fn claims(controller: &Controller, world: &World, round: &Round, queue: &[String]) -> Vec<Claim> {
+    let is_array = |id: &String| {
+        let spec = world.jobs.get(id).and_then(|j| j.value.spec.as_ref());
+        spec.is_some_and(|s| s.kind == JobKind::Array)
+    };
+    if !queue.iter().any(is_array) {
+        return Vec::new();
+    }
     let open: Vec<(&JobRecord, &JobSpec)> = world
         .open_jobs()
         .filter_map(|(id, job)| {
@@ -232,7 +255,7 @@
     leads: bool,
     claims: Vec<Claim>,
     /// The jobs that are within their teams' guarantees.
-    guaranteed: HashSet<&'w str>,
+    guaranteed: &'a HashSet<String>,
     /// The gangs that have waited longest, for which room is collected.
     longest: HashSet<&'w str>,
     reserved: &'a mut std::collections::HashMap<String, (Vec<Name>, Instant)>,
@@ -375,7 +398,7 @@
         let whole = |s: &placement::Slot| placement::gpu_loss(world, spec, s) == 0;
         let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
         let asker = (spec, candidate.priority);
-        preempt::victims(running, self.inventory, asker, &self.guaranteed, &[], true, whole).is_some()
+        preempt::victims(running, self.inventory, asker, self.guaranteed, &[], true, whole).is_some()
     }
 
     fn note_placed(&mut self, candidate: &Candidate, job: Box<JobRecord>, placed: Vec<Assignment>) {
@@ -490,7 +513,7 @@
                 running,
                 self.inventory,
                 asker,
-                &self.guaranteed,
+                self.guaranteed,
                 &room.victims,
                 !last_resort,
                 whole,
--- a/crates/sched/src/inventory.rs
+++ b/crates/sched/src/inventory.rs
@@ -125,20 +125,29 @@
         Self { slots, team_use, alike, positions, layout: world.layout(), undo: Vec::new() }
     }
 
-    /// Brings the inventory up to date: by the machines on which something has changed, and by
-    /// `usable`, which is asked for each machine in the order of the names, with its owner's
-    /// incarnation. Made anew only if machines, owners or types are others.
-    pub fn refresh(&mut self, world: &mut World, mut usable: impl FnMut(&Name, u64) -> bool) {
-        let changed = world.take_use_changes();
+    /// Brings up to date what is in use. False if the inventory has to be made anew, as machines,
+    /// owners or types are others.
+    pub fn refresh_use(&mut self, world: &mut World) -> bool {
         if self.layout != world.layout() {
-            *self = Self::made_of(world, usable);
-            return;
+            return false;
         }
-        for id in changed {
+        for id in world.take_use_changes() {
             if let Some(i) = self.positions.get(&id).copied() {
                 self.set_used(i, world.machine_use.get(&id).copied().unwrap_or_default());
             }
         }
+        self.team_use.clone_from(&world.team_use);
+        true
+    }
+
+    /// Brings all up to date. `usable` is asked for each machine in the order of the names, with
+    /// its owner's incarnation.
+    pub fn refresh(&mut self, world: &mut World, mut usable: impl FnMut(&Name, u64) -> bool) {
+        if !self.refresh_use(world) {
+            world.take_use_changes();
+            *self = Self::made_of(world, usable);
+            return;
+        }
         for i in 0..self.slots.len() {
             let slot = &self.slots[i];
             let usable = usable(&slot.id, slot.owner);
@@ -146,7 +155,6 @@
                 self.set_usable(i, usable);
             }
         }
-        self.team_use.clone_from(&world.team_use);
     }
 
     /// From here on it is noted what is given away.
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -48,7 +48,7 @@
     running: &Running,
     inventory: &Inventory,
     (spec, priority): (&JobSpec, Priority),
-    guaranteed: &HashSet<&str>,
+    guaranteed: &HashSet<String>,
     chosen_before: &[Victim],
     spare_gpu_jobs: bool,
     within: impl Fn(&Slot) -> bool,
@@ -75,7 +75,7 @@
             }
             let rank = job.priority().unwrap_or(other.priority);
             let lower = rank < priority;
-            let beyond = guaranteed.contains(spec.id.as_str())
+            let beyond = guaranteed.contains(&spec.id)
                 && !guaranteed.contains(id)
                 && other.team != spec.team
                 && rank <= priority;
--- a/crates/sched/src/world.rs
+++ b/crates/sched/src/world.rs
@@ -152,6 +152,8 @@
     use_changes: BTreeSet<Name>,
     /// Changes with the set of machines, their owners and the types.
     layout: u64,
+    /// Changes with the set of open jobs and their phases.
+    open_layout: u64,
     /// The job that last asked for GPUs: what room on their machines is kept for.
     pub gpu_spec: Option<Box<JobSpec>>,
     /// When it was submitted, by the time of day.
@@ -264,10 +266,19 @@
         self.layout
     }
 
+    /// A number that stands for the set of open jobs and their phases, like [`World::layout`].
+    pub fn open_layout(&self) -> u64 {
+        self.open_layout
+    }
+
     fn new_layout(&mut self) {
         self.layout = LAYOUTS.fetch_add(1, Ordering::Relaxed);
     }
 
+    fn new_open_layout(&mut self) {
+        self.open_layout = LAYOUTS.fetch_add(1, Ordering::Relaxed);
+    }
+
     fn find_owners(&mut self) {
         self.new_layout();
         self.all_touched = true;
@@ -342,7 +353,7 @@
                 let left = self.pipelines.leave(&id);
                 let record = record.map(|r| self.enter_pipelines(&id, r, old.as_ref().map(|o| &*o.value)));
                 self.account(&id, old.as_ref().map(|o| o.value.as_ref()), record.as_deref());
-                self.open.remove(&id);
+                let was_open = self.open.remove(&id);
                 let (phase, needs) = match &record {
                     Some(r) => (Some(r.phase), r.needs.clone()),
                     None => (None, Vec::new()),
@@ -359,6 +370,9 @@
                     }
                     self.jobs.insert(id.clone(), Versioned { value, version });
                 }
+                if phase != before || was_open != self.open.contains(&id) {
+                    self.new_open_layout();
+                }
                 if phase == Some(Phase::Waiting) {
                     self.pass_on(&id);
                 } else {
@@ -484,6 +498,7 @@
             job.value.begin(ended.max().unwrap_or(0));
             self.jobs.insert(ready.to_string(), job);
             self.open.insert(ready.to_string());
+            self.new_open_layout();
         }
     }
 
--- a/crates/sched/tests/unit/preempt.rs
+++ b/crates/sched/tests/unit/preempt.rs
@@ -10,7 +10,7 @@
     add(&mut w, old, &[(0, "a1"), (1, "a1"), (2, "a1"), (3, "a1")]);
     let s = spec("j-2", JobKind::Array, 1);
     let find = |within: &[&str]| {
-        let within = within.iter().copied().collect();
+        let within = within.iter().map(|s| (*s).to_owned()).collect();
         victims(
             &Running::new(&w, &inventory(&w)),
             &inventory(&w),
