--- a/crates/daemon/src/api.rs
+++ b/crates/daemon/src/api.rs
@@ -13,10 +13,11 @@
 use wire::{Condition, JobKind, JobSpec, JobState, JobStatus, Redirect, Report, ReportAnswer};
 
 use crate::clock;
-use crate::controller::{Controller, Core, GivenToParts, wall_ms};
+use crate::controller::{Controller, wall_ms};
 use crate::load::{Counts, Purpose, sample_names};
 use crate::peers;
 use crate::placer;
+use crate::state::{Core, GivenToParts};
 use crate::worker::{Worker, final_stops, first_token};
 
 pub async fn serve(controller: Controller, request: Request) -> Reply {
--- a/crates/daemon/src/fleet_duty.rs
+++ b/crates/daemon/src/fleet_duty.rs
@@ -14,8 +14,9 @@
 
 use crate::clock;
 use crate::commit::Sweeper;
-use crate::controller::{Controller, Core, wall_ms};
+use crate::controller::{Controller, wall_ms};
 use crate::load::Purpose;
+use crate::state::Core;
 
 mod rentals;
 mod returns;
--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/fleet_duty/rentals.rs
@@ -16,8 +16,9 @@
 
 use super::{Fleet, is_view_fresh, names, names_left, spare_spec, write};
 use crate::clock;
-use crate::controller::{Controller, Core, wall_ms};
+use crate::controller::{Controller, wall_ms};
 use crate::load::sample_names;
+use crate::state::Core;
 
 /// Most kinds of machines asked for between two looks at what is wanted.
 const RENT_AT_ONCE: usize = 6;
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/fleet_duty/returns.rs
@@ -17,8 +17,9 @@
 
 use super::{Fleet, Silent, is_half_full, is_view_fresh, names, names_left, spare_spec, write};
 use crate::clock;
-use crate::controller::{Controller, Core, MachineHealth, MachineView, wall_ms};
+use crate::controller::{Controller, wall_ms};
 use crate::load::sample_names;
+use crate::state::{Core, MachineHealth, MachineView};
 
 /// Of one kind, only so many idle machines are kept for as long as their boot
 /// would cost.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -29,11 +29,13 @@
 #[path = "../tests/unit/pipelines.rs"]
 mod pipelines;
 mod placer;
+mod prober;
 #[cfg(test)]
 #[path = "../tests/unit/production.rs"]
 mod production;
 mod read_index;
 mod reconcile;
+mod round;
 #[cfg(test)]
 #[path = "../tests/unit/scale.rs"]
 mod scale;
@@ -44,6 +46,7 @@
 #[cfg(test)]
 #[path = "../tests/unit/stand_in.rs"]
 mod stand_in;
+mod state;
 mod state_duty;
 mod worker;
 
@@ -224,7 +227,7 @@
     controller.spawn_duty(state_duty::membership(controller.clone()));
     controller.spawn_duty(reconcile::heartbeat(controller.clone()));
     controller.spawn_duty(reconcile::rounds(controller.clone()));
-    controller.spawn_duty(reconcile::prober(controller.clone()));
+    controller.spawn_duty(prober::prober(controller.clone()));
     controller.spawn_duty(api::arrivals(controller.clone()));
     controller.spawn_duty(fleet_duty::fleet(controller.clone()));
     controller.spawn_duty(load::log_regularly(controller.clone()));
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -10,9 +10,10 @@
 
 use crate::api;
 use crate::clock;
-use crate::controller::{Controller, Core, PeerView, takes_work};
+use crate::controller::Controller;
 use crate::read_index;
 use crate::reconcile;
+use crate::state::{Core, PeerView, takes_work};
 
 pub(crate) const LARGE: usize = 1 << 20;
 
--- a/crates/daemon/src/placer.rs
+++ b/crates/daemon/src/placer.rs
@@ -12,8 +12,10 @@
 use tracing::info;
 use wire::{JobKind, JobSpec, Priority};
 
-use crate::controller::{Controller, Core};
-use crate::reconcile::{Event, REFUSED_FOR, Round, edit};
+use crate::controller::Controller;
+use crate::reconcile::REFUSED_FOR;
+use crate::round::{Event, Round, edit};
+use crate::state::Core;
 
 /// Most tasks of an array or service that room is made for at a time.
 const PREEMPT_MOST: u32 = 4;
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -28,8 +28,9 @@
 use tracing::{info, warn};
 
 use crate::clock;
-use crate::controller::{Controller, Core};
+use crate::controller::Controller;
 use crate::peers::LARGE;
+use crate::state::Core;
 
 /// Answers in parts are in the order of versions. Those of `/read-index`, which came before,
 /// were in the order of ids, and could not be continued.
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -1,76 +1,36 @@
 //! Rounds of decisions: what has ended, what starts where, what makes way. One
 //! transaction a round, conditional on everything it was decided from.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use net::NetError;
 use peer::Proof;
 use sched::drain;
-use sched::preempt;
 use sched::records::*;
 use sched::rescheduler;
 use sched::world::{Change, World};
-use store::{Outcome, Put, StoreError, key};
+use store::{Outcome, StoreError};
 use tokio::time::{sleep, timeout};
-use tracing::{debug, info, warn};
-use wire::{Command, Commands, Condition, JobKind, Priority, Report};
+use tracing::{debug, warn};
+use wire::{Command, Commands, JobKind, Priority, Report};
 
 use crate::clock;
-use crate::commit::TXN_BYTES;
-use crate::controller::{Controller, Core, HandedProof, wall_ms};
-use crate::limits::Plan;
+use crate::controller::{Controller, wall_ms};
 use crate::load::{Counts, Purpose};
 use crate::peers;
 use crate::placer;
+use crate::round::{Assembled, Event, Round, assemble, edit, log_events};
+use crate::state::{Core, HandedProof};
 use crate::worker::{Key, Worker};
 
-/// What one round wants to have done.
-#[derive(Default)]
-pub(crate) struct Round {
-    pub(crate) jobs: BTreeMap<String, Box<JobRecord>>,
-    /// Teams whose share new placements use.
-    pub(crate) teams: BTreeSet<String>,
-    /// Jobs with new placements.
-    pub(crate) placing: BTreeSet<String>,
-    /// How often it was looked for what could be stopped.
-    pub(crate) searches: u32,
-    /// Most jobs to change for the ends of their tasks.
-    most_ended: usize,
-    /// Jobs that have to wait for a later round.
-    pub(crate) held: BTreeSet<String>,
-    pub(crate) sends: Vec<(Name, String, Commands)>,
-    /// Ends for other controllers to write, by their names.
-    pub(crate) proofs: HashMap<String, Vec<Proof>>,
-    pub(crate) log: Vec<Event>,
-}
-
-impl Round {
-    /// Nothing was stopped after all: no room is being made.
-    fn release(&self, controller: &Controller) {
-        let mut core = controller.core();
-        for e in &self.log {
-            if let Event::Preempted { by, .. } = e {
-                core.reserved.remove(by);
-            }
+/// Nothing was stopped after all: no room is being made.
+fn release(round: &Round, controller: &Controller) {
+    let mut core = controller.core();
+    for e in &round.log {
+        if let Event::Preempted { by, .. } = e {
+            core.reserved.remove(by);
         }
     }
-
-    /// Changes that its transaction will hold.
-    pub(crate) fn puts(&self) -> usize {
-        self.jobs.len() + self.teams.len()
-    }
-}
-
-/// Told in the log once the round is committed.
-pub(crate) enum Event {
-    Placed { job: String, tasks: usize, attempt: u64 },
-    Ended { job: String, task: u32, attempt: u64, how: End },
-    Preempted { by: String, victim: preempt::Victim },
-    Evicted(rescheduler::Eviction),
-    Drained { job: String, task: u32, machine: Name },
-    Escalated { job: String },
-    Orphaned { job: String },
 }
 
 const GAP: Duration = Duration::from_millis(40);
@@ -123,18 +83,6 @@
     }
 }
 
-/// The record as this round has it so far.
-pub(crate) fn edit<'a>(round: &'a mut Round, world: &World, id: &str) -> Option<&'a mut Box<JobRecord>> {
-    if round.held.contains(id) {
-        return None;
-    }
-    if !round.jobs.contains_key(id) {
-        let record = world.jobs.get(id)?.value.clone();
-        round.jobs.insert(id.to_owned(), record);
-    }
-    round.jobs.get_mut(id)
-}
-
 pub(crate) fn decide(
     controller: &Controller,
     core: &mut Core,
@@ -470,12 +418,12 @@
         Ok(Outcome::Conflict { failed, revision }) => {
             Counts::add(&controller.counts.conflicts, 1);
             debug!(?failed, puts = round.puts(), "a round met newer records");
-            round.release(controller);
+            release(&round, controller);
             controller.reach(revision, Duration::from_secs(2)).await;
         }
         Err(e) => {
             debug!(error = %e, "a round was not committed, as far as is known");
-            round.release(controller);
+            release(&round, controller);
             controller.note_refusal(&e);
             if matches!(e, StoreError::Refused(400) | StoreError::Large(_)) && controller.seen.get() == limits
             {
@@ -502,130 +450,6 @@
     }
 }
 
-/// A round as a transaction.
-pub(crate) struct Assembled {
-    pub(crate) conditions: Vec<Condition>,
-    pub(crate) puts: Vec<Put>,
-    /// The jobs that it has no room for.
-    pub(crate) left_out: BTreeSet<String>,
-    pub(crate) teams: Vec<(String, TeamRecord)>,
-    /// The job whose record is larger than a value, one at most.
-    pub(crate) chunked: Option<String>,
-}
-
-pub(crate) fn assemble(world: &World, round: &Round, plan: &Plan, most_jobs: usize) -> Assembled {
-    let mut chunked = None;
-    let mut puts = Vec::new();
-    // By the ids in their keys: a name with a space was never found here once another
-    // controller had written its record, and nothing of the team was placed any more.
-    let mut teams: BTreeMap<String, TeamRecord> = BTreeMap::new();
-    let mut conditions = Vec::new();
-    let mut left_out = BTreeSet::new();
-    let (mut bytes, mut jobs) = (0, 0);
-    let mut order: Vec<(&String, &Box<JobRecord>)> = round.jobs.iter().collect();
-    // What is placed comes before what only ends, for jobs as urgent.
-    order.sort_by_key(|(id, j)| std::cmp::Reverse((j.priority(), round.placing.contains(*id))));
-    for (id, record) in order {
-        let team = record.spec.as_ref().filter(|_| round.placing.contains(id)).map(|s| key::team_id(&s.team));
-        let new_team = team.filter(|t| !teams.contains_key(t));
-        let Some(old) = world.jobs.get(id) else { continue };
-        let put = Put::new(key::job(id), record);
-        let large = put.value_len() as f64 > plan.value_bytes;
-        // Of a large one the transaction itself only has the head.
-        let size = if large { 100 } else { put.json_len() };
-        if puts.len() + 1 + usize::from(new_team.is_some()) > plan.txn_ops
-            || jobs >= most_jobs
-            || (bytes + size > TXN_BYTES && bytes > 0)
-            || (large && (!plan.chunked || chunked.is_some()))
-        {
-            left_out.insert(id.clone());
-            continue;
-        }
-        if large {
-            chunked = Some(id.clone());
-        }
-        jobs += 1;
-        bytes += size + 200;
-        conditions.push(Condition { key: key::job(id), version: old.version });
-        puts.push(put);
-        if let Some(team) = new_team {
-            let (n, version) = world.teams.get(&team).map_or((0, 0), |t| (t.value.placements, t.version));
-            let record = TeamRecord { placements: n.wrapping_add(1) };
-            conditions.push(Condition { key: key::team(&team), version });
-            puts.push(Put::new(key::team(&team), &record));
-            teams.insert(team, record);
-        }
-    }
-    if !puts.is_empty() {
-        let version = world.map.as_ref().map_or(0, |m| m.version);
-        conditions.push(Condition { key: key::MAP.into(), version });
-    }
-    let teams = teams.into_iter().collect();
-    Assembled { conditions, puts, left_out, teams, chunked }
-}
-
-impl Event {
-    fn job(&self) -> &str {
-        match self {
-            Event::Placed { job, .. }
-            | Event::Ended { job, .. }
-            | Event::Drained { job, .. }
-            | Event::Escalated { job }
-            | Event::Orphaned { job } => job,
-            Event::Preempted { victim, .. } => &victim.job,
-            Event::Evicted(e) => &e.job,
-        }
-    }
-
-    fn log_one(&self) {
-        match self {
-            Event::Placed { job, tasks, attempt } => debug!(job, tasks, attempt, "placed"),
-            Event::Ended { job, task, attempt, how } => debug!(job, task, attempt, ?how, "ended"),
-            Event::Preempted { by, victim: v } => {
-                debug!(
-                    job = v.job,
-                    task = v.task,
-                    attempt = v.attempt,
-                    machine = &*v.machine,
-                    by,
-                    "preempted"
-                );
-            }
-            Event::Evicted(e) => {
-                info!(job = e.job, task = e.task, machine = &*e.machine, reason = e.reason, "evicted");
-            }
-            Event::Drained { job, task, machine } => {
-                debug!(job, task, machine = &**machine, "stopped: its machine is about to be taken away");
-            }
-            Event::Orphaned { job } => debug!(job, "cancelled with a job that it needs"),
-            Event::Escalated { job } => debug!(job, "too big for its part; the leader places it"),
-        }
-    }
-}
-
-/// Tells what a round has done: each event for those who debug, and what often
-/// comes by the hundred as one line with its number and a few names.
-fn log_events<'a>(events: impl Iterator<Item = &'a Event>) {
-    let (mut lost, mut preempted, mut drained) = (Vec::new(), Vec::new(), Vec::new());
-    for e in events {
-        e.log_one();
-        match e {
-            Event::Ended { job, task, how: End::Lost, .. } => lost.push(format!("{job}/{task}")),
-            Event::Preempted { by, victim: v } => preempted.push(format!("{}/{} by {by}", v.job, v.task)),
-            Event::Drained { job, task, .. } => drained.push(format!("{job}/{task}")),
-            _ => {}
-        }
-    }
-    let kinds = [
-        (lost, "proven lost"),
-        (preempted, "preempted"),
-        (drained, "stopped: their machines are about to be taken away"),
-    ];
-    for (tasks, what) in kinds.into_iter().filter(|(t, _)| !t.is_empty()) {
-        info!(count = tasks.len(), tasks = crate::load::sample_names(&tasks), "{what}");
-    }
-}
-
 /// Sends commands to a worker and takes in the report that answers them.
 fn send(controller: &Controller, machine: Name, addr: String, commands: Commands) {
     let token = commands.token;
@@ -673,83 +497,3 @@
         sleep(Duration::from_millis(250)).await;
     }
 }
-
-/// How often silent workers are asked.
-const PROBE_EVERY: Duration = Duration::from_millis(700);
-const PROBE_DEADLINE: Duration = Duration::from_millis(1200);
-/// Most workers asked at a time, as a part of those to ask, and at least. Those that are lost
-/// must not keep the others from being asked.
-const PROBED_PART: usize = 4;
-const PROBED_LEAST: usize = 16;
-/// And as a part of the connections to workers, as each that does not answer holds one.
-const PROBED_SOCKETS_PART: usize = 2;
-
-/// Asks owned workers that have not been heard of for their status, so that a
-/// new owner need not wait for their reports.
-pub async fn prober(controller: Controller) {
-    let mut turn = 0;
-    loop {
-        sleep(PROBE_EVERY).await;
-        let mut quiet = quiet_workers(&controller, clock::now());
-        let most = controller.settings.sockets().to_workers / PROBED_SOCKETS_PART;
-        let at_once = probed_at_once(quiet.len(), most);
-        if !quiet.is_empty() {
-            let from = turn % quiet.len();
-            quiet.rotate_left(from);
-            turn = from + at_once;
-        }
-        for (machine, addr) in quiet.into_iter().take(at_once) {
-            let controller = controller.clone();
-            let tasks = controller.tasks.clone();
-            tasks.spawn(async move { probe(&controller, &machine, &addr).await });
-        }
-    }
-}
-
-/// How many of so many silent workers are asked at a time.
-fn probed_at_once(quiet: usize, most: usize) -> usize {
-    (quiet / PROBED_PART).max(PROBED_LEAST).min(most.max(1)).min(quiet)
-}
-
-/// The owned workers that have not been heard of for longer than a report may take.
-fn quiet_workers(controller: &Controller, now: Instant) -> Vec<(Name, String)> {
-    let limit = controller.report_every() * 3 / 2 + Duration::from_millis(500);
-    let core = controller.core();
-    let quiet = |w: &Worker| w.heard.is_none() || w.silent_for(now) > limit;
-    core.workers
-        .iter()
-        .filter(|(_, w)| !w.addr.is_empty() && quiet(w))
-        .map(|(id, w)| (id.clone(), w.addr.clone()))
-        .collect()
-}
-
-/// Asks one worker for its status.
-async fn probe(controller: &Controller, machine: &Name, addr: &str) {
-    let asked = controller.workers_http.request(
-        addr,
-        "GET",
-        "/status",
-        Vec::new(),
-        wire::BODY_LIMIT * 4,
-        PROBE_DEADLINE,
-    );
-    let report = match asked.await {
-        Ok(answer) => wire::decode::<Report>(&answer.body).ok().filter(|r| *r.machine == **machine),
-        // It was not asked at all.
-        Err(NetError::Busy(_)) => return,
-        Err(_) => None,
-    };
-    if let Some(w) = controller.core().workers.get_mut(machine) {
-        match report {
-            Some(report) => {
-                w.ingest(report, false, clock::now());
-            }
-            None => w.did_not_answer(),
-        }
-    }
-    controller.kick.notify_one();
-}
-
-#[cfg(test)]
-#[path = "../tests/unit/reconcile.rs"]
-mod tests;
--- a/crates/daemon/src/state_duty.rs
+++ b/crates/daemon/src/state_duty.rs
@@ -12,8 +12,9 @@
 use wire::{Changes, Condition};
 
 use crate::clock;
-use crate::controller::{Controller, Core, MEMBER_TTL};
+use crate::controller::{Controller, MEMBER_TTL};
 use crate::load::Purpose;
+use crate::state::Core;
 use crate::worker::Worker;
 
 const WATCH: Duration = Duration::from_secs(8);
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -1,5 +1,8 @@
 use super::*;
 use crate::settings::tests::EXAMPLE;
+use crate::state::PeerView;
+use peer::Summary;
+use sched::records::MapRecord;
 use sched::world::Change;
 
 fn summary(name: &str, epoch: u64, state_silent_ms: u64) -> Summary {
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -26,6 +26,7 @@
 use crate::controller::Controller;
 use crate::production;
 use crate::reconcile;
+use crate::round;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{NextState, Operators, Peer, Settings};
 use crate::worker::tests::spec;
