--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -355,17 +355,6 @@
         let heard = |p: &PeerView| now.saturating_duration_since(p.at) < within;
         self.peers.iter().filter(|(_, p)| heard(p)).map(|(name, _)| name.as_str()).collect()
     }
-
-    /// Whether placement may use a machine, by its owner's word.
-    pub fn usable(&self, machine: &str, me: &Member, report: Duration, now: Instant) -> bool {
-        match self.world.owner_of(machine) {
-            Some(owner) if owner == me => {
-                self.workers.get(machine).is_some_and(|w| takes_work(w, report, now))
-            }
-            Some(_) => self.rows.get(machine).is_none_or(|r| r.usable),
-            None => false,
-        }
-    }
 }
 
 /// Whether an owner's worker may be given something.
--- a/crates/sched/src/inventory.rs
+++ b/crates/sched/src/inventory.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Default)]
 pub struct Inventory {
     /// All machines that have an owner and are not being given back, in the order of their
-    /// names. What is used is changed by [`Inventory::take`] only.
+    /// names. What is used is changed by `take` only.
     pub slots: Vec<Slot>,
     pub team_use: HashMap<String, Amount>,
     /// The usable machines that are alike. Choosing looks at one of each: at every machine for
