--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 
 use net::Request;
-use peer::{MachineRow, Message, Summary};
+use peer::{MachineStatusRow, Message, PeerStatus};
 use rmpv::Value;
 use sched::records::*;
-use store::{Put, key};
+use store::{KeyWrite, key};
 use wire::{
-    Cause, Changes, Event, Item, Items, JobKind, JobSpec, MachineType, Op, Priority, Report, TaskReport,
-    TaskState, Txn,
+    Changes, Event, ExitReason, Heartbeat, Item, Items, JobKind, JobSpec, MachineType, Op, Priority,
+    TaskState, TaskStatus, Txn,
 };
 
 use crate::api;
@@ -139,11 +139,11 @@
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 2.0,
+        estimated_runtime_s: 60.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 2.0,
         deadline_s: None,
-        needs: None,
+        dependencies: None,
     }
 }
 
@@ -171,24 +171,24 @@
     let mut job = JobRecord::new(spec(n, kind, TASKS), (n % 2 == 1).then(|| "n-1".into()), wall_ms());
     job.attempt = 1;
     let on = |task: u32| machine_id((n * TASKS as usize + task as usize) % machines).into();
-    let run = |task| Assignment { task, attempt: 1, machine: on(task), want: Want::Run };
-    job.run = (0..TASKS).map(run).collect();
+    let run = |task| Assignment { task, attempt: 1, machine: on(task), desired: DesiredState::Running };
+    job.assignments = (0..TASKS).map(run).collect();
     job
 }
 
 fn finished(n: usize) -> JobRecord {
     let mut job = JobRecord::new(spec(n, JobKind::Array, TASKS), None, 1);
     (job.phase, job.done, job.ended_ms) = (Phase::Done, Ranges::all(TASKS), 1_796_169_600_000);
-    job.shrink();
+    job.compact_if_final();
     job
 }
 
 impl Site {
     /// Takes in a record as it comes from the state service.
-    fn apply(&self, put: Put) {
+    fn apply(&self, put: KeyWrite) {
         let mut core = self.controller.core();
         let version = core.world.revision + 1;
-        let (change, _, version) = core.reader.take(&put.key, put.value, version);
+        let (change, _, version) = core.reader.apply(&put.key, put.value, version);
         core.world.apply(change, version);
         core.world.revision = version;
     }
@@ -201,13 +201,16 @@
         let kinds = [kind("s", 8.0, 0.0), kind("m", 16.0, 0.0), kind("l", 32.0, 0.0), kind("g", 16.0, 2.0)];
         let me = site.controller.me.clone();
         let other = Member { name: "n-1".into(), zone: "b".into(), incarnation: 2 };
-        site.apply(Put::new(key::TYPES.into(), &TypesRecord { types: kinds.to_vec() }));
+        site.apply(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: kinds.to_vec() }));
         for m in [&me, &other] {
-            site.apply(Put::new(key::member(&m.name), m));
-            site.apply(Put::new(key::upgraded(&m.name), &Upgraded { schema_version: SCHEMA_VERSION }));
+            site.apply(KeyWrite::new(key::member(&m.name), m));
+            site.apply(KeyWrite::new(
+                key::upgraded(&m.name),
+                &SchemaMarker { schema_version: SCHEMA_VERSION },
+            ));
         }
-        site.apply(Put::new(key::LEADER.into(), &me));
-        site.apply(Put::new(key::MAP.into(), &MapRecord { epoch: EPOCH, live: vec![me, other] }));
+        site.apply(KeyWrite::new(key::LEADER.into(), &me));
+        site.apply(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: EPOCH, live: vec![me, other] }));
         let mut core = site.controller.core();
         core.ready = true;
         core.fresh_at = Some(Instant::now());
@@ -218,45 +221,45 @@
     pub fn add_machines(&mut self, machines: usize) {
         self.machines = machines;
         for n in 0..machines {
-            self.apply(Put::new(key::machine(&machine_id(n)), &machine(n)));
+            self.apply(KeyWrite::new(key::machine(&machine_id(n)), &machine(n)));
         }
     }
 
     pub fn add_open(&mut self, jobs: usize) {
         self.open = jobs;
         for n in 0..jobs {
-            self.apply(Put::new(key::job(&job_id(n)), &running(n, self.machines)));
+            self.apply(KeyWrite::new(key::job(&job_id(n)), &running(n, self.machines)));
         }
     }
 
     pub fn add_finished(&self, jobs: usize) {
         for n in 0..jobs {
-            self.apply(Put::new(key::job(&job_id(1_000_000 + n)), &finished(n)));
+            self.apply(KeyWrite::new(key::job(&job_id(1_000_000 + n)), &finished(n)));
         }
     }
 
     /// What the machine's worker reports: all that is on it runs, but that the first
     /// `ended` tasks are done.
-    fn report(&self, n: usize, ended: usize) -> Report {
+    fn report(&self, n: usize, ended: usize) -> Heartbeat {
         let core = self.controller.core();
         let id = machine_id(n);
         let m = machine(n);
-        let on = core.world.assignments(&id).enumerate().map(|(i, (job, _, a))| TaskReport {
+        let on = core.world.assignments(&id).enumerate().map(|(i, (job, _, a))| TaskStatus {
             task: format!("{job}/{}", a.task),
             attempt: a.attempt,
             state: if i < ended { TaskState::Exited } else { TaskState::Running },
-            cause: (i < ended).then_some(Cause::Done),
-            saved: None,
+            cause: (i < ended).then_some(ExitReason::Done),
+            checkpointed: None,
         });
-        Report {
+        Heartbeat {
             addr: m.addr,
             machine_type: m.machine_type.to_string(),
             zone: m.zone.to_string(),
             spot: false,
-            session: 1,
-            seq: self.seq,
-            token: first_token(EPOCH),
-            notice_s: None,
+            incarnation: 1,
+            sequence: self.seq,
+            fencing_token: first_token(EPOCH),
+            spot_notice_s: None,
             tasks: on.collect(),
             machine: id,
         }
@@ -279,22 +282,22 @@
     }
 
     /// What the other controller says of its machines.
-    fn rows(&self, count: u64) -> Summary {
-        let row = |n: usize| MachineRow {
+    fn rows(&self, count: u64) -> PeerStatus {
+        let row = |n: usize| MachineStatusRow {
             id: machine_id(n),
             usable: true,
             silent_ms: 1000,
-            met: true,
+            heard_from: true,
             free_cpus: 4.0,
             free_gpus: 0.0,
             free_memory_gb: 10.0,
-            sick: false,
-            notice: false,
+            unhealthy: false,
+            spot_notice: false,
         };
-        Summary {
+        PeerStatus {
             name: "n-1".into(),
             incarnation: 2,
-            count,
+            sequence: count,
             epoch: EPOCH,
             state_silent_ms: 10,
             machines: (0..self.machines).filter(|n| !n.is_multiple_of(2)).map(row).collect(),
@@ -362,12 +365,12 @@
         for n in first..first + jobs {
             let mut s = spec(n, JobKind::Array, 1);
             s.cpus = cpus;
-            self.apply(Put::new(key::job(&job_id(n)), &JobRecord::new(s, None, wall_ms())));
+            self.apply(KeyWrite::new(key::job(&job_id(n)), &JobRecord::new(s, None, wall_ms())));
         }
     }
 
     fn drop_jobs(&self, first: usize, jobs: usize) {
-        (first..first + jobs).for_each(|n| self.apply(Put::delete(key::job(&job_id(n)))));
+        (first..first + jobs).for_each(|n| self.apply(KeyWrite::delete(key::job(&job_id(n)))));
     }
 
     fn round(&self, cases: &mut Vec<Case>, name: &'static str, times: usize, ops: usize) {
@@ -384,13 +387,13 @@
         let first = self.controller.core().world.revision + 1;
         let event = |n: usize| {
             let mut job = running(n, self.machines);
-            job.run.remove(1);
+            job.assignments.remove(1);
             job.done.insert(1);
             let version = first + n as u64;
             Event {
                 put: Some(key::job(&job_id(n))),
                 delete: None,
-                value: Put::new(String::new(), &job).value,
+                value: KeyWrite::new(String::new(), &job).value,
                 version,
             }
         };
@@ -402,7 +405,7 @@
     fn page(&self) -> Vec<u8> {
         let item = |n: usize| Item {
             key: key::job(&job_id(2_000_000 + n)),
-            value: Put::new(
+            value: KeyWrite::new(
                 String::new(),
                 &if n.is_multiple_of(2) { finished(n) } else { running(n, self.machines) },
             )
@@ -461,7 +464,7 @@
             measured(|| {
                 let round::Assembled { conditions, puts, .. } =
                     round::assemble(&controller.core().world, &round, &controller.plan(), usize::MAX);
-                let put = |p: Put| p.value.map(|value| Op::Put { put: p.key, value, lease: p.lease });
+                let put = |p: KeyWrite| p.value.map(|value| Op::Put { put: p.key, value, lease: p.lease });
                 wire::encode(&Txn { conditions, ops: puts.into_iter().filter_map(put).collect() })
             });
             case_over(&mut done, "transaction, a job of it", round.jobs.len());
@@ -486,11 +489,11 @@
             case_over(&mut done, "part for a first new job", 1);
             measured(|| (0..4).for_each(|_| drop(black_box(api::choose_part(&controller, &new)))));
             case_over(&mut done, "part for a new job", 4);
-            measured(|| peer::encode(&Message::Summary(peers::summary(&controller))));
+            measured(|| peer::encode(&Message::PeerStatus(peers::summary(&controller))));
             case_over(&mut done, "summary told", 1);
-            let told = peer::encode(&Message::Summary(self.rows(self.seq * 10)));
+            let told = peer::encode(&Message::PeerStatus(self.rows(self.seq * 10)));
             measured(|| {
-                if let Some(Message::Summary(s)) = peer::decode(&told) {
+                if let Some(Message::PeerStatus(s)) = peer::decode(&told) {
                     peers::take(&controller, s);
                 }
             });
@@ -518,19 +521,19 @@
             measured(|| state_duty::take_in(&controller, wire::decode(&news).expect("changes")));
             case_over(&mut done, "watch event", jobs);
             let page = self.page();
-            let mut world = sched::world::World::default();
-            let mut reader = store::Reader::default();
+            let mut world = sched::replica::Replica::default();
+            let mut reader = store::RecordReader::default();
             measured(|| {
                 let page: Items<Value> = wire::decode(&page).expect("a page");
                 for i in page.items {
-                    let (change, _, version) = reader.take(&i.key, Some(i.value), i.version);
+                    let (change, _, version) = reader.apply(&i.key, Some(i.value), i.version);
                     world.apply(change, version);
                 }
             });
             case_over(&mut done, "record of a page", 400);
             // As it was before the news.
             for n in 0..jobs {
-                self.apply(Put::new(key::job(&job_id(n)), &running(n, self.machines)));
+                self.apply(KeyWrite::new(key::job(&job_id(n)), &running(n, self.machines)));
             }
             let bodies = self.reports(0);
             bodies.into_iter().for_each(|b| self.hello(b));
--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use net::{Reply, Request};
-use sched::fleet;
-use sched::placement::{fits_whole, gpu_loss};
+use sched::autoscaling;
+use sched::placement::{fits_entire_job, gpu_slots_lost};
 use sched::records::*;
-use sched::world::{Change, World};
-use store::{Outcome, Put, StoreError, key};
+use sched::replica::{RecordChange, Replica};
+use store::{KeyWrite, StoreError, TxnOutcome, key};
 use tokio::time::timeout;
 use tracing::debug;
 use wire::{Condition, JobKind, JobSpec, JobState, JobStatus};
@@ -77,9 +77,9 @@
     let core = controller.core();
     let job = core.world.jobs.get(id).map(|j| &j.value)?;
     let state = core.world.state_of(id)?;
-    let running = if job.phase == Phase::Active { job.run.len() as u32 } else { 0 };
+    let running = if job.phase == Phase::Active { job.assignments.len() as u32 } else { 0 };
     let is_done = |n: &Name| core.world.jobs.get(&**n).is_some_and(|j| j.value.phase == Phase::Done);
-    let waits_for = if state.is_final() { &[][..] } else { &job.needs };
+    let waits_for = if state.is_final() { &[][..] } else { &job.dependencies };
     let waits_for =
         waits_for.iter().filter(|n| !is_done(n)).take(NEEDS_SHOWN).map(|n| n.to_string()).collect();
     Some(JobStatus { id: id.to_owned(), state, done: job.done.len(), running, waits_for })
@@ -131,12 +131,12 @@
         core.given = GivenToParts { since: Some(now), epoch, ..GivenToParts::default() };
     }
     let Core { world, inventory, given, .. } = core;
-    let world: &World = world;
-    let parts = world.map_record()?.live.iter().filter_map(|m| {
-        let rooms = || inventory.alike_of(m.incarnation).filter(|(s, _)| gpu_loss(world, spec, s) == 0);
+    let world: &Replica = world;
+    let parts = world.current_map()?.live.iter().filter_map(|m| {
+        let rooms = || inventory.alike_of(m.incarnation).filter(|(s, _)| gpu_slots_lost(world, spec, s) == 0);
         let taken = given.cpus.get(&m.incarnation).copied().unwrap_or(0.0);
         let free = rooms().map(|(s, machines)| s.free().cpus * f64::from(machines)).sum::<f64>() - taken;
-        fits_whole(spec, rooms()).then_some((free, m))
+        fits_entire_job(spec, rooms()).then_some((free, m))
     });
     let (_, chosen) = parts.max_by(|a, b| a.0.total_cmp(&b.0))?;
     *given.cpus.entry(chosen.incarnation).or_default() += spec.cpus * f64::from(spec.tasks);
@@ -162,7 +162,7 @@
 /// Why a job can never run, as far as the settings and its own words tell.
 fn never_runs(controller: &Controller, spec: &JobSpec, needs: &[Name]) -> Option<&'static str> {
     let Some(team) = controller.team(&spec.team) else { return Some("unknown team") };
-    if !fleet::within_limit(spec, team) {
+    if !autoscaling::within_quota(spec, team) {
         return Some("beyond the team's limit");
     }
     needs.iter().any(|n| **n == *spec.id).then_some("awaits: the job itself")
@@ -171,10 +171,10 @@
 /// Why a job can never run by the records; Err if that cannot be told now.
 fn refusal(controller: &Controller, spec: &JobSpec, needs: &[Name]) -> Result<Option<&'static str>, Reply> {
     let core = controller.core();
-    if core.world.types.is_empty() {
+    if core.world.machine_types.is_empty() {
         return Err(Reply::busy("the machine types are not known yet", 1));
     }
-    if !fleet::possible(spec, &core.world.types) {
+    if !autoscaling::fits_some_machine_type(spec, &core.world.machine_types) {
         return Ok(Some("no allowed machine type can hold a task"));
     }
     for need in needs {
@@ -206,11 +206,12 @@
     let core = controller.core();
     let now_ms = wall_ms();
     let phase = |n: &Name| core.world.jobs.get(&**n).map(|j| j.value.phase);
-    let cancelled = |n: &Name| phase(n) == Some(Phase::Cancelled) || core.world.pipelines.is_doomed(n);
+    let cancelled =
+        |n: &Name| phase(n) == Some(Phase::Cancelled) || core.world.pipelines.is_cancelled_by_dependency(n);
     if needs.iter().any(cancelled) {
         let mut record = JobRecord::new(spec, None, now_ms);
         record.phase = Phase::Cancelled;
-        record.shrink();
+        record.compact_if_final();
         return record;
     }
     // What is done is final, and was done before.
@@ -230,7 +231,7 @@
         Err(bad) => return refuse(controller, bad.id.as_deref(), 400, &bad.why).await,
     };
     let mut needs: Vec<Name> =
-        spec.needs.take().unwrap_or_default().iter().map(|n| n.as_str().into()).collect();
+        spec.dependencies.take().unwrap_or_default().iter().map(|n| n.as_str().into()).collect();
     needs.sort_unstable();
     needs.dedup();
     let described = if needs.is_empty() { body.len() } else { wire::encode(&spec).len() };
@@ -286,10 +287,17 @@
     let record = new_record(controller, spec, part, needs);
     controller.write_for_user();
     let conditions = vec![Condition { key: key::job(&id), version: 0 }];
-    match controller.commit(conditions, vec![Put::new(key::job(&id), &record)]).await {
-        Ok(Outcome::Committed { revision }) => {
-            debug!(job = id, part = record.part, class, tasks, needs = record.needs.len(), "accepted");
-            controller.core().world.apply(Change::Job(id.clone(), Some(Box::new(record))), revision);
+    match controller.commit(conditions, vec![KeyWrite::new(key::job(&id), &record)]).await {
+        Ok(TxnOutcome::Committed { revision }) => {
+            debug!(
+                job = id,
+                part = record.shard,
+                class,
+                tasks,
+                needs = record.dependencies.len(),
+                "accepted"
+            );
+            controller.core().world.apply(RecordChange::Job(id.clone(), Some(Box::new(record))), revision);
             controller.kick.notify_one();
             let queued = JobStatus {
                 id: id.clone(),
@@ -300,7 +308,7 @@
             };
             Reply::new(201, &look(controller, &id).filter(|s| s.state.is_final()).unwrap_or(queued))
         }
-        Ok(Outcome::Conflict { revision, .. }) => {
+        Ok(TxnOutcome::Conflict { revision, .. }) => {
             controller.reach(revision, Duration::from_secs(1)).await;
             match known(controller, &id).await {
                 Ok(Some(s)) => Reply::new(200, &s),
@@ -342,14 +350,14 @@
             continue;
         }
         record.phase = Phase::Cancelled;
-        record.shrink();
+        record.compact_if_final();
         let conditions = vec![Condition { key: key::job(id), version }];
-        match controller.commit(conditions, vec![Put::new(key::job(id), &record)]).await {
-            Ok(Outcome::Committed { revision }) => {
+        match controller.commit(conditions, vec![KeyWrite::new(key::job(id), &record)]).await {
+            Ok(TxnOutcome::Committed { revision }) => {
                 debug!(job = id, "cancelled");
                 let done = record.done.len();
                 // All that need it are cancelled with it from now on.
-                controller.core().world.apply(Change::Job(id.to_owned(), Some(record)), revision);
+                controller.core().world.apply(RecordChange::Job(id.to_owned(), Some(record)), revision);
                 controller.kick.notify_one();
                 return Reply::new(
                     200,
@@ -362,7 +370,7 @@
                     },
                 );
             }
-            Ok(Outcome::Conflict { revision, .. }) => {
+            Ok(TxnOutcome::Conflict { revision, .. }) => {
                 controller.reach(revision, Duration::from_secs(1)).await;
             }
             Err(e) => return not_written(controller, &e),
--- a/crates/daemon/src/api/reports.rs
+++ b/crates/daemon/src/api/reports.rs
@@ -4,11 +4,11 @@
 
 use net::Reply;
 use sched::records::*;
-use sched::world::Change;
-use store::{Outcome, Put, StoreError, key};
+use sched::replica::RecordChange;
+use store::{KeyWrite, StoreError, TxnOutcome, key};
 use tokio::time::sleep;
 use tracing::{debug, info};
-use wire::{Condition, Redirect, Report, ReportAnswer};
+use wire::{Condition, Heartbeat, HeartbeatResponse, Redirect};
 
 use crate::clock;
 use crate::controller::Controller;
@@ -32,7 +32,7 @@
 
 /// A worker's report, straight from it or passed on by a peer.
 pub async fn report(controller: &Controller, body: &[u8], relayed: bool) -> Reply {
-    let report: Report = match wire::decode(body) {
+    let report: Heartbeat = match wire::decode(body) {
         Ok(r) => r,
         Err(e) => return Reply::error(400, &e.to_string()),
     };
@@ -51,7 +51,7 @@
         Disposal::Adopt(epoch) => {
             // Nobody knows this machine yet: it is recorded before anything is launched.
             arrived(controller, &report);
-            Reply::new(200, &ReportAnswer { token: first_token(epoch), commands: Vec::new() })
+            Reply::new(200, &HeartbeatResponse { fencing_token: first_token(epoch), commands: Vec::new() })
         }
     }
 }
@@ -67,11 +67,16 @@
 /// those are forgotten that were sent long ago.
 const MISDIRECTED_SPARE: usize = 1024;
 
-pub(crate) fn take_report(controller: &Controller, report: &Report, relayed: bool, now: Instant) -> Disposal {
+pub(crate) fn take_report(
+    controller: &Controller,
+    report: &Heartbeat,
+    relayed: bool,
+    now: Instant,
+) -> Disposal {
     let machine = &report.machine;
     let mut guard = controller.core();
     let core = &mut *guard;
-    let Some(map) = core.world.map_record() else { return Disposal::Answer(elsewhere(None)) };
+    let Some(map) = core.world.current_map() else { return Disposal::Answer(elsewhere(None)) };
     let known = core.world.owner_of(machine);
     let Some(owner) = known.or_else(|| map.owner(machine, &report.zone)).cloned() else {
         return Disposal::Answer(elsewhere(None));
@@ -88,8 +93,11 @@
         // controllers its lease may be about to end. Any live controller renews
         // it once, with the epoch's first token; the next report is sent on.
         let token = first_token(epoch);
-        if report.token < token && controller.may_renew(core, now) && !must_stop(core) {
-            return Disposal::Answer(Reply::new(200, &ReportAnswer { token, commands: Vec::new() }));
+        if report.fencing_token < token && controller.may_renew(core, now) && !must_stop(core) {
+            return Disposal::Answer(Reply::new(
+                200,
+                &HeartbeatResponse { fencing_token: token, commands: Vec::new() },
+            ));
         }
         if core.misdirected.len() > core.world.machines.len() + MISDIRECTED_SPARE {
             core.misdirected.retain(|_, sent| now.saturating_duration_since(*sent) < RELAY_FOR);
@@ -109,7 +117,7 @@
         return if must_stop(core) { Disposal::Answer(elsewhere(None)) } else { Disposal::Adopt(epoch) };
     }
     let limits = controller.worker_limits(core.fresh_at);
-    let owned_since = core.world.owned_since(machine);
+    let owned_since = core.world.owned_since_epoch(machine);
     if core.workers.get(machine.as_str()).is_some_and(|w| w.lapsed(owned_since)) {
         core.workers.remove(machine.as_str());
     }
@@ -129,14 +137,14 @@
         true => worker.answer(machine, &core.world, &limits, now),
         false => worker.final_stops(&core.world),
     };
-    let answer = ReportAnswer { token: worker.token(), commands };
+    let answer = HeartbeatResponse { fencing_token: worker.token(), commands };
     if worker.due(now) {
         controller.kick.notify_one();
     }
     Disposal::Answer(Reply::new(200, &answer))
 }
 
-fn arrived(controller: &Controller, report: &Report) {
+fn arrived(controller: &Controller, report: &Heartbeat) {
     let record = MachineRecord {
         addr: report.addr.clone(),
         machine_type: report.machine_type.as_str().into(),
@@ -192,7 +200,7 @@
         .workers_http
         .request(&record.addr, "GET", "/status", Vec::new(), wire::BODY_LIMIT * 4, deadline)
         .await;
-    answer.is_ok_and(|a| wire::decode::<Report>(&a.body).is_ok_and(|r| r.machine == machine))
+    answer.is_ok_and(|a| wire::decode::<Heartbeat>(&a.body).is_ok_and(|r| r.machine == machine))
 }
 
 async fn record_machines(controller: &Controller, list: Vec<(Name, MachineRecord)>) {
@@ -202,9 +210,9 @@
     controller.may_write(list.len(), 0.0).await;
     controller.counts.spend(Purpose::Machines, list.len());
     let conditions = list.iter().map(|(id, _)| Condition { key: key::machine(id), version: 0 }).collect();
-    let puts = list.iter().map(|(id, r)| Put::new(key::machine(id), r)).collect();
+    let puts = list.iter().map(|(id, r)| KeyWrite::new(key::machine(id), r)).collect();
     match controller.commit(conditions, puts).await {
-        Ok(Outcome::Committed { revision }) => {
+        Ok(TxnOutcome::Committed { revision }) => {
             let mut core = controller.core();
             let names: Vec<&Name> = list.iter().map(|(id, _)| id).collect();
             info!(count = names.len(), machines = sample_names(&names), "machines are up");
@@ -216,18 +224,18 @@
                     spot = record.spot,
                     "machine is up"
                 );
-                core.world.apply(Change::Machine(id.to_string(), Some(record)), revision);
+                core.world.apply(RecordChange::Machine(id.to_string(), Some(record)), revision);
             }
             controller.kick.notify_one();
             controller.summary_due.notify_one();
         }
-        Ok(Outcome::Conflict { revision, .. }) => {
+        Ok(TxnOutcome::Conflict { revision, .. }) => {
             controller.reach(revision, Duration::from_secs(1)).await;
         }
         Err(e) => {
             debug!(error = %e, "machines were not recorded");
             controller.note_refusal(&e);
-            if matches!(e, StoreError::Rate) {
+            if matches!(e, StoreError::RateLimited) {
                 // Not waited for until they report again.
                 controller.core().arrivals.extend(list);
             }
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt;
-use store::{Orphans, Outcome, Put, StoreError, key, split};
+use store::{KeyWrite, OrphanedChunks, StoreError, TxnOutcome, key, split_record};
 use tokio::time::sleep;
 use tracing::{info, warn};
 use wire::Condition;
@@ -28,15 +28,15 @@
     pub async fn commit(
         &self,
         mut conditions: Vec<Condition>,
-        mut puts: Vec<Put>,
-    ) -> Result<Outcome, StoreError> {
+        mut puts: Vec<KeyWrite>,
+    ) -> Result<TxnOutcome, StoreError> {
         let plan = self.plan();
         let mut sizes = Vec::with_capacity(puts.len());
         for put in &mut puts {
             let size = put.value_len();
             if size as f64 > plan.value_bytes {
                 if !plan.chunked {
-                    return Err(StoreError::Large(put.key.clone()));
+                    return Err(StoreError::ValueTooLarge(put.key.clone()));
                 }
                 let (head, first) = self.write_parts(put, plan.value_bytes as usize, plan.txn_ops).await?;
                 conditions.push(first);
@@ -55,12 +55,12 @@
     /// first part is there.
     async fn write_parts(
         &self,
-        put: &Put,
+        put: &KeyWrite,
         value_bytes: usize,
         txn_ops: usize,
-    ) -> Result<(Put, Condition), StoreError> {
-        let large = || StoreError::Large(put.key.clone());
-        let chunked = split(put, rand::rng().random(), value_bytes).ok_or_else(large)?;
+    ) -> Result<(KeyWrite, Condition), StoreError> {
+        let large = || StoreError::ValueTooLarge(put.key.clone());
+        let chunked = split_record(put, rand::rng().random(), value_bytes).ok_or_else(large)?;
         if chunked.parts.len() > PARTS_MOST {
             return Err(large());
         }
@@ -70,15 +70,15 @@
         for some in chunked.parts.chunks(at_once) {
             let mut tries = 0;
             written = loop {
-                self.core().writes.take(some.len() as f64, 0.0, clock::now());
+                self.core().writes.acquire(some.len() as f64, 0.0, clock::now());
                 self.counts.spend(Purpose::Parts, some.len());
                 match self.state.txn(Vec::new(), some.to_vec()).await {
-                    Ok(Outcome::Committed { revision } | Outcome::Conflict { revision, .. }) => {
+                    Ok(TxnOutcome::Committed { revision } | TxnOutcome::Conflict { revision, .. }) => {
                         break revision;
                     }
-                    Err(StoreError::Rate) if tries < RETRIES => {
+                    Err(StoreError::RateLimited) if tries < RETRIES => {
                         tries += 1;
-                        self.note_refusal(&StoreError::Rate);
+                        self.note_refusal(&StoreError::RateLimited);
                         sleep(PAUSE).await;
                     }
                     Err(e) => {
@@ -117,12 +117,12 @@
     /// Takes note of why a transaction was not carried out. Above the rate: the rate to
     /// come is there, and is kept from now on.
     pub fn note_refusal(&self, e: &StoreError) {
-        if !matches!(e, StoreError::Rate) {
+        if !matches!(e, StoreError::RateLimited) {
             return;
         }
         let (now, seen) = (clock::now(), self.seen.get());
         let mut core = self.core();
-        core.writes.drained(now);
+        core.writes.note_refusal(now);
         let next = self.settings.facts.state.next.clone().unwrap_or_default();
         let slower = next.write_rps.is_some() || next.rps.is_some();
         if slower && !seen.slow && (seen.all_new || seen.fallen) {
@@ -147,18 +147,18 @@
 
 impl Sweeper {
     /// What to delete now: a transaction's conditions and keys.
-    pub fn next(&mut self, controller: &Controller, now: Instant) -> Option<(Vec<Condition>, Vec<Put>)> {
+    pub fn next(&mut self, controller: &Controller, now: Instant) -> Option<(Vec<Condition>, Vec<KeyWrite>)> {
         if self.looked.is_some_and(|t| now.saturating_duration_since(t) < LOOK) {
             return None;
         }
         self.looked = Some(now);
         let mut core = controller.core();
         // While changes are short, they only cost memory.
-        if core.writes.level(now) < 0.0 {
+        if core.writes.available(now) < 0.0 {
             return None;
         }
         let orphans = core.reader.orphans();
-        let id = |o: &Orphans| (o.of.clone(), o.nonce.clone());
+        let id = |o: &OrphanedChunks| (o.of.clone(), o.nonce.clone());
         self.seen.retain(|k, _| orphans.iter().any(|o| id(o) == *k));
         let ops = controller.plan().txn_ops;
         let due = orphans.into_iter().find(|o| {
@@ -166,19 +166,19 @@
             now.saturating_duration_since(since) >= ORPHANED_FOR
         })?;
         let version = version_of(&core.world, &due.of)?;
-        let puts = due.keys.iter().take(ops).map(|k| Put::delete(k.clone())).collect();
+        let puts = due.keys.iter().take(ops).map(|k| KeyWrite::delete(k.clone())).collect();
         Some((vec![Condition { key: due.of, version }], puts))
     }
 }
 
 /// The version of a record that may lie in parts; 0 if there is none.
-fn version_of(world: &sched::world::World, of: &str) -> Option<u64> {
+fn version_of(world: &sched::replica::Replica, of: &str) -> Option<u64> {
     let rest = of.strip_prefix(key::PREFIX)?;
     match rest.split_once('/') {
         Some(("jobs", id)) if world.unreadable.contains(id) => None,
         Some(("jobs", id)) => Some(world.jobs.get(id).map_or(0, |j| j.version)),
         None if of == key::FLEET => Some(world.fleet.as_ref().map_or(0, |f| f.version)),
-        None if of == key::TYPES => Some(world.types_version),
+        None if of == key::TYPES => Some(world.machine_types_version),
         _ => None,
     }
 }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -9,8 +9,8 @@
 use net::{Client, Connections};
 use sched::placement;
 use sched::records::Member;
-use sched::world::Team;
-use store::StateClient;
+use sched::replica::Team;
+use store::KeyValueClient;
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
@@ -37,7 +37,7 @@
     pub operators: Operators,
     pub teams: Vec<Team>,
     pub me: Member,
-    pub state: StateClient,
+    pub state: KeyValueClient,
     pub cloud: CloudClient,
     /// To the state service: whatever else hangs, it has its turns.
     pub state_http: Client,
@@ -122,7 +122,7 @@
         Self(Arc::new(Inner {
             teams: settings.teams(),
             me: Member { name: settings.node_name.clone(), zone: settings.zone.clone(), incarnation },
-            state: StateClient::new(
+            state: KeyValueClient::new(
                 state_http.clone(),
                 settings.external.state.clone(),
                 (settings.facts.limits.memory_mb * f64::from(1 << 20)) as usize,
@@ -199,7 +199,7 @@
 
     /// Waits until `n` changes may be written, leaving `reserve` for others.
     pub async fn may_write(&self, n: usize, reserve: f64) {
-        let wait = self.core().writes.take(n as f64, reserve, clock::now());
+        let wait = self.core().writes.acquire(n as f64, reserve, clock::now());
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
@@ -209,7 +209,7 @@
     /// not take is answered at once, and the rounds make up for the debt.
     pub fn write_for_user(&self) {
         self.counts.spend(Purpose::Users, 1);
-        self.core().writes.take(1.0, 0.0, clock::now());
+        self.core().writes.acquire(1.0, 0.0, clock::now());
     }
 
     /// The pause between two requests for changes. There are two kinds of them,
@@ -325,12 +325,12 @@
     let leader = core.world.leader.as_ref()?.value.name.as_str();
     let live: Vec<&str> = core.map()?.live.iter().map(|m| m.name.as_str()).collect();
     let mut weights: HashMap<&str, f64> = HashMap::new();
-    for job in core.world.open.iter().filter_map(|id| core.world.jobs.get(id)).map(|j| &j.value) {
+    for job in core.world.open_job_ids.iter().filter_map(|id| core.world.jobs.get(id)).map(|j| &j.value) {
         let Some(spec) = job.spec.as_deref() else { continue };
-        let waits = placement::pending_count(job) > 0;
+        let waits = placement::pending_task_count(job) > 0;
         // Replicas that run are hardly ever written.
         let weight = if waits || spec.kind == JobKind::Array { 1.0 } else { 0.1 };
-        if let Some(placer) = core.world.placer_of(job) {
+        if let Some(placer) = core.world.scheduler_of(job) {
             *weights.entry(placer).or_default() += weight;
         }
     }
--- a/crates/daemon/src/drains/command/changes.rs
+++ b/crates/daemon/src/drains/command/changes.rs
@@ -6,8 +6,8 @@
 use sched::drain_records::{CordonFence, CordonRecord, DrainPhase, DrainRecord};
 use sched::hash::HashMap;
 use sched::records::{DRAINS_SCHEMA_VERSION, Name};
-use sched::world::World;
-use store::{Put, key};
+use sched::replica::Replica;
+use store::{KeyWrite, key};
 use wire::Condition;
 
 use super::{DrainError, Request};
@@ -18,7 +18,7 @@
 const CORDON_BYTES: usize = 600;
 
 /// Changes of records, and what they are conditional on.
-pub(super) type ConditionalPuts = (Vec<Condition>, Vec<Put>);
+pub(super) type ConditionalPuts = (Vec<Condition>, Vec<KeyWrite>);
 
 /// The machines in pieces that are written as one cordon each.
 pub(super) fn pieces(machines: &[Name]) -> Vec<Vec<Name>> {
@@ -27,7 +27,7 @@
     for machine in machines {
         piece.push(machine.clone());
         let record = CordonRecord::new(piece.clone());
-        if Put::new(String::new(), &record).value_len() > CORDON_BYTES && piece.len() > 1 {
+        if KeyWrite::new(String::new(), &record).value_len() > CORDON_BYTES && piece.len() > 1 {
             piece.pop();
             pieces.push(std::mem::replace(&mut piece, vec![machine.clone()]));
         }
@@ -38,7 +38,7 @@
     pieces
 }
 
-pub(super) fn record_of(world: &World, name: &str) -> Result<DrainRecord, DrainError> {
+pub(super) fn record_of(world: &Replica, name: &str) -> Result<DrainRecord, DrainError> {
     if world.drains.unreadable.contains(name) {
         return Err(DrainError::Unreadable(name.to_owned()));
     }
@@ -47,7 +47,7 @@
 }
 
 /// The machines of a drain of this name, if there is one.
-pub(super) fn known_machines(world: &World, name: &str) -> Result<Option<Vec<Name>>, DrainError> {
+pub(super) fn known_machines(world: &Replica, name: &str) -> Result<Option<Vec<Name>>, DrainError> {
     match record_of(world, name) {
         Ok(_) => {
             let mut all: Vec<Name> =
@@ -62,14 +62,14 @@
 
 /// The same command again, whose first answer may have been lost.
 pub(super) fn repeated(
-    world: &World,
+    world: &Replica,
     name: &str,
     known: Vec<Name>,
     request: &Request,
     ages: Option<&HashMap<String, f64>>,
 ) -> Result<(), DrainError> {
     let active = record_of(world, name)?.is_active();
-    let mut others = World::default();
+    let mut others = Replica::default();
     others.machines.clone_from(&world.machines);
     let same = select(&others, &request.selection, ages).is_ok_and(|selected| selected == known);
     if !active || !same {
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-pub(super) fn without_cordons_of(mut world: World, name: &str) -> World {
+pub(super) fn without_cordons_of(mut world: Replica, name: &str) -> Replica {
     let own: Vec<_> = world.drains.cordons_of(name).map(|(id, c)| (id.clone(), c.version)).collect();
     for (id, version) in own {
         world.drains.apply_cordon(id, None, version);
@@ -87,16 +87,16 @@
     world
 }
 
-pub(super) fn fence(world: &World) -> (Condition, Put) {
+pub(super) fn fence(world: &Replica) -> (Condition, KeyWrite) {
     let next = CordonFence { generation: world.drains.generation + 1 };
     let condition = Condition { key: key::CORDON_FENCE.into(), version: world.drains.fence };
-    (condition, Put::new(key::CORDON_FENCE.into(), &next))
+    (condition, KeyWrite::new(key::CORDON_FENCE.into(), &next))
 }
 
 /// The next change that starts a drain: its cordons one by one, then its record. A cordon that
 /// is there already, from a try that was cut off, is taken over.
 pub(super) fn next_cordon(
-    world: &World,
+    world: &Replica,
     name: &str,
     request: &Request,
     machines: &[Name],
@@ -124,28 +124,28 @@
         if known.is_none_or(|c| c.value != wanted) {
             let version = known.map_or(0, |c| c.version);
             let here = Condition { key: key::cordon(name, id.1), version };
-            let puts = vec![Put::new(key::cordon(name, id.1), &wanted), next_fence];
+            let puts = vec![KeyWrite::new(key::cordon(name, id.1), &wanted), next_fence];
             return Ok(Some((vec![here, no_drain, unchanged], puts)));
         }
     }
     let of_other_try = world.drains.cordons_of(name).find(|((_, part), _)| *part as usize >= pieces.len());
     if let Some(((_, part), cordon)) = of_other_try {
         let here = Condition { key: key::cordon(name, *part), version: cordon.version };
-        let puts = vec![Put::delete(key::cordon(name, *part)), next_fence];
+        let puts = vec![KeyWrite::delete(key::cordon(name, *part)), next_fence];
         return Ok(Some((vec![here, no_drain, unchanged], puts)));
     }
     // No cordon has changed since all of its own were seen.
     let record = request.record(pieces.len(), machines.len());
-    Ok(Some((vec![no_drain, unchanged], vec![Put::new(key::drain(name), &record)])))
+    Ok(Some((vec![no_drain, unchanged], vec![KeyWrite::new(key::drain(name), &record)])))
 }
 
 /// A live controller that could place something on a machine that is cordoned.
-pub(super) fn old_controller(world: &World) -> Option<String> {
-    let knows = |name: &str| world.upgraded.get(name).is_some_and(|s| *s >= DRAINS_SCHEMA_VERSION);
+pub(super) fn old_controller(world: &Replica) -> Option<String> {
+    let knows = |name: &str| world.schema_versions.get(name).is_some_and(|s| *s >= DRAINS_SCHEMA_VERSION);
     world.members.keys().find(|name| !knows(name)).cloned()
 }
 
-pub(super) fn drained_by_another(world: &World, name: &str, machines: &[Name]) -> Option<(String, String)> {
+pub(super) fn drained_by_another(world: &Replica, name: &str, machines: &[Name]) -> Option<(String, String)> {
     let others = world.drains.cordons.iter().filter(|((drain, _), c)| drain != name && c.value.active);
     others.into_iter().find_map(|((drain, _), c)| {
         let machine = c.value.left().find(|m| machines.contains(m))?;
@@ -154,17 +154,17 @@
 }
 
 /// A drain's record after an event, conditional on the version that it was made of.
-pub(super) fn changed(world: &World, name: &str, event: Event) -> Result<ConditionalPuts, DrainError> {
+pub(super) fn changed(world: &Replica, name: &str, event: Event) -> Result<ConditionalPuts, DrainError> {
     let mut record = record_of(world, name)?;
     lifecycle::apply(&mut record, event, wall_ms())
         .map_err(|why| DrainError::Lifecycle { name: name.to_owned(), why })?;
     let version = world.drains.records.get(name).map_or(0, |d| d.version);
     let condition = Condition { key: key::drain(name), version };
-    Ok((vec![condition], vec![Put::new(key::drain(name), &record)]))
+    Ok((vec![condition], vec![KeyWrite::new(key::drain(name), &record)]))
 }
 
 /// The next change that resumes a drain: its cordons one by one, then its record.
-pub(super) fn next_resumed(world: &World, name: &str) -> Result<Option<ConditionalPuts>, DrainError> {
+pub(super) fn next_resumed(world: &Replica, name: &str) -> Result<Option<ConditionalPuts>, DrainError> {
     if record_of(world, name)?.is_active() {
         return Ok(None);
     }
@@ -177,14 +177,14 @@
     if let Some(((_, part), cordon)) = world.drains.cordons_of(name).find(|(_, c)| !c.value.active) {
         let record = CordonRecord { active: true, ..cordon.value.clone() };
         conditions.push(Condition { key: key::cordon(name, *part), version: cordon.version });
-        puts = vec![Put::new(key::cordon(name, *part), &record), next_fence];
+        puts = vec![KeyWrite::new(key::cordon(name, *part), &record), next_fence];
     }
     conditions.push(unchanged);
     Ok(Some((conditions, puts)))
 }
 
 /// The next change that forgets a drain that is over: its cordons one by one, then its record.
-pub(super) fn next_removed(world: &World, name: &str) -> Result<Option<ConditionalPuts>, DrainError> {
+pub(super) fn next_removed(world: &Replica, name: &str) -> Result<Option<ConditionalPuts>, DrainError> {
     let Some(record) = world.drains.records.get(name) else { return Ok(None) };
     if !matches!(record.value.phase, DrainPhase::Closed(_)) {
         return Err(DrainError::Lifecycle { name: name.to_owned(), why: LifecycleError::NotOver });
@@ -192,7 +192,7 @@
     let over = Condition { key: key::drain(name), version: record.version };
     if let Some(((_, part), cordon)) = world.drains.cordons_of(name).next() {
         let here = Condition { key: key::cordon(name, *part), version: cordon.version };
-        return Ok(Some((vec![over, here], vec![Put::delete(key::cordon(name, *part))])));
+        return Ok(Some((vec![over, here], vec![KeyWrite::delete(key::cordon(name, *part))])));
     }
-    Ok(Some((vec![over], vec![Put::delete(key::drain(name))])))
+    Ok(Some((vec![over], vec![KeyWrite::delete(key::drain(name))])))
 }
--- a/crates/daemon/src/drains/command/mod.rs
+++ b/crates/daemon/src/drains/command/mod.rs
@@ -16,8 +16,8 @@
 use sched::drain_records::{DRAIN_SCHEMA, DrainPhase, DrainRecord, RoomSearch, UnsavedWork};
 use sched::hash::HashMap;
 use sched::records::Name;
-use sched::world::World;
-use store::{Outcome, Put, StateClient, StoreError, key};
+use sched::replica::Replica;
+use store::{KeyValueClient, KeyWrite, StoreError, TxnOutcome, key};
 use tokio::time::sleep;
 use wire::Condition;
 
@@ -188,7 +188,7 @@
     let (state, cloud) = addresses(&args, settings.as_ref())?;
     let request = |machines, how| Request::new(machines, how, settings.as_ref());
     let cloud = cloud.map(|addr| CloudClient::new(Client::new(1), addr));
-    let service = Service::new(StateClient::new(Client::new(1), state, MEMORY_BYTES), cloud);
+    let service = Service::new(KeyValueClient::new(Client::new(1), state, MEMORY_BYTES), cloud);
     match args.verb {
         DrainVerb::Start { name, machines, how, as_far_as_possible } => {
             let request = request(machines, how)?;
@@ -263,7 +263,7 @@
         Ok(Self { selection, patience_s, give_up_s, unsaved: unsaved.into(), operators })
     }
 
-    fn blockers(&self, world: &World, machines: &[Name]) -> Vec<Blocker> {
+    fn blockers(&self, world: &Replica, machines: &[Name]) -> Vec<Blocker> {
         let machines = with_units(world, machines);
         let budgets = &self.operators.drains.budgets;
         feasibility::blockers(world, &machines, budgets, self.unsaved, self.patience_s)
@@ -287,7 +287,7 @@
     }
 }
 
-fn with_units(world: &World, machines: &[Name]) -> Vec<Machine> {
+fn with_units(world: &Replica, machines: &[Name]) -> Vec<Machine> {
     let machine = |name: &Name| Machine { units: view::units_on(world, name), name: name.clone() };
     machines.iter().map(machine).collect()
 }
@@ -301,34 +301,34 @@
 
 /// The services that a command speaks with.
 pub(crate) struct Service {
-    state: StateClient,
+    state: KeyValueClient,
     cloud: Option<CloudClient>,
 }
 
 impl Service {
-    pub(crate) fn new(state: StateClient, cloud: Option<CloudClient>) -> Self {
+    pub(crate) fn new(state: KeyValueClient, cloud: Option<CloudClient>) -> Self {
         Self { state, cloud }
     }
 
-    async fn world(&self) -> Result<World, DrainError> {
+    async fn world(&self) -> Result<Replica, DrainError> {
         let mut tries = 0;
         loop {
             match read_records(&self.state).await {
                 Ok((world, _)) => return Ok(world),
-                Err(StoreError::Rate) if tries < TRIES => tries += 1,
+                Err(StoreError::RateLimited) if tries < TRIES => tries += 1,
                 Err(e) => return Err(DrainError::NotRead(e)),
             }
             sleep(PAUSE).await;
         }
     }
 
-    async fn commit(&self, conditions: Vec<Condition>, puts: Vec<Put>) -> Result<Tried, DrainError> {
+    async fn commit(&self, conditions: Vec<Condition>, puts: Vec<KeyWrite>) -> Result<Tried, DrainError> {
         let mut tries = 0;
         loop {
             match self.state.txn(conditions.clone(), puts.clone()).await {
-                Ok(Outcome::Committed { .. }) => return Ok(Tried::Done),
-                Ok(Outcome::Conflict { .. }) => return Ok(Tried::Newer),
-                Err(StoreError::Rate) if tries < TRIES => tries += 1,
+                Ok(TxnOutcome::Committed { .. }) => return Ok(Tried::Done),
+                Ok(TxnOutcome::Conflict { .. }) => return Ok(Tried::Newer),
+                Err(StoreError::RateLimited) if tries < TRIES => tries += 1,
                 Err(e) => return Err(DrainError::NotWritten(e)),
             }
             sleep(PAUSE).await;
@@ -339,8 +339,8 @@
     /// nothing once all is as it should be.
     async fn change(
         &self,
-        step: impl Fn(&World) -> Result<Option<ConditionalPuts>, DrainError>,
-    ) -> Result<World, DrainError> {
+        step: impl Fn(&Replica) -> Result<Option<ConditionalPuts>, DrainError>,
+    ) -> Result<Replica, DrainError> {
         let mut conflicts = 0;
         loop {
             let world = self.world().await?;
--- a/crates/daemon/src/drains/eviction.rs
+++ b/crates/daemon/src/drains/eviction.rs
@@ -4,8 +4,8 @@
 use drain::budget::{Ledger, UnitId};
 use drain::view::{self, ByRecords};
 use sched::drain_records::{Disruption, DisruptionRecord, Stopper};
+use sched::replica::Replica;
 use sched::rescheduler::Eviction;
-use sched::world::World;
 use wire::JobKind;
 
 use crate::controller::Controller;
@@ -41,7 +41,12 @@
 
     /// Debits an eviction; None if the budgets do not allow it. Gives the entry for the team's
     /// record, and the team.
-    pub fn debit(&mut self, world: &World, eviction: &Eviction, now_ms: u64) -> Option<(String, Disruption)> {
+    pub fn debit(
+        &mut self,
+        world: &Replica,
+        eviction: &Eviction,
+        now_ms: u64,
+    ) -> Option<(String, Disruption)> {
         let job = &world.jobs.get(&eviction.job)?.value;
         let team = job.spec.as_ref()?.team.clone();
         let unit = UnitId { job: eviction.job.as_str().into(), task: eviction.task };
--- a/crates/daemon/src/drains/mod.rs
+++ b/crates/daemon/src/drains/mod.rs
@@ -23,7 +23,7 @@
 use drain::waves::{self, Effort};
 use sched::drain_records::{DisruptionRecord, DrainPhase, DrainRecord, Obstacle, ObstacleKind};
 use sched::records::DRAINS_SCHEMA_VERSION;
-use sched::world::World;
+use sched::replica::Replica;
 use store::key;
 use tokio::time::sleep;
 use tracing::{info, warn};
@@ -185,7 +185,7 @@
     let world = &core.world;
     for (job, hold) in core.drains.holds.iter().filter(|(job, h)| h.is_needed(world, job)) {
         let Some(spec) = world.jobs.get(job).and_then(|j| j.value.spec.as_deref()) else { continue };
-        inventory.reserve(&hold.machines, sched::world::Amount::of_task(spec), 1.0);
+        inventory.reserve(&hold.machines, sched::replica::Resources::of_task(spec), 1.0);
     }
     let budgets = &controller.operators.drains.budgets;
     let services = view::services_concerned(world, drains, budgets);
@@ -208,17 +208,17 @@
 }
 
 /// How long an attempt to get room may take.
-fn room_attempt(world: &World) -> Duration {
-    let boot_s = world.types.values().map(|t| t.boot_s).fold(0.0, f64::max).min(BOOT_MOST_S);
+fn room_attempt(world: &Replica) -> Duration {
+    let boot_s = world.machine_types.values().map(|t| t.boot_s).fold(0.0, f64::max).min(BOOT_MOST_S);
     wire::seconds(boot_s * BOOTS + ATTEMPT_REST_S)
 }
 
 /// Why nothing may be stopped at all: a controller that knows no drains, or has them switched
 /// off, could place something on a machine that is being drained.
-pub fn paused(controller: &Inner, world: &World) -> Option<Obstacle> {
+pub fn paused(controller: &Inner, world: &Replica) -> Option<Obstacle> {
     let names =
         controller.settings.peers.iter().map(|p| &p.node_name).chain([&controller.settings.node_name]);
-    let knows = |name: &String| world.upgraded.get(name).is_some_and(|s| *s >= DRAINS_SCHEMA_VERSION);
+    let knows = |name: &String| world.schema_versions.get(name).is_some_and(|s| *s >= DRAINS_SCHEMA_VERSION);
     names.chain(world.members.keys()).find(|name| !knows(name)).map(|name| Obstacle {
         kind: ObstacleKind::OldController,
         team: String::new(),
@@ -264,7 +264,7 @@
     let Core { world, drains, .. } = &mut *core;
     for m in moves {
         let Some(job) = world.jobs.get(&*m.unit.id.job).map(|j| &j.value) else { continue };
-        let save_s = job.spec.as_ref().map_or(0.0, |s| s.save_s.min(SAVE_MOST_S));
+        let save_s = job.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s.min(SAVE_MOST_S));
         let until = now + HOLD_FOR + wire::seconds(save_s);
         let hold = drains.holds.entry(m.unit.id.job.to_string());
         let hold = hold.or_insert_with(|| Hold { machines: Vec::new(), until });
--- a/crates/daemon/src/drains/observe.rs
+++ b/crates/daemon/src/drains/observe.rs
@@ -33,7 +33,7 @@
     }
     for (name, answer) in &core.drains.answers {
         let recent = now.saturating_duration_since(answer.asked_at) < ANSWER_FOR;
-        if recent && answer.epoch == map.epoch && map.holds(name, answer.incarnation) {
+        if recent && answer.epoch == map.epoch && map.contains(name, answer.incarnation) {
             all.extend(answer.tasks.clone());
         }
     }
@@ -61,7 +61,7 @@
     };
     let of_job = |job: &str| {
         let record = &core.world.jobs.get(job)?.value;
-        let running = record.run.iter().filter(|a| runs(job, a));
+        let running = record.assignments.iter().filter(|a| runs(job, a));
         let tasks: Vec<RunningTask> =
             running.map(|a| RunningTask { task: a.task, attempt: a.attempt }).collect();
         (!tasks.is_empty()).then(|| RunningTasksOfJob { job: job.to_owned(), tasks })
--- a/crates/daemon/src/drains/report.rs
+++ b/crates/daemon/src/drains/report.rs
@@ -10,7 +10,7 @@
 use sched::drain_records::{DrainEnd, DrainPhase, DrainRecord, Obstacle, ObstacleKind};
 use sched::drains::Drains;
 use sched::placement::Inventory;
-use sched::world::{Team, World};
+use sched::replica::{Replica, Team};
 
 use crate::controller::wall_ms;
 
@@ -86,7 +86,7 @@
 }
 
 /// A drain in one line.
-pub fn line(world: &World, name: &str, record: &DrainRecord, now_ms: u64) -> String {
+pub fn line(world: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
     let Machines { given_back, lost, left } = Machines::of(&world.drains, name);
     let mut text = format!(
         "{name}: {}; of {} machines {given_back} given back, {lost} lost, {left} left; {} moved",
@@ -101,7 +101,7 @@
 }
 
 /// All about a drain.
-pub fn status(world: &World, name: &str, record: &DrainRecord, now_ms: u64) -> String {
+pub fn status(world: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
     let mut text = line(world, name, record, now_ms) + "\n";
     let _ = writeln!(text, "started {} s ago", seconds(record.started_ms, now_ms));
     if record.room.failed > 0 {
@@ -135,7 +135,7 @@
 }
 
 /// What a drain of these machines would do, and what stands in its way.
-pub fn plan(world: &World, machines: &[Machine], budgets: &Budgets, blockers: &[Blocker]) -> String {
+pub fn plan(world: &Replica, machines: &[Machine], budgets: &Budgets, blockers: &[Blocker]) -> String {
     let problem = waves::problem(world, machines, budgets);
     let (order, waves, method) = waves::plan(&problem, &Effort::PLAN);
     let after = waves::emptied_after(&problem, &waves);
@@ -178,7 +178,7 @@
 }
 
 /// How many of what is to be moved has no room on the machines that stay.
-fn without_room(world: &World, machines: &[Machine]) -> usize {
+fn without_room(world: &Replica, machines: &[Machine]) -> usize {
     let drained: Vec<&str> = machines.iter().map(|m| &*m.name).collect();
     let mut inventory = Inventory::new(world, |id| !drained.contains(&id));
     let teams: Vec<Team> = unlimited_teams(world);
@@ -196,7 +196,7 @@
 }
 
 /// What is moved takes no more of its team's limit than before.
-fn unlimited_teams(world: &World) -> Vec<Team> {
+fn unlimited_teams(world: &Replica) -> Vec<Team> {
     let names: std::collections::BTreeSet<&str> =
         world.open_jobs().filter_map(|(_, job)| job.spec.as_deref()).map(|s| s.team.as_str()).collect();
     let limit = f64::INFINITY;
--- a/crates/daemon/src/drains/state.rs
+++ b/crates/daemon/src/drains/state.rs
@@ -6,7 +6,7 @@
 use drain::view::{self, ObservedTasks};
 use sched::hash::HashSet as NameSet;
 use sched::records::{Name, Phase};
-use sched::world::World;
+use sched::replica::Replica;
 
 /// What a peer said of the tasks that run on its machines.
 #[derive(Debug)]
@@ -32,10 +32,10 @@
 
 impl Hold {
     /// Whether the job has not got its places yet.
-    pub fn is_needed(&self, world: &World, job: &str) -> bool {
+    pub fn is_needed(&self, world: &Replica, job: &str) -> bool {
         let Some(job) = world.jobs.get(job).map(|j| &j.value) else { return false };
-        let stopping = job.run.iter().any(|a| !job.wants(a));
-        job.phase == Phase::Active && (stopping || sched::placement::pending_count(job) > 0)
+        let stopping = job.assignments.iter().any(|a| !job.should_run(a));
+        job.phase == Phase::Active && (stopping || sched::placement::pending_task_count(job) > 0)
     }
 }
 
--- a/crates/daemon/src/drains/transactions.rs
+++ b/crates/daemon/src/drains/transactions.rs
@@ -11,10 +11,10 @@
 };
 use sched::drains::CordonId;
 use sched::records::{JobRecord, Name};
+use sched::replica::{RecordChange, Replica};
 use sched::rescheduler::{self, Eviction};
 use sched::spot_notice;
-use sched::world::{Change, World};
-use store::{Outcome, Put, key};
+use store::{KeyWrite, TxnOutcome, key};
 use tracing::{debug, info};
 use wire::Condition;
 
@@ -33,15 +33,15 @@
 /// Changes of records that are committed together or not at all.
 pub struct Transaction {
     conditions: Vec<Condition>,
-    puts: Vec<Put>,
+    puts: Vec<KeyWrite>,
     /// What becomes known at once if it is committed.
-    changes: Vec<Change>,
+    changes: Vec<RecordChange>,
 }
 
 impl Transaction {
     /// One that fails if the map has changed, and with it the leader perhaps.
-    pub fn new(world: &World) -> Self {
-        let version = world.map.as_ref().map_or(0, |m| m.version);
+    pub fn new(world: &Replica) -> Self {
+        let version = world.cluster_map.as_ref().map_or(0, |m| m.version);
         let map = Condition { key: key::MAP.into(), version };
         Self { conditions: vec![map], puts: Vec::new(), changes: Vec::new() }
     }
@@ -60,49 +60,49 @@
     /// Writes a drain's record in the place of the version that it was made of.
     pub fn put_drain(&mut self, name: &str, record: DrainRecord, version: u64) {
         self.condition(key::drain(name), version);
-        self.puts.push(Put::new(key::drain(name), &record));
-        self.changes.push(Change::Drain(name.to_owned(), Some(record)));
+        self.puts.push(KeyWrite::new(key::drain(name), &record));
+        self.changes.push(RecordChange::Drain(name.to_owned(), Some(record)));
     }
 
     fn put_cordon(&mut self, id: &CordonId, record: CordonRecord, version: u64) {
         let key = key::cordon(&id.0, id.1);
         self.condition(key.clone(), version);
-        self.puts.push(Put::new(key, &record));
-        self.changes.push(Change::Cordon(id.clone(), Some(record)));
+        self.puts.push(KeyWrite::new(key, &record));
+        self.changes.push(RecordChange::Cordon(id.clone(), Some(record)));
     }
 
-    fn put_fence(&mut self, world: &World) {
+    fn put_fence(&mut self, world: &Replica) {
         let fence = CordonFence { generation: world.drains.generation + 1 };
         self.condition(key::CORDON_FENCE.into(), world.drains.fence);
-        self.puts.push(Put::new(key::CORDON_FENCE.into(), &fence));
-        self.changes.push(Change::CordonFence(Some(fence)));
+        self.puts.push(KeyWrite::new(key::CORDON_FENCE.into(), &fence));
+        self.changes.push(RecordChange::CordonFence(Some(fence)));
     }
 
-    fn put_disruptions(&mut self, world: &World, team_id: &str, record: DisruptionRecord) {
+    fn put_disruptions(&mut self, world: &Replica, team_id: &str, record: DisruptionRecord) {
         self.conditions.push(disruption_condition(world, team_id));
-        self.puts.push(Put::new(key::disruptions(team_id), &record));
-        self.changes.push(Change::Disruptions(team_id.to_owned(), Some(record)));
+        self.puts.push(KeyWrite::new(key::disruptions(team_id), &record));
+        self.changes.push(RecordChange::Disruptions(team_id.to_owned(), Some(record)));
     }
 
     fn put_job(&mut self, id: &str, record: Box<JobRecord>, version: u64) {
         self.condition(key::job(id), version);
-        self.puts.push(Put::new(key::job(id), &record));
-        self.changes.push(Change::Job(id.to_owned(), Some(record)));
+        self.puts.push(KeyWrite::new(key::job(id), &record));
+        self.changes.push(RecordChange::Job(id.to_owned(), Some(record)));
     }
 
     /// What it is conditional on, and what it changes.
     #[cfg(test)]
-    pub(super) fn parts(&self) -> (&[Condition], &[Put]) {
+    pub(super) fn parts(&self) -> (&[Condition], &[KeyWrite]) {
         (&self.conditions, &self.puts)
     }
 
     /// Commits it. True if it surely was; what it changed is then known here.
     pub async fn commit(self, controller: &Controller) -> bool {
         let Self { conditions, puts, changes } = self;
-        controller.core().writes.take(puts.len() as f64, 0.0, clock::now());
+        controller.core().writes.acquire(puts.len() as f64, 0.0, clock::now());
         controller.counts.spend(Purpose::Drains, puts.len());
         match controller.commit(conditions, puts).await {
-            Ok(Outcome::Committed { revision }) => {
+            Ok(TxnOutcome::Committed { revision }) => {
                 let mut core = controller.core();
                 for change in changes {
                     core.world.apply(change, revision);
@@ -111,7 +111,7 @@
                 controller.kick.notify_one();
                 true
             }
-            Ok(Outcome::Conflict { failed, revision }) => {
+            Ok(TxnOutcome::Conflict { failed, revision }) => {
                 debug!(?failed, "a step of a drain met newer records");
                 controller.reach(revision, Duration::from_secs(2)).await;
                 false
@@ -209,7 +209,7 @@
         for machine in cordon.value.left() {
             if !world.machines.contains_key(machine) {
                 changed |= record.note_gone(machine);
-            } else if !world.on_machine.contains_key(machine) {
+            } else if !world.jobs_by_machine.contains_key(machine) {
                 changed |= record.note_emptied(machine);
             }
         }
@@ -251,7 +251,7 @@
         let Some(attempt) = view::attempt_of(job, id) else { break };
         let mut job = job.clone();
         mark_stop(controller, &mut job, m, now_ms);
-        let size = Put::new(key::job(&id.job), &job).json_len() + RECORDS_BYTES;
+        let size = KeyWrite::new(key::job(&id.job), &job).json_len() + RECORDS_BYTES;
         if puts > ops || taken > 0 && bytes + size > TXN_BYTES {
             break;
         }
@@ -298,5 +298,5 @@
         }
         Work::Saving | Work::Unsaved => _ = spot_notice::mark(job, m.unit.id.task),
     }
-    job.part = None;
+    job.shard = None;
 }
--- a/crates/daemon/src/fleet_duty.rs
+++ b/crates/daemon/src/fleet_duty.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use sched::fleet::Offer;
+use sched::autoscaling::MachineOffer;
 use sched::forecast::GpuDemand;
 use sched::placement;
 use sched::records::*;
-use store::{Outcome, Put, key};
+use store::{KeyWrite, TxnOutcome, key};
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 use wire::{Condition, JobKind, JobSpec, ListedMachine};
@@ -24,7 +24,7 @@
 #[derive(Default)]
 pub(crate) struct Fleet {
     /// Offers without capacity, until when, and the pause that follows.
-    blocked: HashMap<Offer, (Instant, Duration)>,
+    blocked: HashMap<MachineOffer, (Instant, Duration)>,
     idle_since: HashMap<Name, Instant>,
     listed: BTreeMap<Name, ListedMachine>,
     /// When the latest listing was begun, and how far it is.
@@ -96,7 +96,7 @@
     async fn step(&mut self, controller: &Controller) -> Duration {
         let every =
             |at: Option<Instant>, s: u64| at.is_none_or(|t| clock::since(t) >= Duration::from_secs(s));
-        let types_known = !controller.core().world.types.is_empty();
+        let types_known = !controller.core().world.machine_types.is_empty();
         if every(self.types_at, if types_known { 60 } else { 1 }) {
             self.refresh_types(controller).await;
         }
@@ -120,14 +120,14 @@
             Ok(types) => {
                 let (version, same) = {
                     let core = controller.core();
-                    let same = core.world.types.len() == types.len()
-                        && types.iter().all(|t| core.world.types.get(&t.name) == Some(t));
-                    (core.world.types_version, same)
+                    let same = core.world.machine_types.len() == types.len()
+                        && types.iter().all(|t| core.world.machine_types.get(&t.name) == Some(t));
+                    (core.world.machine_types_version, same)
                 };
                 if same {
                     return;
                 }
-                let put = Put::new(key::TYPES.into(), &TypesRecord { types });
+                let put = KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types });
                 write(controller, vec![Condition { key: key::TYPES.into(), version }], vec![put]).await;
             }
             Err(e) => warn!(error = %e, "the cloud's machine types could not be had"),
@@ -176,8 +176,8 @@
         self.released.retain(|_, t| now.saturating_duration_since(*t) < RELEASED_FOR);
     }
 
-    async fn put_rentals(&self, controller: &Controller, change: impl Fn(&mut Vec<Rental>)) -> bool {
-        self.put_fleet(controller, |f| change(&mut f.rentals)).await
+    async fn put_rentals(&self, controller: &Controller, change: impl Fn(&mut Vec<ScaleOut>)) -> bool {
+        self.put_fleet(controller, |f| change(&mut f.scale_outs)).await
     }
 
     async fn put_fleet(&self, controller: &Controller, change: impl Fn(&mut FleetRecord)) -> bool {
@@ -190,7 +190,7 @@
                     .map_or((FleetRecord::default(), 0), |f| (f.value.clone(), f.version))
             };
             change(&mut fleet);
-            let put = Put::new(key::FLEET.into(), &fleet);
+            let put = KeyWrite::new(key::FLEET.into(), &fleet);
             if write(controller, vec![Condition { key: key::FLEET.into(), version }], vec![put]).await {
                 return true;
             }
@@ -217,7 +217,7 @@
 }
 
 fn written_bytes(fleet: &FleetRecord) -> usize {
-    Put::new(key::FLEET.into(), fleet).json_len()
+    KeyWrite::new(key::FLEET.into(), fleet).json_len()
 }
 
 /// How many names more the fleet's record surely holds. Without this bound it
@@ -236,18 +236,18 @@
 /// Says in the log what waits, by class, and how full the machines are, by kind.
 fn log_cluster(core: &Core) {
     let mut waiting: BTreeMap<&str, (u32, u32, u32)> = BTreeMap::new();
-    for job in core.world.open.iter().filter_map(|id| core.world.jobs.get(id)) {
+    for job in core.world.open_job_ids.iter().filter_map(|id| core.world.jobs.get(id)) {
         let Some(spec) = job.value.spec.as_deref() else { continue };
-        let n = placement::pending_count(&job.value);
+        let n = placement::pending_task_count(&job.value);
         let of_class = waiting.entry(&spec.class).or_default();
         of_class.0 += u32::from(n > 0);
         of_class.1 += n;
-        of_class.2 += job.value.run.len() as u32;
+        of_class.2 += job.value.assignments.len() as u32;
     }
     let mut kinds: BTreeMap<String, (u32, f64, f64)> = BTreeMap::new();
     for (id, m) in &core.world.machines {
-        let Some(t) = core.world.types.get(&*m.value.machine_type) else { continue };
-        let used = core.world.machine_use.get(id).map_or(0.0, |u| u.cpus);
+        let Some(t) = core.world.machine_types.get(&*m.value.machine_type) else { continue };
+        let used = core.world.machine_usage.get(id).map_or(0.0, |u| u.cpus);
         let spot = if m.value.spot { "spot " } else { "" };
         let kind = kinds.entry(format!("{spot}{}", m.value.machine_type)).or_default();
         *kind = (kind.0 + 1, kind.1 + used, kind.2 + t.cpus);
@@ -265,10 +265,10 @@
 
 /// The job whose next of a kind should find room ready.
 fn spare_spec<'a>(controller: &Controller, core: &'a Core) -> Option<&'a JobSpec> {
-    if wall_ms().saturating_sub(core.world.gpu_spec_ms) > SPARE_FOR.as_millis() as u64 {
+    if wall_ms().saturating_sub(core.world.latest_gpu_job_ms) > SPARE_FOR.as_millis() as u64 {
         return None;
     }
-    core.world.gpu_spec.as_deref().filter(|s| {
+    core.world.latest_gpu_job.as_deref().filter(|s| {
         s.kind == JobKind::Gang
             && controller.operators.spare_gpu_tasks > 0
             && controller.settings.starts_in_time(&s.class)
@@ -276,19 +276,21 @@
 }
 
 /// Writes as the leader: nothing is written once the map has changed.
-async fn write(controller: &Controller, mut conditions: Vec<Condition>, puts: Vec<Put>) -> bool {
+async fn write(controller: &Controller, mut conditions: Vec<Condition>, puts: Vec<KeyWrite>) -> bool {
     {
         let core = controller.core();
-        let Some(map) = core.world.map.as_ref().filter(|_| core.leads(&controller.me)) else { return false };
+        let Some(map) = core.world.cluster_map.as_ref().filter(|_| core.leads(&controller.me)) else {
+            return false;
+        };
         conditions.push(Condition { key: key::MAP.into(), version: map.version });
     }
     // Machines take long to boot; a request for some does not wait behind rounds
     // that are in debt.
-    controller.core().writes.take(puts.len() as f64, 0.0, clock::now());
+    controller.core().writes.acquire(puts.len() as f64, 0.0, clock::now());
     controller.counts.spend(Purpose::Fleet, puts.len());
     match controller.commit(conditions, puts).await {
-        Ok(Outcome::Committed { revision }) => controller.reach(revision, Duration::from_secs(2)).await,
-        Ok(Outcome::Conflict { revision, .. }) => {
+        Ok(TxnOutcome::Committed { revision }) => controller.reach(revision, Duration::from_secs(2)).await,
+        Ok(TxnOutcome::Conflict { revision, .. }) => {
             controller.reach(revision, Duration::from_secs(2)).await;
             false
         }
--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/fleet_duty/rentals.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, Instant};
 
 use cloud::{CloudError, RENT_MAX};
-use sched::fleet::{Coming, Demand, Offer, plan};
+use sched::autoscaling::{Demand, ExpectedCapacity, MachineOffer, plan_scale_out};
 use sched::forecast;
 use sched::hash::{HashMap, HashSet};
 use sched::placement;
 use sched::records::*;
-use sched::world::{Amount, InOrder};
-use store::{Put, key};
+use sched::replica::{Resources, SortedLookup};
+use store::{KeyWrite, key};
 use tokio::time::sleep;
 use tracing::{debug, info};
 use wire::{Condition, JobKind, JobSpec, MachineStatus, MachineType, RentRequest};
@@ -32,17 +32,21 @@
 fn unsuited(controller: &Controller, core: &Core, spec: &JobSpec) -> Vec<Name> {
     let wait = controller.settings.facts.workers.gang_wait_s;
     let may = |t: &&MachineType| {
-        Amount::of_task(spec).fits(Amount::of_type(t))
+        Resources::of_task(spec).fits(Resources::of_type(t))
             && spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
     };
-    let (slow, quick): (Vec<_>, Vec<_>) =
-        core.world.types.values().filter(may).partition(|t| placement::too_slow(spec, t, wait));
+    let (slow, quick): (Vec<_>, Vec<_>) = core
+        .world
+        .machine_types
+        .values()
+        .filter(may)
+        .partition(|t| placement::image_fetch_too_slow(spec, t, wait));
     if quick.is_empty() { Vec::new() } else { slow.iter().map(|t| t.name.as_str().into()).collect() }
 }
 
 /// Writes requests down. They may be there already: the change was carried out, and only
 /// its answer was lost.
-fn ask(list: &mut Vec<Rental>, rentals: &[Rental]) {
+fn ask(list: &mut Vec<ScaleOut>, rentals: &[ScaleOut]) {
     for r in rentals {
         if !list.iter().any(|l| l.request == r.request) {
             list.push(r.clone());
@@ -55,7 +59,7 @@
 const TOGETHER_MS: u64 = 10_000;
 
 /// Writes down what became of requests, in as few words as possible.
-fn settle(list: &mut Vec<Rental>, answers: &[(String, Option<Vec<Name>>)]) {
+fn settle(list: &mut Vec<ScaleOut>, answers: &[(String, Option<Vec<Name>>)]) {
     for (request, answer) in answers {
         let Some(i) = list.iter().position(|r| r.request == *request) else { continue };
         let mut rental = list.remove(i);
@@ -63,7 +67,7 @@
         let like = list.iter_mut().find(|r| {
             r.machines.is_some()
                 && (&r.machine_type, &r.zone, r.spot) == (&rental.machine_type, &rental.zone, rental.spot)
-                && rental.asked_ms.saturating_sub(r.asked_ms) < TOGETHER_MS
+                && rental.requested_ms.saturating_sub(r.requested_ms) < TOGETHER_MS
         });
         match like.and_then(|r| r.machines.as_mut()) {
             Some(before) => before.extend(machines.iter().cloned()),
@@ -79,8 +83,8 @@
 /// How many tasks of an array or a gang a drain would move if there were room for them: a gang
 /// as a whole.
 fn tasks_to_move(core: &Core, job: &JobRecord, spec: &JobSpec) -> u32 {
-    let waits = |a: &&Assignment| core.drains.wants_room.contains(&a.machine) && job.wants(a);
-    let there = job.run.iter().filter(waits).count() as u32;
+    let waits = |a: &&Assignment| core.drains.wants_room.contains(&a.machine) && job.should_run(a);
+    let there = job.assignments.iter().filter(waits).count() as u32;
     if spec.kind == JobKind::Gang && there > 0 { spec.tasks } else { there }
 }
 
@@ -100,21 +104,21 @@
             }
             self.pass_over_late(controller, &late);
         }
-        let put = Put::new(key::FLEET.into(), &fleet);
+        let put = KeyWrite::new(key::FLEET.into(), &fleet);
         write(controller, vec![Condition { key: key::FLEET.into(), version }], vec![put]).await;
     }
 
     /// Where a drain waits for room, a kind of which machines did not come up is left alone for
     /// a while, so that the next attempt rents another.
     fn pass_over_late(&mut self, controller: &Controller, late: &[Name]) {
-        let kinds: Vec<Offer> = {
+        let kinds: Vec<MachineOffer> = {
             let core = controller.core();
             if core.drains.wants_room.is_empty() {
                 return;
             }
-            let rentals = core.world.fleet.iter().flat_map(|f| &f.value.rentals);
-            let is_late = |r: &&Rental| r.machines.iter().flatten().any(|m| late.contains(m));
-            let kind = |r: &Rental| Offer {
+            let rentals = core.world.fleet.iter().flat_map(|f| &f.value.scale_outs);
+            let is_late = |r: &&ScaleOut| r.machines.iter().flatten().any(|m| late.contains(m));
+            let kind = |r: &ScaleOut| MachineOffer {
                 machine_type: r.machine_type.clone(),
                 zone: r.zone.clone(),
                 spot: r.spot,
@@ -137,9 +141,9 @@
         let f = core.world.fleet.as_ref().filter(|_| core.is_view_fresh(now))?;
         let mut late: Vec<Name> = Vec::new();
         let mut rentals = Vec::new();
-        for r in &f.value.rentals {
-            let boot = core.world.types.get(&*r.machine_type).map_or(60.0, |t| t.boot_s);
-            let age = now_ms.saturating_sub(r.asked_ms) as f64 / 1000.0;
+        for r in &f.value.scale_outs {
+            let boot = core.world.machine_types.get(&*r.machine_type).map_or(60.0, |t| t.boot_s);
+            let age = now_ms.saturating_sub(r.requested_ms) as f64 / 1000.0;
             let mut r = r.clone();
             if let Some(machines) = &mut r.machines {
                 machines.retain(|m| !core.world.machines.contains_key(m) && !self.released.contains_key(m));
@@ -155,8 +159,8 @@
             }
             rentals.push(r);
         }
-        let fleet = FleetRecord { rentals, gone: f.value.gone.clone() };
-        (fleet.rentals != f.value.rentals || !late.is_empty()).then_some((fleet, f.version, late))
+        let fleet = FleetRecord { scale_outs: rentals, removed_machines: f.value.removed_machines.clone() };
+        (fleet.scale_outs != f.value.scale_outs || !late.is_empty()).then_some((fleet, f.version, late))
     }
 
     /// Machines with tasks that have not been heard of for longer than placement would wait.
@@ -178,10 +182,10 @@
     }
 
     /// What is wanted beyond the room that is there or coming. The inventory has to be up to date.
-    pub(crate) fn wanted(&mut self, controller: &Controller, core: &Core, now: Instant) -> Vec<Offer> {
+    pub(crate) fn wanted(&mut self, controller: &Controller, core: &Core, now: Instant) -> Vec<MachineOffer> {
         let settled =
             self.led_since.is_some_and(|t| now.saturating_duration_since(t) > Duration::from_secs(2));
-        if !settled || core.world.types.is_empty() || self.listed_at.is_none() {
+        if !settled || core.world.machine_types.is_empty() || self.listed_at.is_none() {
             return Vec::new();
         }
         let now_ms = wall_ms();
@@ -197,14 +201,13 @@
         self.note_waiting(demands.iter().map(|(_, d)| d.spec).chain(soon.iter().copied()));
         let services = demands.partition_point(|(_, d)| d.spec.kind == JobKind::Service);
         let mut demands: Vec<Demand> = demands.into_iter().map(|(_, d)| d).collect();
-        let demand = |spec, tasks| Demand { spec, tasks, in_zone: HashMap::default(), unsuited: Vec::new() };
-        demands.extend(
-            soon.iter().map(|spec| Demand {
-                unsuited: unsuited(controller, core, spec),
-                ..demand(*spec, spec.tasks)
-            }),
-        );
-        let expected = forecast::services(&core.world, now_ms);
+        let demand =
+            |spec, tasks| Demand { spec, tasks, in_zone: HashMap::default(), unsuitable_types: Vec::new() };
+        demands.extend(soon.iter().map(|spec| Demand {
+            unsuitable_types: unsuited(controller, core, spec),
+            ..demand(*spec, spec.tasks)
+        }));
+        let expected = forecast::expected_services(&core.world, now_ms);
         if let Some((spec, tasks)) = &expected {
             demands.insert(services, demand(spec, *tasks));
         }
@@ -215,11 +218,11 @@
         if demands.is_empty() {
             return Vec::new();
         }
-        plan(
+        plan_scale_out(
             &demands,
             &self.room_to_come(core),
-            &core.world.types,
-            core.world.gpu_spec.as_deref(),
+            &core.world.machine_types,
+            core.world.latest_gpu_job.as_deref(),
             |o| self.blocked.get(o).is_some_and(|(t, _)| now < *t),
             RENT_MAX as usize,
         )
@@ -237,41 +240,47 @@
         // Room for what is to be moved off machines that are drained, before it is stopped.
         lost.extend(core.drains.wants_room.iter().cloned());
         let mut demands = Vec::new();
-        let mut left: HashMap<&str, Amount> = HashMap::default();
+        let mut left: HashMap<&str, Resources> = HashMap::default();
         for (_, job) in core.world.open_jobs() {
             let Some(spec) = job.spec.as_deref() else { continue };
             // Room for replicas on machines that are lost, most likely, is rented before
             // they are given up. They have their share of the team's limit already.
-            let there = |a: &&Assignment| lost.contains(&a.machine) && job.wants(a);
+            let there = |a: &&Assignment| lost.contains(&a.machine) && job.should_run(a);
             let replaced = match spec.kind {
-                JobKind::Service if !lost.is_empty() => job.run.iter().filter(there).count() as u32,
+                JobKind::Service if !lost.is_empty() => job.assignments.iter().filter(there).count() as u32,
                 // Only where a drain waits for room.
                 _ if !core.drains.wants_room.is_empty() => tasks_to_move(core, job, spec),
                 _ => 0,
             };
-            let waiting = placement::pending_count(job);
-            if waiting + replaced == 0 || job.errors >= 3 || now_ms.saturating_sub(job.submitted_ms) < 300 {
+            let waiting = placement::pending_task_count(job);
+            if waiting + replaced == 0
+                || job.failed_starts >= 3
+                || now_ms.saturating_sub(job.submitted_ms) < 300
+            {
                 continue;
             }
             let Some(team) = controller.team(&spec.team) else { continue };
             let room = left.entry(&spec.team).or_insert_with(|| {
-                let used = core.world.team_use.get(&spec.team).copied().unwrap_or_default();
-                team.limit().plus(used.without_memory(), -1.0)
+                let used = core.world.team_usage.get(&spec.team).copied().unwrap_or_default();
+                team.limit().plus_scaled(used.without_memory(), -1.0)
             });
-            let size = Amount::of_task(spec).without_memory();
-            let admitted = waiting.min(size.times_in(*room));
+            let size = Resources::of_task(spec).without_memory();
+            let admitted = waiting.min(size.count_fitting_in(*room));
             let tasks = admitted + replaced;
             if tasks == 0 {
                 continue;
             }
-            *room = room.plus(size, -f64::from(admitted));
+            *room = room.plus_scaled(size, -f64::from(admitted));
             let mut in_zone: HashMap<Name, u32> = HashMap::default();
-            for a in job.run.iter().filter(|a| !lost.contains(&a.machine)) {
+            for a in job.assignments.iter().filter(|a| !lost.contains(&a.machine)) {
                 if let Some(m) = core.world.machines.get(&a.machine) {
                     *in_zone.entry(m.value.zone.clone()).or_default() += 1;
                 }
             }
-            demands.push((job, Demand { spec, tasks, in_zone, unsuited: unsuited(controller, core, spec) }));
+            demands.push((
+                job,
+                Demand { spec, tasks, in_zone, unsuitable_types: unsuited(controller, core, spec) },
+            ));
         }
         demands
     }
@@ -282,7 +291,7 @@
         for spec in specs {
             let like = |s: &JobSpec| {
                 (s.kind, s.spot, &s.types, &s.zone) == (spec.kind, spec.spot, &spec.types, &spec.zone)
-                    && Amount::of_task(s) == Amount::of_task(spec)
+                    && Resources::of_task(s) == Resources::of_task(spec)
             };
             if !self.waiting.iter().any(like) {
                 self.waiting.push(spec.clone());
@@ -292,19 +301,19 @@
 
     /// All room that may be used: what was rented and is not up yet, what the cloud lists and
     /// nobody has heard of, and what is free on the machines that are up.
-    fn room_to_come(&self, core: &Core) -> Vec<Coming> {
-        let full = |t: &str| core.world.types.get(t).map(Amount::of_type).unwrap_or_default();
-        let empty = |machine_type: &Name, zone: &Name, spot| Coming {
+    fn room_to_come(&self, core: &Core) -> Vec<ExpectedCapacity> {
+        let full = |t: &str| core.world.machine_types.get(t).map(Resources::of_type).unwrap_or_default();
+        let empty = |machine_type: &Name, zone: &Name, spot| ExpectedCapacity {
             machine_type: machine_type.clone(),
             zone: zone.clone(),
             spot,
             free: full(machine_type),
             gpus: full(machine_type).gpus,
-            up: false,
+            is_up: false,
         };
-        let mut coming: Vec<Coming> = Vec::with_capacity(core.inventory.slots.len());
+        let mut coming: Vec<ExpectedCapacity> = Vec::with_capacity(core.inventory.slots.len());
         let mut counted: HashSet<&Name> = HashSet::default();
-        for r in core.world.fleet.iter().flat_map(|f| f.value.rentals.iter()) {
+        for r in core.world.fleet.iter().flat_map(|f| f.value.scale_outs.iter()) {
             let n = match &r.machines {
                 Some(list) => {
                     counted.extend(list);
@@ -314,20 +323,20 @@
             };
             coming.extend(std::iter::repeat_n(empty(&r.machine_type, &r.zone, r.spot), n));
         }
-        let mut known = InOrder::new(&core.world.machines);
+        let mut known = SortedLookup::new(&core.world.machines);
         for (id, m) in &self.listed {
             let known = known.get(id).is_some() || counted.contains(id) || self.released.contains_key(id);
             if !known && m.status != MachineStatus::Failed {
                 coming.push(empty(&m.machine_type.as_str().into(), &m.zone.as_str().into(), m.spot));
             }
         }
-        coming.extend(core.inventory.usable().map(|s| Coming {
+        coming.extend(core.inventory.usable().map(|s| ExpectedCapacity {
             machine_type: s.machine_type.clone(),
             zone: s.zone.clone(),
             spot: s.spot,
             free: s.free(),
-            gpus: s.whole.gpus,
-            up: true,
+            gpus: s.capacity.gpus,
+            is_up: true,
         }));
         coming
     }
@@ -346,7 +355,7 @@
             self.wanted(controller, &core, now)
         };
         let cost = clock::since(now);
-        let mut kinds: Vec<(Offer, u32)> = Vec::new();
+        let mut kinds: Vec<(MachineOffer, u32)> = Vec::new();
         for offer in wanted {
             match kinds.iter_mut().find(|(o, _)| *o == offer) {
                 Some((_, n)) => *n = (*n + 1).min(RENT_MAX),
@@ -366,18 +375,18 @@
 
     /// Rents machines of some kinds: two changes of the record for all of them, as each
     /// costs more where the record is larger than a value.
-    async fn rent_kinds(&mut self, controller: &Controller, kinds: Vec<(Offer, u32)>, now: Instant) {
-        let rentals: Vec<Rental> = kinds
+    async fn rent_kinds(&mut self, controller: &Controller, kinds: Vec<(MachineOffer, u32)>, now: Instant) {
+        let rentals: Vec<ScaleOut> = kinds
             .into_iter()
             .map(|(offer, count)| {
                 self.requests += 1;
-                Rental {
+                ScaleOut {
                     request: format!("{:x}-{:x}", controller.me.incarnation, self.requests),
                     machine_type: offer.machine_type,
                     zone: offer.zone,
                     spot: offer.spot,
                     count,
-                    asked_ms: wall_ms(),
+                    requested_ms: wall_ms(),
                     machines: None,
                 }
             })
@@ -411,11 +420,12 @@
     async fn rent_kind(
         &mut self,
         controller: &Controller,
-        rental: &Rental,
+        rental: &ScaleOut,
         now: Instant,
     ) -> Result<Vec<Name>, CloudError> {
-        let Rental { request, spot, count, .. } = rental.clone();
-        let offer = Offer { machine_type: rental.machine_type.clone(), zone: rental.zone.clone(), spot };
+        let ScaleOut { request, spot, count, .. } = rental.clone();
+        let offer =
+            MachineOffer { machine_type: rental.machine_type.clone(), zone: rental.zone.clone(), spot };
         let ask = RentRequest {
             request: request.clone(),
             machine_type: offer.machine_type.to_string(),
@@ -465,7 +475,7 @@
     }
 
     /// No capacity: ask again later, and ever later.
-    pub(super) fn block(&mut self, offer: Offer, now: Instant) {
+    pub(super) fn block(&mut self, offer: MachineOffer, now: Instant) {
         let pause = self.blocked.get(&offer).map_or(BLOCK_FIRST, |(_, p)| (*p * 2).min(BLOCK_MOST));
         self.blocked.insert(offer, (now + pause, pause));
     }
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/fleet_duty/returns.rs
@@ -4,13 +4,13 @@
 use std::time::{Duration, Instant};
 
 use cloud::RELEASE_MAX;
-use sched::fleet::Offer;
+use sched::autoscaling::MachineOffer;
 use sched::forecast;
 use sched::hash::{HashMap, HashSet};
 use sched::placement;
 use sched::records::*;
-use sched::world::{Amount, InOrder};
-use store::{Put, key};
+use sched::replica::{Resources, SortedLookup};
+use store::{KeyWrite, key};
 use tokio::time::sleep;
 use tracing::{debug, info, warn};
 use wire::{Condition, JobKind, JobSpec, MachineStatus};
@@ -36,9 +36,9 @@
 
 /// Whether an empty machine could hold a task of the job.
 fn fits_machine(spec: &JobSpec, m: &MachineRecord, core: &Core) -> bool {
-    placement::allowed(spec, &m.machine_type, &m.zone, m.spot)
-        && core.world.types.get(&*m.machine_type).is_some_and(|t| {
-            Amount::of_task(spec).fits(Amount::of_type(t)) && (spec.gpus > 0.0 || t.gpus == 0.0)
+    placement::is_allowed(spec, &m.machine_type, &m.zone, m.spot)
+        && core.world.machine_types.get(&*m.machine_type).is_some_and(|t| {
+            Resources::of_task(spec).fits(Resources::of_type(t)) && (spec.gpus > 0.0 || t.gpus == 0.0)
         })
 }
 
@@ -77,16 +77,18 @@
     /// For how many of its tasks there is room.
     spare_left: u32,
     /// Machines that are idle, by their kind.
-    of_kind: HashMap<Offer, u32>,
+    of_kind: HashMap<MachineOffer, u32>,
 }
 
 impl<'a> IdleRoom<'a> {
     fn new(controller: &Controller, core: &'a Core, views: &[MachineView]) -> Self {
         // Room for the services to come is not given back either.
         let now_ms = wall_ms();
-        let for_services = match forecast::services(&core.world, now_ms) {
+        let for_services = match forecast::expected_services(&core.world, now_ms) {
             Some((spec, tasks)) => {
-                placement::room_for(&core.world, &core.inventory, &spec, tasks, now_ms).into_iter().collect()
+                placement::capacity_for(&core.world, &core.inventory, &spec, tasks, now_ms)
+                    .into_iter()
+                    .collect()
             }
             None => HashSet::default(),
         };
@@ -102,10 +104,10 @@
     }
 
     /// For how many spare tasks a machine has room.
-    fn spare_tasks(&self, core: &Core, m: &MachineRecord, used: Amount) -> u32 {
-        match (self.spare, core.world.types.get(&*m.machine_type)) {
-            (Some(spec), Some(t)) if placement::allowed(spec, &m.machine_type, &m.zone, m.spot) => {
-                Amount::of_task(spec).times_in(Amount::of_type(t).plus(used, -1.0))
+    fn spare_tasks(&self, core: &Core, m: &MachineRecord, used: Resources) -> u32 {
+        match (self.spare, core.world.machine_types.get(&*m.machine_type)) {
+            (Some(spec), Some(t)) if placement::is_allowed(spec, &m.machine_type, &m.zone, m.spot) => {
+                Resources::of_task(spec).count_fitting_in(Resources::of_type(t).plus_scaled(used, -1.0))
             }
             _ => 0,
         }
@@ -134,7 +136,7 @@
             of_owner.mute += u32::from(health.silent >= silent / 2);
         }
         let idle =
-            |id: &Name| core.world.machines.contains_key(id) && !core.world.on_machine.contains_key(id);
+            |id: &Name| core.world.machines.contains_key(id) && !core.world.jobs_by_machine.contains_key(id);
         self.idle_since.retain(|id, _| idle(id));
         let mut idle_room = IdleRoom::new(controller, core, &views);
         let drained = drained(controller, core);
@@ -194,16 +196,19 @@
         let since = *self.idle_since.entry(m.id.clone()).or_insert(now);
         // Renting it again costs its boot time and the wait for it. Spot
         // machines serve work that can wait.
-        let boot_s = core.world.types.get(&*record.machine_type).map_or(0.0, |t| t.boot_s);
+        let boot_s = core.world.machine_types.get(&*record.machine_type).map_or(0.0, |t| t.boot_s);
         let boot_s = if record.spot { 0.0 } else { boot_s };
         // Many that are idle at a time are not all needed soon.
-        let kind =
-            Offer { machine_type: record.machine_type.clone(), zone: record.zone.clone(), spot: record.spot };
+        let kind = MachineOffer {
+            machine_type: record.machine_type.clone(),
+            zone: record.zone.clone(),
+            spot: record.spot,
+        };
         let others = room.of_kind.entry(kind).or_default();
         *others += 1;
         let boot_s = if *others > IDLE_KEPT { 0.0 } else { boot_s };
         let keep = controller.operators.idle.max(wire::seconds(boot_s.min(BOOT_MOST_S)));
-        let spare = room.spare_tasks(core, record, Amount::default());
+        let spare = room.spare_tasks(core, record, Resources::default());
         let spared = spare > 0 && room.spare_left < spare + self.spare_tasks(controller, now);
         let goes = now.saturating_duration_since(since) >= keep && !spared;
         if goes {
@@ -218,19 +223,19 @@
             .world
             .fleet
             .iter()
-            .flat_map(|f| f.value.rentals.iter())
+            .flat_map(|f| f.value.scale_outs.iter())
             .filter_map(|r| r.machines.as_ref())
             .flatten()
             .collect();
         let listed_s = self.listed_at.map_or(0.0, |t| clock::since(t).as_secs_f64());
-        let mut known = InOrder::new(&core.world.machines);
+        let mut known = SortedLookup::new(&core.world.machines);
         for (id, m) in &self.listed {
             let known = known.get(id).is_some();
             let failed = m.status == MachineStatus::Failed;
             if (known && !failed) || self.released.contains_key(id) {
                 continue;
             }
-            let boot_s = core.world.types.get(&m.machine_type).map_or(60.0, |t| t.boot_s);
+            let boot_s = core.world.machine_types.get(&m.machine_type).map_or(60.0, |t| t.boot_s);
             let age_s = m.age_s + listed_s;
             let seen_s = self.first_seen.get(id).map_or(0.0, |t| clock::since(*t).as_secs_f64());
             if failed {
@@ -256,7 +261,7 @@
         };
         // While changes are short, machines that cost nothing but money wait.
         let mut list = list;
-        if controller.core().writes.level(now) < 0.0 {
+        if controller.core().writes.available(now) < 0.0 {
             list.retain(|(_, why)| *why != "idle");
         }
         if list.is_empty() {
@@ -293,7 +298,7 @@
             let puts = marks
                 .iter()
                 .map(|(id, m, _)| {
-                    Put::new(key::machine(id), &MachineRecord { release: true, ..m.value.clone() })
+                    KeyWrite::new(key::machine(id), &MachineRecord { release: true, ..m.value.clone() })
                 })
                 .collect();
             if !write(controller, conditions, puts).await {
@@ -303,7 +308,7 @@
                 debug!(machine = &*id, reason = why, "giving the machine back");
                 reasons.insert(id.clone(), why);
                 // A task may have been placed just before the mark.
-                if !controller.core().world.on_machine.contains_key(&id) {
+                if !controller.core().world.jobs_by_machine.contains_key(&id) {
                     ready.push(id);
                 }
             }
@@ -331,7 +336,7 @@
                     self.released.insert(id.clone(), now);
                     // There is capacity for one of its kind again.
                     if let Some(m) = controller.core().world.machines.get(id).map(|m| m.value.clone()) {
-                        let offer = Offer { machine_type: m.machine_type, zone: m.zone, spot: m.spot };
+                        let offer = MachineOffer { machine_type: m.machine_type, zone: m.zone, spot: m.spot };
                         self.blocked.remove(&offer);
                     }
                 }
@@ -351,11 +356,14 @@
     /// What holds no replicas follows them.
     pub(super) fn pace(&self, controller: &Controller, core: &Core, ready: &mut Vec<Name>, now: Instant) {
         let service = |job: &JobRecord| job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service);
-        let replicas =
-            |id: &Name| core.world.assignments(id).filter(|(_, job, a)| service(job) && job.wants(a)).count();
-        let open = core.world.open.iter().filter_map(|id| core.world.jobs.get(id)).map(|j| j.value.as_ref());
-        let waiting = open.filter(|j| service(j)).map(|j| placement::pending_count(j) as usize);
-        let down = waiting.sum::<usize>() + core.world.orphaned.iter().map(replicas).sum::<usize>();
+        let replicas = |id: &Name| {
+            core.world.assignments(id).filter(|(_, job, a)| service(job) && job.should_run(a)).count()
+        };
+        let open =
+            core.world.open_job_ids.iter().filter_map(|id| core.world.jobs.get(id)).map(|j| j.value.as_ref());
+        let waiting = open.filter(|j| service(j)).map(|j| placement::pending_task_count(j) as usize);
+        let down =
+            waiting.sum::<usize>() + core.world.machines_without_record.iter().map(replicas).sum::<usize>();
         let (held, free): (Vec<Name>, Vec<Name>) = std::mem::take(ready)
             .into_iter()
             .partition(|id| self.silent.get(id).is_some_and(|s| now < s.ends));
@@ -390,7 +398,7 @@
             return;
         }
         let add = |f: &mut FleetRecord| {
-            let gone = f.gone.get_or_insert_default();
+            let gone = f.removed_machines.get_or_insert_default();
             gone.extend(known.iter().map(|(id, _)| id.clone()));
             gone.sort_unstable();
             gone.dedup();
@@ -408,23 +416,30 @@
         let ops = controller.plan().txn_ops;
         let (dead, mut fleet, version) = {
             let mut core = controller.core();
-            let (level, rate) = (core.writes.level(clock::now()), core.writes.per_second());
+            let (level, rate) = (core.writes.available(clock::now()), core.writes.per_second());
             let Some(f) = &core.world.fleet else { return };
-            if core.world.gone.is_empty() || level < rate * 0.6 && !is_half_full(&f.value, controller) {
+            if core.world.removed_machines.is_empty()
+                || level < rate * 0.6 && !is_half_full(&f.value, controller)
+            {
                 return;
             }
-            let dead: Vec<(Name, u64)> =
-                core.world.gone.iter().take(ops - 1).map(|(id, m)| (id.clone(), m.version)).collect();
+            let dead: Vec<(Name, u64)> = core
+                .world
+                .removed_machines
+                .iter()
+                .take(ops - 1)
+                .map(|(id, m)| (id.clone(), m.version))
+                .collect();
             (dead, f.value.clone(), f.version)
         };
-        if let Some(gone) = &mut fleet.gone {
+        if let Some(gone) = &mut fleet.removed_machines {
             gone.retain(|id| !dead.iter().any(|(d, _)| d == id));
         }
-        fleet.gone = fleet.gone.filter(|g| !g.is_empty());
+        fleet.removed_machines = fleet.removed_machines.filter(|g| !g.is_empty());
         let mut conditions = vec![Condition { key: key::FLEET.into(), version }];
         conditions.extend(dead.iter().map(|(id, v)| Condition { key: key::machine(id), version: *v }));
-        let mut puts = vec![Put::new(key::FLEET.into(), &fleet)];
-        puts.extend(dead.iter().map(|(id, _)| Put::delete(key::machine(id))));
+        let mut puts = vec![KeyWrite::new(key::FLEET.into(), &fleet)];
+        puts.extend(dead.iter().map(|(id, _)| KeyWrite::delete(key::machine(id))));
         write(controller, conditions, puts).await;
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -263,7 +263,7 @@
 async fn leave(controller: &Controller) {
     let lease = controller.core().lease;
     if let Some(lease) = lease {
-        let _ = controller.state.end_lease(lease).await;
+        let _ = controller.state.revoke_lease(lease).await;
     }
 }
 
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use net::{Reply, Request};
-use peer::{MachineRow, Message, Summary};
-use sched::world::InOrder;
+use peer::{MachineStatusRow, Message, PeerStatus};
+use sched::replica::SortedLookup;
 use tokio::time::timeout;
 
 use crate::api;
@@ -18,36 +18,36 @@
 
 pub(crate) const LARGE: usize = 1 << 20;
 
-pub(crate) fn summary(controller: &Controller) -> Summary {
+pub(crate) fn summary(controller: &Controller) -> PeerStatus {
     let core = controller.core();
     let now = clock::now();
     let report = controller.report_every();
     let stood_still = core.stood_still(now);
-    let mut workers = InOrder::new(&core.workers);
-    let mut used = InOrder::new(&core.world.machine_use);
+    let mut workers = SortedLookup::new(&core.workers);
+    let mut used = SortedLookup::new(&core.world.machine_usage);
     let owned = core.world.owned_machines().filter(|(.., owner)| **owner == controller.me);
     let machines = owned
         .filter_map(|(id, record, _)| {
             let worker = workers.get(id)?;
-            let kind = core.world.types.get(&*record.value.machine_type)?;
+            let kind = core.world.machine_types.get(&*record.value.machine_type)?;
             let used = used.get(id).copied().unwrap_or_default();
-            Some(MachineRow {
+            Some(MachineStatusRow {
                 id: id.to_string(),
                 usable: takes_work(worker, report, now),
                 silent_ms: if stood_still { 0 } else { millis(worker.silent_for(now)) },
-                met: worker.heard.is_some(),
+                heard_from: worker.heard.is_some(),
                 free_cpus: kind.cpus - used.cpus,
                 free_gpus: kind.gpus - used.gpus,
                 free_memory_gb: kind.memory_gb - used.memory_gb,
-                sick: worker.sick(),
-                notice: worker.notice_until.is_some(),
+                unhealthy: worker.sick(),
+                spot_notice: worker.notice_until.is_some(),
             })
         })
         .collect();
-    Summary {
+    PeerStatus {
         name: controller.me.name.clone(),
         incarnation: controller.me.incarnation,
-        count: controller.counts.summaries.fetch_add(1, Ordering::Relaxed) + 1,
+        sequence: controller.counts.summaries.fetch_add(1, Ordering::Relaxed) + 1,
         epoch: core.map().map_or(0, |m| m.epoch),
         state_silent_ms: core.fresh_at.map_or(u64::MAX, |f| millis(now.saturating_duration_since(f))),
         machines,
@@ -58,7 +58,7 @@
     d.as_millis() as u64
 }
 
-pub(crate) fn take(controller: &Controller, mut summary: Summary) {
+pub(crate) fn take(controller: &Controller, mut summary: PeerStatus) {
     let mut core = controller.core();
     if !controller.settings.peers.iter().any(|p| p.node_name == summary.name) || !newer(&core, &summary) {
         return;
@@ -89,11 +89,11 @@
 
 /// Whether a summary is newer than what is known of its sender. A late copy, of an
 /// earlier process too, must not pass for the sender's word of now.
-fn newer(core: &Core, summary: &Summary) -> bool {
+fn newer(core: &Core, summary: &PeerStatus) -> bool {
     let known = core.peers.get(&summary.name).map(|p| &p.summary);
     let member = core.world.members.get(&summary.name).map(|m| m.value.incarnation);
     match known {
-        Some(k) if k.incarnation == summary.incarnation => summary.count > k.count,
+        Some(k) if k.incarnation == summary.incarnation => summary.sequence > k.sequence,
         Some(k) => summary.epoch >= k.epoch && member.is_none_or(|m| m == summary.incarnation),
         None => member.is_none_or(|m| m == summary.incarnation),
     }
@@ -128,11 +128,11 @@
 }
 
 async fn exchange(controller: &Controller, address: &str) {
-    let body = peer::encode(&Message::Summary(summary(controller)));
+    let body = peer::encode(&Message::PeerStatus(summary(controller)));
     let answer =
         controller.http.request(address, "POST", "/peer", body, LARGE, Duration::from_millis(900)).await;
     if let Ok(answer) = answer
-        && let Some(Message::Summary(s)) = peer::decode(&answer.body)
+        && let Some(Message::PeerStatus(s)) = peer::decode(&answer.body)
     {
         take(controller, s);
     }
@@ -141,25 +141,32 @@
 /// Passes a worker's report on to the machine's owner.
 pub async fn relay(controller: &Controller, owner: &str, report: Vec<u8>) -> Option<Reply> {
     let peer = controller.settings.peers.iter().find(|p| p.node_name == owner)?;
-    let body = peer::encode(&Message::Relay(peer::Relay { report }));
+    let body = peer::encode(&Message::RelayedHeartbeat(peer::RelayedHeartbeat { heartbeat: report }));
     let answer = controller
         .http
         .request(&peer.address, "POST", "/peer", body, LARGE, Duration::from_millis(2000))
         .await
         .ok()?;
     match peer::decode(&answer.body) {
-        Some(Message::Relayed { status: 200, body }) => Some(Reply { status: 200, body, retry_after: None }),
+        Some(Message::HeartbeatResponse { status: 200, body }) => {
+            Some(Reply { status: 200, body, retry_after: None })
+        }
         _ => None,
     }
 }
 
 /// Hands proofs over to a peer; false if it did not take them.
-pub async fn hand_over(controller: &Controller, to: &str, epoch: u64, list: Vec<peer::Proof>) -> bool {
+pub async fn hand_over(
+    controller: &Controller,
+    to: &str,
+    epoch: u64,
+    list: Vec<peer::TerminationProof>,
+) -> bool {
     let Some(peer) = controller.settings.peers.iter().find(|p| p.node_name == to) else { return false };
-    let body = peer::encode(&Message::Proofs(peer::Proofs { epoch, list }));
+    let body = peer::encode(&Message::TerminationProofs(peer::TerminationProofs { epoch, proofs: list }));
     let deadline = Duration::from_millis(1200);
     let answer = controller.http.request(&peer.address, "POST", "/peer", body, LARGE, deadline).await;
-    answer.is_ok_and(|a| peer::decode(&a.body) == Some(Message::Taken))
+    answer.is_ok_and(|a| peer::decode(&a.body) == Some(Message::Acknowledged))
 }
 
 /// Serves the peers.
@@ -177,17 +184,17 @@
         return observe::serve(&controller, &request.body);
     }
     let answer = match peer::decode(&request.body) {
-        Some(Message::Summary(s)) => {
+        Some(Message::PeerStatus(s)) => {
             take(&controller, s);
-            Message::Summary(summary(&controller))
+            Message::PeerStatus(summary(&controller))
         }
-        Some(Message::Relay(r)) => {
-            let reply = api::report(&controller, &r.report, true).await;
-            Message::Relayed { status: reply.status, body: reply.body }
+        Some(Message::RelayedHeartbeat(r)) => {
+            let reply = api::report(&controller, &r.heartbeat, true).await;
+            Message::HeartbeatResponse { status: reply.status, body: reply.body }
         }
-        Some(Message::Proofs(p)) => {
-            reconcile::take_proofs(&controller, p.epoch, p.list, clock::now());
-            Message::Taken
+        Some(Message::TerminationProofs(p)) => {
+            reconcile::take_proofs(&controller, p.epoch, p.proofs, clock::now());
+            Message::Acknowledged
         }
         _ => return Reply::error(400, "not a message between controllers"),
     };
--- a/crates/daemon/src/placer/claims.rs
+++ b/crates/daemon/src/placer/claims.rs
@@ -3,7 +3,7 @@
 use sched::hash::HashMap;
 use sched::placement::{self, Inventory};
 use sched::records::*;
-use sched::world::{Amount, World};
+use sched::replica::{Replica, Resources};
 use wire::{JobKind, JobSpec, Priority};
 
 use crate::controller::Controller;
@@ -14,14 +14,14 @@
     pub(super) team: String,
     pub(super) gang: bool,
     pub(super) priority: Priority,
-    pub(super) amount: Amount,
+    pub(super) amount: Resources,
 }
 
 /// Counts a part of a team's limit as used, or gives it back.
-pub(super) fn claim_share(inventory: &mut Inventory, team: &str, amount: Amount, sign: f64) {
-    if amount != Amount::default() {
-        let used = inventory.team_use.entry(team.to_owned()).or_default();
-        *used = used.plus(amount, sign);
+pub(super) fn claim_share(inventory: &mut Inventory, team: &str, amount: Resources, sign: f64) {
+    if amount != Resources::default() {
+        let used = inventory.team_usage.entry(team.to_owned()).or_default();
+        *used = used.plus_scaled(amount, sign);
     }
 }
 
@@ -34,7 +34,12 @@
 /// would claim that room at once, be placed there and be stopped again, without end.
 /// Nor is more claimed than arrays could ever leave: replicas end with their jobs only,
 /// and a gang that does not fit beside them would keep arrays out of the rest for good.
-pub(super) fn claims(controller: &Controller, world: &World, round: &Round, queue: &[String]) -> Vec<Claim> {
+pub(super) fn claims(
+    controller: &Controller,
+    world: &Replica,
+    round: &Round,
+    queue: &[String],
+) -> Vec<Claim> {
     let is_array = |id: &String| {
         let spec = world.jobs.get(id).and_then(|j| j.value.spec.as_ref());
         spec.is_some_and(|s| s.kind == JobKind::Array)
@@ -49,27 +54,27 @@
             Some((job, job.spec.as_deref().filter(|s| s.kind != JobKind::Array)?))
         })
         .collect();
-    let mut replicas: HashMap<&str, Amount> = HashMap::default();
+    let mut replicas: HashMap<&str, Resources> = HashMap::default();
     for (job, spec) in open.iter().filter(|(_, s)| s.kind == JobKind::Service) {
-        let run = job.run.iter().filter(|a| job.wants(a)).count();
+        let run = job.assignments.iter().filter(|a| job.should_run(a)).count();
         let used = replicas.entry(&spec.team).or_default();
-        *used = used.plus(Amount::of_task(spec), run as f64);
+        *used = used.plus_scaled(Resources::of_task(spec), run as f64);
     }
     let mut claims: Vec<Claim> = Vec::new();
     for (job, spec) in open {
-        let waiting = placement::pending_count(job);
+        let waiting = placement::pending_task_count(job);
         let Some(team) = controller.team(&spec.team).filter(|_| waiting > 0) else { continue };
         let gang = spec.kind == JobKind::Gang;
-        let size = Amount::of_task(spec).without_memory();
+        let size = Resources::of_task(spec).without_memory();
         let used = replicas.get(spec.team.as_str()).copied().unwrap_or_default();
-        let most = size.times_in(team.limit().plus(used.without_memory(), -1.0));
+        let most = size.count_fitting_in(team.limit().plus_scaled(used.without_memory(), -1.0));
         let claimed = if gang && waiting > most { 0 } else { waiting.min(most) };
         if claimed > 0 {
             claims.push(Claim {
                 team: spec.team.clone(),
                 gang,
                 priority: job.priority().unwrap_or(spec.priority),
-                amount: Amount::default().plus(size, f64::from(claimed)),
+                amount: Resources::default().plus_scaled(size, f64::from(claimed)),
             });
         }
     }
--- a/crates/daemon/src/placer/holds.rs
+++ b/crates/daemon/src/placer/holds.rs
@@ -5,14 +5,14 @@
 
 use sched::placement::Inventory;
 use sched::records::Name;
-use sched::world::{Amount, World};
+use sched::replica::{Replica, Resources};
 
 use crate::drains::state::Hold;
 
 /// Keeps the room that was found for what drains have stopped from all other jobs. For a job
 /// that waits it is like room that was made for it.
 pub(super) fn hold_for_drains(
-    world: &World,
+    world: &Replica,
     inventory: &mut Inventory,
     holds: &mut BTreeMap<String, Hold>,
     reserved: &mut std::collections::HashMap<String, (Vec<Name>, Instant)>,
@@ -25,7 +25,7 @@
         if reserved.contains_key(job) {
             continue;
         }
-        inventory.reserve(&hold.machines, Amount::of_task(spec), 1.0);
+        inventory.reserve(&hold.machines, Resources::of_task(spec), 1.0);
         if queue.contains(job) {
             reserved.insert(job.clone(), (hold.machines.clone(), hold.until));
         }
--- a/crates/daemon/src/placer/mod.rs
+++ b/crates/daemon/src/placer/mod.rs
@@ -11,8 +11,8 @@
 use sched::placement::{self, Inventory};
 use sched::preempt;
 use sched::records::*;
-use sched::world::{Amount, Team, World};
-use store::{Put, key};
+use sched::replica::{Replica, Resources, Team};
+use store::{KeyWrite, key};
 use tracing::info;
 use wire::{JobKind, JobSpec, Priority};
 
@@ -83,7 +83,7 @@
     let leads = core.leads(&controller.me);
     let Core { world, reserved, searched, refused, guaranteed, drains, .. } = core;
     let holds = &mut drains.holds;
-    let world: &World = world;
+    let world: &Replica = world;
     guaranteed.refresh(world, &controller.teams);
     let guaranteed = &guaranteed.jobs;
     free_what_ended(world, inventory, round);
@@ -91,7 +91,7 @@
     searched.retain(|_, t| now.saturating_duration_since(*t) < SEARCH_PAUSE);
     for (id, (machines, _)) in reserved.iter() {
         let Some(spec) = world.jobs.get(id).and_then(|j| j.value.spec.as_deref()) else { continue };
-        inventory.reserve(machines, Amount::of_task(spec), 1.0);
+        inventory.reserve(machines, Resources::of_task(spec), 1.0);
     }
     hold_for_drains(world, inventory, holds, reserved, &queue, now);
     let longest: HashSet<&str> = placement::longest_waiting(world, now_ms).into_iter().collect();
@@ -112,7 +112,7 @@
         running: None,
         // Services start within seconds, on room that is there: some is kept from
         // everything else.
-        expected: forecast::services(world, now_ms),
+        expected: forecast::expected_services(world, now_ms),
     };
     for id in queue {
         pass.place_job(id);
@@ -120,18 +120,18 @@
 }
 
 /// What this round has ended is free already.
-fn free_what_ended(world: &World, inventory: &mut Inventory, round: &Round) {
+fn free_what_ended(world: &Replica, inventory: &mut Inventory, round: &Round) {
     for (id, record) in &round.jobs {
         let Some(old) = world.jobs.get(id) else { continue };
         let Some(spec) = old.value.spec.as_deref() else { continue };
-        let size = Amount::of_task(spec);
-        for a in &old.value.run {
-            if record.run.binary_search_by_key(&a.task, |b| b.task).is_ok() {
+        let size = Resources::of_task(spec);
+        for a in &old.value.assignments {
+            if record.assignments.binary_search_by_key(&a.task, |b| b.task).is_ok() {
                 continue;
             }
             inventory.reserve(std::slice::from_ref(&a.machine), size, -1.0);
-            if let Some(u) = inventory.team_use.get_mut(&spec.team) {
-                *u = u.plus(size, -1.0);
+            if let Some(u) = inventory.team_usage.get_mut(&spec.team) {
+                *u = u.plus_scaled(size, -1.0);
             }
         }
     }
@@ -140,7 +140,7 @@
 /// One pass over the queue: what it looks at, and what it leaves behind.
 struct Pass<'a, 'w> {
     controller: &'a Controller,
-    world: &'w World,
+    world: &'w Replica,
     inventory: &'a mut Inventory,
     round: &'a mut Round,
     budget: Budget,
@@ -165,7 +165,7 @@
     spec: &'a JobSpec,
     team: &'a Team,
     priority: Priority,
-    size: Amount,
+    size: Resources,
     /// Whether it belongs to this controller's part, and so goes on its machines only.
     in_part: bool,
 }
@@ -199,8 +199,8 @@
             spec: &spec,
             team,
             priority: job.priority().unwrap_or(spec.priority),
-            size: Amount::of_task(&spec),
-            in_part: job.part.as_deref() == Some(controller.me.name.as_str()),
+            size: Resources::of_task(&spec),
+            in_part: job.shard.as_deref() == Some(controller.me.name.as_str()),
         };
         self.keep_room_for_services(&spec);
         let held = self.reserved.get(&id).map(|(m, _)| m.clone()).unwrap_or_default();
@@ -215,7 +215,7 @@
             self.make_room(&candidate, &job, last_resort);
             self.collect_room(&candidate);
         } else if placement::retry_at_ms(&job) <= self.budget.now_ms {
-            job.part = None;
+            job.shard = None;
             self.round.log.push(Event::Escalated { job: id.clone() });
             self.round.jobs.insert(id, job);
         }
@@ -227,8 +227,8 @@
             return;
         }
         let Some((service, tasks)) = self.expected.take() else { return };
-        let room = placement::room_for(self.world, self.inventory, &service, tasks, self.budget.now_ms);
-        self.inventory.reserve(&room, Amount::of_task(&service), 1.0);
+        let room = placement::capacity_for(self.world, self.inventory, &service, tasks, self.budget.now_ms);
+        self.inventory.reserve(&room, Resources::of_task(&service), 1.0);
     }
 
     fn find_place(&mut self, candidate: &Candidate, job: &mut JobRecord, held: &[Name]) -> Found {
@@ -236,9 +236,9 @@
         let (world, me, leads) = (self.world, &self.controller.me, self.leads);
         let reach = |s: &placement::Slot| leads && !in_part || s.owner == me.incarnation;
         let limits = placement::Limits {
-            most: self.controller.run_max().saturating_sub(job.run.len()),
-            window: self.controller.window(),
-            lossy: false,
+            max_tasks: self.controller.run_max().saturating_sub(job.assignments.len()),
+            task_window: self.controller.window(),
+            may_strand_gpus: false,
             gang_wait_s: self.controller.settings.facts.workers.gang_wait_s,
             now_ms: self.budget.now_ms,
         };
@@ -256,7 +256,7 @@
         // last the place of a GPU job.
         let mut last_resort = spec.gpus > 0.0;
         if placed.is_empty() && spec.kind == JobKind::Service && !in_part {
-            let limits = placement::Limits { lossy: true, ..limits };
+            let limits = placement::Limits { may_strand_gpus: true, ..limits };
             if !held.is_empty() {
                 placed = placement::place_at(world, self.inventory, job, team, held, limits);
             } else if !self.arrays_could_make_way(candidate) {
@@ -268,15 +268,15 @@
     }
 
     /// What of its team's limit others wait for that come before an array.
-    fn claims_against(&self, candidate: &Candidate, job: &JobRecord) -> Amount {
+    fn claims_against(&self, candidate: &Candidate, job: &JobRecord) -> Resources {
         if candidate.spec.kind != JobKind::Array {
-            return Amount::default();
+            return Resources::default();
         }
-        let pressed = placement::pressed(job, self.budget.now_ms);
+        let pressed = placement::is_deadline_pressing(job, self.budget.now_ms);
         let holds = |c: &&Claim| {
             c.team == candidate.spec.team && c.priority >= candidate.priority && !(c.gang && pressed)
         };
-        self.claims.iter().filter(holds).fold(Amount::default(), |sum, c| sum.plus(c.amount, 1.0))
+        self.claims.iter().filter(holds).fold(Resources::default(), |sum, c| sum.plus_scaled(c.amount, 1.0))
     }
 
     /// Whether a service would find room where GPU jobs lose none. Not looked for any more
@@ -287,10 +287,10 @@
         }
         self.round.searches += 1;
         let (world, spec) = (self.world, candidate.spec);
-        let whole = |s: &placement::Slot| placement::gpu_loss(world, spec, s) == 0;
+        let whole = |s: &placement::Slot| placement::gpu_slots_lost(world, spec, s) == 0;
         let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
         let asker = (spec, candidate.priority);
-        preempt::victims(running, self.inventory, asker, self.guaranteed, &[], true, whole).is_some()
+        preempt::find_victims(running, self.inventory, asker, self.guaranteed, &[], true, whole).is_some()
     }
 
     fn note_placed(&mut self, candidate: &Candidate, job: Box<JobRecord>, placed: Vec<Assignment>) {
@@ -308,7 +308,7 @@
         // The rest of the room that is made for it stays its own: given to others, it
         // would be made again and again (recorded: a task was stopped eight times).
         if let Some((machines, until)) = self.reserved.remove(id) {
-            let left = still_held(machines, &placed, placement::pending_count(&job));
+            let left = still_held(machines, &placed, placement::pending_task_count(&job));
             if !left.is_empty() {
                 self.inventory.reserve(&left, size, 1.0);
                 self.reserved.insert(id.to_owned(), (left, until));
@@ -319,11 +319,11 @@
 
     /// What was placed is not to be after all.
     fn give_up(&mut self, spec: &JobSpec, placed: &[Assignment]) {
-        let size = Amount::of_task(spec);
+        let size = Resources::of_task(spec);
         let machines: Vec<Name> = placed.iter().map(|a| a.machine.clone()).collect();
         self.inventory.reserve(&machines, size, -1.0);
-        if let Some(used) = self.inventory.team_use.get_mut(&spec.team) {
-            *used = used.plus(size, -(machines.len() as f64));
+        if let Some(used) = self.inventory.team_usage.get_mut(&spec.team) {
+            *used = used.plus_scaled(size, -(machines.len() as f64));
         }
     }
 
@@ -334,11 +334,11 @@
         if !self.longest.contains(id) || self.reserved.contains_key(id) {
             return;
         }
-        let in_use = self.inventory.team_use.get(&spec.team).copied().unwrap_or_default();
-        let quota = team.limit().plus(in_use.without_memory(), -1.0);
-        if size.times_in(quota) >= spec.tasks {
+        let in_use = self.inventory.team_usage.get(&spec.team).copied().unwrap_or_default();
+        let quota = team.limit().plus_scaled(in_use.without_memory(), -1.0);
+        if size.count_fitting_in(quota) >= spec.tasks {
             let (leads, me) = (self.leads, self.controller.me.incarnation);
-            let room = placement::collect(self.inventory, spec, |s| leads || s.owner == me);
+            let room = placement::collectable_capacity(self.inventory, spec, |s| leads || s.owner == me);
             self.inventory.reserve(&room, size, 1.0);
         }
     }
@@ -352,10 +352,14 @@
         self.searched.insert(id.to_owned(), self.budget.now);
         // A gang needs room for all its tasks; others start as room is made.
         let gang = spec.kind == JobKind::Gang;
-        let tasks = if gang { spec.tasks } else { placement::pending_count(job).min(PREEMPT_MOST) };
+        let tasks = if gang { spec.tasks } else { placement::pending_task_count(job).min(PREEMPT_MOST) };
         let Some(room) = self.find_victims(candidate, tasks, last_resort) else { return };
         let save = |v: &preempt::Victim| {
-            self.world.jobs.get(&v.job).and_then(|j| j.value.spec.as_ref()).map_or(0.0, |s| s.save_s)
+            self.world
+                .jobs
+                .get(&v.job)
+                .and_then(|j| j.value.spec.as_ref())
+                .map_or(0.0, |s| s.checkpoint_save_s)
         };
         // Of the team's own work none holds a machine that is waited for.
         let save_s = match room.machines.is_empty() {
@@ -379,7 +383,7 @@
         let again = if gang { SEARCH_PAUSE } else { SEARCH_PAUSE / 3 };
         let recent = |t: &Instant| now.saturating_duration_since(*t) < again;
         placement::retry_at_ms(job) <= now_ms
-            && (!gang || job.run.is_empty())
+            && (!gang || job.assignments.is_empty())
             && !is_patient(job, now_ms)
             && self.round.searches < SEARCHES
             && !self.searched.get(candidate.id).is_some_and(recent)
@@ -389,19 +393,20 @@
     fn find_victims(&mut self, candidate: &Candidate, tasks: u32, last_resort: bool) -> Option<Room> {
         let Candidate { spec, team, priority, size, .. } = *candidate;
         let world = self.world;
-        let in_use = world.team_use.get(&spec.team).copied().unwrap_or_default();
-        let quota = team.limit().plus(in_use.without_memory(), -1.0);
-        if size.times_in(quota) < tasks {
-            let victims = preempt::within_team(world, self.inventory, (spec, priority), tasks, team)?;
+        let in_use = world.team_usage.get(&spec.team).copied().unwrap_or_default();
+        let quota = team.limit().plus_scaled(in_use.without_memory(), -1.0);
+        if size.count_fitting_in(quota) < tasks {
+            let victims =
+                preempt::find_victims_within_team(world, self.inventory, (spec, priority), tasks, team)?;
             return Some(Room { machines: Vec::new(), victims });
         }
-        let whole = |s: &placement::Slot| last_resort || placement::gpu_loss(world, spec, s) == 0;
+        let whole = |s: &placement::Slot| last_resort || placement::gpu_slots_lost(world, spec, s) == 0;
         let mut room = Room { machines: Vec::new(), victims: Vec::new() };
         for _ in 0..tasks {
             self.round.searches += 1;
             let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
             let asker = (spec, priority);
-            let found = preempt::victims(
+            let found = preempt::find_victims(
                 running,
                 self.inventory,
                 asker,
@@ -436,8 +441,8 @@
     // Below this many assignments it surely fits.
     let surely = (plan.value_bytes / GANG_TASK_BYTES) as usize / 2;
     plan.chunked
-        || job.run.len() < surely
-        || Put::new(key::job(id), job).value_len() as f64 <= plan.value_bytes
+        || job.assignments.len() < surely
+        || KeyWrite::new(key::job(id), job).value_len() as f64 <= plan.value_bytes
 }
 
 /// What is still held for a job of which some tasks were placed.
@@ -464,23 +469,23 @@
     job.spec.as_deref().is_some_and(inherits)
         && job.in_pipeline()
         && now_ms.saturating_sub(job.submitted_ms) < PATIENCE_MS
-        && job.start_by_ms().is_some_and(|by| by > now_ms + SLACK_MS)
+        && job.latest_start_ms().is_some_and(|by| by > now_ms + SLACK_MS)
 }
 
 /// Whether room that the job could take is collected for a gang that has waited
 /// longer. Only the leader, who collects it, then places such jobs.
-pub(crate) fn collected_for(world: &World, spec: &JobSpec, now_ms: u64) -> bool {
+pub(crate) fn collected_for(world: &Replica, spec: &JobSpec, now_ms: u64) -> bool {
     competes_with(world, spec, placement::longest_waiting(world, now_ms).into_iter())
 }
 
 /// Whether the job could take room that one of these gangs needs, and comes after it.
-fn competes_with<'w>(world: &'w World, spec: &JobSpec, mut gangs: impl Iterator<Item = &'w str>) -> bool {
+fn competes_with<'w>(world: &'w Replica, spec: &JobSpec, mut gangs: impl Iterator<Item = &'w str>) -> bool {
     let priority = world.jobs.get(&spec.id).map_or(Some(spec.priority), |j| j.value.priority());
     gangs.any(|id| {
         let Some(gang) = world.jobs.get(id).map(|j| &j.value).filter(|_| *id != *spec.id) else {
             return false;
         };
-        let competes = gang.spec.as_deref().is_some_and(|g| placement::competes(spec, g));
+        let competes = gang.spec.as_deref().is_some_and(|g| placement::competes_for_capacity(spec, g));
         competes && gang.priority() >= priority
     })
 }
--- a/crates/daemon/src/placer/queue.rs
+++ b/crates/daemon/src/placer/queue.rs
@@ -3,7 +3,7 @@
 use sched::hash::{HashMap, HashSet};
 use sched::placement;
 use sched::records::*;
-use sched::world::{Amount, Team, World};
+use sched::replica::{Replica, Resources, Team};
 use wire::JobSpec;
 
 use crate::controller::Controller;
@@ -20,26 +20,26 @@
 }
 
 impl Guaranteed {
-    pub(super) fn refresh(&mut self, world: &World, teams: &[Team]) {
-        if self.open_layout != world.open_layout() {
-            self.open_layout = world.open_layout();
+    pub(super) fn refresh(&mut self, world: &Replica, teams: &[Team]) {
+        if self.open_layout != world.open_jobs_generation() {
+            self.open_layout = world.open_jobs_generation();
             self.jobs = guaranteed(world, teams);
         }
     }
 }
 
-pub(super) fn guaranteed(world: &World, teams: &[Team]) -> HashSet<String> {
+pub(super) fn guaranteed(world: &Replica, teams: &[Team]) -> HashSet<String> {
     let mut by_age: Vec<(u64, &str, &JobSpec)> = Vec::new();
     for (id, job) in world.open_jobs().filter(|(_, job)| job.phase == Phase::Active) {
         by_age.extend(job.spec.as_deref().map(|spec| (job.submitted_ms, id.as_str(), spec)));
     }
     by_age.sort_unstable_by_key(|(submitted_ms, id, _)| (*submitted_ms, *id));
-    let mut used: HashMap<&str, Amount> = HashMap::default();
+    let mut used: HashMap<&str, Resources> = HashMap::default();
     let mut within = HashSet::default();
     for (_, id, spec) in by_age {
         let Some(team) = teams.iter().find(|t| t.name == spec.team) else { continue };
         let sum = used.entry(&spec.team).or_default();
-        *sum = sum.plus(Amount::of_task(spec).without_memory(), f64::from(spec.tasks));
+        *sum = sum.plus_scaled(Resources::of_task(spec).without_memory(), f64::from(spec.tasks));
         if sum.fits(team.guarantee()) {
             within.insert(id.to_owned());
         }
@@ -51,8 +51,8 @@
 pub(super) fn waiting_here(controller: &Controller, core: &Core, round: &Round) -> Vec<String> {
     let waits = |(id, job): &(&String, &JobRecord)| {
         let job = round.jobs.get(*id).map_or(*job, |j| j);
-        placement::pending_count(job) > 0
-            && core.world.placer_of(job) == Some(&controller.me.name)
+        placement::pending_task_count(job) > 0
+            && core.world.scheduler_of(job) == Some(&controller.me.name)
             && !round.held.contains(*id)
     };
     core.world.open_jobs().filter(waits).map(|(id, _)| id.clone()).collect()
@@ -61,7 +61,7 @@
 /// The queue in the order in which it is served.
 pub(super) fn in_order(
     controller: &Controller,
-    world: &World,
+    world: &Replica,
     queue: Vec<String>,
     guaranteed: &HashSet<String>,
     longest: &HashSet<&str>,
@@ -73,7 +73,7 @@
         let turn = turn(controller, job, in_guarantee, longest.contains(id.as_str()), now_ms);
         Some((id, job, turn))
     };
-    let mut jobs: Vec<(String, &JobRecord, placement::Turn)> =
+    let mut jobs: Vec<(String, &JobRecord, placement::QueueRank)> =
         queue.into_iter().filter_map(with_turn).collect();
     jobs.sort_by(|a, b| placement::queue_order((a.1, a.2), (b.1, b.2)).then_with(|| a.0.cmp(&b.0)));
     jobs.into_iter().map(|(id, ..)| id).collect()
@@ -86,7 +86,7 @@
     guaranteed: bool,
     longest: bool,
     now_ms: u64,
-) -> placement::Turn {
+) -> placement::QueueRank {
     let times = job.spec.as_ref().and_then(|s| controller.settings.start_times(&s.class));
-    placement::turn(job, guaranteed, longest, times, now_ms)
+    placement::queue_rank(job, guaranteed, longest, times, now_ms)
 }
--- a/crates/daemon/src/prober.rs
+++ b/crates/daemon/src/prober.rs
@@ -5,7 +5,7 @@
 use net::NetError;
 use sched::records::Name;
 use tokio::time::sleep;
-use wire::Report;
+use wire::Heartbeat;
 
 use crate::clock;
 use crate::controller::Controller;
@@ -71,7 +71,7 @@
         PROBE_DEADLINE,
     );
     let report = match asked.await {
-        Ok(answer) => wire::decode::<Report>(&answer.body).ok().filter(|r| *r.machine == **machine),
+        Ok(answer) => wire::decode::<Heartbeat>(&answer.body).ok().filter(|r| *r.machine == **machine),
         // It was not asked at all.
         Err(NetError::Busy(_)) => return,
         Err(_) => None,
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -24,7 +24,7 @@
 use peer::{CancelledJob, ReadIndex, ReadIndexRequest};
 use rand::RngExt;
 use sched::records::{JobRecord, Phase};
-use sched::world::{Change, World};
+use sched::replica::{RecordChange, Replica};
 use tracing::{info, warn};
 
 use crate::clock;
@@ -112,12 +112,12 @@
 /// Cancelled jobs with something on a machine, in the order of their versions, and whether
 /// there are more. By its record, nothing else of a cancelled job can be on one, nor be
 /// started any more. Those of one version are never parted: whoever asks goes on after it.
-fn cancelled_after(world: &World, after: u64) -> (Vec<CancelledJob>, bool) {
+fn cancelled_after(world: &Replica, after: u64) -> (Vec<CancelledJob>, bool) {
     let cancelled = |id: &String| {
         let (id, job) = world.jobs.get_key_value(id)?;
         (job.version > after && job.value.phase == Phase::Cancelled).then_some((job.version, id, job))
     };
-    let mut found: Vec<_> = world.open.iter().filter_map(cancelled).collect();
+    let mut found: Vec<_> = world.open_job_ids.iter().filter_map(cancelled).collect();
     found.sort_unstable_by_key(|(version, id, _)| (*version, *id));
     let (mut list, mut bytes) = (Vec::new(), 0);
     for (version, id, job) in found {
@@ -171,7 +171,7 @@
                 let newer = core.world.jobs.get(&job.id).is_none_or(|j| j.version < job.version);
                 if newer {
                     learnt += 1;
-                    core.world.apply(Change::Job(job.id, Some(Box::new(record))), job.version);
+                    core.world.apply(RecordChange::Job(job.id, Some(Box::new(record))), job.version);
                 }
             }
             _ => counts = false,
--- a/crates/daemon/src/read_records.rs
+++ b/crates/daemon/src/read_records.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use rmpv::Value;
-use sched::world::{Change, World};
-use store::{Reader, StateClient, StoreError};
+use sched::replica::{RecordChange, Replica};
+use store::{KeyValueClient, RecordReader, StoreError};
 use tokio::time::sleep;
 use tracing::debug;
 
@@ -16,8 +16,8 @@
 const PAGE_TRIES: u32 = 12;
 
 /// Reads all records. What changes meanwhile is told by the changes since the first page.
-pub async fn read_records(state: &StateClient) -> Result<(World, Reader), StoreError> {
-    let (mut world, mut reader) = (World::default(), Reader::default());
+pub async fn read_records(state: &KeyValueClient) -> Result<(Replica, RecordReader), StoreError> {
+    let (mut world, mut reader) = (Replica::default(), RecordReader::default());
     let mut after: Option<String> = None;
     loop {
         let page = page(state, after.as_deref()).await?;
@@ -29,13 +29,13 @@
         after = page.items.last().map(|i| i.key.clone());
         // Machines and types come before jobs need them.
         let mut decoded: Vec<_> =
-            page.items.into_iter().map(|i| reader.take(&i.key, Some(i.value), i.version)).collect();
-        decoded.sort_by_key(|(c, ..)| matches!(c, Change::Job(..)));
+            page.items.into_iter().map(|i| reader.apply(&i.key, Some(i.value), i.version)).collect();
+        decoded.sort_by_key(|(c, ..)| matches!(c, RecordChange::Job(..)));
         for (change, bad, version) in decoded {
             if bad {
                 // One in parts is read once they are, too.
                 debug!(?change, "a record cannot be read yet");
-                world.unread(change);
+                world.mark_unreadable(change);
             } else {
                 world.apply(change, version);
             }
@@ -49,7 +49,7 @@
 
 /// One page of the records. Whatever changes while it is asked for again is told by the
 /// changes since the first page.
-async fn page(state: &StateClient, after: Option<&str>) -> Result<wire::Items<Value>, StoreError> {
+async fn page(state: &KeyValueClient, after: Option<&str>) -> Result<wire::Items<Value>, StoreError> {
     let mut tries = 0;
     loop {
         match state.list(after).await {
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use peer::Proof;
+use peer::TerminationProof;
 use sched::records::*;
+use sched::replica::{RecordChange, Replica};
 use sched::rescheduler;
 use sched::spot_notice;
-use sched::world::{Change, World};
-use store::{Outcome, StoreError};
+use store::{StoreError, TxnOutcome};
 use tokio::time::{sleep, timeout};
 use tracing::{debug, warn};
-use wire::{Command, Commands, JobKind, Priority, Report};
+use wire::{Command, Commands, Heartbeat, JobKind, Priority};
 
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
@@ -130,17 +130,17 @@
 /// the records as they are; this lets go of what is kept of them, a few at a time, and
 /// whoever places such a job goes on with it whenever it gets to it.
 fn cascade(controller: &Controller, core: &Core, round: &mut Round, ops: usize) {
-    for id in core.world.pipelines.doomed() {
+    for id in core.world.pipelines.cancelled_by_dependency() {
         if round.jobs.len() >= (ops / 2).max(1) {
             break;
         }
-        let mine = |j: &JobRecord| core.world.placer_of(j) == Some(&controller.me.name);
+        let mine = |j: &JobRecord| core.world.scheduler_of(j) == Some(&controller.me.name);
         if !core.world.jobs.get(&**id).is_some_and(|j| mine(&j.value)) {
             continue;
         }
         if let Some(record) = edit(round, &core.world, id) {
             record.phase = Phase::Cancelled;
-            record.shrink();
+            record.compact_if_final();
             round.log.push(Event::Orphaned { job: id.to_string() });
         }
     }
@@ -149,12 +149,12 @@
 /// Reconciles the owned workers with the records, as far as either has changed.
 fn own_machines(controller: &Controller, core: &mut Core, round: &mut Round, now: Instant, now_ms: u64) {
     let Core { world, workers, peers, shunned, fresh_at, handed, .. } = core;
-    let Some(epoch) = world.map_record().map(|m| m.epoch) else { return };
-    let changed: Vec<Name> = match world.take_touched() {
+    let Some(epoch) = world.current_map().map(|m| m.epoch) else { return };
+    let changed: Vec<Name> = match world.take_changed_machines() {
         Some(touched) => touched.into_iter().collect(),
         None => {
             let kept = |id: &Name, w: &Worker| {
-                world.owner_of(id) == Some(&controller.me) && !w.lapsed(world.owned_since(id))
+                world.owner_of(id) == Some(&controller.me) && !w.lapsed(world.owned_since_epoch(id))
             };
             workers.retain(|id, w| kept(id, w));
             world.owned_by(&controller.me).cloned().collect()
@@ -180,7 +180,7 @@
         let plan = worker.reconcile(id, world, &limits, now);
         for (key, how) in plan.ends {
             let Some(job) = world.jobs.get(&key.0) else { continue };
-            let placer = world.placer_of(&job.value).unwrap_or_default();
+            let placer = world.scheduler_of(&job.value).unwrap_or_default();
             let since = worker.ended_since(&key, now);
             // One writer for each job: two owners that write the same record at
             // the same time only make each other's transactions fail.
@@ -196,12 +196,12 @@
             if by_itself {
                 end(round, world, &key, id, how, now_ms);
             } else if since == now {
-                let proof = Proof {
+                let proof = TerminationProof {
                     job: key.0,
                     task: key.1,
                     attempt: key.2,
                     machine: id.to_string(),
-                    end: how.code(),
+                    reason_code: how.code(),
                 };
                 round.proofs.entry(placer.to_owned()).or_default().push(proof);
             }
@@ -211,7 +211,7 @@
             for (job, record, a) in world.assignments(id) {
                 let stops = record.spec.as_ref().is_some_and(|s| spot_notice::stops(s, left));
                 if stops
-                    && record.wants(a)
+                    && record.should_run(a)
                     && let Some(record) = edit(round, world, job)
                     && spot_notice::mark(record, a.task)
                 {
@@ -232,26 +232,33 @@
             && let Some(token) = worker.begin(&plan.commands, now)
         {
             let session = worker.session;
-            let commands = Commands { token, session, commands: plan.commands };
+            let commands = Commands { fencing_token: token, incarnation: session, commands: plan.commands };
             round.sends.push((id.clone(), worker.addr.clone(), commands));
         }
     }
 }
 
 /// Ends an assignment in its job's record, as this round has it.
-fn end(round: &mut Round, world: &World, (job, task, attempt): &Key, machine: &str, how: End, now_ms: u64) {
+fn end(
+    round: &mut Round,
+    world: &Replica,
+    (job, task, attempt): &Key,
+    machine: &str,
+    how: TerminationReason,
+    now_ms: u64,
+) {
     if round.jobs.len() >= round.most_ended && !round.jobs.contains_key(job) {
         return;
     }
     let Some(record) = edit(round, world, job) else { return };
-    record.end(*task, *attempt, how, now_ms, 60);
-    if how == End::Refused {
+    record.end_assignment(*task, *attempt, how, now_ms, 60);
+    if how == TerminationReason::Rejected {
         // The machine said no: something else is there that the records
         // do not show yet. Look elsewhere for a while.
-        record.avoid.retain(|(m, _)| m != machine);
-        record.avoid.push((machine.to_owned(), now_ms + 5000));
-        let surplus = record.avoid.len().saturating_sub(AVOID_MAX);
-        record.avoid.drain(..surplus);
+        record.avoided_machines.retain(|(m, _)| m != machine);
+        record.avoided_machines.push((machine.to_owned(), now_ms + 5000));
+        let surplus = record.avoided_machines.len().saturating_sub(MAX_AVOIDED_MACHINES);
+        record.avoided_machines.drain(..surplus);
     }
     round.log.push(Event::Ended { job: job.clone(), task: *task, attempt: *attempt, how });
 }
@@ -263,9 +270,9 @@
     let Core { world, handed, .. } = core;
     handed.retain(|key, proof| {
         let stands = world.jobs.get(&key.0).is_some_and(|job| {
-            world.placer_of(&job.value) == Some(&controller.me.name)
-                && job.value.run.binary_search_by_key(&key.1, |a| a.task).is_ok_and(|i| {
-                    let a = &job.value.run[i];
+            world.scheduler_of(&job.value) == Some(&controller.me.name)
+                && job.value.assignments.binary_search_by_key(&key.1, |a| a.task).is_ok_and(|i| {
+                    let a = &job.value.assignments[i];
                     a.attempt == key.2 && *a.machine == *proof.machine
                 })
         });
@@ -294,7 +301,7 @@
 
 /// How much a change is worth that tells of these ends of a job.
 fn worth(job: &JobRecord, ends: &[(&Key, &HandedProof)], now: Instant) -> f64 {
-    let done = ends.iter().filter(|(_, p)| p.how == End::Done).count() as u32;
+    let done = ends.iter().filter(|(_, p)| p.how == TerminationReason::Done).count() as u32;
     let tasks = job.spec.as_ref().map_or(0, |s| s.tasks);
     let gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
     let completes = done > 0 && (gang || job.done.len() + done >= tasks);
@@ -313,7 +320,7 @@
 const PROOFS_AT_ONCE: usize = 2048;
 
 /// Hands ends over to the controller that places the jobs.
-fn hand_over(controller: &Controller, to: String, proofs: Vec<Proof>) {
+fn hand_over(controller: &Controller, to: String, proofs: Vec<TerminationProof>) {
     let Some(epoch) = controller.core().map().map(|m| m.epoch) else { return };
     let controller = controller.clone();
     let tasks = controller.tasks.clone();
@@ -330,10 +337,10 @@
 }
 
 /// Keeps proofs that a peer has handed over until they are written.
-pub fn take_proofs(controller: &Controller, epoch: u64, proofs: Vec<Proof>, at: Instant) {
+pub fn take_proofs(controller: &Controller, epoch: u64, proofs: Vec<TerminationProof>, at: Instant) {
     let mut core = controller.core();
     for p in proofs {
-        let Some(how) = End::from_code(p.end) else { continue };
+        let Some(how) = TerminationReason::from_code(p.reason_code) else { continue };
         let proof = HandedProof { machine: p.machine, how, epoch, at, since: at };
         core.handed.insert((p.job, p.task, p.attempt), proof);
     }
@@ -344,9 +351,9 @@
 /// Ends assignments on machines without a record: a record goes only after the
 /// cloud has confirmed the release, and nothing is launched without one.
 fn drop_gone(controller: &Controller, core: &Core, round: &mut Round, now_ms: u64) {
-    for machine in &core.world.orphaned {
+    for machine in &core.world.machines_without_record {
         for (id, job, a) in core.world.assignments(machine) {
-            if core.world.placer_of(job) != Some(&controller.me.name) {
+            if core.world.scheduler_of(job) != Some(&controller.me.name) {
                 continue;
             }
             // The rest has its turn in the next rounds: what ends in this one can
@@ -355,12 +362,12 @@
                 continue;
             }
             if let Some(record) = edit(round, &core.world, id) {
-                record.end(a.task, a.attempt, End::Lost, now_ms, 0);
+                record.end_assignment(a.task, a.attempt, TerminationReason::Lost, now_ms, 0);
                 round.log.push(Event::Ended {
                     job: id.to_owned(),
                     task: a.task,
                     attempt: a.attempt,
-                    how: End::Lost,
+                    how: TerminationReason::Lost,
                 });
             }
         }
@@ -406,7 +413,7 @@
         let cautious = core.cautious.is_some_and(|until| clock::now() < until);
         let most_jobs = if cautious { 1 } else { usize::MAX };
         let assembled = assemble(&core.world, &round, &controller.plan(), most_jobs);
-        core.writes.take(assembled.puts.len() as f64, 0.0, clock::now());
+        core.writes.acquire(assembled.puts.len() as f64, 0.0, clock::now());
         controller.counts.spend(Purpose::Rounds, assembled.puts.len());
         assembled
     };
@@ -420,23 +427,23 @@
         controller.core().written_in_chunks.insert(id, clock::now());
     }
     match result {
-        Ok(Outcome::Committed { revision }) => {
+        Ok(TxnOutcome::Committed { revision }) => {
             log_events(round.log.iter().filter(|e| !left_out.contains(e.job())));
             // The next round need not wait until the news of this one arrives.
             let mut core = controller.core();
             for (id, record) in round.jobs {
                 if !left_out.contains(&id) {
-                    core.world.apply(Change::Job(id, Some(record)), revision);
+                    core.world.apply(RecordChange::Job(id, Some(record)), revision);
                 }
             }
             for (team, record) in teams {
-                core.world.apply(Change::Team(team, Some(record)), revision);
+                core.world.apply(RecordChange::Team(team, Some(record)), revision);
             }
             for (team, record) in disruptions {
-                core.world.apply(Change::Disruptions(team, Some(record)), revision);
+                core.world.apply(RecordChange::Disruptions(team, Some(record)), revision);
             }
         }
-        Ok(Outcome::Conflict { failed, revision }) => {
+        Ok(TxnOutcome::Conflict { failed, revision }) => {
             Counts::add(&controller.counts.conflicts, 1);
             debug!(?failed, puts = round.puts(), "a round met newer records");
             release(&round, controller);
@@ -446,7 +453,8 @@
             debug!(error = %e, "a round was not committed, as far as is known");
             release(&round, controller);
             controller.note_refusal(&e);
-            if matches!(e, StoreError::Refused(400) | StoreError::Large(_)) && controller.seen.get() == limits
+            if matches!(e, StoreError::Refused(400) | StoreError::ValueTooLarge(_))
+                && controller.seen.get() == limits
             {
                 set_apart(controller, sent);
             }
@@ -473,11 +481,11 @@
 
 /// Sends commands to a worker and takes in the report that answers them.
 fn send(controller: &Controller, machine: Name, addr: String, commands: Commands) {
-    let token = commands.token;
+    let token = commands.fencing_token;
     let controller = controller.clone();
     let tasks = controller.tasks.clone();
     tasks.spawn(async move {
-        debug!(machine = &*machine, token = commands.token, orders = ?commands.commands, "commands");
+        debug!(machine = &*machine, token = commands.fencing_token, orders = ?commands.commands, "commands");
         let body = wire::encode(&commands);
         let deadline = Duration::from_millis(2500);
         let answer = controller
@@ -485,7 +493,7 @@
             .request(&addr, "POST", "/commands", body, wire::BODY_LIMIT * 4, deadline)
             .await;
         let report = match answer {
-            Ok(a) if a.status == 200 || a.status == 409 => wire::decode::<Report>(&a.body).ok(),
+            Ok(a) if a.status == 200 || a.status == 409 => wire::decode::<Heartbeat>(&a.body).ok(),
             Ok(a) => {
                 warn!(machine = &*machine, status = a.status, "commands were refused");
                 None
@@ -502,7 +510,7 @@
 
 /// Takes in what became of commands: the report that answers them, if any. An address may
 /// have become another machine's, whose word says nothing of the one that was meant.
-pub(crate) fn answered(core: &mut Core, machine: &str, token: u64, report: Option<Report>, now: Instant) {
+pub(crate) fn answered(core: &mut Core, machine: &str, token: u64, report: Option<Heartbeat>, now: Instant) {
     let report = report.filter(|r| r.machine == machine);
     let Some(w) = core.workers.get_mut(machine) else { return };
     w.finish(token, report.is_some(), now);
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use peer::Proof;
+use peer::TerminationProof;
 use sched::drain_records::{Disruption, DisruptionRecord};
 use sched::preempt;
 use sched::records::*;
+use sched::replica::Replica;
 use sched::rescheduler;
-use sched::world::World;
-use store::{Put, key};
+use store::{KeyWrite, key};
 use tracing::{debug, info};
 use wire::{Commands, Condition};
 
@@ -35,7 +35,7 @@
     pub(crate) held: BTreeSet<String>,
     pub(crate) sends: Vec<(Name, String, Commands)>,
     /// Ends for other controllers to write, by their names.
-    pub(crate) proofs: HashMap<String, Vec<Proof>>,
+    pub(crate) proofs: HashMap<String, Vec<TerminationProof>>,
     pub(crate) log: Vec<Event>,
 }
 
@@ -50,7 +50,7 @@
 /// Told in the log once the round is committed.
 pub(crate) enum Event {
     Placed { job: String, tasks: usize, attempt: u64 },
-    Ended { job: String, task: u32, attempt: u64, how: End },
+    Ended { job: String, task: u32, attempt: u64, how: TerminationReason },
     Preempted { by: String, victim: preempt::Victim },
     Evicted(rescheduler::Eviction),
     SpotNotice { job: String, task: u32, machine: Name },
@@ -59,7 +59,7 @@
 }
 
 /// The record as this round has it so far.
-pub(crate) fn edit<'a>(round: &'a mut Round, world: &World, id: &str) -> Option<&'a mut Box<JobRecord>> {
+pub(crate) fn edit<'a>(round: &'a mut Round, world: &Replica, id: &str) -> Option<&'a mut Box<JobRecord>> {
     if round.held.contains(id) {
         return None;
     }
@@ -73,7 +73,7 @@
 /// A round as a transaction.
 pub(crate) struct Assembled {
     pub(crate) conditions: Vec<Condition>,
-    pub(crate) puts: Vec<Put>,
+    pub(crate) puts: Vec<KeyWrite>,
     /// The jobs that it has no room for.
     pub(crate) left_out: BTreeSet<String>,
     pub(crate) teams: Vec<(String, TeamRecord)>,
@@ -83,7 +83,7 @@
     pub(crate) chunked: Option<String>,
 }
 
-pub(crate) fn assemble(world: &World, round: &Round, plan: &Plan, most_jobs: usize) -> Assembled {
+pub(crate) fn assemble(world: &Replica, round: &Round, plan: &Plan, most_jobs: usize) -> Assembled {
     let mut chunked = None;
     let mut puts = Vec::new();
     // By the ids in their keys: a name with a space was never found here once another
@@ -103,7 +103,7 @@
         let disruption = round.disruptions.get(id).map(|(team, d)| (key::team_id(team), d));
         let newly_disrupted = disruption.as_ref().is_some_and(|(t, _)| !disruptions.contains_key(t));
         let Some(old) = world.jobs.get(id) else { continue };
-        let put = Put::new(key::job(id), record);
+        let put = KeyWrite::new(key::job(id), record);
         let large = put.value_len() as f64 > plan.value_bytes;
         // Of a large one the transaction itself only has the head.
         let size = if large { 100 } else { put.json_len() };
@@ -132,16 +132,16 @@
             let (n, version) = world.teams.get(&team).map_or((0, 0), |t| (t.value.placements, t.version));
             let record = TeamRecord { placements: n.wrapping_add(1) };
             conditions.push(Condition { key: key::team(&team), version });
-            puts.push(Put::new(key::team(&team), &record));
+            puts.push(KeyWrite::new(key::team(&team), &record));
             teams.insert(team, record);
         }
     }
     for (team, record) in &disruptions {
         conditions.push(disruption_condition(world, team));
-        puts.push(Put::new(key::disruptions(team), record));
+        puts.push(KeyWrite::new(key::disruptions(team), record));
     }
     if !puts.is_empty() {
-        let version = world.map.as_ref().map_or(0, |m| m.version);
+        let version = world.cluster_map.as_ref().map_or(0, |m| m.version);
         conditions.push(Condition { key: key::MAP.into(), version });
     }
     if placing && round.cordon_fence {
@@ -155,7 +155,7 @@
 }
 
 /// That nobody has stopped anything else of a team by choice meanwhile: what holds its budget.
-pub(crate) fn disruption_condition(world: &World, team_id: &str) -> Condition {
+pub(crate) fn disruption_condition(world: &Replica, team_id: &str) -> Condition {
     let version = world.drains.disruptions.get(team_id).map_or(0, |d| d.version);
     Condition { key: key::disruptions(team_id), version }
 }
@@ -206,7 +206,9 @@
     for e in events {
         e.log_one();
         match e {
-            Event::Ended { job, task, how: End::Lost, .. } => lost.push(format!("{job}/{task}")),
+            Event::Ended { job, task, how: TerminationReason::Lost, .. } => {
+                lost.push(format!("{job}/{task}"))
+            }
             Event::Preempted { by, victim: v } => preempted.push(format!("{}/{} by {by}", v.job, v.task)),
             Event::SpotNotice { job, task, .. } => noticed.push(format!("{job}/{task}")),
             _ => {}
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use sched::world::Team;
+use sched::replica::Team;
 use serde::Deserialize;
 
 #[derive(Debug, thiserror::Error)]
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use peer::{MachineRow, Summary};
+use peer::{MachineStatusRow, PeerStatus};
 use sched::placement::Inventory;
-use sched::records::{End, MachineRecord, MapRecord, Member, Name};
-use sched::world::{Amount, InOrder, World};
-use store::{Budget, Reader};
+use sched::records::{ClusterMap, MachineRecord, Member, Name, TerminationReason};
+use sched::replica::{Replica, Resources, SortedLookup};
+use store::{RateLimiter, RecordReader};
 
 use crate::drains::state::DrainState;
 use crate::placer::Guaranteed;
@@ -34,14 +34,14 @@
 
 pub struct PeerView {
     /// Without its rows, which are with those of all machines.
-    pub summary: Summary,
+    pub summary: PeerStatus,
     pub at: Instant,
 }
 
 /// The end of an assignment, proven by this controller or another.
 pub struct HandedProof {
     pub machine: String,
-    pub how: End,
+    pub how: TerminationReason,
     pub epoch: u64,
     /// When it was last told, and when first.
     pub at: Instant,
@@ -75,9 +75,9 @@
         Self { silent: w.silent_for(now), met: w.heard.is_some(), sick: w.sick(), notice }
     }
 
-    fn of_row(row: &MachineRow) -> Self {
+    fn of_row(row: &MachineStatusRow) -> Self {
         let silent = Duration::from_millis(row.silent_ms);
-        Self { silent, met: row.met, sick: row.sick, notice: row.notice }
+        Self { silent, met: row.heard_from, sick: row.unhealthy, notice: row.spot_notice }
     }
 }
 
@@ -87,7 +87,7 @@
     pub record: &'a MachineRecord,
     pub owner: &'a Member,
     /// What is in use of it; None if nothing is there.
-    pub used: Option<Amount>,
+    pub used: Option<Resources>,
     /// None: its owner has said nothing of it.
     pub health: Option<MachineHealth>,
     /// Whether its owner has been heard of just now.
@@ -95,15 +95,15 @@
 }
 
 pub struct Core {
-    pub world: World,
+    pub world: Replica,
     /// Records that lie in parts.
-    pub reader: Reader,
+    pub reader: RecordReader,
     /// The records have been read at least once.
     pub ready: bool,
     pub workers: BTreeMap<Name, Worker>,
     pub peers: HashMap<String, PeerView>,
     /// What peers last said of their machines.
-    pub rows: BTreeMap<Name, MachineRow>,
+    pub rows: BTreeMap<Name, MachineStatusRow>,
     /// When the last request was sent after which the mirror was known fresh.
     pub fresh_at: Option<Instant>,
     /// What peers have confirmed to users, while the state service cannot be asked.
@@ -112,7 +112,7 @@
     pub beat: Instant,
     pub asked: u64,
     pub lease: Option<u64>,
-    pub writes: Budget,
+    pub writes: RateLimiter,
     /// How many controllers the budget is shared by, and at which rate, as last reckoned.
     pub(crate) live: (usize, u64),
     pub(crate) shared_at: Option<Instant>,
@@ -153,8 +153,8 @@
     /// Nothing is known yet. `per_s`: the changes that the state service takes a second.
     pub fn new(per_s: f64, now: Instant) -> Self {
         Self {
-            world: World::default(),
-            reader: Reader::default(),
+            world: Replica::default(),
+            reader: RecordReader::default(),
             ready: false,
             workers: BTreeMap::new(),
             peers: HashMap::new(),
@@ -164,7 +164,7 @@
             beat: now,
             asked: 0,
             lease: None,
-            writes: Budget::new(per_s * 0.5, per_s * 0.5, now),
+            writes: RateLimiter::new(per_s * 0.5, per_s * 0.5, now),
             live: (0, 0),
             shared_at: None,
             misdirected: HashMap::new(),
@@ -187,19 +187,19 @@
         }
     }
 
-    pub fn map(&self) -> Option<&MapRecord> {
-        self.world.map_record()
+    pub fn map(&self) -> Option<&ClusterMap> {
+        self.world.current_map()
     }
 
     /// Whether the newest known map names this very process.
     pub fn in_map(&self, me: &Member) -> bool {
-        self.ready && self.map().is_some_and(|m| m.holds(&me.name, me.incarnation))
+        self.ready && self.map().is_some_and(|m| m.contains(&me.name, me.incarnation))
     }
 
     /// Whether a controller is live that has not said that it has this version.
     pub fn old_is_live(&self) -> bool {
         let live = self.map().into_iter().flat_map(|m| m.live.iter().map(|m| &m.name));
-        self.world.members.keys().chain(live).any(|name| !self.world.upgraded.contains_key(name))
+        self.world.members.keys().chain(live).any(|name| !self.world.schema_versions.contains_key(name))
     }
 
     /// Whether this controller is out of reach of all the others and of most of its
@@ -337,7 +337,7 @@
             return;
         }
         *usable_at = Some(now);
-        let (mut workers, mut rows) = (InOrder::new(workers), InOrder::new(rows));
+        let (mut workers, mut rows) = (SortedLookup::new(workers), SortedLookup::new(rows));
         inventory.refresh(world, |machine, owner| match owner == me.incarnation {
             true => workers.get(machine).is_some_and(|w| takes_work(w, report, now)),
             false => rows.get(machine).is_none_or(|r| r.usable),
@@ -347,8 +347,8 @@
     /// All machines with an owner, in the order of their names, and what their owners know of
     /// them.
     pub fn machine_views(&self, me: &Member, now: Instant) -> impl Iterator<Item = MachineView<'_>> {
-        let (mut workers, mut rows) = (InOrder::new(&self.workers), InOrder::new(&self.rows));
-        let mut used = InOrder::new(&self.world.machine_use);
+        let (mut workers, mut rows) = (SortedLookup::new(&self.workers), SortedLookup::new(&self.rows));
+        let mut used = SortedLookup::new(&self.world.machine_usage);
         let (me, heard) = (me.incarnation, self.peers_heard_since(now, PEER_WORD_FOR));
         self.world.owned_machines().map(move |(id, record, owner)| {
             let (health, current) = match owner.incarnation == me {
--- a/crates/daemon/src/state_duty.rs
+++ b/crates/daemon/src/state_duty.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use rmpv::Value;
-use sched::records::{DRAINS_SCHEMA_VERSION, MapRecord, Member, SCHEMA_VERSION, Upgraded};
-use sched::world::{Change, World};
-use store::{Outcome, Put, StoreError, key};
+use sched::records::{ClusterMap, DRAINS_SCHEMA_VERSION, Member, SCHEMA_VERSION, SchemaMarker};
+use sched::replica::{RecordChange, Replica};
+use store::{KeyWrite, StoreError, TxnOutcome, key};
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 use wire::{Changes, Condition};
@@ -31,7 +31,7 @@
         let step = if ready { follow(&controller).await } else { read_all(&controller).await };
         match step {
             Ok(()) => failing = false,
-            Err(StoreError::TooOld) => {
+            Err(StoreError::Compacted) => {
                 info!("changes are too far back; reading all records again");
                 controller.core().ready = false;
             }
@@ -67,19 +67,19 @@
 /// Takes over what this controller has committed or learnt since the first page was read. A
 /// cancellation that it confirmed meanwhile would else be missing from its read index, and
 /// another controller would go on renewing the leases of its tasks.
-fn keep_newer(read: &mut World, known: &World) {
+fn keep_newer(read: &mut Replica, known: &Replica) {
     let since = read.revision;
     for (id, job) in known.jobs.iter().filter(|(_, j)| j.version > since) {
-        read.apply(Change::Job(id.clone(), Some(job.value.clone())), job.version);
+        read.apply(RecordChange::Job(id.clone(), Some(job.value.clone())), job.version);
     }
     for (id, m) in known.machines.iter().filter(|(_, m)| m.version > since) {
-        read.apply(Change::Machine(id.to_string(), Some(m.value.clone())), m.version);
+        read.apply(RecordChange::Machine(id.to_string(), Some(m.value.clone())), m.version);
     }
     for (id, team) in known.teams.iter().filter(|(_, t)| t.version > since) {
-        read.apply(Change::Team(id.clone(), Some(team.value.clone())), team.version);
+        read.apply(RecordChange::Team(id.clone(), Some(team.value.clone())), team.version);
     }
     if let Some(fleet) = known.fleet.as_ref().filter(|f| f.version > since) {
-        read.apply(Change::Fleet(Some(fleet.value.clone())), fleet.version);
+        read.apply(RecordChange::Fleet(Some(fleet.value.clone())), fleet.version);
     }
 }
 
@@ -117,10 +117,10 @@
             continue;
         }
         let core = &mut *core;
-        let (change, bad, version) = core.reader.take(&k, value, e.version);
+        let (change, bad, version) = core.reader.apply(&k, value, e.version);
         if bad {
             warn!(key = k, "a record could not be read");
-            core.world.unread(change);
+            core.world.mark_unreadable(change);
         } else {
             core.world.apply(change, version);
         }
@@ -146,7 +146,7 @@
     }
     let names =
         controller.settings.peers.iter().map(|p| &p.node_name).chain([&controller.settings.node_name]);
-    let missing: Vec<&String> = names.filter(|n| !core.world.upgraded.contains_key(*n)).collect();
+    let missing: Vec<&String> = names.filter(|n| !core.world.schema_versions.contains_key(*n)).collect();
     if missing.is_empty() {
         controller.seen.all_new.store(true, Ordering::Relaxed);
         let plan = controller.plan();
@@ -201,7 +201,7 @@
                     warn!(error = %e, "the state service does not answer");
                 }
                 // Its rate limit is no sign of failure: the next check is soon.
-                failing = !matches!(e, StoreError::Rate);
+                failing = !matches!(e, StoreError::RateLimited);
                 controller.verified.send_modify(|v| v.refused = asked);
                 sleep(RETRY).await;
             }
@@ -218,7 +218,7 @@
             let lease = controller.core().lease.take();
             if let Some(lease) = lease {
                 warn!("out of reach of the others and of its workers; the others go on without it");
-                let _ = controller.state.end_lease(lease).await;
+                let _ = controller.state.revoke_lease(lease).await;
             }
             sleep(RETRY).await;
             continue;
@@ -227,12 +227,12 @@
         let kept = match lease {
             Some(lease) if clock::since(touched) >= MEMBER_TTL / 4 => {
                 touched = clock::now();
-                controller.state.touch(lease).await
+                controller.state.renew_lease(lease).await
             }
             Some(_) => Ok(()),
             None => {
                 touched = clock::now();
-                match controller.state.new_lease(MEMBER_TTL).await {
+                match controller.state.grant_lease(MEMBER_TTL).await {
                     Ok(lease) => {
                         controller.core().lease = Some(lease);
                         Ok(())
@@ -241,10 +241,10 @@
                 }
             }
         };
-        if let Err(StoreError::NoLease) = kept {
+        if let Err(StoreError::LeaseExpired) = kept {
             info!("this controller's lease has run out");
             controller.core().lease = None;
-        } else if matches!(kept, Ok(()) | Err(StoreError::Net(_))) {
+        } else if matches!(kept, Ok(()) | Err(StoreError::Network(_))) {
             // An answer that is late says nothing of the lease, and a claim by one that is
             // over is refused. Were claims held back meanwhile, nobody would lead for as
             // long as the state service takes more than a second.
@@ -254,7 +254,7 @@
                     // Joining, leading and the map follow each other at once:
                     // after a crash of all, workers' leases are about to end.
                     Ok(true) => continue,
-                    Err(StoreError::NoLease) => controller.core().lease = None,
+                    Err(StoreError::LeaseExpired) => controller.core().lease = None,
                     Ok(false) | Err(_) => {}
                 }
             }
@@ -275,27 +275,27 @@
     /// The versions of the leader's entry and of this controller's.
     Leader(u64, u64),
     /// A new map, and the versions of the map and the leader's entry before it.
-    Map(MapRecord, u64, u64),
+    Map(ClusterMap, u64, u64),
     /// The same map under a new epoch, and the versions of the map and of this controller's
     /// entry. Any live controller may write it, as it changes nobody's part.
-    Epoch(MapRecord, u64, u64),
+    Epoch(ClusterMap, u64, u64),
 }
 
 /// What this controller should write now for membership and leadership. `tokens_run_low`: its
 /// fencing tokens of this epoch are nearly used up. `schema`: what it has, which a record of
 /// its own tells the others.
-fn next_claim(world: &World, me: &Member, schema: u32, tokens_run_low: bool) -> Option<Claim> {
+fn next_claim(world: &Replica, me: &Member, schema: u32, tokens_run_low: bool) -> Option<Claim> {
     let member = match world.members.get(&me.name) {
         Some(m) if m.value == *me => m.version,
         other => {
-            let other_schema = world.upgraded.get(&me.name) != Some(&schema);
+            let other_schema = world.schema_versions.get(&me.name) != Some(&schema);
             return Some(Claim::Member(other.map_or(0, |m| m.version), other_schema));
         }
     };
     if tokens_run_low
-        && let Some(map) = world.map.as_ref().filter(|m| m.value.holds(&me.name, me.incarnation))
+        && let Some(map) = world.cluster_map.as_ref().filter(|m| m.value.contains(&me.name, me.incarnation))
     {
-        let next = MapRecord { epoch: map.value.epoch + 1, live: map.value.live.clone() };
+        let next = ClusterMap { epoch: map.value.epoch + 1, live: map.value.live.clone() };
         return Some(Claim::Epoch(next, map.version, member));
     }
     let leader = match &world.leader {
@@ -309,8 +309,8 @@
     };
     let live: Vec<Member> = world.members.values().map(|m| m.value.clone()).collect();
     let (old, version) =
-        world.map.as_ref().map_or((MapRecord::default(), 0), |m| (m.value.clone(), m.version));
-    (old.live != live).then(|| Claim::Map(MapRecord { epoch: old.epoch + 1, live }, version, leader.version))
+        world.cluster_map.as_ref().map_or((ClusterMap::default(), 0), |m| (m.value.clone(), m.version));
+    (old.live != live).then(|| Claim::Map(ClusterMap { epoch: old.epoch + 1, live }, version, leader.version))
 }
 
 /// The schema that this controller has: with drains only while they are switched on.
@@ -334,11 +334,14 @@
             info!(incarnation = controller.me.incarnation, "joining the members");
             // A late copy of a predecessor's request must not push this one out.
             let me = key::member(&controller.me.name);
-            let mut puts = vec![Put::leased(me.clone(), &controller.me, lease)];
+            let mut puts = vec![KeyWrite::leased(me.clone(), &controller.me, lease)];
             if other_schema {
                 // With the entry, so that no live controller passes for an old one.
                 let schema_version = schema_of(controller);
-                puts.push(Put::new(key::upgraded(&controller.me.name), &Upgraded { schema_version }));
+                puts.push(KeyWrite::new(
+                    key::upgraded(&controller.me.name),
+                    &SchemaMarker { schema_version },
+                ));
             }
             (vec![Condition { key: me, version }], puts)
         }
@@ -347,7 +350,7 @@
                 Condition { key: key::LEADER.into(), version },
                 Condition { key: key::member(&controller.me.name), version: member },
             ];
-            (conditions, vec![Put::leased(key::LEADER.into(), &controller.me, lease)])
+            (conditions, vec![KeyWrite::leased(key::LEADER.into(), &controller.me, lease)])
         }
         Some(Claim::Map(map, version, leader)) => {
             info!(epoch = map.epoch, live = map.live.len(), "writing a new map");
@@ -355,7 +358,7 @@
                 Condition { key: key::MAP.into(), version },
                 Condition { key: key::LEADER.into(), version: leader },
             ];
-            (conditions, vec![Put::new(key::MAP.into(), &map)])
+            (conditions, vec![KeyWrite::new(key::MAP.into(), &map)])
         }
         Some(Claim::Epoch(map, version, member)) => {
             info!(epoch = map.epoch, "a new epoch, as the tokens of the last are nearly used up");
@@ -363,16 +366,16 @@
                 Condition { key: key::MAP.into(), version },
                 Condition { key: key::member(&controller.me.name), version: member },
             ];
-            (conditions, vec![Put::new(key::MAP.into(), &map)])
+            (conditions, vec![KeyWrite::new(key::MAP.into(), &map)])
         }
     };
     // Never behind other changes: the lease would run out meanwhile, and a
     // controller in debt would join again and again without ever being live.
-    controller.core().writes.take(puts.len() as f64, 0.0, clock::now());
+    controller.core().writes.acquire(puts.len() as f64, 0.0, clock::now());
     controller.counts.spend(Purpose::Members, puts.len());
     match controller.state.txn(conditions, puts).await? {
-        Outcome::Committed { revision } => Ok(controller.reach(revision, Duration::from_secs(2)).await),
-        Outcome::Conflict { revision, .. } => {
+        TxnOutcome::Committed { revision } => Ok(controller.reach(revision, Duration::from_secs(2)).await),
+        TxnOutcome::Conflict { revision, .. } => {
             controller.reach(revision, Duration::from_secs(2)).await;
             Ok(false)
         }
--- a/crates/daemon/src/worker/mod.rs
+++ b/crates/daemon/src/worker/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use sched::hash::{HashMap, HashSet};
-use wire::{Command, Report, TaskReport, TaskState};
+use wire::{Command, Heartbeat, TaskState, TaskStatus};
 
 pub use reconcile::final_stops;
 use reconcile::is_launch;
@@ -62,7 +62,7 @@
     unanswered: bool,
     /// Until when silence is this controller's own fault, as it stood still.
     excused: Option<Instant>,
-    tasks: Vec<TaskReport>,
+    tasks: Vec<TaskStatus>,
     /// The list of tasks is from after this controller became the owner: it shows a token
     /// from since then. Any other report may be a late copy from long before, and what
     /// ended then may have been started anew since.
@@ -165,7 +165,7 @@
 
     /// Whether the worker last reported that this attempt of a task runs.
     pub fn is_running(&self, task: &str, attempt: u64) -> bool {
-        let runs = |t: &TaskReport| t.state == TaskState::Running && t.attempt == attempt && t.task == task;
+        let runs = |t: &TaskStatus| t.state == TaskState::Running && t.attempt == attempt && t.task == task;
         self.trusted && self.tasks.iter().any(runs)
     }
 
@@ -185,36 +185,40 @@
 
     /// Whether the worker has seen a token above all of ours: somebody else is
     /// entitled to command it.
-    pub fn overtaken_by(&self, report: &Report) -> bool {
-        report.token > self.token
+    pub fn overtaken_by(&self, report: &Heartbeat) -> bool {
+        report.fencing_token > self.token
     }
 
     /// Takes in a report; false if it is older than what is known.
-    pub fn ingest(&mut self, report: Report, by_itself: bool, now: Instant) -> bool {
-        self.seen_token = self.seen_token.max(report.token);
-        if (report.session, report.seq) <= (self.session, self.seq) {
+    pub fn ingest(&mut self, report: Heartbeat, by_itself: bool, now: Instant) -> bool {
+        self.seen_token = self.seen_token.max(report.fencing_token);
+        if (report.incarnation, report.sequence) <= (self.session, self.seq) {
             return false;
         }
         self.note_hearing(&report, by_itself, now);
-        if report.session != self.session || report.tasks != self.tasks || report.notice_s.is_some() {
+        if report.incarnation != self.session || report.tasks != self.tasks || report.spot_notice_s.is_some()
+        {
             self.look_again();
         }
         // A worker has one report in flight: by the next one, the answer to the last has
         // been executed or dropped. It also drops answers to an earlier session, and those
         // with a lower token than it has seen: that counts for a machine that reaches no
         // controller any more, but answers requests.
-        if by_itself || report.session > self.session || self.offered.is_some_and(|t| report.token > t) {
+        if by_itself
+            || report.incarnation > self.session
+            || self.offered.is_some_and(|t| report.fencing_token > t)
+        {
             self.offered = None;
         }
         if by_itself {
             self.reported = now;
         }
-        self.trusted |= report.token >= first_token(self.owned_epoch);
+        self.trusted |= report.fencing_token >= first_token(self.owned_epoch);
         self.heard = Some(now);
-        self.session = report.session;
-        self.seq = report.seq;
+        self.session = report.incarnation;
+        self.seq = report.sequence;
         self.addr = report.addr;
-        self.notice_until = report.notice_s.map(|s| now + wire::seconds(s.min(3600.0)));
+        self.notice_until = report.spot_notice_s.map(|s| now + wire::seconds(s.min(3600.0)));
         if self.tasks != report.tasks {
             self.tasks = report.tasks;
             for t in &self.tasks {
@@ -229,12 +233,12 @@
     /// Notices a worker that is heard but does not hear: its reports do not show
     /// the token of the answer before, or its lease ran out although its reports
     /// were answered. What it says to a request of ours shows that it hears.
-    fn note_hearing(&mut self, report: &Report, by_itself: bool, now: Instant) {
-        let lost_lease = self.session > 0 && report.session > self.session && self.renewed.is_some();
-        if !by_itself || self.told > 0 && report.token >= self.told && !lost_lease {
+    fn note_hearing(&mut self, report: &Heartbeat, by_itself: bool, now: Instant) {
+        let lost_lease = self.session > 0 && report.incarnation > self.session && self.renewed.is_some();
+        if !by_itself || self.told > 0 && report.fencing_token >= self.told && !lost_lease {
             self.unheard = 0;
             self.deaf_since = None;
-        } else if report.token < self.told {
+        } else if report.fencing_token < self.told {
             self.unheard += 1;
         }
         if by_itself && lost_lease {
--- a/crates/daemon/src/worker/reconcile.rs
+++ b/crates/daemon/src/worker/reconcile.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use sched::hash::{HashMap, HashSet};
-use sched::records::{End, Phase};
-use sched::world::World;
-use wire::{Cause, Command, JobState, TaskReport, TaskState};
+use sched::records::{Phase, TerminationReason};
+use sched::replica::Replica;
+use wire::{Command, ExitReason, JobState, TaskState, TaskStatus};
 
 use super::{Key, Limits, Worker};
 use crate::controller::MEMBER_TTL;
@@ -23,7 +23,7 @@
 
 #[derive(Debug, Default, PartialEq)]
 pub struct Plan {
-    pub ends: Vec<(Key, End)>,
+    pub ends: Vec<(Key, TerminationReason)>,
     pub commands: Vec<Command>,
     /// The worker has to be shown a newer token before anything is proven.
     pub poke: bool,
@@ -31,7 +31,7 @@
 
 impl Worker {
     /// Compares what the records want with what the worker reports.
-    pub fn reconcile(&mut self, machine: &str, world: &World, limits: &Limits, now: Instant) -> Plan {
+    pub fn reconcile(&mut self, machine: &str, world: &Replica, limits: &Limits, now: Instant) -> Plan {
         let mut plan = Plan::default();
         self.look_at = Some(now + LOOK_ANYWAY);
         if self.session == 0 {
@@ -48,9 +48,9 @@
             wanted.insert((id, a.task), a.attempt);
             let name = format!("{id}/{}", a.task);
             let report = self.tasks.iter().find(|t| t.attempt == a.attempt && t.task == name);
-            let run = job.wants(a);
+            let run = job.should_run(a);
             if lease_over {
-                plan.ends.push((key.clone(), End::Lost));
+                plan.ends.push((key.clone(), TerminationReason::Lost));
                 keys.insert(key);
                 continue;
             }
@@ -60,7 +60,7 @@
                     plan.ends.push((key.clone(), end_of(t.cause)));
                 }
                 Some(t) if !run => {
-                    let save = job.spec.as_ref().map_or(0.0, |s| s.save_s);
+                    let save = job.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s);
                     let last = self.stops.get(&key).copied();
                     let kill = job.phase != Phase::Active;
                     let patience = wire::seconds(save.min(600.0)) + limits.gang_peer + STOP_AGAIN;
@@ -88,7 +88,7 @@
                 // Seen before and gone now: a new session.
                 None => {
                     if self.absence_proves() {
-                        plan.ends.push((key.clone(), End::Lost));
+                        plan.ends.push((key.clone(), TerminationReason::Lost));
                     } else {
                         plan.poke = true;
                     }
@@ -140,28 +140,31 @@
         plan
     }
 
-    pub(super) fn note_end(&mut self, job: &str, end: End) {
+    pub(super) fn note_end(&mut self, job: &str, end: TerminationReason) {
         match end {
-            End::Done => {
+            TerminationReason::Done => {
                 self.errors = 0;
                 self.error_jobs.clear();
             }
-            End::Error => {
+            TerminationReason::Error => {
                 self.errors += 1;
                 self.error_jobs.insert(job.to_owned());
             }
-            End::Stopped | End::Refused | End::Lost | End::Alone => {}
+            TerminationReason::Stopped
+            | TerminationReason::Rejected
+            | TerminationReason::Lost
+            | TerminationReason::GangIncomplete => {}
         }
     }
 
     /// What every answer has to say that renews the worker's lease.
-    pub fn final_stops(&self, world: &World) -> Vec<Command> {
+    pub fn final_stops(&self, world: &Replica) -> Vec<Command> {
         final_stops(&self.tasks, world)
     }
 
     /// The commands that go with the answer to a report: launches and stops.
     /// Clears never do, as they need a token above every launch.
-    pub fn answer(&mut self, machine: &str, world: &World, limits: &Limits, now: Instant) -> Vec<Command> {
+    pub fn answer(&mut self, machine: &str, world: &Replica, limits: &Limits, now: Instant) -> Vec<Command> {
         let stops = self.final_stops(world);
         if self.in_flight.is_some() || !self.due(now) {
             return stops;
@@ -183,12 +186,12 @@
 /// the same answer, or does not renew it: a task that went on after its cancellation would
 /// else be kept alive by one answer after the other, while the requests that are to stop
 /// it are lost, or one of them is not answered yet.
-pub fn final_stops(tasks: &[TaskReport], world: &World) -> Vec<Command> {
-    let cancelled = |t: &&TaskReport| {
+pub fn final_stops(tasks: &[TaskStatus], world: &Replica) -> Vec<Command> {
+    let cancelled = |t: &&TaskStatus| {
         let state = t.parts().and_then(|(job, _)| world.state_of(job));
         t.state != TaskState::Exited && state == Some(JobState::Cancelled)
     };
-    let stop = |t: &TaskReport| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 };
+    let stop = |t: &TaskStatus| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 };
     tasks.iter().filter(cancelled).map(stop).collect()
 }
 
@@ -196,17 +199,17 @@
     matches!(command, Command::Start { .. })
 }
 
-fn end_of(cause: Option<Cause>) -> End {
+fn end_of(cause: Option<ExitReason>) -> TerminationReason {
     match cause {
-        Some(Cause::Done) => End::Done,
-        Some(Cause::Error) => End::Error,
-        Some(Cause::Alone) => End::Alone,
-        _ if refused(cause) => End::Refused,
-        _ => End::Stopped,
+        Some(ExitReason::Done) => TerminationReason::Done,
+        Some(ExitReason::Error) => TerminationReason::Error,
+        Some(ExitReason::GangIncomplete) => TerminationReason::GangIncomplete,
+        _ if refused(cause) => TerminationReason::Rejected,
+        _ => TerminationReason::Stopped,
     }
 }
 
 /// Whether an exit was a refusal, after which the machine is left alone a while.
-fn refused(cause: Option<Cause>) -> bool {
-    matches!(cause, Some(Cause::NoRoom | Cause::Busy | Cause::Unknown))
+fn refused(cause: Option<ExitReason>) -> bool {
+    matches!(cause, Some(ExitReason::NoCapacity | ExitReason::Busy | ExitReason::Unknown))
 }
--- a/crates/daemon/tests/drains_loopback.rs
+++ b/crates/daemon/tests/drains_loopback.rs
@@ -131,7 +131,7 @@
 
 /// Replicas that run.
 fn running(emulation: &Emulation) -> usize {
-    let runs = |t: &wire::TaskReport| t.state == TaskState::Running && is_service(&t.task);
+    let runs = |t: &wire::TaskStatus| t.state == TaskState::Running && is_service(&t.task);
     emulation.tasks().into_iter().filter(runs).count()
 }
 
@@ -208,9 +208,9 @@
         kind: JobKind::Gang,
         priority: wire::Priority::Normal,
         tasks: 3,
-        estimate_s: 3.0,
-        checkpoint_s: 1.0,
-        save_s: 0.5,
+        estimated_runtime_s: 3.0,
+        checkpoint_interval_s: 1.0,
+        checkpoint_save_s: 0.5,
         one_zone: true,
         ..service
     }
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
-use wire::{Item, Items, Report};
+use wire::{Heartbeat, Item, Items};
 
 /// A stand-in for the state service with one job waiting, one done and one
 /// record that nobody can read. It refuses while `out`.
@@ -33,16 +33,16 @@
             let waiting = JobRecord::new(spec("j-1", JobKind::Array), None, 0);
             let mut done = JobRecord::new(spec("j-2", JobKind::Array), None, 0);
             done.phase = Phase::Done;
-            done.shrink();
-            let item = |id: &str, put: Put| Item {
+            done.compact_if_final();
+            let item = |id: &str, put: KeyWrite| Item {
                 key: key::job(id),
                 value: put.value.expect("a value"),
                 version: 3,
             };
             let items = vec![
-                item("j-1", Put::new(key::job("j-1"), &waiting)),
-                item("j-2", Put::new(key::job("j-2"), &done)),
-                item("j-3", Put::new(key::job("j-3"), &"from another version")),
+                item("j-1", KeyWrite::new(key::job("j-1"), &waiting)),
+                item("j-2", KeyWrite::new(key::job("j-2"), &done)),
+                item("j-3", KeyWrite::new(key::job("j-3"), &"from another version")),
             ];
             Reply::new(200, &Items { items, more: false, revision: 7 })
         }
@@ -102,7 +102,7 @@
         let others = |id: &&Name| core.world.owner_of(id).is_some_and(|o| o.name == "n-1");
         core.world.machines.keys().find(others).cloned().expect("one of the other's")
     };
-    let report: Report = wire::decode(&wire::encode(&serde_json::json!({"frame": &*machine, "addr": "a",
+    let report: Heartbeat = wire::decode(&wire::encode(&serde_json::json!({"frame": &*machine, "addr": "a",
         "shape": "m", "bay": "z", "loaner": false, "stint": 1, "tally": 1, "baton": u64::MAX >> 1,
         "threads": []})))
     .expect("a report");
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -1,12 +1,19 @@
 use super::*;
 use crate::settings::tests::EXAMPLE;
 use crate::state::PeerView;
-use peer::Summary;
-use sched::records::MapRecord;
-use sched::world::Change;
+use peer::PeerStatus;
+use sched::records::ClusterMap;
+use sched::replica::RecordChange;
 
-fn summary(name: &str, epoch: u64, state_silent_ms: u64) -> Summary {
-    Summary { name: name.into(), incarnation: 9, count: 1, epoch, state_silent_ms, machines: Vec::new() }
+fn summary(name: &str, epoch: u64, state_silent_ms: u64) -> PeerStatus {
+    PeerStatus {
+        name: name.into(),
+        incarnation: 9,
+        sequence: 1,
+        epoch,
+        state_silent_ms,
+        machines: Vec::new(),
+    }
 }
 
 /// A controller that reaches the state service alone stands aside, so that others
@@ -18,7 +25,7 @@
     let start = Instant::now() + Duration::from_secs(60);
     let mut core = controller.core();
     let member = |n: &str| Member { name: n.into(), zone: "a".into(), incarnation: 1 };
-    core.world.apply(Change::Member("n-1".into(), Some(member("n-1"))), 1 << 40);
+    core.world.apply(RecordChange::Member("n-1".into(), Some(member("n-1"))), 1 << 40);
     crate::reconcile::decide(&controller, &mut core, false, 4, start, 0);
     assert!(core.workers.len() >= 3);
     let aside = |core: &mut Core, heard: bool, peer: bool, s: u64| {
@@ -39,7 +46,7 @@
     assert!(!aside(&mut core, false, true, 36));
     assert!(!aside(&mut core, false, false, 50), "nor away again at once");
     assert!(aside(&mut core, false, false, 60));
-    core.world.apply(Change::Member("n-1".into(), None), 1 << 41);
+    core.world.apply(RecordChange::Member("n-1".into(), None), 1 << 41);
     assert!(!aside(&mut core, false, false, 61), "there is nobody else");
 }
 
@@ -59,7 +66,7 @@
     for n in 0..20 {
         let spec = crate::worker::tests::spec(&format!("j-{n}"), JobKind::Array);
         let job = sched::records::JobRecord::new(spec, Some("n-2".into()), 0);
-        core.world.apply(Change::Job(format!("j-{n}"), Some(Box::new(job))), 1 << 40);
+        core.world.apply(RecordChange::Job(format!("j-{n}"), Some(Box::new(job))), 1 << 40);
     }
     assert!(fixed(&core, "n-2") > before * 2.0 && fixed(&core, &me) >= LEADER_LEAST);
     assert!((sum(&core) - SHARES_SUM).abs() < 1e-9);
@@ -83,7 +90,7 @@
     let (start, me) = (Instant::now(), controller.me.clone());
     let mut core = controller.core();
     core.ready = true;
-    core.world.apply(Change::Map(Some(MapRecord { epoch: 4, live: vec![me.clone()] })), 1);
+    core.world.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live: vec![me.clone()] })), 1);
     core.fresh_at = Some(start);
     let renews = |core: &Core, at: Duration| core.may_renew(&me, ["n-1"], bound, start + at);
     assert!(renews(&core, bound - Duration::from_millis(1)));
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -11,10 +11,10 @@
 use peer::RunningTasksRequest;
 use sched::drain_records::{CordonFence, CordonRecord, DRAIN_SCHEMA, Disruption, Stopper, UnsavedWork};
 use sched::records::*;
+use sched::replica::RecordChange;
 use sched::rescheduler::Eviction;
-use sched::world::Change;
-use store::{Put, decode_change};
-use wire::{Condition, JobKind, Report, TaskReport, TaskState};
+use store::{KeyWrite, decode_change};
+use wire::{Condition, Heartbeat, JobKind, TaskState, TaskStatus};
 
 const ON: &str = "drains {\n enabled = true\n}\n";
 
@@ -45,30 +45,30 @@
     let world = &mut core.world;
     let other = Member { name: "n-1".into(), zone: "a".into(), incarnation: 2 };
     let live = vec![me.clone(), other.clone()];
-    world.apply(Change::Map(Some(MapRecord { epoch: 4, live })), 1);
-    world.apply(Change::Leader(Some(me.clone())), 1);
+    world.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
+    world.apply(RecordChange::Leader(Some(me.clone())), 1);
     for member in [me, &other] {
-        world.apply(Change::Member(member.name.clone(), Some(member.clone())), 1);
-        world.apply(Change::Upgraded(member.name.clone(), Some(DRAINS_SCHEMA_VERSION)), 1);
+        world.apply(RecordChange::Member(member.name.clone(), Some(member.clone())), 1);
+        world.apply(RecordChange::SchemaMarker(member.name.clone(), Some(DRAINS_SCHEMA_VERSION)), 1);
     }
     for machine in ["m-1", "m-2"] {
         let (machine_type, zone) = ("m".into(), "a".into());
         let record = MachineRecord { addr: "x".into(), machine_type, zone, spot: false, release: false };
-        world.apply(Change::Machine(machine.into(), Some(record)), 2);
+        world.apply(RecordChange::Machine(machine.into(), Some(record)), 2);
     }
     let mut job = JobRecord::new(wire::JobSpec { tasks: 2, ..spec("j-1", JobKind::Service) }, None, 0);
     let place = |(task, machine): (u32, &str)| Assignment {
         task,
         attempt: 1,
         machine: machine.into(),
-        want: Want::Run,
+        desired: DesiredState::Running,
     };
-    job.run = [(0, "m-1"), (1, "m-2")].map(place).into();
+    job.assignments = [(0, "m-1"), (1, "m-2")].map(place).into();
     job.attempt = 1;
-    world.apply(Change::Job("j-1".into(), Some(Box::new(job))), 3);
-    world.apply(Change::Cordon(("d".into(), 0), Some(CordonRecord::new(vec!["m-1".into()]))), 4);
-    world.apply(Change::CordonFence(Some(CordonFence { generation: 1 })), 4);
-    world.apply(Change::Drain("d".into(), Some(record())), 5);
+    world.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 3);
+    world.apply(RecordChange::Cordon(("d".into(), 0), Some(CordonRecord::new(vec!["m-1".into()]))), 4);
+    world.apply(RecordChange::CordonFence(Some(CordonFence { generation: 1 })), 4);
+    world.apply(RecordChange::Drain("d".into(), Some(record())), 5);
     core.ready = true;
 }
 
@@ -100,7 +100,7 @@
     site(&mut core, &controller.me);
     let open =
         vec![Disruption { job: "j-9".into(), task: 0, attempt: 1, by: Stopper::Rescheduler, since_ms: 1 }];
-    core.world.apply(Change::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
+    core.world.apply(RecordChange::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
     let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
     let (transaction, taken) = transactions::stop(&controller, &core, &moves, 9).expect("one to stop");
     assert_eq!((taken, transaction.puts()), (1, 3), "the job, the team's record and the drain's");
@@ -112,7 +112,8 @@
         assert_eq!(version_of(conditions, &key::job("j-1")), Some(3));
         assert_eq!(version_of(conditions, key::MAP), Some(1));
         let put = puts.iter().find(|p| p.key == key::disruptions("t")).expect("changed");
-        let (Change::Disruptions(_, Some(record)), false) = decode_change(&put.key, put.value.clone()) else {
+        let (RecordChange::Disruptions(_, Some(record)), false) = decode_change(&put.key, put.value.clone())
+        else {
             unreachable!("it is read again");
         };
         assert_eq!(record.open.len(), 2, "and what was there stays");
@@ -158,12 +159,12 @@
     let mut core = controller.core();
     site(&mut core, &controller.me);
     let types = vec![crate::worker::tests::kind(40.0, 90.0, &["a"])];
-    core.world.apply(Change::Types(Some(TypesRecord { types })), 8);
+    core.world.apply(RecordChange::Types(Some(MachineTypesRecord { types })), 8);
     let inventory = sched::placement::Inventory::new(&core.world, |_| true);
     assert!(inventory.find("m-1").is_none());
     assert!(paused(&controller, &core.world).is_none());
     // One that comes back without drains says so with its entry among the members.
-    core.world.apply(Change::Upgraded("n-1".into(), Some(SCHEMA_VERSION)), 9);
+    core.world.apply(RecordChange::SchemaMarker("n-1".into(), Some(SCHEMA_VERSION)), 9);
     let obstacle = paused(&controller, &core.world).expect("paused");
     // Its machines' replicas would never be seen running: evictions go on as without drains.
     assert!(EvictionBudget::of_round(&controller, &core, &[]).is_none());
@@ -174,10 +175,10 @@
 #[test]
 fn versions_without_drains_pass_the_records_over() {
     let puts = [
-        Put::new(key::drain("d"), &record()),
-        Put::new(key::cordon("d", 0), &CordonRecord::new(vec!["m-1".into()])),
-        Put::new(key::CORDON_FENCE.into(), &CordonFence { generation: 1 }),
-        Put::new(key::disruptions("a team"), &DisruptionRecord::default()),
+        KeyWrite::new(key::drain("d"), &record()),
+        KeyWrite::new(key::cordon("d", 0), &CordonRecord::new(vec!["m-1".into()])),
+        KeyWrite::new(key::CORDON_FENCE.into(), &CordonFence { generation: 1 }),
+        KeyWrite::new(key::disruptions("a team"), &DisruptionRecord::default()),
     ];
     for put in puts {
         let value = put.value.expect("a value");
@@ -192,10 +193,10 @@
     let controller = controller(ON);
     let mut core = controller.core();
     site(&mut core, &controller.me);
-    let later = Put::new(key::drain("d"), &DrainRecord { schema: DRAIN_SCHEMA + 1, ..record() });
+    let later = KeyWrite::new(key::drain("d"), &DrainRecord { schema: DRAIN_SCHEMA + 1, ..record() });
     let (change, bad) = decode_change(&later.key, later.value);
     assert!(bad);
-    core.world.unread(change);
+    core.world.mark_unreadable(change);
     assert!(core.world.drains.unreadable.contains("d"));
     assert!(core.world.drains.is_cordoned("m-1"));
 }
@@ -213,17 +214,23 @@
     let machine = ["m-1", "m-2"].into_iter().find(mine).expect("one of two machines is its own");
     let task = if machine == "m-1" { 0 } else { 1 };
     let mut worker = Worker::new("x".into(), 4, now);
-    let report = |seq, state| Report {
+    let report = |seq, state| Heartbeat {
         machine: machine.into(),
         addr: "x".into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq,
-        token: first_token(4),
-        notice_s: None,
-        tasks: vec![TaskReport { task: format!("j-1/{task}"), attempt: 1, state, cause: None, saved: None }],
+        incarnation: 1,
+        sequence: seq,
+        fencing_token: first_token(4),
+        spot_notice_s: None,
+        tasks: vec![TaskStatus {
+            task: format!("j-1/{task}"),
+            attempt: 1,
+            state,
+            cause: None,
+            checkpointed: None,
+        }],
     };
     worker.ingest(report(1, TaskState::Fetching), true, now);
     core.workers.insert(machine.into(), worker);
