--- a/crates/daemon/tests/unit/drains_command.rs
+++ b/crates/daemon/tests/unit/drains_command.rs
@@ -5,12 +5,12 @@
 use sched::records::*;
 use store::decode_change;
 
-fn world(machines: usize) -> World {
-    let mut world = World::default();
+fn world(machines: usize) -> Replica {
+    let mut world = Replica::default();
     for i in 0..machines {
         let (machine_type, zone) = ("m".into(), "a".into());
         let record = MachineRecord { addr: "x".into(), machine_type, zone, spot: false, release: false };
-        world.apply(sched::world::Change::Machine(format!("host-{i:06}"), Some(record)), 1);
+        world.apply(sched::replica::RecordChange::Machine(format!("host-{i:06}"), Some(record)), 1);
     }
     world
 }
@@ -26,10 +26,12 @@
 }
 
 /// Carries out a change as the state service would; false if it met newer records.
-fn carry_out(world: &mut World, version: &mut u64, (conditions, puts): ConditionalPuts) -> bool {
+fn carry_out(world: &mut Replica, version: &mut u64, (conditions, puts): ConditionalPuts) -> bool {
     let of = |key: &str| match decode_change(key, None).0 {
-        sched::world::Change::Drain(name, _) => world.drains.records.get(&name).map_or(0, |d| d.version),
-        sched::world::Change::Cordon(id, _) => world.drains.cordons.get(&id).map_or(0, |c| c.version),
+        sched::replica::RecordChange::Drain(name, _) => {
+            world.drains.records.get(&name).map_or(0, |d| d.version)
+        }
+        sched::replica::RecordChange::Cordon(id, _) => world.drains.cordons.get(&id).map_or(0, |c| c.version),
         _ => world.drains.fence,
     };
     if conditions.iter().any(|c| of(&c.key) != c.version) {
@@ -55,7 +57,7 @@
     for piece in &pieces {
         let all = Some(piece.clone());
         let full = CordonRecord { emptied: all.clone(), gone: all, ..CordonRecord::new(piece.clone()) };
-        assert!(Put::new(String::new(), &full).value_len() <= 2048);
+        assert!(KeyWrite::new(String::new(), &full).value_len() <= 2048);
     }
     let (mut version, mut changes) = (10, 0);
     while let Some(step) =
@@ -76,7 +78,7 @@
     let mut world = world(2);
     let machines: Vec<Name> = world.machines.keys().cloned().collect();
     let pieces = pieces(&machines);
-    let first = |name: &str, world: &World| next_cordon(world, name, &request(), &machines, &pieces, false);
+    let first = |name: &str, world: &Replica| next_cordon(world, name, &request(), &machines, &pieces, false);
     let a = first("a", &world).expect("fine").expect("a change");
     let b = first("b", &world).expect("fine").expect("a change");
     let mut version = 10;
@@ -91,8 +93,8 @@
     let mut world = world(1);
     let mut version = 20;
     let cordon = CordonRecord { active: false, ..CordonRecord::new(vec!["host-000000".into()]) };
-    world.apply(sched::world::Change::Cordon(("d".into(), 0), Some(cordon)), 11);
-    world.apply(sched::world::Change::Drain("d".into(), Some(record())), 12);
+    world.apply(sched::replica::RecordChange::Cordon(("d".into(), 0), Some(cordon)), 11);
+    world.apply(sched::replica::RecordChange::Drain("d".into(), Some(record())), 12);
     let error = next_removed(&world, "d").expect_err("active").to_string();
     assert!(error.contains("not over"), "{error}");
     let stop = changed(&world, "d", Event::StopRequested).expect("active");
@@ -107,7 +109,7 @@
     assert!(world.drains.is_cordoned("host-000000") && world.drains.records["d"].value.is_active());
     let closed = DrainPhase::Closed(sched::drain_records::DrainEnd::Finished);
     let over = DrainRecord { phase: closed, ..record() };
-    world.apply(sched::world::Change::Drain("d".into(), Some(over)), 90);
+    world.apply(sched::replica::RecordChange::Drain("d".into(), Some(over)), 90);
     version = 91;
     while let Some(step) = next_removed(&world, "d").expect("over") {
         assert!(carry_out(&mut world, &mut version, step));
@@ -124,8 +126,8 @@
     assert!(checked("rack-7".into()).is_ok());
     let mut world = world(1);
     let member = Member { name: "n-1".into(), zone: "a".into(), incarnation: 1 };
-    world.apply(sched::world::Change::Member("n-1".into(), Some(member)), 3);
-    world.apply(sched::world::Change::Upgraded("n-1".into(), Some(SCHEMA_VERSION)), 3);
+    world.apply(sched::replica::RecordChange::Member("n-1".into(), Some(member)), 3);
+    world.apply(sched::replica::RecordChange::SchemaMarker("n-1".into(), Some(SCHEMA_VERSION)), 3);
     let machines: Vec<Name> = world.machines.keys().cloned().collect();
     let old = next_cordon(&world, "d", &request(), &machines, &pieces(&machines), false);
     assert!(old.expect_err("it would place on the machine").to_string().contains("\"n-1\""));
@@ -134,7 +136,7 @@
     assert!(unreadable.contains("sageloom/drains/d"), "{unreadable}");
     // Nobody listens there: told within seconds, with what may have been written.
     let runtime = crate::runtime().expect("a runtime");
-    let nowhere = StateClient::new(Client::new(1), "127.0.0.1:1".into(), 1 << 20);
+    let nowhere = KeyValueClient::new(Client::new(1), "127.0.0.1:1".into(), 1 << 20);
     let error = runtime.block_on(Service::new(nowhere, None).stop("d")).expect_err("nobody answers");
     assert!(error.to_string().ends_with("nothing was written"), "{error}");
 }
--- a/crates/daemon/tests/unit/fault_days/checker.rs
+++ b/crates/daemon/tests/unit/fault_days/checker.rs
@@ -60,7 +60,7 @@
             found.push(("wrong_place", detail.clone()));
         }
         let unmet = |n: &String| !self.is_done(n);
-        if s.needs.iter().flatten().any(unmet) {
+        if s.dependencies.iter().flatten().any(unmet) {
             found.push(("too_early", detail.clone()));
         }
         if let Some(told) = job.cancelled {
@@ -120,7 +120,7 @@
     /// that it needs.
     fn may_be_cancelled(&self, id: &str) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
-        job.asked.is_some() || job.spec.needs.iter().flatten().any(|n| self.may_be_cancelled(n))
+        job.asked.is_some() || job.spec.dependencies.iter().flatten().any(|n| self.may_be_cancelled(n))
     }
 
     pub(super) fn told(&mut self, id: &str, sent: u64, state: JobState) {
@@ -197,7 +197,7 @@
             }
             // What is cancelled, or cancelled with another, waits for nothing.
             let open = !self.may_be_cancelled(id) && !self.is_done(id) && !begun.contains_key(id);
-            let ready = job.spec.needs.iter().flatten().all(|n| self.is_done(n));
+            let ready = job.spec.dependencies.iter().flatten().all(|n| self.is_done(n));
             waits.push((id.clone(), open && ready && self.has_room(job, &used)));
         }
         for (id, waits) in waits {
@@ -214,7 +214,7 @@
         // Those that need a cancelled job are called cancelled: seen once they are asked.
         for (id, job) in &self.jobs {
             let told = |n: &String| self.jobs.get(n).and_then(|j| j.cancelled);
-            let since = job.spec.needs.iter().flatten().filter_map(told).max();
+            let since = job.spec.dependencies.iter().flatten().filter_map(told).max();
             let known = since.max(job.accepted).map(|s| s.max(calm));
             if since.is_some()
                 && job.accepted.is_some()
--- a/crates/daemon/tests/unit/fault_days/drains.rs
+++ b/crates/daemon/tests/unit/fault_days/drains.rs
@@ -10,8 +10,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sched::drain_records::{DrainPhase, UnsavedWork};
-use sched::world::Change;
-use store::StateClient;
+use sched::replica::RecordChange;
+use store::KeyValueClient;
 use tokio::time::sleep;
 use wire::JobKind;
 
@@ -117,7 +117,7 @@
     fn drains(&self) -> Vec<(String, Option<DrainPhase>)> {
         let of = |(key, value): (&String, &rmpv::Value)| match store::decode_change(key, Some(value.clone()))
         {
-            (Change::Drain(name, record), _) => Some((name, record.map(|r| r.phase))),
+            (RecordChange::Drain(name, record), _) => Some((name, record.map(|r| r.phase))),
             _ => None,
         };
         self.records().filter_map(of).collect()
@@ -163,7 +163,7 @@
         let incarnation = all.controllers[n].incarnation;
         drop(all);
         let client = Client::over(link(self, n, incarnation));
-        Service::new(StateClient::new(client, STATE.into(), 1 << 20), None)
+        Service::new(KeyValueClient::new(client, STATE.into(), 1 << 20), None)
     }
 }
 
--- a/crates/daemon/tests/unit/fault_days/machines.rs
+++ b/crates/daemon/tests/unit/fault_days/machines.rs
@@ -8,7 +8,8 @@
 use rand::RngExt;
 use tokio::time::{sleep, timeout};
 use wire::{
-    Cause, Command, Commands, JobKind, Redirect, RentRequest, Report, ReportAnswer, TaskReport, TaskState,
+    Command, Commands, ExitReason, Heartbeat, HeartbeatResponse, JobKind, Redirect, RentRequest, TaskState,
+    TaskStatus,
 };
 
 use super::network::Party;
@@ -24,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     pub(super) state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<ExitReason>,
     saved: Option<bool>,
     /// When its present state ends by itself.
     until: u64,
@@ -37,7 +38,7 @@
         self.state != TaskState::Exited
     }
 
-    fn exit(&mut self, cause: Cause) {
+    fn exit(&mut self, cause: ExitReason) {
         (self.state, self.cause) = (TaskState::Exited, Some(cause));
     }
 }
@@ -114,29 +115,29 @@
         }
     }
 
-    fn report(&mut self, id: &str, now: u64, sabotage: Sabotage) -> Report {
+    fn report(&mut self, id: &str, now: u64, sabotage: Sabotage) -> Heartbeat {
         self.seq += 1;
         let early = |state| match state {
             TaskState::Fetching if sabotage == Sabotage::Early => TaskState::Running,
             other => other,
         };
-        let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskReport {
+        let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: early(t.state),
             cause: t.cause,
-            saved: t.saved,
+            checkpointed: t.saved,
         });
-        Report {
+        Heartbeat {
             machine: id.into(),
             addr: id.into(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot && sabotage != Sabotage::Kind,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: self.notice_until.map(|t| t.saturating_sub(now) as f64 / 1000.0),
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            spot_notice_s: self.notice_until.map(|t| t.saturating_sub(now) as f64 / 1000.0),
             tasks: tasks.collect(),
         }
     }
@@ -180,18 +181,18 @@
                     }
                     TaskState::Waiting if now >= t.until => {
                         m.changed = true;
-                        t.exit(Cause::Alone);
+                        t.exit(ExitReason::GangIncomplete);
                     }
                     TaskState::Saving if now >= t.until => {
                         m.changed = true;
-                        t.exit(Cause::Stopped);
+                        t.exit(ExitReason::Stopped);
                         t.saved = Some(true);
                     }
                     TaskState::Running if now >= t.until && kind != JobKind::Gang => {
                         m.changed = true;
                         exits.push((id.clone(), task.clone()));
                         let fails = sabotage == Sabotage::Done && task.ends_with("/1");
-                        t.exit(Cause::Done);
+                        t.exit(ExitReason::Done);
                         if !fails {
                             self.done.insert(task.clone());
                         }
@@ -258,14 +259,14 @@
                         if there.get(&key).is_some_and(|s| s.len() == all) {
                             t.alone = None;
                             if now >= t.until {
-                                t.exit(Cause::Done);
+                                t.exit(ExitReason::Done);
                                 m.changed = true;
                                 done.insert(key.0);
                             }
                         } else if runs.get(&key).is_some_and(|s| s.len() < all)
                             && now >= *t.alone.get_or_insert(now) + GANG_PEER_MS
                         {
-                            t.exit(Cause::PeersGone);
+                            t.exit(ExitReason::PeersGone);
                             m.changed = true;
                         }
                     }
@@ -294,9 +295,9 @@
                         continue;
                     }
                     let refused = if m.tasks.iter().any(|((t, _), s)| t == task && s.is_on()) {
-                        Some(Cause::Busy)
+                        Some(ExitReason::Busy)
                     } else if m.used() + super::users::cpus_of(task) > super::cpus(&m.machine_type) + 1e-6 {
-                        Some(Cause::NoRoom)
+                        Some(ExitReason::NoCapacity)
                     } else if sabotage == Sabotage::Starts {
                         continue;
                     } else {
@@ -328,7 +329,7 @@
                     match t.state {
                         TaskState::Saving if *grace_s > 0.0 => {}
                         _ if saves => (t.state, t.until) = (TaskState::Saving, now + 2000),
-                        _ => t.exit(Cause::Stopped),
+                        _ => t.exit(ExitReason::Stopped),
                     }
                     if ran {
                         self.note_stop(id, task, *attempt);
@@ -389,13 +390,13 @@
         }
         let Ok(commands) = wire::decode::<Commands>(&request.body) else { return Some((400, Vec::new())) };
         let m = all.machines.get_mut(id)?;
-        if commands.token < m.token || commands.session != m.session {
+        if commands.fencing_token < m.token || commands.incarnation != m.session {
             return Some((409, wire::encode(&m.report(id, now, sabotage))));
         }
-        if commands.token > m.token {
+        if commands.fencing_token > m.token {
             m.changed = true;
         }
-        m.token = m.token.max(commands.token);
+        m.token = m.token.max(commands.fencing_token);
         all.execute(id, &commands.commands);
         let report = all.machines.get_mut(id)?.report(id, now, sabotage);
         Some((200, wire::encode(&report)))
@@ -444,12 +445,12 @@
             let Some(m) = all.machines.get_mut(&id) else { return };
             match answer {
                 Some(a) if a.status == 200 => {
-                    let answer = wire::decode::<ReportAnswer>(&a.body).ok();
-                    if let Some(a) = answer.filter(|a| m.session == session && a.token >= m.token) {
-                        if a.token > m.token {
+                    let answer = wire::decode::<HeartbeatResponse>(&a.body).ok();
+                    if let Some(a) = answer.filter(|a| m.session == session && a.fencing_token >= m.token) {
+                        if a.fencing_token > m.token {
                             m.changed = true;
                         }
-                        m.token = a.token;
+                        m.token = a.fencing_token;
                         m.renewed = m.renewed.max(sent);
                         all.execute(&id, &a.commands);
                     }
--- a/crates/daemon/tests/unit/fault_days/mod.rs
+++ b/crates/daemon/tests/unit/fault_days/mod.rs
@@ -28,7 +28,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::{Instant, sleep};
-use wire::Report;
+use wire::Heartbeat;
 
 use controllers::Process;
 use machines::{LEASE_MS, Machine};
@@ -139,8 +139,8 @@
     held_commands: Held,
     held_peers: Held,
     copies: Copies,
-    kept_copies: Vec<Report>,
-    copies_due: Vec<(u64, usize, Report)>,
+    kept_copies: Vec<Heartbeat>,
+    copies_due: Vec<(u64, usize, Heartbeat)>,
     new_map: bool,
     /// What is started once more, by sabotage: when, the machine, the task, the attempt.
     again: Vec<(u64, String, String, u64)>,
@@ -180,7 +180,7 @@
     }
 
     /// A copy of a report that was sent to a controller, perhaps.
-    fn copy_report(&mut self, report: &Report, to: usize) {
+    fn copy_report(&mut self, report: &Heartbeat, to: usize) {
         let now = self.ms();
         let Copies { share, until, for_next } = self.copies;
         if now >= until || !self.rng.random_bool(share) {
@@ -196,7 +196,7 @@
     }
 
     /// Copies that are due by now; those kept for the next leader when it begins.
-    fn due_copies(&mut self) -> Vec<(usize, Report)> {
+    fn due_copies(&mut self) -> Vec<(usize, Heartbeat)> {
         let now = self.ms();
         if std::mem::take(&mut self.new_map) {
             for report in std::mem::take(&mut self.kept_copies) {
--- a/crates/daemon/tests/unit/fault_days/users.rs
+++ b/crates/daemon/tests/unit/fault_days/users.rs
@@ -102,11 +102,11 @@
         one_zone: kind == JobKind::Gang && n.is_multiple_of(2),
         spread: kind == JobKind::Service && n.is_multiple_of(2),
         spot: kind == JobKind::Array && n.is_multiple_of(2),
-        estimate_s: if kind == JobKind::Service { 0.0 } else { run_ms(&id) as f64 / 1000.0 },
-        checkpoint_s: if saves(&id) { 2.0 } else { 0.0 },
-        save_s: 2.0,
+        estimated_runtime_s: if kind == JobKind::Service { 0.0 } else { run_ms(&id) as f64 / 1000.0 },
+        checkpoint_interval_s: if saves(&id) { 2.0 } else { 0.0 },
+        checkpoint_save_s: 2.0,
         deadline_s: None,
-        needs: None,
+        dependencies: None,
         id,
     }
 }
@@ -124,7 +124,7 @@
             let before: Vec<String> = self.jobs.values().filter(may).map(|j| j.spec.id.clone()).collect();
             if !before.is_empty() {
                 let late = before.len() - 1 - self.rng.random_range(0..before.len().min(6));
-                spec.needs = Some(vec![before[late].clone()]);
+                spec.dependencies = Some(vec![before[late].clone()]);
             }
         }
         let id = spec.id.clone();
@@ -139,7 +139,7 @@
         let Some(job) = self.jobs.get(id) else { return Vec::new() };
         let mut spec = job.spec.clone();
         if self.sabotage == Sabotage::Needs {
-            spec.needs = None;
+            spec.dependencies = None;
         }
         wire::encode(&spec)
     }
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use sched::records::*;
-use store::{Put, decode_change, key};
+use store::{KeyWrite, decode_change, key};
 use wire::{
-    Cause, Command, Commands, Condition, JobKind, JobSpec, MachineType, Report, ReportAnswer, TaskReport,
-    TaskState,
+    Command, Commands, Condition, ExitReason, Heartbeat, HeartbeatResponse, JobKind, JobSpec, MachineType,
+    TaskState, TaskStatus,
 };
 
 use crate::api::reports::{Disposal, take_report};
@@ -33,7 +33,7 @@
 struct Site {
     nodes: Vec<Controller>,
     keys: HashMap<String, u64>,
-    log: Vec<(u64, Put)>,
+    log: Vec<(u64, KeyWrite)>,
     /// How much of the log each controller's mirror has.
     seen: Vec<usize>,
     epoch: u64,
@@ -68,7 +68,7 @@
             boot_s: 30.0,
             zones: vec!["a".into(), "b".into()],
         };
-        site.put(vec![Put::new(key::TYPES.into(), &TypesRecord { types: vec![kind] })]);
+        site.put(vec![KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] })]);
         for (id, zone) in machines {
             site.record(id, zone);
         }
@@ -85,10 +85,10 @@
             spot: false,
             release: false,
         };
-        self.put(vec![Put::new(key::machine(id), &record)]);
+        self.put(vec![KeyWrite::new(key::machine(id), &record)]);
     }
 
-    fn txn(&mut self, conditions: &[Condition], puts: Vec<Put>) -> bool {
+    fn txn(&mut self, conditions: &[Condition], puts: Vec<KeyWrite>) -> bool {
         if conditions.iter().any(|c| self.keys.get(&c.key).copied().unwrap_or(0) != c.version) {
             return false;
         }
@@ -103,7 +103,7 @@
         true
     }
 
-    fn put(&mut self, puts: Vec<Put>) {
+    fn put(&mut self, puts: Vec<KeyWrite>) {
         assert!(self.txn(&[], puts));
     }
 
@@ -112,8 +112,8 @@
         self.epoch += 1;
         let live: Vec<Member> = live.iter().map(|n| self.nodes[*n].me.clone()).collect();
         self.put(vec![
-            Put::new(key::LEADER.into(), &live[0]),
-            Put::new(key::MAP.into(), &MapRecord { epoch: self.epoch, live }),
+            KeyWrite::new(key::LEADER.into(), &live[0]),
+            KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: self.epoch, live }),
         ]);
     }
 
@@ -155,53 +155,53 @@
     }
 
     /// A worker's report arrives: the answer with which it stays, if it gets one.
-    fn report(&mut self, n: usize, report: &Report) -> Option<ReportAnswer> {
+    fn report(&mut self, n: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
         match take_report(&self.nodes[n], report, false, self.now) {
             Disposal::Answer(reply) if reply.status == 200 => wire::decode(&reply.body).ok(),
             _ => None,
         }
     }
 
-    fn answered(&mut self, n: usize, machine: &str, commands: &Commands, report: Option<Report>) {
-        reconcile::answered(&mut self.nodes[n].core(), machine, commands.token, report, self.now);
+    fn answered(&mut self, n: usize, machine: &str, commands: &Commands, report: Option<Heartbeat>) {
+        reconcile::answered(&mut self.nodes[n].core(), machine, commands.fencing_token, report, self.now);
     }
 
     fn job(&self, id: &str) -> Box<JobRecord> {
         let put = self.log.iter().rfind(|(_, p)| p.key == key::job(id)).map(|(_, p)| p);
         let (change, _) = decode_change(&key::job(id), put.and_then(|p| p.value.clone()));
         match change {
-            sched::world::Change::Job(_, Some(job)) => job,
+            sched::replica::RecordChange::Job(_, Some(job)) => job,
             other => unreachable!("{other:?}"),
         }
     }
 
     /// The attempt of a job's first task that is on record.
     fn attempt(&self, id: &str) -> Option<u64> {
-        self.job(id).run.first().map(|a| a.attempt)
+        self.job(id).assignments.first().map(|a| a.attempt)
     }
 
     /// Some controller cancels a job.
     fn cancel(&mut self, id: &str) {
         let mut job = self.job(id);
         job.phase = Phase::Cancelled;
-        job.shrink();
-        self.put(vec![Put::new(key::job(id), &job)]);
+        job.compact_if_final();
+        self.put(vec![KeyWrite::new(key::job(id), &job)]);
     }
 
     /// The record says that these tasks are on these machines.
     fn assign(&mut self, spec: JobSpec, run: &[(u32, u64, &str)]) {
         let mut job = JobRecord::new(spec.clone(), None, 1000);
         job.attempt = run.iter().map(|r| r.1).max().unwrap_or(0);
-        job.run = run
+        job.assignments = run
             .iter()
             .map(|(task, attempt, machine)| Assignment {
                 task: *task,
                 attempt: *attempt,
                 machine: (*machine).into(),
-                want: Want::Run,
+                desired: DesiredState::Running,
             })
             .collect();
-        self.put(vec![Put::new(key::job(&spec.id), &job)]);
+        self.put(vec![KeyWrite::new(key::job(&spec.id), &job)]);
     }
 
     fn wait(&mut self, s: f64) {
@@ -246,7 +246,7 @@
     token: u64,
     /// When the last answered report was sent, or the session began.
     renewed: Instant,
-    tasks: BTreeMap<(String, u64), (TaskState, Option<Cause>)>,
+    tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
 }
 
 impl Host {
@@ -263,41 +263,41 @@
         }
     }
 
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), (state, cause))| TaskReport {
+        let tasks = self.tasks.iter().map(|((task, attempt), (state, cause))| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: *state,
             cause: *cause,
-            saved: None,
+            checkpointed: None,
         });
-        Report {
+        Heartbeat {
             machine: self.id.into(),
             addr: self.id.into(),
             machine_type: "m".into(),
             zone: self.zone.into(),
             spot: false,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            spot_notice_s: None,
             tasks: tasks.collect(),
         }
     }
 
     /// The answer to a report that was sent at this time.
-    fn hear(&mut self, sent: Instant, answer: Option<ReportAnswer>) {
-        let Some(answer) = answer.filter(|a| a.token >= self.token) else { return };
-        (self.token, self.renewed) = (answer.token, sent);
+    fn hear(&mut self, sent: Instant, answer: Option<HeartbeatResponse>) {
+        let Some(answer) = answer.filter(|a| a.fencing_token >= self.token) else { return };
+        (self.token, self.renewed) = (answer.fencing_token, sent);
         self.obey(&answer.commands);
     }
 
     /// A request to the machine itself.
-    fn execute(&mut self, commands: &Commands, now: Instant) -> Report {
+    fn execute(&mut self, commands: &Commands, now: Instant) -> Heartbeat {
         self.live(now);
-        if commands.token >= self.token && commands.session == self.session {
-            self.token = commands.token;
+        if commands.fencing_token >= self.token && commands.incarnation == self.session {
+            self.token = commands.fencing_token;
             self.obey(&commands.commands);
         }
         self.report()
@@ -318,9 +318,9 @@
                         state.0 = TaskState::Saving;
                     }
                 }
-                Command::Stop { task, attempt, .. } => self.end(task, *attempt, Cause::Stopped),
+                Command::Stop { task, attempt, .. } => self.end(task, *attempt, ExitReason::Stopped),
                 Command::Forget { task, attempt } => {
-                    let exited = |s: &(TaskState, Option<Cause>)| s.0 == TaskState::Exited;
+                    let exited = |s: &(TaskState, Option<ExitReason>)| s.0 == TaskState::Exited;
                     let key = (task.clone(), *attempt);
                     if self.tasks.get(&key).is_some_and(exited) {
                         self.tasks.remove(&key);
@@ -330,7 +330,7 @@
         }
     }
 
-    fn end(&mut self, task: &str, attempt: u64, cause: Cause) {
+    fn end(&mut self, task: &str, attempt: u64, cause: ExitReason) {
         if let Some(state) = self.tasks.get_mut(&(task.to_owned(), attempt))
             && state.0 != TaskState::Exited
         {
@@ -361,7 +361,7 @@
 fn owner(site: &Site) -> usize {
     let put = site.log.iter().rfind(|(_, p)| p.key == key::MAP).map(|(_, p)| p.clone());
     let put = put.expect("a map");
-    let (sched::world::Change::Map(Some(map)), false) = decode_change(&put.key, put.value) else {
+    let (sched::replica::RecordChange::Map(Some(map)), false) = decode_change(&put.key, put.value) else {
         unreachable!("a map")
     };
     let owner = map.owner("host-1", "a").expect("an owner").name.clone();
--- a/crates/daemon/tests/unit/faults_records.rs
+++ b/crates/daemon/tests/unit/faults_records.rs
@@ -19,7 +19,7 @@
         site.meet(0, &mut host);
         site.meet(0, &mut host);
         assert!(host.runs("j-1/0"));
-        host.end("j-1/0", 1, Cause::Error);
+        host.end("j-1/0", 1, ExitReason::Error);
         let copy = host.report();
         site.report(0, &copy);
         site.map(&[1]);
@@ -39,11 +39,14 @@
         site.meet(0, &mut host);
         site.round(0);
         assert_eq!(site.attempt("j-1"), Some(1), "it still runs");
-        host.end("j-1/0", 1, Cause::Error);
+        host.end("j-1/0", 1, ExitReason::Error);
         site.meet(0, &mut host);
         site.round(0);
         let job = site.job("j-1");
-        assert!(job.errors == 1 && job.run.iter().all(|a| a.attempt > 1), "its end is proven now: {job:?}");
+        assert!(
+            job.failed_starts == 1 && job.assignments.iter().all(|a| a.attempt > 1),
+            "its end is proven now: {job:?}"
+        );
     }
 }
 
@@ -63,8 +66,8 @@
         site.meet(0, &mut host);
         copies.push(host.report());
         // An attempt that failed, which was cleared, and one that runs.
-        host.tasks.insert(("j-1/0".into(), 1), (TaskState::Exited, Some(Cause::Error)));
-        host.tasks.insert(("j-1/1".into(), 1), (TaskState::Exited, Some(Cause::Stopped)));
+        host.tasks.insert(("j-1/0".into(), 1), (TaskState::Exited, Some(ExitReason::Error)));
+        host.tasks.insert(("j-1/1".into(), 1), (TaskState::Exited, Some(ExitReason::Stopped)));
         copies.push(host.report());
         host.tasks.clear();
         copies.push(host.report());
@@ -153,7 +156,7 @@
     let eight = |id: &str| JobSpec { tasks: 8, ..spec(id, JobKind::Array) };
     let all: Vec<(u32, u64, &str)> = (0..8).map(|t| (t, 1, "host-1")).collect();
     site.assign(eight("j-1"), &all);
-    site.put(vec![Put::new(key::job("j-2"), &JobRecord::new(eight("j-2"), None, 1000))]);
+    site.put(vec![KeyWrite::new(key::job("j-2"), &JobRecord::new(eight("j-2"), None, 1000))]);
     site.map(&[0]);
     site.read(0);
     for _ in 0..2 {
@@ -207,7 +210,13 @@
     site.round(old);
     assert_eq!(site.log.len(), before);
     // Nor does it hand such an end to another controller: this one knows the newer map.
-    let proof = peer::Proof { job: "j-1".into(), task: 0, attempt: 1, machine: "host-1".into(), end: 3 };
+    let proof = peer::TerminationProof {
+        job: "j-1".into(),
+        task: 0,
+        attempt: 1,
+        machine: "host-1".into(),
+        reason_code: 3,
+    };
     reconcile::take_proofs(&site.nodes[new], site.epoch - 1, vec![proof.clone()], site.now);
     site.round(new);
     assert_eq!(site.attempt("j-1"), Some(1), "it runs");
@@ -226,7 +235,7 @@
     site.assign(two, &[(0, 1, "host-1"), (1, 1, "host-2")]);
     let gone = |names: &[&str]| {
         let gone = Some(names.iter().map(|n| (*n).into()).collect());
-        Put::new(key::FLEET.into(), &FleetRecord { rentals: Vec::new(), gone })
+        KeyWrite::new(key::FLEET.into(), &FleetRecord { scale_outs: Vec::new(), removed_machines: gone })
     };
     // One machine is given back, the other cannot be reached.
     site.put(vec![gone(&["host-2"])]);
@@ -240,7 +249,7 @@
     };
     steps(&mut site, &mut there);
     let job = site.job("j-1");
-    assert!(job.run.len() == 1 && &*job.run[0].machine == "host-1", "{:?}", job.run);
+    assert!(job.assignments.len() == 1 && &*job.assignments[0].machine == "host-1", "{:?}", job.assignments);
     assert!(there.tasks.is_empty());
     // Now that one, too.
     site.put(vec![gone(&["host-1", "host-2"])]);
@@ -259,12 +268,12 @@
     let mut copies = Vec::new();
     let mut done = 0;
     for (step, (ends, cause)) in [
-        (Some("j-1/0"), Cause::Done),
-        (None, Cause::Done),
-        (Some("j-1/1"), Cause::Error),
-        (Some("j-1/1"), Cause::Done),
-        (None, Cause::Done),
-        (Some("j-1/2"), Cause::Done),
+        (Some("j-1/0"), ExitReason::Done),
+        (None, ExitReason::Done),
+        (Some("j-1/1"), ExitReason::Error),
+        (Some("j-1/1"), ExitReason::Done),
+        (None, ExitReason::Done),
+        (Some("j-1/2"), ExitReason::Done),
     ]
     .into_iter()
     .enumerate()
@@ -282,7 +291,7 @@
         if let Some(task) = ends {
             let attempt = host.tasks.keys().filter(|k| k.0 == task).map(|k| k.1).max();
             host.end(task, attempt.expect("it runs"), cause);
-            done += u32::from(cause == Cause::Done);
+            done += u32::from(cause == ExitReason::Done);
             copies.push(host.report());
         }
         for _ in 0..3 {
@@ -308,7 +317,7 @@
     let mut host = Host::new("host-1", "a", site.now);
     let job = JobRecord::new(spec("j-1", JobKind::Array), None, 1000);
     site.map(&[0]);
-    site.put(vec![Put::new(key::job("j-1"), &job)]);
+    site.put(vec![KeyWrite::new(key::job("j-1"), &job)]);
     site.read(0);
     let adopted = take_report(&site.nodes[0], &host.report(), false, site.now);
     assert!(matches!(adopted, Disposal::Adopt(epoch) if epoch == site.epoch));
@@ -327,7 +336,7 @@
         site.read(1);
         site.meet(1, &mut host);
         site.command(1, &mut [&mut host]);
-        let on_record = site.job("j-1").run.len();
+        let on_record = site.job("j-1").assignments.len();
         assert!(host.tasks.len() <= on_record);
     }
     assert!(host.runs("j-1/0"));
@@ -358,15 +367,15 @@
     assert!(hosts[0].runs("j-1/0") && hosts[1].runs("j-1/1"));
     let mut gave_up = hosts[1].report();
     gave_up.tasks[0].state = TaskState::Exited;
-    gave_up.tasks[0].cause = Some(Cause::Alone);
+    gave_up.tasks[0].cause = Some(ExitReason::GangIncomplete);
     // It hangs for longer than its lease.
     (0..26).for_each(|_| round(&mut site, 0, &mut hosts, &[1, 2]));
     (0..9).for_each(|_| round(&mut site, 0, &mut hosts, &[2]));
-    assert_eq!(site.job("j-1").run.len(), 1, "it waits, though there is room where it was");
+    assert_eq!(site.job("j-1").assignments.len(), 1, "it waits, though there is room where it was");
     (0..9).for_each(|_| round(&mut site, 0, &mut hosts, &[]));
     let check = |site: &Site, hosts: &[Host; 3]| {
         let job = site.job("j-1");
-        let places: Vec<(u64, &str)> = job.run.iter().map(|a| (a.attempt, &*a.machine)).collect();
+        let places: Vec<(u64, &str)> = job.assignments.iter().map(|a| (a.attempt, &*a.machine)).collect();
         assert_eq!(places, [(1, "host-1"), (1, "host-3")]);
         assert!(job.phase == Phase::Active && hosts[2].runs("j-1/1") && !hosts[1].runs("j-1/1"));
     };
@@ -379,7 +388,7 @@
     site.report(1, &gave_up);
     (0..3).for_each(|_| round(&mut site, 1, &mut hosts, &[]));
     check(&site, &hosts);
-    hosts[2].end("j-1/1", 1, Cause::Done);
+    hosts[2].end("j-1/1", 1, ExitReason::Done);
     (0..3).for_each(|_| round(&mut site, 1, &mut hosts, &[]));
     let job = site.job("j-1");
     assert!(job.phase == Phase::Done && job.done.len() == 2, "{job:?}");
@@ -393,8 +402,8 @@
     let mut other = Host::new("host-2", "a", site.now);
     (other.token, other.seq) = (host.token + 9, 99);
     let mut job = site.job("j-1");
-    job.run[0].want = Want::Stop;
-    site.put(vec![Put::new(key::job("j-1"), &job)]);
+    job.assignments[0].desired = DesiredState::Stopped;
+    site.put(vec![KeyWrite::new(key::job("j-1"), &job)]);
     site.read(0);
     let sent = site.round(0);
     assert!(!sent.is_empty());
--- a/crates/daemon/tests/unit/faults_reports.rs
+++ b/crates/daemon/tests/unit/faults_reports.rs
@@ -103,8 +103,8 @@
     }
     assert!(mute.runs("j-1/0"));
     let late = Commands {
-        token: mute.token,
-        session: 1,
+        fencing_token: mute.token,
+        incarnation: 1,
         commands: vec![Command::Start { task: "j-1/0".into(), attempt: 1 }],
     };
     for step in 0..160 {
@@ -144,14 +144,14 @@
     site.read(0);
     site.ask(0, &mut host);
     let commands = site.round(0);
-    assert_eq!(site.job("j-1").run.len(), 1, "the answer may still arrive");
+    assert_eq!(site.job("j-1").assignments.len(), 1, "the answer may still arrive");
     for (machine, commands) in commands {
         let report = host.execute(&commands, site.now);
         site.answered(0, &machine, &commands, Some(report));
     }
     site.wait(1.0);
     site.round(0);
-    assert!(site.job("j-1").run.is_empty(), "it stays on record");
+    assert!(site.job("j-1").assignments.is_empty(), "it stays on record");
     host.hear(sent, held);
     assert!(!host.runs("j-1/0"));
 }
@@ -258,7 +258,7 @@
             site.wait(0.1);
         }
         assert!(started != backwards, "the launch comes first, or not at all");
-        assert!(site.job("j-1").run.is_empty(), "its share is free");
+        assert!(site.job("j-1").assignments.is_empty(), "its share is free");
     }
 }
 
@@ -295,8 +295,8 @@
     for changes in [false, true] {
         let (mut site, mut host) = running(2);
         let mut job = site.job("j-1");
-        job.run[0].want = Want::Stop;
-        site.put(vec![Put::new(key::job("j-1"), &job)]);
+        job.assignments[0].desired = DesiredState::Stopped;
+        site.put(vec![KeyWrite::new(key::job("j-1"), &job)]);
         let old = owner(&site);
         site.read(old);
         site.command(old, &mut [&mut host]);
@@ -310,7 +310,7 @@
         assert!(!host.runs("j-1/0"));
         site.meet(new, &mut host);
         site.round(new);
-        assert!(site.job("j-1").run.is_empty());
+        assert!(site.job("j-1").assignments.is_empty());
     }
 }
 
@@ -327,7 +327,7 @@
     let start = site.now;
     let mut waits: Option<(Instant, Commands)> = None;
     let mut reported = start;
-    while !site.job("j-1").run.is_empty() {
+    while !site.job("j-1").assignments.is_empty() {
         assert!(site.now < start + secs(30.0), "it stays on record");
         site.read(0);
         for (_, commands) in site.round(0) {
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use sched::records::*;
-use sched::world::{Change, World};
-use store::{Put, key};
+use sched::replica::{RecordChange, Replica};
+use store::{KeyWrite, key};
 use tokio::time::sleep;
-use wire::{JobKind, JobSpec, JobState, Report, TaskReport, TaskState};
+use wire::{Heartbeat, JobKind, JobSpec, JobState, TaskState, TaskStatus};
 
 use crate::controller::Controller;
 use crate::operators::Operators;
@@ -92,7 +92,7 @@
     all_refused("no machine types").await;
     assert_eq!(post(&controller, &fits_nowhere).await.0, 503, "nobody knows yet");
     let (key, (types, ..)) = Service::with_types().store().keys.pop_first().expect("the types");
-    service.store().put(Put { key, value: Some(types), lease: None });
+    service.store().put(KeyWrite { key, value: Some(types), lease: None });
     caught_up(&service, &controller).await;
     all_refused("all is well").await;
     assert_eq!(again(async || (post(&controller, &fits_nowhere).await.0, None)).await.0, 422);
@@ -131,7 +131,7 @@
         types: Some(vec!["m".into()]),
         zone: Some("a".into()),
         deadline_s: Some(9.0),
-        needs: Some(Vec::new()),
+        dependencies: Some(Vec::new()),
         ..spec.clone()
     };
     let map: rmpv::Value = wire::decode(&wire::encode(&spec)).expect("a map");
@@ -149,7 +149,7 @@
     let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, f64::MAX, f64::MIN, -1.0, 1e300, 1e-320];
     for s in odd {
         assert!(wire::seconds(s) <= Duration::from_secs(1_000_000_000));
-        let mut world = World::default();
+        let mut world = Replica::default();
         let machine = MachineRecord {
             addr: "a".into(),
             machine_type: "m".into(),
@@ -157,44 +157,46 @@
             spot: false,
             release: false,
         };
-        world.apply(Change::Machine("m-1".into(), Some(machine)), 1);
-        let mut job = JobRecord::new(JobSpec { save_s: s, ..spec("j-1", JobKind::Array) }, None, 0);
-        job.run = vec![Assignment { task: 0, attempt: 1, machine: "m-1".into(), want: Want::Stop }];
-        world.apply(Change::Job("j-1".into(), Some(Box::new(job))), 2);
+        world.apply(RecordChange::Machine("m-1".into(), Some(machine)), 1);
+        let mut job =
+            JobRecord::new(JobSpec { checkpoint_save_s: s, ..spec("j-1", JobKind::Array) }, None, 0);
+        job.assignments =
+            vec![Assignment { task: 0, attempt: 1, machine: "m-1".into(), desired: DesiredState::Stopped }];
+        world.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 2);
         let mut worker = Worker::new("a".into(), 1, now);
         let limits = Limits { gang_peer: Duration::ZERO, lease: Duration::from_secs(9), fresh_at: Some(now) };
         for n in 1..4 {
             let at = now + Duration::from_secs(n * 3);
             let mut report = report("m-1", n);
-            report.notice_s = Some(s);
-            report.tasks = vec![TaskReport {
+            report.spot_notice_s = Some(s);
+            report.tasks = vec![TaskStatus {
                 task: "j-1/0".into(),
                 attempt: 1,
                 state: TaskState::Running,
                 cause: None,
-                saved: None,
+                checkpointed: None,
             }];
             assert!(worker.ingest(report, true, at));
             worker.reconcile("m-1", &world, &limits, at);
         }
-        let spec = JobSpec { save_s: s, checkpoint_s: s, ..spec("j-1", JobKind::Gang) };
+        let spec = JobSpec { checkpoint_save_s: s, checkpoint_interval_s: s, ..spec("j-1", JobKind::Gang) };
         sched::spot_notice::stops(&spec, Duration::from_secs(5));
-        let mut budget = store::Budget::new(s, s, now);
-        let _ = now + budget.take(s, s, now);
+        let mut budget = store::RateLimiter::new(s, s, now);
+        let _ = now + budget.acquire(s, s, now);
     }
 }
 
-fn report(machine: &str, n: u64) -> Report {
-    Report {
+fn report(machine: &str, n: u64) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:1".into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: n,
-        token: first_token(1),
-        notice_s: None,
+        incarnation: 1,
+        sequence: n,
+        fencing_token: first_token(1),
+        spot_notice_s: None,
         tasks: Vec::new(),
     }
 }
@@ -214,7 +216,7 @@
     };
     let unreadable = |digits: u64, text: String| {
         let record = serde_json::json!({"phase": "a", "run": [["host-", digits, 1, "r", text]]});
-        store::decode_change(&key::job("j-1"), Put::new(String::new(), &record).value).1
+        store::decode_change(&key::job("j-1"), KeyWrite::new(String::new(), &record).value).1
     };
     let row = |machine: u64, tasks: u64| number(machine) + &number(tasks * 2 + 1) + &number(0);
     assert!(!unreadable(6, row(1, 1000)), "as it is written");
@@ -225,7 +227,7 @@
     assert_eq!(Ranges::from((u32::MAX - 1, "3".into())).len(), u32::MAX, "the last number is none");
     let gone = |digits: u64, text: String| {
         let record = serde_json::json!({"rentals": [], "gone": [["host-", digits, text]]});
-        store::decode_change(key::FLEET, Put::new(String::new(), &record).value).1
+        store::decode_change(key::FLEET, KeyWrite::new(String::new(), &record).value).1
     };
     assert!(!gone(6, number(7)));
     assert!(gone(100_000, number(7)) && gone(6, number(1 << 59).repeat(40)));
@@ -254,7 +256,12 @@
     let mut round = round::Round::default();
     let Some(mut job) = controller.core().world.jobs.get(id).map(|j| j.value.clone()) else { return };
     job.attempt += 1;
-    job.run = vec![Assignment { task: 0, attempt: job.attempt, machine: machine.into(), want: Want::Run }];
+    job.assignments = vec![Assignment {
+        task: 0,
+        attempt: job.attempt,
+        machine: machine.into(),
+        desired: DesiredState::Running,
+    }];
     round.jobs.insert(id.into(), job);
     round.placing.insert(id.into());
     reconcile::commit(controller, round).await;
@@ -272,10 +279,10 @@
     for (n, controller) in [&a, &b, &a, &b].into_iter().enumerate() {
         let id = format!("j-{n}");
         let record = JobRecord::new(team(&id), None, 0);
-        service.store().put(Put::new(key::job(&id), &record));
+        service.store().put(KeyWrite::new(key::job(&id), &record));
         caught_up(&service, controller).await;
         place(controller, &id, "m-1").await;
-        assert_eq!(service.store().job(&id).map(|j| j.run.len()), Some(1), "{id} is placed");
+        assert_eq!(service.store().job(&id).map(|j| j.assignments.len()), Some(1), "{id} is placed");
     }
 }
 
@@ -286,7 +293,7 @@
     service.store().page = 2;
     for n in 0..9 {
         let record = JobRecord::new(spec(&format!("j-{n}"), JobKind::Array), None, 0);
-        service.store().put(Put::new(key::job(&format!("j-{n}")), &record));
+        service.store().put(KeyWrite::new(key::job(&format!("j-{n}")), &record));
     }
     let (controller, door) = service.controller(0, 1, 1).await;
     door.set(Trouble::Flaky);
@@ -332,8 +339,8 @@
     assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await.0, 201);
     door.deaf.store(true, Ordering::Relaxed);
     let mut newer = service.store().job("j-1").expect("accepted");
-    newer.errors = 1;
-    service.store().put(Put::new(key::job("j-1"), &newer));
+    newer.failed_starts = 1;
+    service.store().put(KeyWrite::new(key::job("j-1"), &newer));
     door.set(Trouble::Slow(Duration::from_millis(2400)));
     let asked = Instant::now();
     assert_eq!(cancel_once(&controller, "j-1").await.0, 503);
@@ -356,11 +363,11 @@
     assert!(soon(20, || controller.core().world.members.contains_key("n-0")).await);
     door.set(Trouble::Slow(Duration::from_millis(1700)));
     sleep(Duration::from_millis(1500)).await;
-    service.store().put(Put::delete(key::LEADER.into()));
-    service.store().put(Put::delete(key::member("n-1")));
+    service.store().put(KeyWrite::delete(key::LEADER.into()));
+    service.store().put(KeyWrite::delete(key::member("n-1")));
     assert!(soon(20, || service.store().map().is_some_and(|m| m.epoch == 2)).await, "nobody leads");
     let map = service.store().map().expect("a map");
-    assert!(map.live.len() == 1 && map.holds("n-0", 1), "{map:?}");
+    assert!(map.live.len() == 1 && map.contains("n-0", 1), "{map:?}");
 }
 
 /// Reports of hundreds of workers are passed on to a controller that takes them and does
@@ -394,15 +401,15 @@
 fn users_changes_do_not_starve_the_rounds() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut budget = store::Budget::new(1.0, 1.0, start);
+    let mut budget = store::RateLimiter::new(1.0, 1.0, start);
     let (mut last, mut longest, mut written) = (0, 0, 0);
     for ms in (0..300_000).step_by(50) {
         if ms % 600 == 0 {
-            budget.take(1.0, 0.0, at(ms));
+            budget.acquire(1.0, 0.0, at(ms));
         }
         let ops = if ms % 250 == 0 { budget.allowance(at(ms)) } else { 0 };
         if ops > 0 {
-            budget.take(ops as f64, 0.0, at(ms));
+            budget.acquire(ops as f64, 0.0, at(ms));
             (longest, last) = (longest.max(ms - last), ms);
             written += ops;
         }
@@ -467,8 +474,8 @@
                         let open = store.job(&id).filter(|j| j.phase == Phase::Active);
                         if let Some(mut job) = open {
                             job.phase = Phase::Done;
-                            job.shrink();
-                            store.put(Put::new(key::job(&id), &job));
+                            job.compact_if_final();
+                            store.put(KeyWrite::new(key::job(&id), &job));
                         }
                         return;
                     }
@@ -503,7 +510,7 @@
 
 fn step(id: &str, needs: &[&str]) -> JobSpec {
     let needs = needs.iter().map(|n| (*n).to_owned()).collect();
-    JobSpec { needs: Some(needs), ..spec(id, JobKind::Array) }
+    JobSpec { dependencies: Some(needs), ..spec(id, JobKind::Array) }
 }
 
 /// A job that needs one just cancelled is told cancelled by every controller from then on,
@@ -522,8 +529,8 @@
         assert_eq!(submit(&a, &spec).await.0, 201);
         // Its part is the controller that is about to go.
         let mut record = service.store().job(&spec.id).expect("accepted");
-        record.part = Some(gone.me.name.clone());
-        service.store().put(Put::new(key::job(&spec.id), &record));
+        record.shard = Some(gone.me.name.clone());
+        service.store().put(KeyWrite::new(key::job(&spec.id), &record));
     }
     caught_up(&service, &a).await;
     caught_up(&service, &b).await;
@@ -550,14 +557,14 @@
     }
     // The placer is gone, and its leadership with it: nobody is to write it down yet.
     door.deaf.store(false, Ordering::Relaxed);
-    service.store().put(Put::delete(key::LEADER.into()));
+    service.store().put(KeyWrite::delete(key::LEADER.into()));
     let live = vec![a.me.clone(), b.me.clone()];
-    service.store().put(Put::new(key::MAP.into(), &MapRecord { epoch: 2, live }));
+    service.store().put(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: 2, live }));
     caught_up(&service, &a).await;
     round(&a).await;
     all_told().await;
     assert_eq!(service.store().job("j-3").map(|j| j.phase), Some(Phase::Waiting));
-    service.store().put(Put::new(key::LEADER.into(), &a.me));
+    service.store().put(KeyWrite::new(key::LEADER.into(), &a.me));
     caught_up(&service, &a).await;
     for _ in 0..4 {
         round(&a).await;
@@ -566,7 +573,7 @@
     for id in ["j-2", "j-3", "j-6"] {
         assert_eq!(service.store().job(id).map(|j| j.phase), Some(Phase::Cancelled), "{id}");
     }
-    assert_eq!(a.core().world.pipelines.doomed().count(), 0);
+    assert_eq!(a.core().world.pipelines.cancelled_by_dependency().count(), 0);
 }
 
 /// Transactions are carried out at once and only their answers are lost, while another
@@ -611,7 +618,7 @@
     door.set(Trouble::None);
     // The same again, by a view from before: what it was decided from is no more.
     place(&a, "j-3", "m-2").await;
-    let run = service.store().job("j-3").expect("a job").run;
+    let run = service.store().job("j-3").expect("a job").assignments;
     assert_eq!(run.iter().map(|r| &*r.machine).collect::<Vec<_>>(), ["m-1"], "placed once");
     follow(&a);
     caught_up(&service, &a).await;
@@ -669,9 +676,9 @@
     caught_up(&service, a).await;
     place(a, "j-3", "m-1").await;
     let mut done = service.store().job("j-3").expect("placed");
-    let attempt = done.run[0].attempt;
-    done.end(0, attempt, End::Done, 5, 0);
-    service.store().put(Put::new(key::job("j-3"), &done));
+    let attempt = done.assignments[0].attempt;
+    done.end_assignment(0, attempt, TerminationReason::Done, 5, 0);
+    service.store().put(KeyWrite::new(key::job("j-3"), &done));
     caught_up(&service, a).await;
     round(a).await;
     round(b).await;
@@ -686,7 +693,7 @@
     assert!(soon(20, || again.core().leads(&again.me) && again.core().in_map(&again.me)).await);
     late("the leader came back");
     let map = service.store().map().expect("a map");
-    assert!(map.holds(&again.me.name, 9) && map.live.len() == 2, "{map:?}");
+    assert!(map.contains(&again.me.name, 9) && map.live.len() == 2, "{map:?}");
     for (id, state_now) in
         [("j-1", JobState::Cancelled), ("j-3", JobState::Done), ("j-4", JobState::Cancelled)]
     {
@@ -715,8 +722,8 @@
     door.set(Trouble::None);
     let mut done = service.store().job("j-1").expect("accepted");
     done.phase = Phase::Done;
-    done.shrink();
-    service.store().put(Put::new(key::job("j-1"), &done));
+    done.compact_if_final();
+    service.store().put(KeyWrite::new(key::job("j-1"), &done));
     assert_eq!(submit(&b, &spec("j-2", JobKind::Array)).await.0, 201);
     assert_eq!(cancel(&b, "j-2").await, (200, Some(JobState::Cancelled)));
     for request in late {
@@ -777,7 +784,7 @@
         let settled = || {
             let store = service.store();
             let map = store.map().unwrap_or_default();
-            map.epoch > epoch && nodes.iter().all(|(n, _)| map.holds(&n.me.name, n.me.incarnation))
+            map.epoch > epoch && nodes.iter().all(|(n, _)| map.contains(&n.me.name, n.me.incarnation))
         };
         assert!(soon(20, settled).await, "after change {change}: {:?}", service.store().map());
         let revision = service.store().revision;
@@ -824,12 +831,12 @@
     door.deaf.store(true, Ordering::Relaxed);
     // Done first, which this controller has not heard of.
     let done = |mut job: JobRecord| {
-        let attempt = job.run[0].attempt;
-        job.end(0, attempt, End::Done, 5, 0);
+        let attempt = job.assignments[0].attempt;
+        job.end_assignment(0, attempt, TerminationReason::Done, 5, 0);
         job
     };
     let record = done(service.store().job("j-1").expect("placed"));
-    service.store().put(Put::new(key::job("j-1"), &record));
+    service.store().put(KeyWrite::new(key::job("j-1"), &record));
     assert_eq!(cancel(&a, "j-1").await, (200, Some(JobState::Done)));
     assert_eq!(submit(&a, &spec("j-1", JobKind::Array)).await, (200, Some(JobState::Done)));
     // Cancelled first, while the other writes that it is done, by records from before.
@@ -843,11 +850,11 @@
     // And once more by who has heard of it: its only task is done all the same.
     caught_up(&service, &b).await;
     let record = b.core().world.jobs["j-2"].value.clone();
-    assert_eq!((record.phase, record.run.len()), (Phase::Cancelled, 1));
+    assert_eq!((record.phase, record.assignments.len()), (Phase::Cancelled, 1));
     let mut after = round::Round::default();
     after.jobs.insert("j-2".into(), Box::new(done(*record)));
     reconcile::commit(&b, after).await;
-    assert!(service.store().job("j-2").is_some_and(|j| j.run.is_empty()));
+    assert!(service.store().job("j-2").is_some_and(|j| j.assignments.is_empty()));
     for controller in [&a, &b] {
         assert_eq!(state(controller, "j-2").await, (200, Some(JobState::Cancelled)));
         assert_eq!(cancel(controller, "j-2").await, (200, Some(JobState::Cancelled)));
@@ -909,7 +916,7 @@
     let mut version = service.store().revision;
     let mut apply = |id: &str, record: &JobRecord| {
         version += 1;
-        controller.core().world.apply(Change::Job(id.into(), Some(Box::new(record.clone()))), version);
+        controller.core().world.apply(RecordChange::Job(id.into(), Some(Box::new(record.clone()))), version);
     };
     for n in 0..2400u32 {
         let id = format!("j-{n}");
@@ -925,7 +932,8 @@
         apply(&id, &record);
         if n % 6 != 5 {
             let machine = format!("m-{}", n % 40).as_str().into();
-            record.run = vec![Assignment { task: 0, attempt: 1, machine, want: Want::Run }];
+            record.assignments =
+                vec![Assignment { task: 0, attempt: 1, machine, desired: DesiredState::Running }];
             apply(&id, &record);
         }
         if n >= 40 {
@@ -935,26 +943,30 @@
             if (n - 40) % 4 == 0 {
                 record.phase = Phase::Cancelled;
             }
-            record.phase = if controller.core().world.pipelines.is_doomed(&old) {
+            record.phase = if controller.core().world.pipelines.is_cancelled_by_dependency(&old) {
                 Phase::Cancelled
             } else {
                 record.phase
             };
-            if record.phase == Phase::Active && record.run.is_empty() {
+            if record.phase == Phase::Active && record.assignments.is_empty() {
                 record.done = Ranges::all(1);
                 record.phase = Phase::Done;
             }
-            record.end(0, 1, End::Done, 9, 0);
-            record.shrink();
+            record.end_assignment(0, 1, TerminationReason::Done, 9, 0);
+            record.compact_if_final();
             apply(&old, &record);
         }
     }
     let core = controller.core();
     let w = &core.world;
     assert_eq!(w.jobs.len(), 2400);
-    assert!(w.open.len() <= 41 && w.on_machine.len() <= 40 && w.machine_use.len() <= 40, "{}", w.open.len());
-    assert!(w.pipelines.waiting().count() <= 8 && w.pipelines.doomed().count() <= 8);
-    let cpus = w.team_use.get("t").map_or(0.0, |u| u.cpus);
+    assert!(
+        w.open_job_ids.len() <= 41 && w.jobs_by_machine.len() <= 40 && w.machine_usage.len() <= 40,
+        "{}",
+        w.open_job_ids.len()
+    );
+    assert!(w.pipelines.waiting().count() <= 8 && w.pipelines.cancelled_by_dependency().count() <= 8);
+    let cpus = w.team_usage.get("t").map_or(0.0, |u| u.cpus);
     assert!((0.0..=41.0).contains(&cpus), "{cpus}");
     let kept = w.jobs.values().filter(|j| j.value.spec.is_some()).count();
     assert!(kept <= 41, "{kept} with a description");
--- a/crates/daemon/tests/unit/fleet_duty_rentals.rs
+++ b/crates/daemon/tests/unit/fleet_duty_rentals.rs
@@ -1,15 +1,15 @@
 use super::*;
-use sched::world::Change;
+use sched::replica::RecordChange;
 
 #[test]
 fn answered_requests_of_a_kind_count_as_one_rental() {
-    let rental = |request: &str, zone: &str, asked_ms| Rental {
+    let rental = |request: &str, zone: &str, asked_ms| ScaleOut {
         request: request.into(),
         machine_type: "m".into(),
         zone: zone.into(),
         spot: false,
         count: 2,
-        asked_ms,
+        requested_ms: asked_ms,
         machines: None,
     };
     let mut list = vec![rental("1", "a", 0), rental("2", "a", 5000), rental("3", "b", 5000)];
@@ -30,17 +30,17 @@
     let controller = crate::scale::controller(4, 1);
     let now = Instant::now();
     let mut core = controller.core();
-    let rental = Rental {
+    let rental = ScaleOut {
         request: String::new(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
         count: 1,
-        asked_ms: 1000,
+        requested_ms: 1000,
         machines: Some(vec!["host-000009".into()]),
     };
-    let record = FleetRecord { rentals: vec![rental], gone: None };
-    core.world.apply(Change::Fleet(Some(record)), 1 << 40);
+    let record = FleetRecord { scale_outs: vec![rental], removed_machines: None };
+    core.world.apply(RecordChange::Fleet(Some(record)), 1 << 40);
     let fleet = Fleet::default();
     let late = |core: &Core, now: Instant, now_ms: u64| {
         fleet.settled(core, now, now_ms).map_or(0, |(_, _, late)| late.len())
@@ -63,13 +63,13 @@
 /// come, they would keep others from being rented.
 #[test]
 fn requests_are_written_down_once() {
-    let rental = |request: &str| Rental {
+    let rental = |request: &str| ScaleOut {
         request: request.into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
         count: 2,
-        asked_ms: 0,
+        requested_ms: 0,
         machines: None,
     };
     let mut list = vec![rental("1")];
--- a/crates/daemon/tests/unit/fleet_duty_returns.rs
+++ b/crates/daemon/tests/unit/fleet_duty_returns.rs
@@ -2,7 +2,7 @@
 use crate::fleet_duty::rentals::RENT_ROOM;
 use crate::scale;
 use cloud::RENT_MAX;
-use sched::world::Change;
+use sched::replica::RecordChange;
 
 /// A dark zone's replicas are up until their leases end: they are given up as
 /// fast as they find room, and room for all is asked for at once.
@@ -30,8 +30,9 @@
     };
     let all = replicas(&core, &dark);
     assert!(all > 100, "{all}");
-    let types = core.world.types.clone();
-    let cpus = |offers: &[Offer]| offers.iter().map(|o| types[&*o.machine_type].cpus).sum::<f64>() as usize;
+    let types = core.world.machine_types.clone();
+    let cpus =
+        |offers: &[MachineOffer]| offers.iter().map(|o| types[&*o.machine_type].cpus).sum::<f64>() as usize;
     core.refresh_inventory(&controller.me, controller.report_every(), later);
     assert!(cpus(&fleet.wanted(&controller, &core, later)) >= all * 4, "room for all of them is rented");
     let awake = |core: &mut Core, at: Instant| (core.fresh_at, core.beat) = (Some(at), at);
@@ -47,7 +48,10 @@
     assert!(first > 0 && first <= all / PACE_PART + 16, "{first} of {all}");
     // They find no room: hardly any others follow.
     let gone = Some(ready.clone());
-    core.world.apply(Change::Fleet(Some(FleetRecord { rentals: Vec::new(), gone })), 1 << 40);
+    core.world.apply(
+        RecordChange::Fleet(Some(FleetRecord { scale_outs: Vec::new(), removed_machines: gone })),
+        1 << 40,
+    );
     let mut more: Vec<Name> = fleet.surplus(&controller, &core, silent).into_iter().map(|s| s.0).collect();
     let left = more.clone();
     fleet.pace(&controller, &core, &mut more, silent);
@@ -95,17 +99,17 @@
         host += RENT_MAX;
         let number = |n: u32| u64::from(host + n) * 7919 % 1_000_000;
         let names = (0..RENT_MAX).map(|n| format!("host-{:06}", number(n)).as_str().into());
-        fleet.rentals.push(Rental {
+        fleet.scale_outs.push(ScaleOut {
             request: format!("controller-4-{:x}-{host}", u64::MAX >> 12),
             machine_type: "machine-type".into(),
             zone: "zone-of-a-name".into(),
             spot: true,
             count: RENT_MAX,
-            asked_ms: 1_796_169_600_000,
+            requested_ms: 1_796_169_600_000,
             machines: Some(names.collect()),
         });
     }
-    let rented = fleet.rentals.len();
+    let rented = fleet.scale_outs.len();
     assert!(rented >= 20, "{rented}");
     assert!(is_half_full(&fleet, &controller), "what is gone is taken out before others' changes");
     loop {
@@ -113,7 +117,7 @@
         if room == 0 {
             break;
         }
-        let gone = fleet.gone.get_or_insert_default();
+        let gone = fleet.removed_machines.get_or_insert_default();
         gone.extend((0..room).map(|n| Name::from(format!("host-{:06}", n * 104_729 % 1_000_000))));
         let json = serde_json::to_string(&fleet).expect("encodes").len() as f64;
         assert!(json < controller.plan().value_bytes, "{json}");
@@ -128,7 +132,7 @@
     let zone: Vec<Name> = (0..1300).map(|n| format!("host-{:06}", n * 3 + 1).as_str().into()).collect();
     let empty = FleetRecord::default();
     assert!(names_left(&empty, &controller) >= zone.len(), "{}", names_left(&empty, &controller));
-    let fleet = FleetRecord { rentals: Vec::new(), gone: Some(zone) };
+    let fleet = FleetRecord { scale_outs: Vec::new(), removed_machines: Some(zone) };
     assert!(!is_half_full(&fleet, &controller));
     assert!(names_left(&fleet, &controller) > 1000, "{}", names_left(&fleet, &controller));
 }
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -3,10 +3,10 @@
 
 use std::time::{Duration, Instant};
 
-use sched::placement::pending_count;
+use sched::placement::pending_task_count;
 use sched::records::*;
-use sched::world::{Change, World};
-use wire::{JobKind, Report, TaskReport, TaskState};
+use sched::replica::{RecordChange, Replica};
+use wire::{Heartbeat, JobKind, TaskState, TaskStatus};
 
 use crate::api::reports::{self, Disposal};
 use crate::controller::Controller;
@@ -20,47 +20,47 @@
 const MACHINES: usize = 4000;
 const NOW_MS: u64 = 500_000;
 
-fn apply(world: &mut World, change: Change) {
+fn apply(world: &mut Replica, change: RecordChange) {
     let version = world.revision + 1;
     world.apply(change, version);
     world.revision = version;
 }
 
 /// Takes in what a round would write, as if it had been committed; tells how many changes.
-fn commit(controller: &Controller, world: &mut World, mut round: round::Round) -> usize {
+fn commit(controller: &Controller, world: &mut Replica, mut round: round::Round) -> usize {
     let round::Assembled { puts, left_out, teams, .. } =
         round::assemble(world, &round, &controller.plan(), usize::MAX);
     for (id, record) in std::mem::take(&mut round.jobs) {
         if !left_out.contains(&id) {
-            apply(world, Change::Job(id, Some(record)));
+            apply(world, RecordChange::Job(id, Some(record)));
         }
     }
     for (team, record) in teams {
-        apply(world, Change::Team(team, Some(record)));
+        apply(world, RecordChange::Team(team, Some(record)));
     }
     puts.len()
 }
 
-fn report(controller: &Controller, machine: &str, seq: u64, token: u64) -> Report {
+fn report(controller: &Controller, machine: &str, seq: u64, token: u64) -> Heartbeat {
     let core = controller.core();
-    let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskReport {
+    let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskStatus {
         task: format!("{job}/{}", a.task),
         attempt: a.attempt,
         state: TaskState::Running,
         cause: None,
-        saved: None,
+        checkpointed: None,
     };
     let record = &core.world.machines[machine].value;
-    Report {
+    Heartbeat {
         machine: machine.into(),
         addr: record.addr.clone(),
         machine_type: record.machine_type.to_string(),
         zone: record.zone.to_string(),
         spot: record.spot,
-        session: 1,
-        seq,
-        token,
-        notice_s: None,
+        incarnation: 1,
+        sequence: seq,
+        fencing_token: token,
+        spot_notice_s: None,
         tasks: core.world.assignments(machine).map(running).collect(),
     }
 }
@@ -73,18 +73,19 @@
     let now = Instant::now();
     scale::fill(&controller, now);
     let mut core = controller.core();
-    let free_before: usize = core.world.machines.len() - core.world.on_machine.len();
+    let free_before: usize = core.world.machines.len() - core.world.jobs_by_machine.len();
     for n in 0..40 {
         let mut job = spec(&format!("j-{}", 5_000_000 + n), JobKind::Array);
         (job.tasks, job.cpus) = (100, 1.0);
         let record = JobRecord::new(job, None, 1000);
         apply(
             &mut core.world,
-            Change::Job(record.spec.as_ref().expect("some").id.clone(), Some(Box::new(record))),
+            RecordChange::Job(record.spec.as_ref().expect("some").id.clone(), Some(Box::new(record))),
         );
     }
-    let waiting =
-        |world: &World| world.open.iter().map(|id| pending_count(&world.jobs[id].value)).sum::<u32>();
+    let waiting = |world: &Replica| {
+        world.open_job_ids.iter().map(|id| pending_task_count(&world.jobs[id].value)).sum::<u32>()
+    };
     let first = waiting(&core.world);
     assert!(first >= 4000, "{first}");
     let mut rounds = 0;
@@ -110,10 +111,10 @@
     scale::fill(&controller, now);
     let before = controller.core().workers.len();
     assert!(before < MACHINES / 2, "{before}");
-    let map = MapRecord { epoch: 8, live: vec![controller.me.clone()] };
+    let map = ClusterMap { epoch: 8, live: vec![controller.me.clone()] };
     {
         let mut core = controller.core();
-        apply(&mut core.world, Change::Map(Some(map)));
+        apply(&mut core.world, RecordChange::Map(Some(map)));
         let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
         assert!(round.jobs.is_empty(), "nothing is over");
         assert_eq!(core.workers.len(), MACHINES);
@@ -157,13 +158,13 @@
     assert_eq!(lost.len(), MACHINES / 4);
     let hit: std::collections::BTreeSet<String> =
         lost.iter().flat_map(|id| core.world.assignments(id).map(|(job, ..)| job.to_owned())).collect();
-    let fleet = FleetRecord { rentals: Vec::new(), gone: Some(lost) };
-    assert!(store::Put::new("f".into(), &fleet).json_len() < 4096, "one small value names all of them");
-    apply(&mut core.world, Change::Fleet(Some(fleet)));
+    let fleet = FleetRecord { scale_outs: Vec::new(), removed_machines: Some(lost) };
+    assert!(store::KeyWrite::new("f".into(), &fleet).json_len() < 4096, "one small value names all of them");
+    apply(&mut core.world, RecordChange::Fleet(Some(fleet)));
     let (mut changes, mut rounds) = (0, 0);
-    while !core.world.orphaned.is_empty() {
+    while !core.world.machines_without_record.is_empty() {
         rounds += 1;
-        assert!(rounds < 200, "{} left", core.world.orphaned.len());
+        assert!(rounds < 200, "{} left", core.world.machines_without_record.len());
         let at = now + Duration::from_millis(100 * rounds);
         let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
         changes += commit(&controller, &mut core.world, round);
@@ -188,7 +189,7 @@
     }
     let summary = peers::summary(&controller);
     assert_eq!(summary.machines.len(), 2 * MACHINES);
-    let bytes = peer::encode(&peer::Message::Summary(summary));
+    let bytes = peer::encode(&peer::Message::PeerStatus(summary));
     assert!(bytes.len() < peers::LARGE, "{}", bytes.len());
 }
 
@@ -217,10 +218,10 @@
     }
     let mut core = controller.core();
     core.fresh_at = Some(now);
-    let add = |world: &mut World, id: &str, kind, tasks, cpus| {
+    let add = |world: &mut Replica, id: &str, kind, tasks, cpus| {
         let mut job = spec(id, kind);
         (job.tasks, job.cpus) = (tasks, cpus);
-        apply(world, Change::Job(id.into(), Some(Box::new(JobRecord::new(job, None, 1000)))));
+        apply(world, RecordChange::Job(id.into(), Some(Box::new(JobRecord::new(job, None, 1000)))));
     };
     // So many that there is one on nearly every machine without GPUs, three thousand.
     add(&mut core.world, "j-1", JobKind::Gang, 6900, 4.0);
@@ -238,10 +239,10 @@
     });
     let round = reconcile::decide(&controller, &mut core, false, 16, later, NOW_MS).expect("entitled");
     let record = round.jobs.get("j-1").expect("placed");
-    assert_eq!(record.run.len(), 6900);
-    let machines: std::collections::BTreeSet<&Name> = record.run.iter().map(|a| &a.machine).collect();
+    assert_eq!(record.assignments.len(), 6900);
+    let machines: std::collections::BTreeSet<&Name> = record.assignments.iter().map(|a| &a.machine).collect();
     assert!(machines.len() > 2900, "{}", machines.len());
-    let put = store::Put::new(store::key::job("j-1"), record);
+    let put = store::KeyWrite::new(store::key::job("j-1"), record);
     assert!(put.value_len() as f64 > controller.plan().value_bytes);
     let assembled = round::assemble(&core.world, &round, &controller.plan(), usize::MAX);
     assert_eq!(assembled.chunked.as_deref(), Some("j-1"));
--- a/crates/daemon/tests/unit/peers.rs
+++ b/crates/daemon/tests/unit/peers.rs
@@ -3,7 +3,7 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use sched::records::Member;
-use sched::world::Change;
+use sched::replica::RecordChange;
 
 #[test]
 fn late_copies_of_summaries_say_nothing() {
@@ -18,7 +18,14 @@
         let name = "n-1".to_owned();
         take(
             &controller,
-            Summary { name, incarnation, count, epoch: 3, state_silent_ms, machines: Vec::new() },
+            PeerStatus {
+                name,
+                incarnation,
+                sequence: count,
+                epoch: 3,
+                state_silent_ms,
+                machines: Vec::new(),
+            },
         );
         controller.core().peers["n-1"].summary.state_silent_ms
     };
@@ -26,7 +33,7 @@
     assert_eq!(hear(7, 2, 100), 100);
     assert_eq!(hear(7, 1, 60_000), 100, "a copy of the first");
     let member = Member { name: "n-1".into(), zone: "a".into(), incarnation: 8 };
-    controller.core().world.apply(Change::Member("n-1".into(), Some(member)), 1);
+    controller.core().world.apply(RecordChange::Member("n-1".into(), Some(member)), 1);
     assert_eq!(hear(8, 1, 50), 50, "a new process counts anew");
     assert_eq!(hear(7, 9, 60_000), 50, "its predecessor is gone");
 }
@@ -41,16 +48,16 @@
     let other = |core: &Core, id: &str| core.world.owner_of(id).is_some_and(|o| o.name == "n-1");
     for id in &theirs {
         if other(&core, id) {
-            let row = MachineRow {
+            let row = MachineStatusRow {
                 id: id.to_string(),
                 usable: false,
                 silent_ms: 60_000,
-                met: true,
+                heard_from: true,
                 free_cpus: 0.0,
                 free_gpus: 0.0,
                 free_memory_gb: 0.0,
-                sick: false,
-                notice: false,
+                unhealthy: false,
+                spot_notice: false,
             };
             core.rows.insert(id.clone(), row);
         }
@@ -60,8 +67,8 @@
     let before = core.row_owners();
     core.forget_rows(&before);
     assert_eq!(core.rows.len(), said, "nothing has changed");
-    let map = sched::records::MapRecord { epoch: 8, live: vec![controller.me.clone()] };
-    core.world.apply(Change::Map(Some(map)), 1 << 40);
+    let map = sched::records::ClusterMap { epoch: 8, live: vec![controller.me.clone()] };
+    core.world.apply(RecordChange::Map(Some(map)), 1 << 40);
     core.forget_rows(&before);
     assert!(core.rows.is_empty());
 }
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -8,7 +8,7 @@
 use net::{Reply, Request};
 use rmpv::Value;
 use sched::records::*;
-use store::{Outcome, Put, StoreError, key};
+use store::{KeyWrite, StoreError, TxnOutcome, key};
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
@@ -37,7 +37,7 @@
 }
 
 impl Store {
-    fn put(&mut self, put: Put) {
+    fn put(&mut self, put: KeyWrite) {
         self.revision += 1;
         let version = self.revision;
         let (key, value) = (put.key, put.value);
@@ -61,15 +61,16 @@
             }
             *left -= 1;
         }
-        let puts: Vec<Put> = txn
+        let puts: Vec<KeyWrite> = txn
             .ops
             .into_iter()
             .map(|op| match op {
-                Op::Put { put, value, .. } => Put { key: put, value: Some(value), lease: None },
-                Op::Delete { delete } => Put::delete(delete),
+                Op::Put { put, value, .. } => KeyWrite { key: put, value: Some(value), lease: None },
+                Op::Delete { delete } => KeyWrite::delete(delete),
             })
             .collect();
-        let json = |p: &Put| p.value.as_ref().map_or(0, |v| serde_json::to_string(v).expect("JSON").len());
+        let json =
+            |p: &KeyWrite| p.value.as_ref().map_or(0, |v| serde_json::to_string(v).expect("JSON").len());
         if let Some((bytes, ops)) = self.limits
             && (puts.len() > ops || txn.conditions.len() > ops * 4 || puts.iter().any(|p| json(p) > bytes))
         {
@@ -174,16 +175,19 @@
     /// This controller leads, and is the only one.
     fn elect(&self, controller: &Controller, epoch: u64) {
         let mut store = self.store();
-        store.put(Put::new(key::MAP.into(), &MapRecord { epoch, live: vec![controller.me.clone()] }));
-        store.put(Put::new(key::LEADER.into(), &controller.me));
-        store.put(Put::new(key::member(&controller.me.name), &controller.me));
-        store.put(Put::new(key::upgraded(&controller.me.name), &Upgraded { schema_version: SCHEMA_VERSION }));
+        store.put(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch, live: vec![controller.me.clone()] }));
+        store.put(KeyWrite::new(key::LEADER.into(), &controller.me));
+        store.put(KeyWrite::new(key::member(&controller.me.name), &controller.me));
+        store.put(KeyWrite::new(
+            key::upgraded(&controller.me.name),
+            &SchemaMarker { schema_version: SCHEMA_VERSION },
+        ));
     }
 
     fn with_types() -> Self {
         let service = Self::default();
         let kind = crate::worker::tests::kind(4000.0, 9000.0, &["a"]);
-        service.store().put(Put::new(key::TYPES.into(), &TypesRecord { types: vec![kind] }));
+        service.store().put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }));
         service
     }
 }
@@ -211,7 +215,7 @@
 
 fn step(id: &str, needs: &[&str]) -> JobSpec {
     let needs = needs.iter().map(|n| (*n).to_owned()).collect();
-    JobSpec { needs: Some(needs), ..spec(id, JobKind::Array) }
+    JobSpec { dependencies: Some(needs), ..spec(id, JobKind::Array) }
 }
 
 /// One round of a controller, committed.
@@ -259,22 +263,22 @@
     let long = JobSpec { types: Some(vec![text(200); 20]), ..spec("j-66", JobKind::Array) };
     assert_eq!(submit(&controller, &long).await.0, 400);
     let short = spec("j-66", JobKind::Array);
-    service.store().put(Put::new(key::job("j-66"), &JobRecord::new(short, None, 0)));
+    service.store().put(KeyWrite::new(key::job("j-66"), &JobRecord::new(short, None, 0)));
     assert_eq!(submit(&controller, &long).await, (200, Some(JobState::Queued)));
     // A description near the limit that is there now is taken, with a list of thousands.
     let ids: Vec<String> = (0..6000).map(|n| format!("j-{}", 10_000 + n)).collect();
     for id in &ids {
         let mut record = JobRecord::new(spec(id, JobKind::Array), None, 0);
         record.phase = Phase::Active;
-        service.store().put(Put::new(key::job(id), &record));
+        service.store().put(KeyWrite::new(key::job(id), &record));
     }
     caught_up(&service, &controller).await;
-    let long = JobSpec { needs: Some(ids), ..spec("j-7", JobKind::Array) };
+    let long = JobSpec { dependencies: Some(ids), ..spec("j-7", JobKind::Array) };
     service.store().limits = Some((2048, 4));
     assert_eq!(submit(&controller, &long).await, (201, Some(JobState::Queued)));
     caught_up(&service, &controller).await;
     assert!(service.store().refused.is_empty() && controller.core().reader.is_chunked(&key::job("j-7")));
-    assert_eq!(controller.core().world.jobs["j-7"].value.needs.len(), 6000);
+    assert_eq!(controller.core().world.jobs["j-7"].value.dependencies.len(), 6000);
     // Only checked if it can be.
     service.store().out = true;
     sleep(Duration::from_millis(1700)).await;
@@ -282,7 +286,7 @@
     service.store().out = false;
     // With an old controller live, nothing is taken that it could not read.
     let old = Member { name: "n-9".into(), zone: "a".into(), incarnation: 9 };
-    service.store().put(Put::new(key::member("n-9"), &old));
+    service.store().put(KeyWrite::new(key::member("n-9"), &old));
     let since = Instant::now();
     while !controller.core().old_is_live() && since.elapsed() < Duration::from_secs(5) {
         sleep(Duration::from_millis(10)).await;
@@ -327,7 +331,7 @@
     service.store().out = true;
     round(&second).await;
     service.store().out = false;
-    let left = |controller: &Controller| controller.core().world.pipelines.doomed().count();
+    let left = |controller: &Controller| controller.core().world.pipelines.cancelled_by_dependency().count();
     assert!((1..38).contains(&left(&second)), "a few at a time");
     second.stop.cancel();
     let third = service.controller(3, EXAMPLE).await;
@@ -355,12 +359,12 @@
     // Done, as another controller has written; this one does not know.
     let mut done = JobRecord::new(spec("j-0", JobKind::Array), None, 0);
     (done.phase, done.ended_ms) = (Phase::Done, 5);
-    done.shrink();
-    service.store().put(Put::new(key::job("j-0"), &done));
+    done.compact_if_final();
+    service.store().put(KeyWrite::new(key::job("j-0"), &done));
     let (status, told) = ask(&controller, "POST", "/v1/jobs/j-0/withdraw", Vec::new()).await;
     assert_eq!((status, told.map(|t| t.state)), (200, Some(JobState::Done)));
     caught_up(&service, &controller).await;
-    assert!(controller.core().world.open.contains("j-1"), "it may begin");
+    assert!(controller.core().world.open_job_ids.contains("j-1"), "it may begin");
     controller.stop.cancel();
 }
 
@@ -375,8 +379,9 @@
     let mut job = JobRecord::new(JobSpec { tasks: 2000, ..spec("j-1", JobKind::Array) }, None, 1000);
     (0..480).for_each(|t| job.done.insert(t));
     let on = |t: u32| format!("host-{:06}", 100 + (t * 7919) % 157).into();
-    job.run =
-        (500..1800).map(|t| Assignment { task: t, attempt: 1, machine: on(t), want: Want::Run }).collect();
+    job.assignments = (500..1800)
+        .map(|t| Assignment { task: t, attempt: 1, machine: on(t), desired: DesiredState::Running })
+        .collect();
     job.attempt = 1;
     job
 }
@@ -386,22 +391,22 @@
 #[tokio::test]
 async fn a_large_record_of_production_is_ended_task_by_task_after_the_limits_have_fallen() {
     let service = Service::with_types();
-    service.store().put(Put::new(key::job("j-1"), &production_array()));
+    service.store().put(KeyWrite::new(key::job("j-1"), &production_array()));
     let mut fleet = FleetRecord::default();
     for n in 0..100u32 {
-        fleet.rentals.push(Rental {
+        fleet.scale_outs.push(ScaleOut {
             request: format!("n-0-{:x}-{n}", 1u64 << 50),
             machine_type: "m".into(),
             zone: "a".into(),
             spot: false,
             count: 9,
-            asked_ms: 5,
+            requested_ms: 5,
             machines: Some(
                 (0..9).map(|k| format!("host-{:06}", 5000 + n * 31 + k).as_str().into()).collect(),
             ),
         });
     }
-    service.store().put(Put::new(key::FLEET.into(), &fleet));
+    service.store().put(KeyWrite::new(key::FLEET.into(), &fleet));
     let controller = service.controller(1, &with_next()).await;
     service.elect(&controller, 1);
     caught_up(&service, &controller).await;
@@ -415,29 +420,29 @@
             (core.world.jobs["j-1"].value.clone(), core.world.jobs["j-1"].version)
         };
         let some: Vec<u32> = tasks.drain(..tasks.len().min(130)).collect();
-        some.iter().for_each(|t| record.end(*t, 1, End::Done, 2000, 60));
+        some.iter().for_each(|t| record.end_assignment(*t, 1, TerminationReason::Done, 2000, 60));
         let conditions = vec![Condition { key: key::job("j-1"), version }];
-        let put = Put::new(key::job("j-1"), &record);
-        let Ok(Outcome::Committed { .. }) = controller.commit(conditions, vec![put]).await else {
+        let put = KeyWrite::new(key::job("j-1"), &record);
+        let Ok(TxnOutcome::Committed { .. }) = controller.commit(conditions, vec![put]).await else {
             unreachable!("the record stays changeable")
         };
         caught_up(&service, &controller).await;
-        assert_eq!(controller.core().world.jobs["j-1"].value.run.len(), tasks.len());
+        assert_eq!(controller.core().world.jobs["j-1"].value.assignments.len(), tasks.len());
         // Whoever reads all of it anew sees the same.
         let other = service.controller(9, &with_next()).await;
-        assert_eq!(other.core().world.jobs["j-1"].value.run, record.run);
+        assert_eq!(other.core().world.jobs["j-1"].value.assignments, record.assignments);
         other.stop.cancel();
         seen += 1;
     }
     assert!(seen >= 10);
     // The record of the fleet: hundreds of rentals, one dropped.
     let version = controller.core().world.fleet.as_ref().map_or(0, |f| f.version);
-    fleet.rentals.pop();
-    let put = Put::new(key::FLEET.into(), &fleet);
+    fleet.scale_outs.pop();
+    let put = KeyWrite::new(key::FLEET.into(), &fleet);
     let conditions = vec![Condition { key: key::FLEET.into(), version }];
-    assert!(matches!(controller.commit(conditions, vec![put]).await, Ok(Outcome::Committed { .. })));
+    assert!(matches!(controller.commit(conditions, vec![put]).await, Ok(TxnOutcome::Committed { .. })));
     caught_up(&service, &controller).await;
-    assert_eq!(controller.core().world.fleet.as_ref().map(|f| f.value.rentals.len()), Some(99));
+    assert_eq!(controller.core().world.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
     assert!(service.store().refused.is_empty(), "{:?}", service.store().refused);
     // What no head names goes after a while, and nothing else.
     let before = service.store().keys.len();
@@ -445,14 +450,14 @@
     for _ in 0..200 {
         now += Duration::from_secs(6);
         if let Some((conditions, puts)) = sweeper.next(&controller, now) {
-            assert!(matches!(controller.commit(conditions, puts).await, Ok(Outcome::Committed { .. })));
+            assert!(matches!(controller.commit(conditions, puts).await, Ok(TxnOutcome::Committed { .. })));
             caught_up(&service, &controller).await;
         }
     }
     assert!(service.store().keys.len() + 8 < before);
     assert!(controller.core().reader.orphans().is_empty());
     let last = service.controller(8, &with_next()).await;
-    assert_eq!(last.core().world.fleet.as_ref().map(|f| f.value.rentals.len()), Some(99));
+    assert_eq!(last.core().world.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
     controller.stop.cancel();
     last.stop.cancel();
 }
@@ -462,12 +467,12 @@
 async fn a_late_head_does_not_name_parts_that_are_gone() {
     let service = Service::with_types();
     let job = production_array();
-    service.store().put(Put::new(key::job("j-1"), &job));
+    service.store().put(KeyWrite::new(key::job("j-1"), &job));
     let controller = service.controller(1, &with_next()).await;
     service.elect(&controller, 1);
     caught_up(&service, &controller).await;
     let version = controller.core().world.jobs["j-1"].version;
-    let chunked = store::split(&Put::new(key::job("j-1"), &job), 77, 2048).expect("parts");
+    let chunked = store::split_record(&KeyWrite::new(key::job("j-1"), &job), 77, 2048).expect("parts");
     let first = chunked.parts.last().expect("parts").key.clone();
     chunked.parts.into_iter().for_each(|p| service.store().put(p));
     let at = service.store().revision;
@@ -476,13 +481,13 @@
     for _ in 0..20 {
         now += Duration::from_secs(6);
         if let Some((conditions, puts)) = sweeper.next(&controller, now) {
-            assert!(matches!(controller.commit(conditions, puts).await, Ok(Outcome::Committed { .. })));
+            assert!(matches!(controller.commit(conditions, puts).await, Ok(TxnOutcome::Committed { .. })));
             caught_up(&service, &controller).await;
         }
     }
     let conditions = vec![Condition { key: key::job("j-1"), version }, Condition { key: first, version: at }];
     let late = controller.state.txn(conditions, vec![chunked.head]).await;
-    assert!(matches!(late, Ok(Outcome::Conflict { .. })));
+    assert!(matches!(late, Ok(TxnOutcome::Conflict { .. })));
     controller.stop.cancel();
 }
 
@@ -497,7 +502,7 @@
         1,
     );
     let job = production_array();
-    service.store().put(Put::new(key::job("j-1"), &job));
+    service.store().put(KeyWrite::new(key::job("j-1"), &job));
     let controller = service.controller(1, &text).await;
     service.elect(&controller, 1);
     caught_up(&service, &controller).await;
@@ -506,16 +511,16 @@
     let write = async || {
         let version = controller.core().world.jobs["j-1"].version;
         let conditions = vec![Condition { key: key::job("j-1"), version }];
-        controller.commit(conditions, vec![Put::new(key::job("j-1"), &job)]).await
+        controller.commit(conditions, vec![KeyWrite::new(key::job("j-1"), &job)]).await
     };
     assert!(matches!(write().await, Err(StoreError::Refused(400))));
     assert!(controller.plan().chunked && controller.plan().txn_ops == 4);
-    assert!(matches!(write().await, Ok(Outcome::Committed { .. })), "in smaller pieces");
+    assert!(matches!(write().await, Ok(TxnOutcome::Committed { .. })), "in smaller pieces");
     caught_up(&service, &controller).await;
     assert_eq!(service.store().refused, [400], "never sent again unchanged");
     assert_eq!(controller.plan().write_rps, 30.0, "the full rate until then");
     service.store().rate = Some(0);
-    let e = controller.state.txn(Vec::new(), vec![Put::delete(key::job("j-2"))]).await.expect_err("429");
+    let e = controller.state.txn(Vec::new(), vec![KeyWrite::delete(key::job("j-2"))]).await.expect_err("429");
     controller.note_refusal(&e);
     assert_eq!(controller.plan().write_rps, 20.0, "from the first refusal on");
     controller.share_writes(&mut controller.core(), Instant::now());
--- a/crates/daemon/tests/unit/placer.rs
+++ b/crates/daemon/tests/unit/placer.rs
@@ -4,7 +4,12 @@
 
 #[test]
 fn room_made_for_an_array_stays_its_own_until_its_tasks_are_placed() {
-    let on = |task, machine: &str| Assignment { task, attempt: 1, machine: machine.into(), want: Want::Run };
+    let on = |task, machine: &str| Assignment {
+        task,
+        attempt: 1,
+        machine: machine.into(),
+        desired: DesiredState::Running,
+    };
     let made = || ["a", "a", "b", "c"].map(Name::from).to_vec();
     let placed = [on(0, "a"), on(1, "x")];
     let mut left = still_held(made(), &placed, 9);
@@ -17,7 +22,7 @@
 #[test]
 fn steps_with_time_left_do_not_stop_others_at_once() {
     let mut s = spec("j-1", JobKind::Array);
-    (s.estimate_s, s.deadline_s) = (10.0, Some(60.0));
+    (s.estimated_runtime_s, s.deadline_s) = (10.0, Some(60.0));
     let mut job = JobRecord::new(s, None, 0);
     assert!(!is_patient(&job, 1000), "not a step of a pipeline");
     job.accepted_ms = 1;
@@ -25,7 +30,7 @@
     job.urgency.priority = Some(wire::Priority::High);
     assert!(is_patient(&job, 1000));
     assert!(!is_patient(&job, PATIENCE_MS), "it has waited");
-    job.urgency.done_by_ms = Some(20_000);
+    job.urgency.deadline_ms = Some(20_000);
     assert!(!is_patient(&job, 1000), "those after it would be late");
 }
 
@@ -36,7 +41,7 @@
     use crate::settings::Settings;
     use crate::settings::tests::EXAMPLE;
     use crate::worker::{Worker, first_token};
-    use sched::world::Change;
+    use sched::replica::RecordChange;
 
     let controller =
         Controller::new(Settings::parse("example", EXAMPLE).expect("valid"), Operators::default(), 1);
@@ -52,13 +57,13 @@
         release: false,
     };
     let mut changes = vec![
-        Change::Types(Some(TypesRecord { types: vec![kind] })),
-        Change::Leader(Some(controller.me.clone())),
-        Change::Map(Some(MapRecord { epoch: 7, live: vec![controller.me.clone()] })),
-        Change::Machine("host-1".into(), Some(machine)),
+        RecordChange::Types(Some(MachineTypesRecord { types: vec![kind] })),
+        RecordChange::Leader(Some(controller.me.clone())),
+        RecordChange::Map(Some(ClusterMap { epoch: 7, live: vec![controller.me.clone()] })),
+        RecordChange::Machine("host-1".into(), Some(machine)),
     ];
     let id = |j: &JobRecord| j.spec.as_ref().expect("open").id.clone();
-    changes.extend(jobs.into_iter().map(|j| Change::Job(id(&j), Some(Box::new(j)))));
+    changes.extend(jobs.into_iter().map(|j| RecordChange::Job(id(&j), Some(Box::new(j)))));
     for (n, change) in changes.into_iter().enumerate() {
         core.world.apply(change, n as u64 + 1);
     }
@@ -68,7 +73,7 @@
     worker.ingest(wire::decode(&wire::encode(&report)).expect("a report"), true, now);
     core.workers.insert("host-1".into(), worker);
     let round = crate::reconcile::decide(&controller, &mut core, false, 16, now, 1000).expect("a round");
-    round.jobs.iter().map(|(id, j)| (id.clone(), j.run.len())).collect()
+    round.jobs.iter().map(|(id, j)| (id.clone(), j.assignments.len())).collect()
 }
 
 fn waiting(id: &str, kind: JobKind, priority: wire::Priority, tasks: u32) -> JobRecord {
@@ -97,8 +102,8 @@
 fn a_gang_that_cannot_fit_claims_nothing() {
     let mut service = waiting("j-1", JobKind::Service, wire::Priority::Low, 3);
     service.attempt = 1;
-    let on = |task| Assignment { task, attempt: 1, machine: "host-1".into(), want: Want::Run };
-    service.run = (0..3).map(on).collect();
+    let on = |task| Assignment { task, attempt: 1, machine: "host-1".into(), desired: DesiredState::Running };
+    service.assignments = (0..3).map(on).collect();
     let gang = |tasks| waiting("j-2", JobKind::Gang, wire::Priority::High, tasks);
     let array = || waiting("j-3", JobKind::Array, wire::Priority::Normal, 2);
     let run = placed(vec![service.clone(), gang(LIMIT - 2), array()]);
--- a/crates/daemon/tests/unit/production.rs
+++ b/crates/daemon/tests/unit/production.rs
@@ -212,9 +212,9 @@
 
 mod tests {
     use super::*;
-    use sched::records::{self as now, End, JobRecord};
-    use sched::world::Change;
-    use store::{Put, decode_change};
+    use sched::records::{self as now, JobRecord, TerminationReason};
+    use sched::replica::RecordChange;
+    use store::{KeyWrite, decode_change};
     use wire::JobKind;
 
     fn golden(part: &str) -> Vec<(String, Vec<u8>)> {
@@ -229,16 +229,16 @@
     }
 
     /// A record as it is written again by the version of now, without any change.
-    fn rewritten(key: &str, change: &Change) -> Put {
+    fn rewritten(key: &str, change: &RecordChange) -> KeyWrite {
         let key = key.to_owned();
         match change {
-            Change::Job(_, Some(r)) => Put::new(key, r),
-            Change::Machine(_, Some(r)) => Put::new(key, r),
-            Change::Team(_, Some(r)) => Put::new(key, r),
-            Change::Member(_, Some(r)) | Change::Leader(Some(r)) => Put::new(key, r),
-            Change::Map(Some(r)) => Put::new(key, r),
-            Change::Types(Some(r)) => Put::new(key, r),
-            Change::Fleet(Some(r)) => Put::new(key, r),
+            RecordChange::Job(_, Some(r)) => KeyWrite::new(key, r),
+            RecordChange::Machine(_, Some(r)) => KeyWrite::new(key, r),
+            RecordChange::Team(_, Some(r)) => KeyWrite::new(key, r),
+            RecordChange::Member(_, Some(r)) | RecordChange::Leader(Some(r)) => KeyWrite::new(key, r),
+            RecordChange::Map(Some(r)) => KeyWrite::new(key, r),
+            RecordChange::Types(Some(r)) => KeyWrite::new(key, r),
+            RecordChange::Fleet(Some(r)) => KeyWrite::new(key, r),
             other => unreachable!("{other:?}"),
         }
     }
@@ -270,32 +270,39 @@
     fn production_reads_new_records_right_or_not_at_all() {
         let key = "sageloom/jobs/j-1";
         let spec = crate::worker::tests::spec("j-1", JobKind::Array);
-        let value = |job: &JobRecord| Put::new(key.into(), job).value.expect("a value");
+        let value = |job: &JobRecord| KeyWrite::new(key.into(), job).value.expect("a value");
         let job = JobRecord::waiting(spec.clone(), None, 5, vec!["j-0".into()]);
         assert_eq!(read(key, &value(&job)), Read::Unreadable, "a job that waits");
         // Once it may begin it is a job like any other, with its times counted from then.
         let mut begun = job.clone();
-        begun.begin(900);
+        begun.activate(900);
         let plain = JobRecord::new(spec.clone(), None, 900);
         assert_eq!(read(key, &value(&begun)), read(key, &value(&plain)));
         let mut done = JobRecord::new(spec, None, 5);
         let tasks = done.spec.as_ref().map_or(0, |s| s.tasks);
         for task in 0..tasks {
-            let a = now::Assignment { task, attempt: 1, machine: "m".into(), want: now::Want::Run };
-            done.run = vec![a];
-            done.end(task, 1, End::Done, 77, 60);
+            let a = now::Assignment {
+                task,
+                attempt: 1,
+                machine: "m".into(),
+                desired: now::DesiredState::Running,
+            };
+            done.assignments = vec![a];
+            done.end_assignment(task, 1, TerminationReason::Done, 77, 60);
         }
         assert_eq!((done.phase, done.ended_ms), (now::Phase::Done, 77));
         let Read::Record(old) = read(key, &value(&done)) else { unreachable!("a final record") };
-        let Change::Job(_, Some(back)) = decode_change(key, Some(old)).0 else { unreachable!("a job") };
+        let RecordChange::Job(_, Some(back)) = decode_change(key, Some(old)).0 else { unreachable!("a job") };
         assert_eq!((back.phase, back.done.len(), back.ended_ms), (now::Phase::Done, tasks, 0));
-        let chunked = store::split(&Put::new(key.into(), &job), 7, 100).expect("parts");
+        let chunked = store::split_record(&KeyWrite::new(key.into(), &job), 7, 100).expect("parts");
         assert_eq!(read(key, &chunked.head.value.expect("a value")), Read::Unreadable);
         for put in chunked.parts {
             assert_eq!(read(&put.key, &put.value.expect("a value")), Read::Ignored);
         }
-        let mark =
-            Put::new(store::key::upgraded("n-1"), &now::Upgraded { schema_version: now::SCHEMA_VERSION });
+        let mark = KeyWrite::new(
+            store::key::upgraded("n-1"),
+            &now::SchemaMarker { schema_version: now::SCHEMA_VERSION },
+        );
         assert_eq!(read(&mark.key, &mark.value.expect("a value")), Read::Ignored);
     }
 }
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -5,7 +5,7 @@
 use crate::worker::tests::spec;
 use crate::worker::{Worker, first_token};
 use sched::records::*;
-use wire::{Command, JobKind, Report};
+use wire::{Command, Heartbeat, JobKind};
 
 const MACHINE: &str = "host-1";
 
@@ -30,7 +30,7 @@
 fn read(controller: &Controller) {
     let mut core = controller.core();
     let live = vec![Member { name: "n-0".into(), zone: "a".into(), incarnation: 1 }];
-    core.world.apply(Change::Map(Some(MapRecord { epoch: 4, live })), 1);
+    core.world.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
     let machine = MachineRecord {
         addr: "a".into(),
         machine_type: "m".into(),
@@ -38,11 +38,12 @@
         spot: false,
         release: false,
     };
-    core.world.apply(Change::Machine(MACHINE.into(), Some(machine)), 2);
+    core.world.apply(RecordChange::Machine(MACHINE.into(), Some(machine)), 2);
     for id in ["j-1", "j-2"] {
         let mut job = JobRecord::new(spec(id, JobKind::Service), None, 0);
-        job.run = vec![Assignment { task: 0, attempt: 1, machine: MACHINE.into(), want: Want::Run }];
-        core.world.apply(Change::Job(id.into(), Some(Box::new(job))), 3);
+        job.assignments =
+            vec![Assignment { task: 0, attempt: 1, machine: MACHINE.into(), desired: DesiredState::Running }];
+        core.world.apply(RecordChange::Job(id.into(), Some(Box::new(job))), 3);
     }
     core.world.revision = 3;
     core.ready = true;
@@ -53,8 +54,8 @@
     let mut core = controller.core();
     let mut record = core.world.jobs[id].value.clone();
     record.phase = Phase::Cancelled;
-    record.shrink();
-    core.world.apply(Change::Job(id.into(), Some(record)), revision);
+    record.compact_if_final();
+    core.world.apply(RecordChange::Job(id.into(), Some(record)), revision);
 }
 
 /// One question and its answer between two controllers; whether its word counts.
@@ -87,7 +88,7 @@
         {"thread": "j-2/0", "try": 1, "status": "running"}]);
     let report = serde_json::json!({"frame": MACHINE, "addr": "a", "shape": "m", "bay": "a", "loaner": false,
         "stint": 1, "tally": 1, "baton": first_token(4), "threads": list});
-    worker.ingest(wire::decode::<Report>(&wire::encode(&report)).expect("a report"), true, start);
+    worker.ingest(wire::decode::<Heartbeat>(&wire::encode(&report)).expect("a report"), true, start);
     confirm(&other, "j-1", 4);
     let late = start + bound + Duration::from_secs(20);
     let renews = |at: Instant| leader.may_renew(&leader.core(), at);
@@ -200,7 +201,7 @@
     assert!(leader.may_renew(&core, late));
     // An older reading of its own does not bring back what was learnt.
     let old = JobRecord::new(spec("j-1", JobKind::Service), None, 0);
-    core.world.apply(Change::Job("j-1".into(), Some(Box::new(old))), 3);
+    core.world.apply(RecordChange::Job("j-1".into(), Some(Box::new(old))), 3);
     assert_eq!(core.world.jobs["j-1"].value.phase, Phase::Cancelled);
 }
 
@@ -211,8 +212,9 @@
         let id = format!("j-{}", 1000 + (n * 7919) % jobs);
         let mut job = JobRecord::new(spec(&id, JobKind::Array), None, 0);
         job.phase = Phase::Cancelled;
-        job.run = vec![Assignment { task: 0, attempt: 1, machine: MACHINE.into(), want: Want::Run }];
-        core.world.apply(Change::Job(id, Some(Box::new(job))), 10 + n / 2);
+        job.assignments =
+            vec![Assignment { task: 0, attempt: 1, machine: MACHINE.into(), desired: DesiredState::Running }];
+        core.world.apply(RecordChange::Job(id, Some(Box::new(job))), 10 + n / 2);
     }
 }
 
--- a/crates/daemon/tests/unit/round.rs
+++ b/crates/daemon/tests/unit/round.rs
@@ -4,7 +4,7 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
-use sched::world::Change;
+use sched::replica::RecordChange;
 use wire::JobKind;
 
 /// As large as placement makes an array's record: as many tasks as it admits,
@@ -17,12 +17,12 @@
     let first = 50_000;
     (0..first).chain((first + 1..first + window).step_by(2)).for_each(|t| job.done.insert(t));
     let step = (window / most / 2 * 2).max(2);
-    job.run = (0..most)
+    job.assignments = (0..most)
         .map(|i| Assignment {
             task: first + i * step,
             attempt: 1,
             machine: format!("host-{:06}", 700 + (i * 7919) % 200).into(),
-            want: Want::Run,
+            desired: DesiredState::Running,
         })
         .collect();
     job
@@ -35,20 +35,20 @@
         Operators::default(),
         1,
     );
-    let (mut world, mut round) = (World::default(), Round::default());
+    let (mut world, mut round) = (Replica::default(), Round::default());
     for n in 0..30 {
         let id = format!("j-{n:06}");
         let job = Box::new(largest(&controller, &id));
         let json = serde_json::to_string(&*job).expect("encodes").len() as f64;
         assert!(json < controller.plan().value_bytes, "{json}");
-        let put = Put::new(key::job(&id), &job);
+        let put = KeyWrite::new(key::job(&id), &job);
         assert!(put.json_len() as f64 >= json, "the estimate is no less than what it is");
-        world.apply(Change::Job(id.clone(), Some(job.clone())), 3);
+        world.apply(RecordChange::Job(id.clone(), Some(job.clone())), 3);
         round.jobs.insert(id, job);
     }
     let plan = controller.plan();
     let Assembled { conditions, puts, left_out, .. } = assemble(&world, &round, &plan, usize::MAX);
-    let bytes: usize = puts.iter().map(Put::json_len).sum();
+    let bytes: usize = puts.iter().map(KeyWrite::json_len).sum();
     assert!(puts.len() >= 4 && bytes + conditions.len() * 60 < 64 * 1024, "{bytes}");
     assert_eq!(left_out.len(), 30 - puts.len(), "the rest has its turn later");
     let small = assemble(&world, &round, &Plan { txn_ops: 3, ..plan }, usize::MAX);
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -5,8 +5,8 @@
 
 use sched::placement::{Inventory, Limits, place};
 use sched::records::*;
-use sched::world::{Change, World};
-use wire::{JobKind, JobSpec, MachineType, Priority, Report, TaskReport, TaskState};
+use sched::replica::{RecordChange, Replica};
+use wire::{Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus};
 
 use crate::controller::Controller;
 use crate::operators::Operators;
@@ -37,7 +37,7 @@
     }
 }
 
-fn apply(world: &mut World, change: Change) {
+fn apply(world: &mut Replica, change: RecordChange) {
     let version = world.revision + 1;
     world.apply(change, version);
     world.revision = version;
@@ -51,15 +51,15 @@
     let kinds = [kind("s", 4.0, 0.0), kind("m", 8.0, 0.0), kind("l", 16.0, 0.0), kind("g", 16.0, 2.0)];
     let mut core = controller.core();
     let w = &mut core.world;
-    apply(w, Change::Types(Some(TypesRecord { types: kinds.to_vec() })));
+    apply(w, RecordChange::Types(Some(MachineTypesRecord { types: kinds.to_vec() })));
     let mut members = vec![controller.me.clone()];
     members.extend((1..live).map(|n| Member {
         name: format!("n-{n}"),
         zone: ZONES[n % 4].into(),
         incarnation: 1 + n as u64,
     }));
-    apply(w, Change::Leader(Some(controller.me.clone())));
-    apply(w, Change::Map(Some(MapRecord { epoch: EPOCH, live: members })));
+    apply(w, RecordChange::Leader(Some(controller.me.clone())));
+    apply(w, RecordChange::Map(Some(ClusterMap { epoch: EPOCH, live: members })));
     for n in 0..machines {
         let record = MachineRecord {
             addr: "10.1.0.1:9000".into(),
@@ -68,7 +68,7 @@
             spot: false,
             release: false,
         };
-        apply(w, Change::Machine(format!("host-{n:06}"), Some(record)));
+        apply(w, RecordChange::Machine(format!("host-{n:06}"), Some(record)));
     }
     core.ready = true;
     drop(core);
@@ -79,9 +79,15 @@
 fn add(controller: &Controller, inventory: &mut Inventory, core: &mut Core, spec: JobSpec) {
     let id = spec.id.clone();
     let mut job = JobRecord::new(spec, None, 1000);
-    let limits = Limits { most: 400, window: 9999, lossy: true, gang_wait_s: 30.0, now_ms: NOW_MS };
+    let limits = Limits {
+        max_tasks: 400,
+        task_window: 9999,
+        may_strand_gpus: true,
+        gang_wait_s: 30.0,
+        now_ms: NOW_MS,
+    };
     place(&core.world, inventory, &mut job, &controller.teams[0], |_| true, limits);
-    apply(&mut core.world, Change::Job(id, Some(Box::new(job))));
+    apply(&mut core.world, RecordChange::Job(id, Some(Box::new(job))));
 }
 
 /// Fills the machines with services, gangs and arrays; their workers report what
@@ -104,23 +110,23 @@
     }
     let ids: Vec<Name> = core.world.owned_by(&controller.me).cloned().collect();
     for id in ids {
-        let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskReport {
+        let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskStatus {
             task: format!("{job}/{}", a.task),
             attempt: a.attempt,
             state: TaskState::Running,
             cause: None,
-            saved: None,
+            checkpointed: None,
         };
-        let report = Report {
+        let report = Heartbeat {
             machine: id.to_string(),
             addr: "10.1.0.1:9000".into(),
             machine_type: "m".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: 1,
-            token: first_token(EPOCH),
-            notice_s: None,
+            incarnation: 1,
+            sequence: 1,
+            fencing_token: first_token(EPOCH),
+            spot_notice_s: None,
             tasks: core.world.assignments(&id).map(running).collect(),
         };
         let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
@@ -141,17 +147,17 @@
     let now = Instant::now();
     fill(&controller, now);
     let mut core = controller.core();
-    let tasks: usize = core.world.on_machine.values().flatten().map(|(_, t)| t.len()).sum();
+    let tasks: usize = core.world.jobs_by_machine.values().flatten().map(|(_, t)| t.len()).sum();
     assert!(core.workers.len() == 2000 && tasks > 10_000, "{} machines, {tasks} tasks", core.workers.len());
     let round = reconcile::decide(&controller, &mut core, false, 0, now, NOW_MS).expect("entitled");
     assert!(round.sends.is_empty(), "what runs is left alone");
     assert_eq!(due(&core, now + Duration::from_millis(100)), 0, "nothing is open");
     // One job is cancelled: only its machines are looked at.
-    let id = core.world.open.iter().next().expect("some").clone();
+    let id = core.world.open_job_ids.iter().next().expect("some").clone();
     let mut job = core.world.jobs[&id].value.clone();
     job.phase = Phase::Cancelled;
-    let machines: std::collections::BTreeSet<_> = job.run.iter().map(|a| a.machine.clone()).collect();
-    apply(&mut core.world, Change::Job(id, Some(job)));
+    let machines: std::collections::BTreeSet<_> = job.assignments.iter().map(|a| a.machine.clone()).collect();
+    apply(&mut core.world, RecordChange::Job(id, Some(job)));
     let later = now + Duration::from_millis(200);
     let round = reconcile::decide(&controller, &mut core, false, 0, later, NOW_MS).expect("entitled");
     let sent: std::collections::BTreeSet<_> = round.sends.iter().map(|s| s.0.clone()).collect();
@@ -174,13 +180,16 @@
         lost.iter().flat_map(|id| core.world.assignments(id).map(|(job, ..)| job.to_owned())).collect();
     apply(
         &mut core.world,
-        Change::Fleet(Some(FleetRecord { rentals: Vec::new(), gone: Some(lost.clone()) })),
+        RecordChange::Fleet(Some(FleetRecord {
+            scale_outs: Vec::new(),
+            removed_machines: Some(lost.clone()),
+        })),
     );
     let mut changes = 0;
     let mut rounds = 0;
-    while !core.world.orphaned.is_empty() {
+    while !core.world.machines_without_record.is_empty() {
         rounds += 1;
-        assert!(rounds < 200, "{} left", core.world.orphaned.len());
+        assert!(rounds < 200, "{} left", core.world.machines_without_record.len());
         let at = now + Duration::from_millis(100 * rounds);
         let mut round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
         let round::Assembled { puts, left_out, teams, .. } =
@@ -188,11 +197,11 @@
         changes += puts.len();
         for (id, record) in std::mem::take(&mut round.jobs) {
             if !left_out.contains(&id) {
-                apply(&mut core.world, Change::Job(id, Some(record)));
+                apply(&mut core.world, RecordChange::Job(id, Some(record)));
             }
         }
         for (team, record) in teams {
-            apply(&mut core.world, Change::Team(team, Some(record)));
+            apply(&mut core.world, RecordChange::Team(team, Some(record)));
         }
     }
     assert!(hit.len() > 100, "{}", hit.len());
@@ -208,33 +217,42 @@
     fill(&controller, now);
     let mut core = controller.core();
     let kind = |core: &Core, id: &str| core.world.jobs[id].value.spec.as_ref().map(|s| s.kind);
-    let service = core.world.open.iter().find(|id| kind(&core, id) == Some(JobKind::Service)).cloned();
+    let service =
+        core.world.open_job_ids.iter().find(|id| kind(&core, id) == Some(JobKind::Service)).cloned();
     let service = service.expect("some");
-    let lost = core.world.jobs[&service].value.run[0].machine.clone();
-    let arrays: Vec<String> =
-        core.world.open.iter().filter(|id| kind(&core, id) == Some(JobKind::Array)).cloned().collect();
+    let lost = core.world.jobs[&service].value.assignments[0].machine.clone();
+    let arrays: Vec<String> = core
+        .world
+        .open_job_ids
+        .iter()
+        .filter(|id| kind(&core, id) == Some(JobKind::Array))
+        .cloned()
+        .collect();
     let proofs = arrays.iter().filter_map(|id| {
-        let a = core.world.jobs[id].value.run.first()?;
+        let a = core.world.jobs[id].value.assignments.first()?;
         let machine = a.machine.to_string();
-        Some(peer::Proof {
+        Some(peer::TerminationProof {
             job: id.clone(),
             task: a.task,
             attempt: a.attempt,
             machine,
-            end: End::Done.code(),
+            reason_code: TerminationReason::Done.code(),
         })
     });
-    let proofs: Vec<peer::Proof> = proofs.collect();
+    let proofs: Vec<peer::TerminationProof> = proofs.collect();
     assert!(proofs.len() > 16, "more than a round holds");
     drop(core);
     reconcile::take_proofs(&controller, EPOCH, proofs, now);
     core = controller.core();
     apply(
         &mut core.world,
-        Change::Fleet(Some(FleetRecord { rentals: Vec::new(), gone: Some(vec![lost.clone()]) })),
+        RecordChange::Fleet(Some(FleetRecord {
+            scale_outs: Vec::new(),
+            removed_machines: Some(vec![lost.clone()]),
+        })),
     );
     let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
     let record = round.jobs.get(&service).expect("its task is over");
-    assert!(record.run.iter().all(|a| a.machine != lost));
+    assert!(record.assignments.iter().all(|a| a.machine != lost));
     assert!(round.jobs.len() > 4, "the arrays have the rest");
 }
--- a/crates/daemon/tests/unit/sim/checker.rs
+++ b/crates/daemon/tests/unit/sim/checker.rs
@@ -88,8 +88,8 @@
         let live: Vec<Member> = self.nodes.iter().map(|n| n.me.clone()).collect();
         let leader = live[0].clone();
         let puts = vec![
-            Put::new(key::MAP.into(), &MapRecord { epoch: self.step + 1, live }),
-            Put::new(key::LEADER.into(), &leader),
+            KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: self.step + 1, live }),
+            KeyWrite::new(key::LEADER.into(), &leader),
         ];
         assert!(self.state.txn(&[], puts) == Outcome::Committed);
         let mut got: HashSet<String> = HashSet::new();
@@ -100,7 +100,7 @@
             (0..MACHINES).for_each(|m| self.worker(m));
             if self.step.is_multiple_of(50) {
                 let world = self.state.world();
-                let runs = |j: &JobRecord| j.phase == Phase::Done || !j.run.is_empty();
+                let runs = |j: &JobRecord| j.phase == Phase::Done || !j.assignments.is_empty();
                 got.extend(world.jobs.iter().filter(|(_, j)| runs(&j.value)).map(|(id, _)| id.clone()));
             }
         }
@@ -112,7 +112,7 @@
             }
         }
         // Cancellations have been written down to the last job.
-        if world.pipelines.doomed().next().is_some() {
+        if world.pipelines.cancelled_by_dependency().next().is_some() {
             self.broken.insert("cascade");
         }
     }
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -26,8 +26,10 @@
         let Some(n) = self.old.iter().position(|old| *old) else { return };
         self.old[n] = false;
         self.back(n);
-        let put =
-            Put::new(key::upgraded(&self.nodes[n].me.name), &Upgraded { schema_version: SCHEMA_VERSION });
+        let put = KeyWrite::new(
+            key::upgraded(&self.nodes[n].me.name),
+            &SchemaMarker { schema_version: SCHEMA_VERSION },
+        );
         assert!(self.state.txn(&[], vec![put]) == Outcome::Committed);
         if !self.old.contains(&true) {
             self.small_at = Some(self.step + self.rng.random_range(0..200));
@@ -45,8 +47,8 @@
         let epoch = self.step + 1;
         let leader = live[0].clone();
         let puts = vec![
-            Put::new(key::MAP.into(), &MapRecord { epoch, live }),
-            Put::new(key::LEADER.into(), &leader),
+            KeyWrite::new(key::MAP.into(), &ClusterMap { epoch, live }),
+            KeyWrite::new(key::LEADER.into(), &leader),
         ];
         assert!(self.state.txn(&[], puts) == Outcome::Committed);
     }
@@ -65,10 +67,10 @@
                     let (change, bad) = by_production(put);
                     (change, bad, *revision)
                 } else {
-                    core.reader.take(&put.key, put.value.clone(), *revision)
+                    core.reader.apply(&put.key, put.value.clone(), *revision)
                 };
                 if bad {
-                    core.world.unread(change)
+                    core.world.mark_unreadable(change)
                 } else {
                     core.world.apply(change, version)
                 }
@@ -77,7 +79,7 @@
             }
             core.ready = true;
             core.fresh_at = Some(now);
-            if core.world.upgraded.len() == CONTROLLERS {
+            if core.world.schema_versions.len() == CONTROLLERS {
                 self.nodes[n].seen.all_new.store(true, Ordering::Relaxed);
             }
         }
@@ -96,11 +98,11 @@
         let Some((sends, conditions, puts, proofs, epoch)) = decided else { return };
         for (to, list) in proofs {
             let to = self.nodes.iter().position(|n| n.me.name == to).expect("a known controller");
-            self.post(Message::Proofs { to, epoch, list });
+            self.post(Message::TerminationProofs { to, epoch, list });
         }
         for (machine, _, commands) in sends {
             let to = (0..MACHINES).find(|m| *id(*m) == *machine).expect("a known machine");
-            self.waiting.insert((n, to), commands.token);
+            self.waiting.insert((n, to), commands.fencing_token);
             self.post(Message::Commands { to, from: n, commands });
         }
         if !puts.is_empty() {
@@ -109,9 +111,9 @@
                 // It writes what it knows, and drops the rest.
                 for put in &mut puts {
                     if let (change, false) = by_production(put)
-                        && let Change::Job(_, Some(job)) = change
+                        && let RecordChange::Job(_, Some(job)) = change
                     {
-                        *put = Put::new(put.key.clone(), &job);
+                        *put = KeyWrite::new(put.key.clone(), &job);
                     }
                 }
             } else if plan.chunked {
--- a/crates/daemon/tests/unit/sim/machines.rs
+++ b/crates/daemon/tests/unit/sim/machines.rs
@@ -9,7 +9,7 @@
     pub(super) seq: u64,
     pub(super) token: u64,
     pub(super) renewed: u64,
-    pub(super) tasks: BTreeMap<(String, u64), (TaskState, Option<Cause>)>,
+    pub(super) tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
     /// Until when nothing reaches it, though its reports arrive.
     pub(super) deaf: u64,
     /// Until when every task that it starts fails.
@@ -17,25 +17,25 @@
 }
 
 impl Machine {
-    pub(super) fn report(&mut self, id: &str) -> Report {
+    pub(super) fn report(&mut self, id: &str) -> Heartbeat {
         self.seq += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), (state, cause))| TaskReport {
+        let tasks = self.tasks.iter().map(|((task, attempt), (state, cause))| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: *state,
             cause: *cause,
-            saved: None,
+            checkpointed: None,
         });
-        Report {
+        Heartbeat {
             machine: id.into(),
             addr: id.into(),
             machine_type: "m".into(),
             zone: zone(id).into(),
             spot: spot(id),
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            spot_notice_s: None,
             tasks: tasks.collect(),
         }
     }
@@ -79,7 +79,7 @@
             match state {
                 TaskState::Fetching if sick => {
                     *state = TaskState::Exited;
-                    *cause = Some(Cause::Error);
+                    *cause = Some(ExitReason::Error);
                 }
                 TaskState::Fetching if self.rng.random_bool(0.3) => *state = TaskState::Running,
                 // Replicas run until they are stopped.
@@ -87,7 +87,7 @@
                     *state = TaskState::Exited;
                     let fails = !self.calm && self.rng.random_bool(0.2);
                     let says_done = !fails || self.sabotage == Sabotage::Done;
-                    *cause = Some(if says_done { Cause::Done } else { Cause::Error });
+                    *cause = Some(if says_done { ExitReason::Done } else { ExitReason::Error });
                     if !fails {
                         self.done.insert(name.0.clone());
                     }
@@ -129,7 +129,7 @@
         &mut self,
         n: usize,
         m: usize,
-        report: Report,
+        report: Heartbeat,
     ) -> Option<(u64, Vec<Command>)> {
         if self.step < self.frozen[n] {
             return None;
@@ -163,7 +163,7 @@
                     }
                     let busy = self.machines[m].tasks.keys().any(|(t, _)| t == task);
                     let state = if busy {
-                        (TaskState::Exited, Some(Cause::Busy))
+                        (TaskState::Exited, Some(ExitReason::Busy))
                     } else {
                         (TaskState::Fetching, None)
                     };
@@ -182,7 +182,7 @@
                         && s.0 != TaskState::Exited
                         && self.sabotage != Sabotage::Stops
                     {
-                        *s = (TaskState::Exited, Some(Cause::Stopped));
+                        *s = (TaskState::Exited, Some(ExitReason::Stopped));
                     }
                 }
                 Command::Forget { task, attempt } => {
--- a/crates/daemon/tests/unit/sim/mail.rs
+++ b/crates/daemon/tests/unit/sim/mail.rs
@@ -12,25 +12,25 @@
         to: usize,
         machine: usize,
         token: u64,
-        report: Option<Report>,
+        report: Option<Heartbeat>,
     },
     /// A copy of a report, to any controller.
     Copy {
         to: usize,
         machine: usize,
-        report: Report,
+        report: Heartbeat,
     },
     Txn {
         from: usize,
         conditions: Vec<Condition>,
-        puts: Vec<Put>,
+        puts: Vec<KeyWrite>,
         /// Its sender knew of the smaller limits.
         sized: bool,
     },
-    Proofs {
+    TerminationProofs {
         to: usize,
         epoch: u64,
-        list: Vec<peer::Proof>,
+        list: Vec<peer::TerminationProof>,
     },
 }
 
@@ -53,8 +53,9 @@
         self.mail = rest;
         for message in due {
             // What comes to a controller that stands still waits there for it.
-            if let Message::Copy { to, .. } | Message::Proofs { to, .. } | Message::Answer { to, .. } =
-                &message
+            if let Message::Copy { to, .. }
+            | Message::TerminationProofs { to, .. }
+            | Message::Answer { to, .. } = &message
                 && self.step < self.frozen[*to]
             {
                 self.mail.push((self.frozen[*to], message));
@@ -65,10 +66,10 @@
                     // Nobody reads the answer.
                     let _ = self.answer_report(to, machine, report);
                 }
-                Message::Proofs { to, epoch, list } => {
+                Message::TerminationProofs { to, epoch, list } => {
                     if self.rng.random_bool(0.1) {
                         let at = self.step + self.rng.random_range(1..400);
-                        self.mail.push((at, Message::Proofs { to, epoch, list: list.clone() }));
+                        self.mail.push((at, Message::TerminationProofs { to, epoch, list: list.clone() }));
                     }
                     reconcile::take_proofs(&self.nodes[to], epoch, list, self.now());
                 }
@@ -88,13 +89,18 @@
                     let reached = self.machines[to].up && self.step >= self.machines[to].deaf;
                     let lost = self.rng.random_bool(0.1) || !reached;
                     let heeds = self.sabotage != Sabotage::Tokens;
-                    let valid = !heeds || commands.token >= self.machines[to].token;
-                    if valid && commands.session == self.machines[to].session && reached {
-                        self.machines[to].token = self.machines[to].token.max(commands.token);
+                    let valid = !heeds || commands.fencing_token >= self.machines[to].token;
+                    if valid && commands.incarnation == self.machines[to].session && reached {
+                        self.machines[to].token = self.machines[to].token.max(commands.fencing_token);
                         self.execute(to, &commands.commands);
                     }
                     let report = (!lost).then(|| self.machines[to].report(&id(to)));
-                    self.post(Message::Answer { to: from, machine: to, token: commands.token, report });
+                    self.post(Message::Answer {
+                        to: from,
+                        machine: to,
+                        token: commands.fencing_token,
+                        report,
+                    });
                 }
                 Message::Answer { to, machine, token, report } => {
                     // Given up meanwhile: nobody reads the answer.
@@ -114,7 +120,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, n: usize, machine: usize, token: u64, report: Option<Report>) {
+    pub(super) fn answered(&mut self, n: usize, machine: usize, token: u64, report: Option<Heartbeat>) {
         let now = self.now();
         if let Some(w) = self.nodes[n].core().workers.get_mut(id(machine).as_str()) {
             w.finish(token, report.is_some(), now);
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -18,9 +18,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sched::records::*;
-use sched::world::{Change, World};
-use store::{Put, Reader, decode_change, key, split};
-use wire::{Cause, Command, Commands, Condition, JobKind, Report, TaskReport, TaskState};
+use sched::replica::{RecordChange, Replica};
+use store::{KeyWrite, RecordReader, decode_change, key, split_record};
+use wire::{Command, Commands, Condition, ExitReason, Heartbeat, JobKind, TaskState, TaskStatus};
 
 use crate::api;
 use crate::controller::Controller;
@@ -153,8 +153,8 @@
         };
         let kind = crate::worker::tests::kind(4.0, 64.0, &["z", "y"]);
         let mut puts = vec![
-            Put::new(key::TYPES.into(), &TypesRecord { types: vec![kind] }),
-            Put::new(key::LEADER.into(), &sim.nodes[0].me),
+            KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }),
+            KeyWrite::new(key::LEADER.into(), &sim.nodes[0].me),
         ];
         for m in 0..MACHINES {
             let record = MachineRecord {
@@ -164,11 +164,11 @@
                 spot: spot(&id(m)) && sabotage != Sabotage::Kind,
                 release: false,
             };
-            puts.push(Put::new(key::machine(&id(m)), &record));
+            puts.push(KeyWrite::new(key::machine(&id(m)), &record));
         }
         for n in 0..FIRST {
             let s = Self::job(n);
-            puts.push(Put::new(key::job(&s.id), &JobRecord::new(s.clone(), None, 0)));
+            puts.push(KeyWrite::new(key::job(&s.id), &JobRecord::new(s.clone(), None, 0)));
         }
         assert!(sim.state.txn(&[], puts) == Outcome::Committed);
         sim.new_map();
@@ -227,8 +227,8 @@
                         gone.push(id(m).as_str().into());
                     }
                 }
-                let fleet = FleetRecord { rentals: Vec::new(), gone: Some(gone) };
-                let put = Put::new(key::FLEET.into(), &fleet);
+                let fleet = FleetRecord { scale_outs: Vec::new(), removed_machines: Some(gone) };
+                let put = KeyWrite::new(key::FLEET.into(), &fleet);
                 assert!(self.state.txn(&[], vec![put]) == Outcome::Committed);
             }
         }
--- a/crates/daemon/tests/unit/sim/state.rs
+++ b/crates/daemon/tests/unit/sim/state.rs
@@ -6,7 +6,7 @@
 #[derive(Default)]
 pub(super) struct State {
     pub(super) keys: HashMap<String, u64>,
-    pub(super) log: Vec<(u64, Put)>,
+    pub(super) log: Vec<(u64, KeyWrite)>,
     pub(super) revision: u64,
     /// The smaller limits are there.
     pub(super) small: bool,
@@ -21,8 +21,8 @@
 }
 
 impl State {
-    pub(super) fn txn(&mut self, conditions: &[Condition], puts: Vec<Put>) -> Outcome {
-        let large = |p: &Put| p.value_len() as f64 > NEXT_KB * 1024.0;
+    pub(super) fn txn(&mut self, conditions: &[Condition], puts: Vec<KeyWrite>) -> Outcome {
+        let large = |p: &KeyWrite| p.value_len() as f64 > NEXT_KB * 1024.0;
         if self.small && (puts.len() > NEXT_OPS || puts.iter().any(large)) {
             return Outcome::Refused;
         }
@@ -40,11 +40,11 @@
         Outcome::Committed
     }
 
-    pub(super) fn world(&self) -> World {
-        let (mut world, mut reader) = (World::default(), Reader::default());
+    pub(super) fn world(&self) -> Replica {
+        let (mut world, mut reader) = (Replica::default(), RecordReader::default());
         for (revision, put) in &self.log {
-            let (change, bad, version) = reader.take(&put.key, put.value.clone(), *revision);
-            if bad { world.unread(change) } else { world.apply(change, version) }
+            let (change, bad, version) = reader.apply(&put.key, put.value.clone(), *revision);
+            if bad { world.mark_unreadable(change) } else { world.apply(change, version) }
         }
         world
     }
@@ -53,12 +53,12 @@
     pub(super) fn widen(
         &mut self,
         conditions: &mut Vec<Condition>,
-        puts: &mut [Put],
+        puts: &mut [KeyWrite],
         nonce: u64,
         bytes: f64,
     ) {
         for put in puts.iter_mut().filter(|p| p.value_len() as f64 > bytes) {
-            let wide = split(put, nonce, bytes as usize).expect("a value");
+            let wide = split_record(put, nonce, bytes as usize).expect("a value");
             let first = wide.parts.last().expect("parts").key.clone();
             for part in wide.parts {
                 assert!(self.txn(&[], vec![part]) == Outcome::Committed);
@@ -70,10 +70,10 @@
 }
 
 /// A change as production sees it.
-pub(super) fn by_production(put: &Put) -> (Change, bool) {
+pub(super) fn by_production(put: &KeyWrite) -> (RecordChange, bool) {
     let Some(value) = &put.value else { return decode_change(&put.key, None) };
     match production::read(&put.key, value) {
-        production::Read::Ignored => (Change::Other, false),
+        production::Read::Ignored => (RecordChange::Other, false),
         production::Read::Unreadable => (decode_change(&put.key, Some(rmpv::Value::Nil)).0, true),
         production::Read::Record(value) => decode_change(&put.key, Some(value)),
     }
--- a/crates/daemon/tests/unit/sim/users.rs
+++ b/crates/daemon/tests/unit/sim/users.rs
@@ -39,7 +39,7 @@
         }
         let mut record = api::new_record(&self.nodes[via], s.clone(), None, known);
         record.submitted_ms = self.step * 100;
-        let mut puts = [Put::new(key::job(&s.id), &record)];
+        let mut puts = [KeyWrite::new(key::job(&s.id), &record)];
         let mut conditions = vec![Condition { key: key::job(&s.id), version: 0 }];
         let nonce = self.rng.random();
         self.state.widen(&mut conditions, &mut puts, nonce, NEXT_KB * 1024.0);
@@ -56,18 +56,18 @@
         let replicas = self.rng.random_bool(0.2);
         let job = format!("j-{}", if replicas { 4 } else { self.rng.random_range(3..last) });
         let world = self.state.world();
-        let open = |j: &&sched::world::Versioned<Box<JobRecord>>| {
+        let open = |j: &&sched::replica::Versioned<Box<JobRecord>>| {
             matches!(j.value.phase, Phase::Active | Phase::Waiting)
         };
         let Some(found) = world.jobs.get(&job).filter(open) else { return };
-        if world.pipelines.is_doomed(&job) {
+        if world.pipelines.is_cancelled_by_dependency(&job) {
             return;
         }
         let mut record = found.value.clone();
         record.phase = Phase::Cancelled;
-        record.shrink();
+        record.compact_if_final();
         let mut conditions = vec![Condition { key: key::job(&job), version: found.version }];
-        let mut puts = [Put::new(key::job(&job), &record)];
+        let mut puts = [KeyWrite::new(key::job(&job), &record)];
         if self.state.small {
             let nonce = self.rng.random();
             self.state.widen(&mut conditions, &mut puts, nonce, NEXT_KB * 1024.0);
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -11,7 +11,7 @@
 use net::{Reply, Request};
 use rmpv::Value;
 use sched::records::*;
-use store::{Put, key};
+use store::{KeyWrite, key};
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
@@ -86,7 +86,7 @@
         };
     }
 
-    pub fn put(&mut self, put: Put) {
+    pub fn put(&mut self, put: KeyWrite) {
         self.change(put.key, put.value, put.lease, self.revision + 1);
     }
 
@@ -131,16 +131,16 @@
     pub fn job(&self, id: &str) -> Option<JobRecord> {
         let (value, ..) = self.keys.get(&key::job(id))?;
         match store::decode_change(&key::job(id), Some(value.clone())) {
-            (sched::world::Change::Job(_, record), false) => record.map(|r| *r),
+            (sched::replica::RecordChange::Job(_, record), false) => record.map(|r| *r),
             _ => None,
         }
     }
 
     /// The map as it stands.
-    pub fn map(&self) -> Option<MapRecord> {
+    pub fn map(&self) -> Option<ClusterMap> {
         let (value, ..) = self.keys.get(key::MAP)?;
         match store::decode_change(key::MAP, Some(value.clone())) {
-            (sched::world::Change::Map(map), false) => map,
+            (sched::replica::RecordChange::Map(map), false) => map,
             _ => None,
         }
     }
@@ -283,13 +283,13 @@
     pub fn elect(&self, nodes: &[&Controller], epoch: u64) {
         let mut store = self.store();
         let live = nodes.iter().map(|n| n.me.clone()).collect();
-        store.put(Put::new(key::MAP.into(), &MapRecord { epoch, live }));
-        store.put(Put::new(key::LEADER.into(), &nodes[0].me));
+        store.put(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch, live }));
+        store.put(KeyWrite::new(key::LEADER.into(), &nodes[0].me));
         for controller in nodes {
-            store.put(Put::new(key::member(&controller.me.name), &controller.me));
-            store.put(Put::new(
+            store.put(KeyWrite::new(key::member(&controller.me.name), &controller.me));
+            store.put(KeyWrite::new(
                 key::upgraded(&controller.me.name),
-                &Upgraded { schema_version: SCHEMA_VERSION },
+                &SchemaMarker { schema_version: SCHEMA_VERSION },
             ));
         }
     }
@@ -297,7 +297,7 @@
     pub fn with_types() -> Self {
         let service = Self::default();
         let kind = crate::worker::tests::kind(40.0, 90.0, &["a"]);
-        service.store().put(Put::new(key::TYPES.into(), &TypesRecord { types: vec![kind] }));
+        service.store().put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }));
         service
     }
 }
--- a/crates/daemon/tests/unit/worker.rs
+++ b/crates/daemon/tests/unit/worker.rs
@@ -1,8 +1,8 @@
 use super::reconcile::Plan;
 use super::*;
 use sched::records::*;
-use sched::world::{Change, World};
-use wire::{Cause, JobKind, JobSpec, Priority};
+use sched::replica::{RecordChange, Replica};
+use wire::{ExitReason, JobKind, JobSpec, Priority};
 
 /// A machine type without GPUs that boots and fetches fast.
 pub(crate) fn kind(cpus: f64, memory_gb: f64, zones: &[&str]) -> wire::MachineType {
@@ -38,16 +38,16 @@
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 2.0,
+        estimated_runtime_s: 1.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 2.0,
         deadline_s: None,
-        needs: None,
+        dependencies: None,
     }
 }
 
-fn world(run: Vec<Assignment>, phase: Phase) -> World {
-    let mut w = World::default();
+fn world(run: Vec<Assignment>, phase: Phase) -> Replica {
+    let mut w = Replica::default();
     let machine = MachineRecord {
         addr: "a".into(),
         machine_type: "m".into(),
@@ -55,36 +55,36 @@
         spot: false,
         release: false,
     };
-    w.apply(Change::Machine("host-1".into(), Some(machine)), 1);
+    w.apply(RecordChange::Machine("host-1".into(), Some(machine)), 1);
     let mut job = JobRecord::new(spec("j-1", JobKind::Array), None, 0);
-    (job.run, job.phase) = (run, phase);
-    w.apply(Change::Job("j-1".into(), Some(Box::new(job))), 2);
+    (job.assignments, job.phase) = (run, phase);
+    w.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 2);
     w
 }
 
-fn assigned(want: Want) -> Vec<Assignment> {
-    vec![Assignment { task: 0, attempt: 1, machine: "host-1".into(), want }]
+fn assigned(want: DesiredState) -> Vec<Assignment> {
+    vec![Assignment { task: 0, attempt: 1, machine: "host-1".into(), desired: want }]
 }
 
-fn report(seq: u64, token: u64, tasks: &[(u64, TaskState, Option<Cause>)]) -> Report {
-    Report {
+fn report(seq: u64, token: u64, tasks: &[(u64, TaskState, Option<ExitReason>)]) -> Heartbeat {
+    Heartbeat {
         machine: "host-1".into(),
         addr: "a".into(),
         machine_type: "m".into(),
         zone: "z".into(),
         spot: false,
-        session: 1,
-        seq,
-        token,
-        notice_s: None,
+        incarnation: 1,
+        sequence: seq,
+        fencing_token: token,
+        spot_notice_s: None,
         tasks: tasks
             .iter()
-            .map(|(attempt, state, cause)| TaskReport {
+            .map(|(attempt, state, cause)| TaskStatus {
                 task: "j-1/0".into(),
                 attempt: *attempt,
                 state: *state,
                 cause: *cause,
-                saved: None,
+                checkpointed: None,
             })
             .collect(),
     }
@@ -98,20 +98,20 @@
     Limits { gang_peer: Duration::from_secs(5), lease: Duration::from_secs(11), fresh_at: Some(now) }
 }
 
-fn ends(plan: &Plan) -> Vec<End> {
+fn ends(plan: &Plan) -> Vec<TerminationReason> {
     plan.ends.iter().map(|e| e.1).collect()
 }
 
 #[test]
 fn a_new_owner_takes_absence_for_nothing_until_its_token_was_seen() {
     let now = Instant::now();
-    let w = world(assigned(Want::Stop), Phase::Active);
+    let w = world(assigned(DesiredState::Stopped), Phase::Active);
     let mut worker = Worker::new("a".into(), 5, now);
     worker.ingest(report(1, first_token(4) + 9, &[]), true, now);
     let plan = worker.reconcile("host-1", &w, &limits(now), now);
     assert!(plan.ends.is_empty() && plan.poke);
     worker.ingest(report(2, first_token(5), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [End::Lost]);
+    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
 }
 
 /// A task ended, its machine lost the lease before that was recorded, and the
@@ -120,19 +120,19 @@
 #[test]
 fn a_late_copy_of_an_end_is_no_proof_to_a_new_owner() {
     let now = Instant::now();
-    let w = world(assigned(Want::Run), Phase::Active);
+    let w = world(assigned(DesiredState::Running), Phase::Active);
     let mut worker = Worker::new("a".into(), 9, now);
-    let old = report(316, first_token(7) + 3, &[(1, TaskState::Exited, Some(Cause::Done))]);
+    let old = report(316, first_token(7) + 3, &[(1, TaskState::Exited, Some(ExitReason::Done))]);
     worker.ingest(old, true, now);
     let plan = worker.reconcile("host-1", &w, &limits(now), now);
     assert!(plan.ends.is_empty() && plan.poke, "the worker is asked");
     let running = [(1, TaskState::Running, None)];
-    worker.ingest(Report { session: 2, ..report(317, first_token(8) + 1, &running) }, false, now);
+    worker.ingest(Heartbeat { incarnation: 2, ..report(317, first_token(8) + 1, &running) }, false, now);
     let plan = worker.reconcile("host-1", &w, &limits(now), now);
     assert!(plan.ends.is_empty() && !plan.poke);
-    let ended = [(1, TaskState::Exited, Some(Cause::Done))];
-    worker.ingest(Report { session: 2, ..report(318, first_token(9), &ended) }, true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [End::Done]);
+    let ended = [(1, TaskState::Exited, Some(ExitReason::Done))];
+    worker.ingest(Heartbeat { incarnation: 2, ..report(318, first_token(9), &ended) }, true, now);
+    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Done]);
 }
 
 /// A controller stands still for longer than the lease. On waking it proves that
@@ -141,19 +141,19 @@
 #[test]
 fn what_was_proven_over_is_not_launched_after_all() {
     let now = Instant::now();
-    let w = world(assigned(Want::Run), Phase::Active);
+    let w = world(assigned(DesiredState::Running), Phase::Active);
     let mut worker = Worker::new("a".into(), 5, now);
     worker.ingest(report(1, first_token(5), &[]), true, now);
     worker.renew(now);
     let woken = now + Duration::from_secs(30);
     let plan = worker.reconcile("host-1", &w, &limits(woken), woken);
-    assert_eq!(ends(&plan), [End::Lost]);
+    assert_eq!(ends(&plan), [TerminationReason::Lost]);
     worker.ended_since(&plan.ends[0].0, woken);
-    worker.ingest(Report { session: 2, ..report(2, first_token(5), &[]) }, true, woken);
+    worker.ingest(Heartbeat { incarnation: 2, ..report(2, first_token(5), &[]) }, true, woken);
     worker.renew(woken);
     assert_eq!(worker.answer("host-1", &w, &limits(woken), woken), []);
     let plan = worker.reconcile("host-1", &w, &limits(woken), woken);
-    assert!(plan.commands.is_empty() && ends(&plan) == [End::Lost], "it is still over");
+    assert!(plan.commands.is_empty() && ends(&plan) == [TerminationReason::Lost], "it is still over");
 }
 
 #[test]
@@ -161,19 +161,19 @@
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
     worker.ingest(report(1, first_token(5), &[]), true, now);
-    let w = world(assigned(Want::Run), Phase::Active);
+    let w = world(assigned(DesiredState::Running), Phase::Active);
     let plan = worker.reconcile("host-1", &w, &limits(now), now);
     assert!(matches!(plan.commands[..], [Command::Start { .. }]));
     let sent = worker.begin(&launch(), now).expect("a token");
     // Cancelled while the launch is on its way.
-    let w = world(assigned(Want::Run), Phase::Cancelled);
+    let w = world(assigned(DesiredState::Running), Phase::Cancelled);
     worker.ingest(report(2, sent, &[]), true, now);
     assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
     worker.finish(sent, false, now);
     worker.ingest(report(3, sent, &[]), true, now);
     assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
     worker.ingest(report(4, worker.token(), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [End::Lost]);
+    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
 }
 
 /// An epoch has 2^20 tokens for each worker. Before they are used up a new epoch is asked for;
@@ -206,13 +206,13 @@
     let sent = worker.begin(&launch(), now).expect("the last");
     worker.finish(sent, false, now);
     assert_eq!(worker.token(), first_token(6) - 1);
-    let w = world(assigned(Want::Stop), Phase::Active);
+    let w = world(assigned(DesiredState::Stopped), Phase::Active);
     worker.ingest(report(2, sent, &[]), true, now);
     assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
     worker.enter_epoch(6);
     assert!(!worker.tokens_run_low() && worker.may_send(now + Duration::from_secs(9)));
     worker.ingest(report(3, first_token(6), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [End::Lost]);
+    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
 }
 
 #[test]
@@ -225,7 +225,7 @@
     worker.ingest(report(2, first_token(6), &[]), true, now);
     worker.begin(&launch(), now);
     worker.finish(old, true, now);
-    let w = world(assigned(Want::Stop), Phase::Active);
+    let w = world(assigned(DesiredState::Stopped), Phase::Active);
     assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
 }
 
@@ -234,13 +234,13 @@
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
     worker.ingest(report(1, first_token(5), &[]), true, now);
-    let w = world(assigned(Want::Run), Phase::Active);
+    let w = world(assigned(DesiredState::Running), Phase::Active);
     assert_eq!(worker.answer("host-1", &w, &limits(now), now).len(), 1);
-    let w = world(assigned(Want::Run), Phase::Cancelled);
+    let w = world(assigned(DesiredState::Running), Phase::Cancelled);
     worker.ingest(report(2, first_token(5), &[]), false, now);
     assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
     worker.ingest(report(3, first_token(5), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [End::Lost]);
+    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
 }
 
 #[test]
@@ -249,7 +249,7 @@
     let mut worker = Worker::new("a".into(), 5, now);
     assert!(worker.ingest(report(7, first_token(5), &[(1, TaskState::Running, None)]), true, now));
     assert!(!worker.ingest(report(6, first_token(5), &[]), true, now));
-    let w = world(assigned(Want::Run), Phase::Active);
+    let w = world(assigned(DesiredState::Running), Phase::Active);
     assert_eq!(worker.reconcile("host-1", &w, &limits(now), now), Plan::default());
 }
 
@@ -257,10 +257,10 @@
 fn clears_wait_until_the_end_is_committed_and_the_mirror_is_newer() {
     let start = Instant::now();
     let mut worker = Worker::new("a".into(), 5, start);
-    worker.ingest(report(1, first_token(5), &[(1, TaskState::Exited, Some(Cause::Done))]), true, start);
-    let assigned = world(assigned(Want::Run), Phase::Active);
+    worker.ingest(report(1, first_token(5), &[(1, TaskState::Exited, Some(ExitReason::Done))]), true, start);
+    let assigned = world(assigned(DesiredState::Running), Phase::Active);
     let plan = worker.reconcile("host-1", &assigned, &limits(start), start);
-    assert_eq!((ends(&plan), plan.commands.len()), (vec![End::Done], 0));
+    assert_eq!((ends(&plan), plan.commands.len()), (vec![TerminationReason::Done], 0));
     let gone = world(vec![], Phase::Active);
     assert!(worker.reconcile("host-1", &gone, &limits(start), start).commands.is_empty());
     let later = start + Duration::from_secs(3);
@@ -290,11 +290,11 @@
     assert_eq!(worker.silent_for(at(20)), Duration::from_secs(8), "its reports do not count");
     // Its lease ran out although its reports were answered.
     let mut next = report(5, first_token(5), &[]);
-    next.session = 2;
+    next.incarnation = 2;
     worker.ingest(next, true, at(30));
     assert!(!worker.hears());
     let mut heard = report(6, worker.token(), &[]);
-    heard.session = 2;
+    heard.incarnation = 2;
     worker.ingest(heard, false, at(31));
     assert!(worker.hears(), "it answered a request");
 }
@@ -304,7 +304,7 @@
 #[test]
 fn late_copies_prove_no_absence_renew_nothing_and_revive_nothing() {
     let now = Instant::now();
-    let w = world(assigned(Want::Run), Phase::Active);
+    let w = world(assigned(DesiredState::Running), Phase::Active);
     let mut worker = Worker::new("a".into(), 6, now);
     // A copy from the epoch before, from when the task was not there yet.
     worker.ingest(report(3, first_token(5) + 7, &[]), true, now);
@@ -326,7 +326,7 @@
     let sent = worker.begin(&launch(), now).expect("a token");
     worker.finish(sent, false, now);
     worker.ingest(report(2, first_token(6), &[]), true, now);
-    let w = world(assigned(Want::Run), Phase::Cancelled);
+    let w = world(assigned(DesiredState::Running), Phase::Cancelled);
     assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
 }
 
@@ -334,7 +334,7 @@
 fn a_lease_proves_its_tasks_over_only_after_its_full_time() {
     let start = Instant::now();
     let limits = limits(start);
-    let w = world(assigned(Want::Run), Phase::Active);
+    let w = world(assigned(DesiredState::Running), Phase::Active);
     let silent = |token, renewed: Option<Duration>, after: Duration| {
         let mut worker = Worker::new("a".into(), 5, start);
         worker.ingest(report(1, token, &[(1, TaskState::Running, None)]), true, start);
@@ -355,12 +355,12 @@
 fn a_machine_is_sick_by_several_jobs_but_not_by_one_bad_job() {
     let mut worker = Worker::new("a".into(), 1, Instant::now());
     for _ in 0..5 {
-        worker.note_end("j-1", End::Error);
+        worker.note_end("j-1", TerminationReason::Error);
     }
     assert!(!worker.sick());
-    worker.note_end("j-2", End::Error);
+    worker.note_end("j-2", TerminationReason::Error);
     assert!(worker.sick());
-    worker.note_end("j-3", End::Done);
+    worker.note_end("j-3", TerminationReason::Done);
     assert!(!worker.sick());
 }
 
@@ -375,7 +375,7 @@
             _ => None,
         }
     };
-    assert_eq!(grace(Want::Stop, Phase::Active), Some(2.0));
-    assert_eq!(grace(Want::Run, Phase::Cancelled), Some(0.0));
-    assert_eq!(grace(Want::Run, Phase::Active), None);
+    assert_eq!(grace(DesiredState::Stopped, Phase::Active), Some(2.0));
+    assert_eq!(grace(DesiredState::Running, Phase::Cancelled), Some(0.0));
+    assert_eq!(grace(DesiredState::Running, Phase::Active), None);
 }
--- a/crates/drain/examples/measure.rs
+++ b/crates/drain/examples/measure.rs
@@ -17,8 +17,8 @@
 use drain::waves::{self, Effort};
 use sched::drain_records::{Disruption, DisruptionRecord, DrainPhase, Stopper};
 use sched::placement::{self, Inventory};
-use sched::records::{Assignment, End, JobRecord, Name, Want};
-use sched::world::{Change, World};
+use sched::records::{Assignment, DesiredState, JobRecord, Name, TerminationReason};
+use sched::replica::{RecordChange, Replica};
 use wire::JobKind;
 
 /// Replicas of a service, and how many of a machine's four places are in use.
@@ -49,7 +49,7 @@
 }
 
 /// A fleet whose services are spread over it at random.
-fn fleet(machines: usize, numbers: &mut Numbers) -> World {
+fn fleet(machines: usize, numbers: &mut Numbers) -> Replica {
     let names: Vec<String> = (0..machines).map(machine_name).collect();
     let named: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut world = site::world(&named);
@@ -85,7 +85,7 @@
 }
 
 struct Simulation {
-    world: World,
+    world: Replica,
     version: u64,
     now: u64,
     running: BTreeSet<(String, u32, u64)>,
@@ -109,7 +109,7 @@
         site::start_drain(&mut world, "d", &names, 10);
         let all = world
             .open_jobs()
-            .flat_map(|(id, job)| job.run.iter().map(move |a| (id.clone(), a.task, a.attempt)));
+            .flat_map(|(id, job)| job.assignments.iter().map(move |a| (id.clone(), a.task, a.attempt)));
         let running = all.collect();
         Self {
             world,
@@ -127,7 +127,7 @@
         }
     }
 
-    fn put(&mut self, change: Change) {
+    fn put(&mut self, change: RecordChange) {
         self.version += 1;
         self.changes -= 1.0;
         self.outcome.changes += 1;
@@ -151,11 +151,18 @@
         for (id, task) in due {
             self.exits.remove(&(id.clone(), task));
             let mut job = self.job(&id);
-            let Some(attempt) = job.run.iter().find(|a| a.task == task).map(|a| a.attempt) else { continue };
-            job.end(task, attempt, End::Stopped, self.now, 0);
+            let Some(attempt) = job.assignments.iter().find(|a| a.task == task).map(|a| a.attempt) else {
+                continue;
+            };
+            job.end_assignment(task, attempt, TerminationReason::Stopped, self.now, 0);
             let team = site::team("");
-            let limits =
-                placement::Limits { most: 9, window: 99, lossy: true, gang_wait_s: 0.0, now_ms: self.now };
+            let limits = placement::Limits {
+                max_tasks: 9,
+                task_window: 99,
+                may_strand_gpus: true,
+                gang_wait_s: 0.0,
+                now_ms: self.now,
+            };
             inventory.refresh(&mut self.world, |_, _| true);
             inventory.begin();
             let placed = placement::place(&self.world, inventory, &mut job, &team, |_| true, limits);
@@ -164,7 +171,7 @@
                 let fetch = 2000 + self.numbers.below(6000);
                 self.starts.insert((id.clone(), a.task), (a.attempt, self.now + fetch));
             }
-            self.put(Change::Job(id, Some(job)));
+            self.put(RecordChange::Job(id, Some(job)));
         }
         let up: Vec<((String, u32), u64)> = self
             .starts
@@ -184,7 +191,7 @@
         for _ in 0..booted {
             let name = machine_name(self.rented);
             self.rented += 1;
-            self.put(Change::Machine(name, Some(site::machine("a"))));
+            self.put(RecordChange::Machine(name, Some(site::machine("a"))));
         }
     }
 
@@ -196,7 +203,7 @@
             let left: Vec<Disruption> =
                 open.iter().filter(|d| !view::is_settled(&self.world, d, &observed)).cloned().collect();
             if left.len() < open.len() {
-                self.put(Change::Disruptions(team, Some(DisruptionRecord { open: left })));
+                self.put(RecordChange::Disruptions(team, Some(DisruptionRecord { open: left })));
             }
         }
     }
@@ -204,16 +211,16 @@
     fn stop(&mut self, m: &step::Move) {
         let id = m.unit.id.job.to_string();
         let mut job = self.job(&id);
-        let Some(a) = job.run.iter_mut().find(|a| a.task == m.unit.id.task) else { return };
-        a.want = Want::Stop;
+        let Some(a) = job.assignments.iter_mut().find(|a| a.task == m.unit.id.task) else { return };
+        a.desired = DesiredState::Stopped;
         let Assignment { task, attempt, .. } = a.clone();
-        self.put(Change::Job(id.clone(), Some(job)));
+        self.put(RecordChange::Job(id.clone(), Some(job)));
         let team = m.unit.team.clone();
         let mut open = self.world.drains.open(&team).to_vec();
         let by = Stopper::Drain("d".into());
         open.push(Disruption { job: m.unit.id.job.clone(), task, attempt, by, since_ms: self.now });
         // The team's and the drain's records are one change each for a whole transaction.
-        self.world.apply(Change::Disruptions(team, Some(DisruptionRecord { open })), self.version);
+        self.world.apply(RecordChange::Disruptions(team, Some(DisruptionRecord { open })), self.version);
         self.running.remove(&(id.clone(), task, attempt));
         self.exits.insert((id.clone(), task), self.now + EXIT_MS);
         self.down_since.insert((id, task), self.now);
@@ -264,7 +271,7 @@
             if !matches!(record.phase, DrainPhase::Active) {
                 return false;
             }
-            self.world.apply(Change::Drain(name, Some(record)), self.version);
+            self.world.apply(RecordChange::Drain(name, Some(record)), self.version);
         }
         true
     }
@@ -272,7 +279,7 @@
     fn give_back(&mut self) {
         let empty: Vec<Name> = view::machines_left(&self.world, "d")
             .into_iter()
-            .filter(|m| !self.world.on_machine.contains_key(m))
+            .filter(|m| !self.world.jobs_by_machine.contains_key(m))
             .collect();
         for machine in empty {
             // Noted as empty, marked, given back.
@@ -280,8 +287,8 @@
             self.outcome.changes += 2;
             let mut cordon = self.world.drains.cordons[&("d".to_owned(), 0)].value.clone();
             cordon.note_gone(&machine);
-            self.world.apply(Change::Cordon(("d".into(), 0), Some(cordon)), self.version);
-            self.put(Change::Machine(machine.to_string(), None));
+            self.world.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), self.version);
+            self.put(RecordChange::Machine(machine.to_string(), None));
         }
     }
 
--- a/crates/drain/src/feasibility.rs
+++ b/crates/drain/src/feasibility.rs
@@ -1,11 +1,11 @@
 //! Whether a drain could ever finish, whatever happens meanwhile.
 
+use sched::autoscaling;
 use sched::drain_records::UnsavedWork;
-use sched::fleet;
 use sched::hash::HashSet;
 use sched::placement;
 use sched::records::Name;
-use sched::world::{Amount, World};
+use sched::replica::{Replica, Resources};
 use wire::{JobKind, JobSpec};
 
 use crate::budget::{Budgets, UnitId};
@@ -52,7 +52,7 @@
 
 /// What stands in the way for good of draining these machines, the first of each job.
 pub fn blockers(
-    world: &World,
+    world: &Replica,
     machines: &[Machine],
     budgets: &Budgets,
     unsaved: UnsavedWork,
@@ -72,7 +72,7 @@
 }
 
 fn blocker(
-    world: &World,
+    world: &Replica,
     drained: &HashSet<&Name>,
     machine: &Machine,
     unit: &Unit,
@@ -88,25 +88,26 @@
         return Some(Blocker::TeamBudget { team: unit.team.clone(), job, machine });
     }
     let outlasts = unit.work == Work::Unsaved && unsaved == UnsavedWork::Leave;
-    if outlasts && spec.estimate_s > patience_s {
+    if outlasts && spec.estimated_runtime_s > patience_s {
         return Some(Blocker::OutlastsPatience { job, machine });
     }
-    let fits = fleet::possible(spec, &world.types) || fits_on_another(world, drained, spec);
+    let fits = autoscaling::fits_some_machine_type(spec, &world.machine_types)
+        || fits_on_another(world, drained, spec);
     (!fits).then_some(Blocker::FitsNowhere { job, machine })
 }
 
-fn replicas_of_team(world: &World, team: &str) -> u32 {
+fn replicas_of_team(world: &Replica, team: &str) -> u32 {
     let of_team = |s: &&JobSpec| s.team == team && s.kind == JobKind::Service;
     world.open_jobs().filter_map(|(_, job)| job.spec.as_deref()).filter(of_team).map(|s| s.tasks).sum()
 }
 
 /// Whether a machine that stays is large enough, were it empty.
-fn fits_on_another(world: &World, drained: &HashSet<&Name>, spec: &JobSpec) -> bool {
+fn fits_on_another(world: &Replica, drained: &HashSet<&Name>, spec: &JobSpec) -> bool {
     world.machines.iter().filter(|(id, _)| !drained.contains(id)).any(|(_, m)| {
         let m = &m.value;
-        let whole = world.types.get(&*m.machine_type).map(Amount::of_type);
-        placement::allowed(spec, &m.machine_type, &m.zone, m.spot)
-            && whole.is_some_and(|whole| Amount::of_task(spec).fits(whole))
+        let whole = world.machine_types.get(&*m.machine_type).map(Resources::of_type);
+        placement::is_allowed(spec, &m.machine_type, &m.zone, m.spot)
+            && whole.is_some_and(|whole| Resources::of_task(spec).fits(whole))
     })
 }
 
--- a/crates/drain/src/room.rs
+++ b/crates/drain/src/room.rs
@@ -2,7 +2,7 @@
 
 use sched::placement::{self, Inventory, Limits};
 use sched::records::{Assignment, JobRecord, Name};
-use sched::world::{Amount, Team, World};
+use sched::replica::{Replica, Resources, Team};
 use wire::JobKind;
 
 use crate::budget::UnitId;
@@ -12,7 +12,7 @@
 /// [`Inventory::roll_back`].
 pub struct InventoryRoom<'a> {
     /// The records.
-    pub world: &'a World,
+    pub world: &'a Replica,
     /// The machines; those that are cordoned may not be used.
     pub inventory: &'a mut Inventory,
     /// The teams, for their limits.
@@ -26,27 +26,27 @@
 impl InventoryRoom<'_> {
     fn limits(&self, most: usize) -> Limits {
         let Self { gang_wait_s, now_ms, .. } = *self;
-        Limits { most, window: u32::MAX, lossy: true, gang_wait_s, now_ms }
+        Limits { max_tasks: most, task_window: u32::MAX, may_strand_gpus: true, gang_wait_s, now_ms }
     }
 
     /// Gives back what a unit takes, or takes it again.
-    fn occupy(&mut self, tasks: &[Assignment], size: Amount, team: &str, sign: f64) {
+    fn occupy(&mut self, tasks: &[Assignment], size: Resources, team: &str, sign: f64) {
         let machines: Vec<Name> = tasks.iter().map(|a| a.machine.clone()).collect();
         self.inventory.reserve(&machines, size, sign);
-        let used = self.inventory.team_use.entry(team.to_owned()).or_default();
-        *used = used.plus(size, sign * tasks.len() as f64);
+        let used = self.inventory.team_usage.entry(team.to_owned()).or_default();
+        *used = used.plus_scaled(size, sign * tasks.len() as f64);
     }
 }
 
 /// The job without a unit, and the unit's assignments.
 fn without(job: &JobRecord, unit: &UnitId, gang: bool) -> (JobRecord, Vec<Assignment>) {
     let mut rest = job.clone();
-    let (moving, staying) = rest.run.drain(..).partition(|a| gang || a.task == unit.task);
-    rest.run = staying;
-    rest.left.clear();
+    let (moving, staying) = rest.assignments.drain(..).partition(|a| gang || a.task == unit.task);
+    rest.assignments = staying;
+    rest.vacated_machines.clear();
     rest.attempt += 1;
     // A pause after errors does not matter here: what is moved runs.
-    (rest.errors, rest.error_ms) = (0, 0);
+    (rest.failed_starts, rest.last_failure_ms) = (0, 0);
     (rest, moving)
 }
 
@@ -55,7 +55,7 @@
         let job = &self.world.jobs.get(&*unit.job)?.value;
         let spec = job.spec.as_deref()?;
         let team = self.teams.iter().find(|t| t.name == spec.team)?;
-        let size = Amount::of_task(spec);
+        let size = Resources::of_task(spec);
         let (mut rest, moving) = without(job, unit, spec.kind == JobKind::Gang);
         // A gang's own machines are free once all of it has stopped; a replica's machine is
         // cordoned, and nothing can be placed there.
--- a/crates/drain/src/selection.rs
+++ b/crates/drain/src/selection.rs
@@ -4,7 +4,7 @@
 
 use sched::hash::HashMap;
 use sched::records::Name;
-use sched::world::World;
+use sched::replica::Replica;
 
 /// Machines by their names, or all that have everything in common that is named.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -59,7 +59,7 @@
 /// The machines that are selected, in the order of their names. `ages`: for how long machines
 /// are rented, in seconds, if that is known.
 pub fn select(
-    world: &World,
+    world: &Replica,
     selection: &Selection,
     ages: Option<&HashMap<String, f64>>,
 ) -> Result<Vec<Name>, SelectionError> {
@@ -80,15 +80,15 @@
 }
 
 /// The drain that has a machine, unless it is over.
-fn drained_by<'w>(world: &'w World, machine: &Name) -> Option<&'w str> {
-    let has = |(_, c): &(&'w sched::drains::CordonId, &'w sched::world::Versioned<_>)| {
+fn drained_by<'w>(world: &'w Replica, machine: &Name) -> Option<&'w str> {
+    let has = |(_, c): &(&'w sched::drains::CordonId, &'w sched::replica::Versioned<_>)| {
         let cordon: &sched::drain_records::CordonRecord = &c.value;
         cordon.active && cordon.left().any(|m| m == machine)
     };
     world.drains.cordons.iter().find(has).map(|((drain, _), _)| drain.as_str())
 }
 
-fn by_name(world: &World, machines: &[String]) -> Result<Vec<Name>, SelectionError> {
+fn by_name(world: &Replica, machines: &[String]) -> Result<Vec<Name>, SelectionError> {
     let mut found: BTreeSet<Name> = BTreeSet::new();
     for name in machines {
         let Some((known, _)) = world.machines.get_key_value(name.as_str()) else {
@@ -102,7 +102,7 @@
 }
 
 fn by_property(
-    world: &World,
+    world: &Replica,
     selection: &Selection,
     ages: Option<&HashMap<String, f64>>,
 ) -> Result<Vec<Name>, SelectionError> {
@@ -126,7 +126,7 @@
         (Some(limit), Some(ages)) => ages.get(&**name).is_some_and(|age| age > limit),
         _ => true,
     };
-    let fits = |(name, m): &(&Name, &sched::world::Versioned<sched::records::MachineRecord>)| {
+    let fits = |(name, m): &(&Name, &sched::replica::Versioned<sched::records::MachineRecord>)| {
         zone.as_ref().is_none_or(|z| *m.value.zone == **z)
             && machine_type.as_ref().is_none_or(|t| *m.value.machine_type == **t)
             && is_old(name)
--- a/crates/drain/src/view.rs
+++ b/crates/drain/src/view.rs
@@ -7,7 +7,7 @@
 use sched::drains::Drains;
 use sched::hash::{HashMap, HashSet};
 use sched::records::{Assignment, JobRecord, Name, Phase};
-use sched::world::World;
+use sched::replica::Replica;
 use wire::JobKind;
 
 use crate::budget::{Budgets, Ledger, ServiceHealth, UnitId};
@@ -38,16 +38,16 @@
     let spec = job.spec.as_deref()?;
     let work = match spec.kind {
         JobKind::Service => Work::Replica,
-        JobKind::Array | JobKind::Gang if spec.checkpoint_s > 0.0 => Work::Saving,
+        JobKind::Array | JobKind::Gang if spec.checkpoint_interval_s > 0.0 => Work::Saving,
         JobKind::Array | JobKind::Gang => Work::Unsaved,
     };
     let task = if spec.kind == JobKind::Gang { 0 } else { assignment.task };
     let id = UnitId { job: id.into(), task };
-    Some(Unit { id, team: spec.team.clone(), work, stopping: !job.wants(assignment) })
+    Some(Unit { id, team: spec.team.clone(), work, stopping: !job.should_run(assignment) })
 }
 
 /// What is on a machine, each gang once.
-pub fn units_on(world: &World, machine: &str) -> Vec<Unit> {
+pub fn units_on(world: &Replica, machine: &str) -> Vec<Unit> {
     let mut units: Vec<Unit> = Vec::new();
     for (id, job, assignment) in world.assignments(machine) {
         let Some(unit) = unit(id, job, assignment) else { continue };
@@ -60,7 +60,7 @@
 }
 
 /// The machines of a drain that are still there, in the order of their names.
-pub fn machines_left(world: &World, drain: &str) -> Vec<Name> {
+pub fn machines_left(world: &Replica, drain: &str) -> Vec<Name> {
     let there = |m: &&Name| world.machines.contains_key(*m);
     let cordons = world.drains.cordons_of(drain);
     cordons.flat_map(|(_, c)| c.value.left()).filter(there).cloned().collect()
@@ -71,7 +71,7 @@
 
 /// The drains that are active, with their machines in the order in which they should be
 /// emptied: that which is given for a drain, or the greedy one.
-pub fn active_drains(world: &World, budgets: &Budgets, orders: &Orders) -> Vec<Drain> {
+pub fn active_drains(world: &Replica, budgets: &Budgets, orders: &Orders) -> Vec<Drain> {
     let active = world.drains.records.iter().filter(|(_, d)| d.value.is_active());
     // What is gone is written down first.
     let is_noted = |name: &str| world.drains.cordons_of(name).all(|(_, c)| c.value.left().next().is_none());
@@ -98,7 +98,7 @@
 /// The services that the budgets of these units depend on: their own, and all of teams that
 /// have a budget of their own.
 pub fn services_concerned<'w>(
-    world: &'w World,
+    world: &'w Replica,
     drains: &[Drain],
     budgets: &Budgets,
 ) -> Vec<(&'w String, &'w JobRecord)> {
@@ -116,21 +116,21 @@
 
 /// The jobs whose running tasks have to be known for a step: the services concerned, and all
 /// of which something is down by choice.
-pub fn jobs_to_ask(world: &World, drains: &[Drain], budgets: &Budgets) -> BTreeSet<String> {
+pub fn jobs_to_ask(world: &Replica, drains: &[Drain], budgets: &Budgets) -> BTreeSet<String> {
     let services = services_concerned(world, drains, budgets).into_iter().map(|(id, _)| id.clone());
     let open = all_open(&world.drains).map(|(_, d)| d.job.to_string());
-    services.chain(open.filter(|id| world.open.contains(id))).collect()
+    services.chain(open.filter(|id| world.open_job_ids.contains(id))).collect()
 }
 
 /// How a service is.
 pub fn health(id: &str, job: &JobRecord, running: &impl Running) -> Option<ServiceHealth> {
     let spec = job.spec.as_deref().filter(|s| s.kind == JobKind::Service)?;
-    let is_up = |a: &&Assignment| job.wants(a) && running.is_running(id, a.task, a.attempt);
+    let is_up = |a: &&Assignment| job.should_run(a) && running.is_running(id, a.task, a.attempt);
     Some(ServiceHealth {
         job: id.into(),
         team: spec.team.clone(),
         replicas: spec.tasks,
-        up: job.run.iter().filter(is_up).map(|a| a.task).collect(),
+        up: job.assignments.iter().filter(is_up).map(|a| a.task).collect(),
         // The first end of a replica raises the attempt.
         starting: job.attempt <= FIRST_ATTEMPT,
     })
@@ -147,7 +147,7 @@
 /// The ledger of a step: what is down of these services, and all that is down by choice.
 /// `team_of`: the name of the team that an id stands for.
 pub fn ledger<'b>(
-    world: &World,
+    world: &Replica,
     services: &[(&String, &JobRecord)],
     budgets: &'b Budgets,
     running: &impl Running,
@@ -161,7 +161,7 @@
 }
 
 /// Whether what was stopped is over with: its replacement runs, or none will come.
-pub fn is_settled(world: &World, disruption: &Disruption, running: &impl Running) -> bool {
+pub fn is_settled(world: &Replica, disruption: &Disruption, running: &impl Running) -> bool {
     let Some(job) = world.jobs.get(&*disruption.job).map(|j| &j.value) else { return true };
     if job.phase != Phase::Active {
         return true;
@@ -175,13 +175,13 @@
             && a.attempt > disruption.attempt
             && running.is_running(&disruption.job, a.task, a.attempt)
     };
-    job.run.iter().any(|a| replaced(&a))
+    job.assignments.iter().any(|a| replaced(&a))
 }
 
 /// The attempt of a unit that is on a machine now: the highest of a gang's tasks.
 pub fn attempt_of(job: &JobRecord, unit: &UnitId) -> Option<u64> {
     let gang = kind_of(job) == Some(JobKind::Gang);
-    job.run.iter().filter(|a| gang || a.task == unit.task).map(|a| a.attempt).max()
+    job.assignments.iter().filter(|a| gang || a.task == unit.task).map(|a| a.attempt).max()
 }
 
 /// What is running by the words of the machines' owners.
--- a/crates/drain/src/waves/mod.rs
+++ b/crates/drain/src/waves/mod.rs
@@ -11,7 +11,7 @@
 mod solver;
 
 use sched::hash::HashMap;
-use sched::world::World;
+use sched::replica::Replica;
 
 use crate::budget::Budgets;
 use crate::step::Machine;
@@ -45,7 +45,7 @@
 const MOVES_IN_A_WAVE: u32 = 64;
 
 /// The problem of draining these machines.
-pub fn problem(world: &World, machines: &[Machine], budgets: &Budgets) -> Problem {
+pub fn problem(world: &Replica, machines: &[Machine], budgets: &Budgets) -> Problem {
     let mut problem = Problem { limits: vec![MOVES_IN_A_WAVE], ..Problem::default() };
     let mut limits: HashMap<(bool, String), usize> = HashMap::default();
     let mut units: HashMap<crate::budget::UnitId, usize> = HashMap::default();
@@ -80,7 +80,7 @@
     problem
 }
 
-fn replicas_by_team(world: &World) -> HashMap<&str, u32> {
+fn replicas_by_team(world: &Replica) -> HashMap<&str, u32> {
     let mut replicas: HashMap<&str, u32> = HashMap::default();
     for (_, job) in world.open_jobs() {
         if let Some(spec) = job.spec.as_deref().filter(|s| s.kind == wire::JobKind::Service) {
@@ -90,9 +90,9 @@
     replicas
 }
 
-fn price(world: &World, machine: &Machine) -> f64 {
+fn price(world: &Replica, machine: &Machine) -> f64 {
     let Some(m) = world.machines.get(&machine.name) else { return 0.0 };
-    let kind = world.types.get(&*m.value.machine_type);
+    let kind = world.machine_types.get(&*m.value.machine_type);
     kind.map_or(0.0, |t| if m.value.spot { t.spot_price } else { t.price })
 }
 
--- a/crates/drain/tests/state_machine.rs
+++ b/crates/drain/tests/state_machine.rs
@@ -19,8 +19,8 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use sched::drain_records::{CordonFence, CordonRecord, Disruption, DisruptionRecord, Stopper};
 use sched::placement;
-use sched::records::{Assignment, End, JobRecord, Name, Want};
-use sched::world::{Change, World};
+use sched::records::{Assignment, DesiredState, JobRecord, Name, TerminationReason};
+use sched::replica::{RecordChange, Replica};
 use wire::JobKind;
 
 const MACHINES: [(&str, &str); 6] =
@@ -157,7 +157,7 @@
 
 #[derive(Default)]
 struct Leader {
-    world: World,
+    world: Replica,
     seen: usize,
     observed: ObservedTasks,
     stops: Vec<Stop>,
@@ -171,8 +171,8 @@
     without: Without,
     budgets: Budgets,
     /// The records, and how they came about.
-    store: World,
-    log: Vec<(Change, u64)>,
+    store: Replica,
+    log: Vec<(RecordChange, u64)>,
     version: u64,
     leaders: Vec<Leader>,
     machines: Vec<Tasks>,
@@ -186,19 +186,19 @@
         let mut site = Self {
             without,
             budgets: Budgets { per_service: 1, teams },
-            store: World::default(),
+            store: Replica::default(),
             log: Vec::new(),
             version: 1,
             leaders: (0..LEADERS).map(|_| Leader::default()).collect(),
             machines: vec![Tasks::new(); MACHINES.len()],
             down_by_choice: BTreeMap::new(),
         };
-        site.change(Change::Types(Some(test_records::types())));
+        site.change(RecordChange::Types(Some(test_records::types())));
         for (id, zone) in MACHINES {
-            site.change(Change::Machine(id.into(), Some(test_records::machine(zone))));
+            site.change(RecordChange::Machine(id.into(), Some(test_records::machine(zone))));
         }
         let live = vec![sched::records::Member { name: "n".into(), zone: "a".into(), incarnation: 1 }];
-        site.change(Change::Map(Some(sched::records::MapRecord { epoch: 1, live })));
+        site.change(RecordChange::Map(Some(sched::records::ClusterMap { epoch: 1, live })));
         let mut next = 0;
         for (id, replicas) in SERVICES {
             let mut job = JobRecord::new(test_records::spec(id, JobKind::Service, replicas), None, 0);
@@ -209,14 +209,19 @@
                 next += 1;
                 site.machines[machine].insert((id.to_owned(), task), (2, true));
                 let machine = MACHINES[machine].0.into();
-                job.run.push(Assignment { task, attempt: 2, machine, want: Want::Run });
+                job.assignments.push(Assignment {
+                    task,
+                    attempt: 2,
+                    machine,
+                    desired: DesiredState::Running,
+                });
             }
-            site.change(Change::Job(id.into(), Some(Box::new(job))));
+            site.change(RecordChange::Job(id.into(), Some(Box::new(job))));
         }
         site
     }
 
-    fn change(&mut self, change: Change) {
+    fn change(&mut self, change: RecordChange) {
         self.version += 1;
         self.store.apply(change.clone(), self.version);
         self.log.push((change, self.version));
@@ -239,7 +244,7 @@
 
     fn ledger<'a>(
         &'a self,
-        world: &World,
+        world: &Replica,
         jobs: &[(&String, &JobRecord)],
         running: &impl Running,
     ) -> Ledger<'a> {
@@ -274,7 +279,7 @@
         let (id, replicas) = SERVICES[service];
         let leader = &self.leaders[n];
         let Some((id, job)) = leader.world.open_jobs().find(|(job, _)| *job == id) else { return };
-        if job.run.len() < replicas as usize || job.run.iter().any(|a| !job.wants(a)) {
+        if job.assignments.len() < replicas as usize || job.assignments.iter().any(|a| !job.should_run(a)) {
             return;
         }
         let jobs: Vec<_> = leader.world.open_jobs().collect();
@@ -301,9 +306,9 @@
             }
             let attempt = s.open.last().map_or(0, |d| d.attempt);
             self.down_by_choice.insert((id.clone(), s.unit.task), attempt);
-            self.change(Change::Job(id, Some(s.job)));
+            self.change(RecordChange::Job(id, Some(s.job)));
             let open = s.open;
-            self.change(Change::Disruptions(TEAM.into(), Some(DisruptionRecord { open })));
+            self.change(RecordChange::Disruptions(TEAM.into(), Some(DisruptionRecord { open })));
         }
     }
 
@@ -329,14 +334,20 @@
         };
         let open: Vec<Disruption> = known.value.open.iter().filter(|d| !settled(d)).cloned().collect();
         if open.len() < known.value.open.len() {
-            self.change(Change::Disruptions(TEAM.into(), Some(DisruptionRecord { open })));
+            self.change(RecordChange::Disruptions(TEAM.into(), Some(DisruptionRecord { open })));
         }
     }
 
     fn choose(&mut self, n: usize) {
         let world = &self.leaders[n].world;
         let mut inventory = placement::Inventory::new(world, |_| true);
-        let limits = placement::Limits { most: 9, window: 99, lossy: true, gang_wait_s: 0.0, now_ms: 2000 };
+        let limits = placement::Limits {
+            max_tasks: 9,
+            task_window: 99,
+            may_strand_gpus: true,
+            gang_wait_s: 0.0,
+            now_ms: 2000,
+        };
         let mut chosen = Vec::new();
         for (id, known) in &world.jobs {
             let mut job = known.value.clone();
@@ -357,21 +368,22 @@
             if version != p.job_version || fenced {
                 continue;
             }
-            let before: BTreeSet<u32> = self.store.jobs[&p.id].value.run.iter().map(|a| a.task).collect();
-            for a in p.job.run.iter().filter(|a| !before.contains(&a.task)) {
+            let before: BTreeSet<u32> =
+                self.store.jobs[&p.id].value.assignments.iter().map(|a| a.task).collect();
+            for a in p.job.assignments.iter().filter(|a| !before.contains(&a.task)) {
                 let cordoned = self.store.drains.is_cordoned(&a.machine);
                 assert!(!cordoned, "{} is placed on a cordoned machine", p.id);
             }
-            self.change(Change::Job(p.id, Some(p.job)));
+            self.change(RecordChange::Job(p.id, Some(p.job)));
         }
     }
 
     /// Ends an assignment that is proven over.
-    fn end(&mut self, id: &str, task: u32, attempt: u64, how: End) {
+    fn end(&mut self, id: &str, task: u32, attempt: u64, how: TerminationReason) {
         let mut job = self.store.jobs[id].value.clone();
-        job.end(task, attempt, how, 2000, 0);
+        job.end_assignment(task, attempt, how, 2000, 0);
         if *job != *self.store.jobs[id].value {
-            self.change(Change::Job(id.to_owned(), Some(job)));
+            self.change(RecordChange::Job(id.to_owned(), Some(job)));
         }
     }
 
@@ -379,14 +391,14 @@
         let wanted: Vec<(String, u32, u64, bool)> = self
             .store
             .assignments(MACHINES[m].0)
-            .map(|(id, job, a)| (id.to_owned(), a.task, a.attempt, job.wants(a)))
+            .map(|(id, job, a)| (id.to_owned(), a.task, a.attempt, job.should_run(a)))
             .collect();
         for (id, task, attempt, wants) in wanted {
             if wants {
                 self.machines[m].entry((id, task)).or_insert((attempt, false));
             } else {
                 self.machines[m].remove(&(id.clone(), task));
-                self.end(&id, task, attempt, End::Stopped);
+                self.end(&id, task, attempt, TerminationReason::Stopped);
             }
         }
     }
@@ -409,7 +421,7 @@
             .map(|(id, _, a)| (id.to_owned(), a.task, a.attempt))
             .collect();
         for (id, task, attempt) in lost {
-            self.end(&id, task, attempt, End::Lost);
+            self.end(&id, task, attempt, TerminationReason::Lost);
         }
     }
 
@@ -422,10 +434,10 @@
         }
         let name = format!("d-{}", cordoned % 2);
         let id = (name.clone(), cordoned as u32);
-        self.change(Change::Cordon(id, Some(CordonRecord::new(vec![machine.into()]))));
-        self.change(Change::CordonFence(Some(CordonFence { generation: self.version })));
+        self.change(RecordChange::Cordon(id, Some(CordonRecord::new(vec![machine.into()]))));
+        self.change(RecordChange::CordonFence(Some(CordonFence { generation: self.version })));
         if !self.store.drains.records.contains_key(&name) {
-            self.change(Change::Drain(name, Some(test_records::drain_record(1))));
+            self.change(RecordChange::Drain(name, Some(test_records::drain_record(1))));
         }
     }
 
@@ -441,7 +453,7 @@
 }
 
 /// A stop as a leader with these records would commit it.
-fn stop(world: &World, unit: &UnitId, by: Stopper) -> Option<Stop> {
+fn stop(world: &Replica, unit: &UnitId, by: Stopper) -> Option<Stop> {
     let known = world.jobs.get(&*unit.job)?;
     let mut job = known.value.clone();
     let attempt = view::attempt_of(&job, unit)?;
@@ -525,7 +537,7 @@
         let site = ops
             .into_iter()
             .fold(Site::new(state), |site, op| <Operations<0> as StateMachineTest>::apply(site, &state, op));
-        let stopped = site.log.iter().filter(|(c, _)| matches!(c, Change::Disruptions(..))).count();
+        let stopped = site.log.iter().filter(|(c, _)| matches!(c, RecordChange::Disruptions(..))).count();
         moved.set(moved.get() + stopped);
         Ok(())
     };
--- a/crates/drain/tests/unit/feasibility.rs
+++ b/crates/drain/tests/unit/feasibility.rs
@@ -3,7 +3,7 @@
 use crate::site::{add, spec, world};
 use crate::view;
 
-fn found(w: &World, budgets: &Budgets, unsaved: UnsavedWork) -> Vec<Blocker> {
+fn found(w: &Replica, budgets: &Budgets, unsaved: UnsavedWork) -> Vec<Blocker> {
     let machine = Machine { name: "m-1".into(), units: view::units_on(w, "m-1") };
     blockers(w, &[machine], budgets, unsaved, 60.0)
 }
@@ -27,7 +27,7 @@
     add(&mut w, bound, &[(0, "m-1")]);
     assert!(matches!(found(&w, &Budgets::default(), UnsavedWork::Leave)[..], [Blocker::FitsNowhere { .. }]));
     let mut w = world(&[("m-1", "a")]);
-    add(&mut w, JobSpec { estimate_s: 90.0, ..spec("j-2", JobKind::Array, 1) }, &[(0, "m-1")]);
+    add(&mut w, JobSpec { estimated_runtime_s: 90.0, ..spec("j-2", JobKind::Array, 1) }, &[(0, "m-1")]);
     let long = found(&w, &Budgets::default(), UnsavedWork::Leave);
     assert!(matches!(long[..], [Blocker::OutlastsPatience { .. }]));
     assert_eq!(found(&w, &Budgets::default(), UnsavedWork::Stop), []);
--- a/crates/drain/tests/unit/room.rs
+++ b/crates/drain/tests/unit/room.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::site::{add, spec, start_drain, team, world};
 
-fn find(w: &World, job: &str, task: u32) -> Option<Vec<Name>> {
+fn find(w: &Replica, job: &str, task: u32) -> Option<Vec<Name>> {
     let mut inventory = Inventory::new(w, |_| true);
     let teams = [Team { cpus_max: 8.0, ..team("t") }];
     let mut room =
--- a/crates/drain/tests/unit/selection.rs
+++ b/crates/drain/tests/unit/selection.rs
@@ -2,7 +2,7 @@
 use crate::site::{start_drain, world};
 
 fn selected(
-    w: &World,
+    w: &Replica,
     selection: Selection,
     ages: Option<&HashMap<String, f64>>,
 ) -> Result<String, SelectionError> {
@@ -29,7 +29,7 @@
 #[test]
 fn what_cannot_be_meant_is_told_by_its_option() {
     let mut w = world(&[("m-1", "a"), ("m-2", "b")]);
-    let error = |w: &World, s: Selection| selected(w, s, None).expect_err("refused").to_string();
+    let error = |w: &Replica, s: Selection| selected(w, s, None).expect_err("refused").to_string();
     assert!(error(&w, Selection::default()).contains("no machines are named"));
     assert!(error(&w, Selection { zone: Some("a".into()), ..named(&["m-1"]) }).contains("--machine"));
     assert!(error(&w, named(&["m-9"])).contains("\"m-9\""));
--- a/crates/drain/tests/unit/test_records.rs
+++ b/crates/drain/tests/unit/test_records.rs
@@ -2,7 +2,7 @@
 
 use sched::drain_records::*;
 use sched::records::*;
-use sched::world::Team;
+use sched::replica::Team;
 use wire::{JobKind, JobSpec, MachineType, Priority};
 
 /// A job whose tasks take two CPUs each.
@@ -24,11 +24,11 @@
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_runtime_s: 1.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
-        needs: None,
+        dependencies: None,
     }
 }
 
@@ -49,7 +49,7 @@
 }
 
 /// The only machine type.
-pub fn types() -> TypesRecord {
+pub fn types() -> MachineTypesRecord {
     let kind = MachineType {
         name: "m".into(),
         cpus: 8.0,
@@ -62,7 +62,7 @@
         boot_s: 30.0,
         zones: vec!["a".into(), "b".into()],
     };
-    TypesRecord { types: vec![kind] }
+    MachineTypesRecord { types: vec![kind] }
 }
 
 /// The record of an active drain that has just begun.
--- a/crates/drain/tests/unit/view.rs
+++ b/crates/drain/tests/unit/view.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::site::{add, spec, start_drain, world};
 use sched::drain_records::Stopper;
-use sched::records::{End, Want};
-use sched::world::Change;
+use sched::records::{DesiredState, TerminationReason};
+use sched::replica::RecordChange;
 
 fn names(drain: &Drain) -> Vec<&str> {
     drain.machines.iter().map(|m| &*m.name).collect()
 }
 
-fn drains(w: &World, orders: &Orders) -> Vec<Drain> {
+fn drains(w: &Replica, orders: &Orders) -> Vec<Drain> {
     active_drains(w, &Budgets::default(), orders)
 }
 
@@ -18,11 +18,11 @@
 fn a_drain_is_over_once_all_that_is_gone_is_written_down() {
     let mut w = world(&[("m-1", "a"), ("m-2", "a")]);
     start_drain(&mut w, "d", &["m-1"], 5);
-    w.apply(Change::Machine("m-1".into(), None), 6);
+    w.apply(RecordChange::Machine("m-1".into(), None), 6);
     assert!(drains(&w, &Orders::default()).is_empty());
     let mut cordon = w.drains.cordons[&("d".to_owned(), 0)].value.clone();
     assert!(cordon.note_gone(&"m-1".into()));
-    w.apply(Change::Cordon(("d".into(), 0), Some(cordon)), 7);
+    w.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), 7);
     let over = drains(&w, &Orders::default());
     assert!(over.len() == 1 && over[0].machines.is_empty());
 }
@@ -41,14 +41,14 @@
 #[test]
 fn a_gang_is_one_unit_on_each_of_its_machines() {
     let mut w = world(&[("m-1", "a"), ("m-2", "a")]);
-    let gang = wire::JobSpec { checkpoint_s: 5.0, ..spec("j-1", JobKind::Gang, 3) };
+    let gang = wire::JobSpec { checkpoint_interval_s: 5.0, ..spec("j-1", JobKind::Gang, 3) };
     add(&mut w, gang, &[(0, "m-1"), (1, "m-1"), (2, "m-2")]);
     let units = units_on(&w, "m-1");
     assert!(units.len() == 1 && units[0].work == Work::Saving && !units[0].stopping);
     assert_eq!(units[0].id, units_on(&w, "m-2")[0].id);
     let mut job = w.jobs["j-1"].value.clone();
     sched::spot_notice::mark(&mut job, 2);
-    w.apply(Change::Job("j-1".into(), Some(job)), 7);
+    w.apply(RecordChange::Job("j-1".into(), Some(job)), 7);
     assert!(units_on(&w, "m-1")[0].stopping, "all of it stops");
 }
 
@@ -62,14 +62,15 @@
     seen.note("j-1", 0, 1);
     assert!(!is_settled(&w, &entry, &seen), "that is the one that was stopped");
     let mut job = w.jobs["j-1"].value.clone();
-    job.end(0, 1, End::Stopped, 0, 0);
-    let place = Assignment { task: 0, attempt: job.attempt, machine: "m-2".into(), want: Want::Run };
-    job.run = vec![place];
-    w.apply(Change::Job("j-1".into(), Some(job.clone())), 7);
+    job.end_assignment(0, 1, TerminationReason::Stopped, 0, 0);
+    let place =
+        Assignment { task: 0, attempt: job.attempt, machine: "m-2".into(), desired: DesiredState::Running };
+    job.assignments = vec![place];
+    w.apply(RecordChange::Job("j-1".into(), Some(job.clone())), 7);
     assert!(!is_settled(&w, &entry, &seen), "its replacement has a place and does not run");
     seen.note("j-1", 0, job.attempt);
     assert!(is_settled(&w, &entry, &seen));
     job.phase = Phase::Cancelled;
-    w.apply(Change::Job("j-1".into(), Some(job)), 8);
+    w.apply(RecordChange::Job("j-1".into(), Some(job)), 8);
     assert!(is_settled(&w, &entry, &ObservedTasks::default()), "none will come");
 }
--- a/crates/emulator/src/config/load.rs
+++ b/crates/emulator/src/config/load.rs
@@ -234,11 +234,11 @@
             one_zone: self.one_zone,
             spread: self.spread,
             spot: self.spot,
-            estimate_s: self.estimate_s,
-            checkpoint_s: self.checkpoint_s,
-            save_s: self.save_s,
+            estimated_runtime_s: self.estimate_s,
+            checkpoint_interval_s: self.checkpoint_s,
+            checkpoint_save_s: self.save_s,
             deadline_s: self.deadline_s,
-            needs: None,
+            dependencies: None,
         }
     }
 }
--- a/crates/emulator/src/gang.rs
+++ b/crates/emulator/src/gang.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use wire::Cause;
+use wire::ExitReason;
 
 #[derive(Debug, Clone, Copy)]
 pub struct GangRules {
@@ -18,7 +18,7 @@
     Running,
     Saving,
     /// The cause, and whether its progress was saved.
-    Ended(Cause, Option<bool>),
+    Ended(ExitReason, Option<bool>),
 }
 
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     told: Option<Instant>,
     /// Its machine hangs, and from when on the others know.
     hung: Option<Instant>,
-    end: Option<(Cause, Option<bool>)>,
+    end: Option<(ExitReason, Option<bool>)>,
 }
 
 /// The attempt. `saved` and `done` outlive it.
@@ -168,7 +168,7 @@
         let wait = self.rules.wait;
         for m in self.members.values_mut().filter(|m| !m.started && m.end.is_none()) {
             if now >= m.joined + wait {
-                m.end = Some((Cause::Alone, None));
+                m.end = Some((ExitReason::GangIncomplete, None));
             }
         }
     }
@@ -195,7 +195,7 @@
             }
             if self.progress >= self.run_s {
                 self.done = true;
-                return self.running().for_each(|m| m.end = Some((Cause::Done, None)));
+                return self.running().for_each(|m| m.end = Some((ExitReason::Done, None)));
             }
         }
         if self.loss.into_iter().chain(hung).any(|at| at <= now) {
@@ -209,7 +209,7 @@
         match told.iter().copied().collect::<Option<Vec<_>>>() {
             Some(all) if all.iter().max().is_some_and(|last| now >= *last + self.save) => {
                 self.saved = self.progress;
-                self.running().for_each(|m| m.end = Some((Cause::Stopped, Some(true))));
+                self.running().for_each(|m| m.end = Some((ExitReason::Stopped, Some(true))));
             }
             None if now >= first + self.rules.peer => self.fall_back(),
             _ => {}
@@ -220,8 +220,8 @@
     fn fall_back(&mut self) {
         self.running().for_each(|m| {
             m.end = Some(match m.told {
-                Some(_) => (Cause::Stopped, Some(false)),
-                None => (Cause::PeersGone, None),
+                Some(_) => (ExitReason::Stopped, Some(false)),
+                None => (ExitReason::PeersGone, None),
             });
         });
     }
--- a/crates/emulator/src/jobs.rs
+++ b/crates/emulator/src/jobs.rs
@@ -51,7 +51,7 @@
 
     /// A user uploads a job's description; the first one counts.
     pub fn upload(&mut self, spec: JobSpec, broken: bool) {
-        let run_s = spec.estimate_s * self.rng.random_range(TRUTH);
+        let run_s = spec.estimated_runtime_s * self.rng.random_range(TRUTH);
         if !self.all.contains_key(&spec.id) {
             self.apply(JobChange::Uploaded { spec: Arc::new(spec), run_s, broken });
         }
@@ -135,8 +135,8 @@
             return None;
         }
         let saved = j.saved.get(&0).copied().unwrap_or(0.0);
-        let save = Duration::from_secs_f64(j.spec.save_s);
-        let (size, knot) = (j.spec.tasks as usize, j.spec.checkpoint_s);
+        let save = Duration::from_secs_f64(j.spec.checkpoint_save_s);
+        let (size, knot) = (j.spec.tasks as usize, j.spec.checkpoint_interval_s);
         let new = || Gang::new(self.rules, size, j.run_s, knot, save, saved, now);
         let gang = self.gangs.entry((job.to_owned(), attempt)).or_insert_with(new);
         // An earlier attempt may have saved since.
--- a/crates/emulator/src/live/mod.rs
+++ b/crates/emulator/src/live/mod.rs
@@ -214,7 +214,7 @@
     }
 
     /// What is on the machines, ended tasks that are still reported too.
-    pub fn tasks(&self) -> Vec<wire::TaskReport> {
+    pub fn tasks(&self) -> Vec<wire::TaskStatus> {
         self.live.site.lock().workers().flat_map(|w| w.tasks()).collect()
     }
 
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use net::{Reply, Request};
-use wire::{Commands, JobSpec, MachineStatus, Report};
+use wire::{Commands, Heartbeat, JobSpec, MachineStatus};
 
 use crate::cloud::{Addresses, Cloud, CloudSettings, Event};
 use crate::gang::GangRules;
@@ -31,7 +31,7 @@
     pub machine: String,
     pub to: usize,
     pub ticket: Ticket,
-    pub report: Report,
+    pub report: Heartbeat,
 }
 
 pub struct Site {
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use wire::{Command, Commands, MachineType, Report, ReportAnswer};
+use wire::{Command, Commands, Heartbeat, HeartbeatResponse, MachineType};
 
 use crate::history::TaskEvent;
 use crate::images::Images;
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub enum Heard {
     /// 200; None: without a token that could be read.
-    Answer(Option<ReportAnswer>),
+    Answer(Option<HeartbeatResponse>),
     /// 421, perhaps with the number of another controller.
     Elsewhere(Option<usize>),
     /// Any other status, no answer in time, no connection.
@@ -68,7 +68,7 @@
 pub const ANSWER_WAIT: Duration = Duration::from_secs(4);
 
 /// What a report shows that is worth one at once: tasks, notice and session.
-type Shown = (Vec<wire::TaskReport>, bool, u64);
+type Shown = (Vec<wire::TaskStatus>, bool, u64);
 
 pub struct Worker {
     pub info: MachineInfo,
@@ -143,7 +143,7 @@
     }
 
     /// What is on it, as it would report it.
-    pub fn tasks(&self) -> Vec<wire::TaskReport> {
+    pub fn tasks(&self) -> Vec<wire::TaskStatus> {
         self.tasks.reports()
     }
 
@@ -194,26 +194,26 @@
         (self.tasks.reports(), self.notice.is_some(), self.session)
     }
 
-    fn report(&mut self, now: Instant) -> Report {
+    fn report(&mut self, now: Instant) -> Heartbeat {
         self.seq += 1;
         let info = &self.info;
         let notice_s = self.notice.map(|at| at.saturating_duration_since(now).as_secs_f64());
-        Report {
+        Heartbeat {
             machine: info.name.clone(),
             addr: info.addr.clone(),
             machine_type: info.machine_type.name.clone(),
             zone: info.zone.clone(),
             spot: info.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            spot_notice_s: notice_s,
             tasks: self.tasks.reports(),
         }
     }
 
     /// A report, if one is to be sent now to `target`.
-    pub fn due(&mut self, now: Instant) -> Option<(Ticket, Report)> {
+    pub fn due(&mut self, now: Instant) -> Option<(Ticket, Heartbeat)> {
         if let Some(ticket) = self.in_flight
             && now >= ticket.sent + ANSWER_WAIT
         {
@@ -254,8 +254,10 @@
         let heard = if self.faults.deaf || late { Heard::Nothing } else { heard };
         let next_one = (self.target + 1) % self.controllers.max(1);
         match heard {
-            Heard::Answer(Some(answer)) if answer.token >= self.token && ticket.session == self.session => {
-                self.token = answer.token;
+            Heard::Answer(Some(answer))
+                if answer.fencing_token >= self.token && ticket.session == self.session =>
+            {
+                self.token = answer.fencing_token;
                 self.renewed = self.renewed.max(ticket.sent);
                 if let Some(jobs) = jobs {
                     self.execute(&answer.commands, jobs, now);
@@ -291,17 +293,17 @@
     }
 
     /// Commands sent straight to the machine: the status and its report.
-    pub fn commands(&mut self, commands: &Commands, jobs: &mut Jobs, now: Instant) -> (u16, Report) {
+    pub fn commands(&mut self, commands: &Commands, jobs: &mut Jobs, now: Instant) -> (u16, Heartbeat) {
         self.poll(jobs, now);
-        if commands.token < self.token || commands.session != self.session {
+        if commands.fencing_token < self.token || commands.incarnation != self.session {
             return (409, self.report(now));
         }
-        self.token = commands.token;
+        self.token = commands.fencing_token;
         self.execute(&commands.commands, jobs, now);
         (200, self.report(now))
     }
 
-    pub fn status(&mut self, jobs: &mut Jobs, now: Instant) -> Report {
+    pub fn status(&mut self, jobs: &mut Jobs, now: Instant) -> Heartbeat {
         self.poll(jobs, now);
         self.report(now)
     }
