--- a/crates/emulator/src/worker/tasks.rs
+++ b/crates/emulator/src/worker/tasks.rs
@@ -6,7 +6,7 @@
 
 use rand::RngExt;
 use rand::rngs::StdRng;
-use wire::{Cause, JobKind, JobSpec, MachineType, TaskReport, TaskState};
+use wire::{ExitReason, JobKind, JobSpec, MachineType, TaskState, TaskStatus};
 
 use crate::gang::Part;
 use crate::history::TaskEventKind;
@@ -19,7 +19,7 @@
     job: String,
     number: u32,
     state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<ExitReason>,
     saved: Option<bool>,
     /// In seconds of work.
     progress: f64,
@@ -30,7 +30,7 @@
 }
 
 impl Task {
-    fn end(&mut self, cause: Cause, saved: Option<bool>) {
+    fn end(&mut self, cause: ExitReason, saved: Option<bool>) {
         (self.state, self.cause, self.saved, self.until) = (TaskState::Exited, Some(cause), saved, None);
     }
 
@@ -64,13 +64,13 @@
         Self { all: BTreeMap::new(), images, speed, cpus, gpus, memory_gb, events: Vec::new() }
     }
 
-    pub fn reports(&self) -> Vec<TaskReport> {
-        let report = |((task, attempt), t): (&(String, u64), &Task)| TaskReport {
+    pub fn reports(&self) -> Vec<TaskStatus> {
+        let report = |((task, attempt), t): (&(String, u64), &Task)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: t.state,
             cause: t.cause,
-            saved: t.saved,
+            checkpointed: t.saved,
         };
         self.all.iter().map(report).collect()
     }
@@ -116,9 +116,9 @@
         let (job, number) = parts.map_or((String::new(), 0), |(job, n)| (job.to_owned(), n));
         let in_use = self.all.iter().any(|((t, _), o)| t == task && o.state != TaskState::Exited);
         let refused = match &known {
-            None => Some(Cause::Unknown),
-            Some(_) if in_use => Some(Cause::Busy),
-            Some(spec) if !self.fits(spec) => Some(Cause::NoRoom),
+            None => Some(ExitReason::Unknown),
+            Some(_) if in_use => Some(ExitReason::Busy),
+            Some(spec) if !self.fits(spec) => Some(ExitReason::NoCapacity),
             Some(_) => None,
         };
         let mut new = Task {
@@ -159,18 +159,18 @@
             if stays {
                 t.state = TaskState::Saving
             } else {
-                t.end(Cause::Stopped, None)
+                t.end(ExitReason::Stopped, None)
             }
             return;
         }
-        let save = Duration::from_secs_f64(spec.save_s);
+        let save = Duration::from_secs_f64(spec.checkpoint_save_s);
         match t.state {
-            TaskState::Running if spec.checkpoint_s > 0.0 && grace >= save => {
+            TaskState::Running if spec.checkpoint_interval_s > 0.0 && grace >= save => {
                 t.state = TaskState::Saving;
                 t.until = Some(now + save);
             }
             TaskState::Saving if !grace.is_zero() => {}
-            _ => t.end(Cause::Stopped, None),
+            _ => t.end(ExitReason::Stopped, None),
         }
     }
 
@@ -205,7 +205,7 @@
         if notice.is_none() {
             // Saving stood still as well.
             for t in self.all.values_mut().filter(|t| t.until.is_some()) {
-                let save = t.spec.as_ref().map_or(0.0, |s| s.save_s);
+                let save = t.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s);
                 t.until = Some(now + Duration::from_secs_f64(save));
             }
         }
@@ -241,7 +241,7 @@
                         gang.gone(t.number, notice, now);
                     }
                 }
-                t.end(Cause::Error, None);
+                t.end(ExitReason::Error, None);
             }
         }
     }
@@ -265,7 +265,7 @@
 /// The task has its image.
 fn begin(t: &mut Task, attempt: u64, speed: f64, jobs: &mut Jobs, now: Instant) {
     if jobs.is_done(&t.job, t.number) {
-        return t.end(Cause::Done, None);
+        return t.end(ExitReason::Done, None);
     }
     if let Some(gang) = jobs.gang(&t.job, attempt, now) {
         gang.join(t.number, speed, now);
@@ -288,7 +288,7 @@
             gang.leave(t.number);
             t.end(cause, saved);
         }
-        None => t.end(Cause::PeersGone, None),
+        None => t.end(ExitReason::PeersGone, None),
     }
 }
 
@@ -296,19 +296,19 @@
     match t.state {
         TaskState::Running => {
             t.progress += dt.as_secs_f64() * speed;
-            if spec.checkpoint_s > 0.0 {
-                let kept = (t.progress / spec.checkpoint_s).floor() * spec.checkpoint_s;
+            if spec.checkpoint_interval_s > 0.0 {
+                let kept = (t.progress / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s;
                 jobs.save(&t.job, t.number, kept);
             }
             let run_s = jobs.get(&t.job).map_or(f64::INFINITY, |j| j.run_s);
             if spec.kind == JobKind::Array && t.progress >= run_s {
                 jobs.set_done(&t.job, t.number);
-                t.end(Cause::Done, None);
+                t.end(ExitReason::Done, None);
             }
         }
         TaskState::Saving if t.until.is_some_and(|at| at <= now) => {
             jobs.save(&t.job, t.number, t.progress);
-            t.end(Cause::Stopped, Some(true));
+            t.end(ExitReason::Stopped, Some(true));
         }
         _ => {}
     }
--- a/crates/emulator/tests/gang.rs
+++ b/crates/emulator/tests/gang.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use emulator::{Gang, GangRules, Part};
-use wire::Cause;
+use wire::ExitReason;
 
 const RULES: GangRules = GangRules { wait: Duration::from_secs(30), peer: Duration::from_secs(5) };
 
@@ -27,7 +27,7 @@
     g
 }
 
-const fn ended(cause: Cause, saved: Option<bool>) -> Option<Part> {
+const fn ended(cause: ExitReason, saved: Option<bool>) -> Option<Part> {
     Some(Part::Ended(cause, saved))
 }
 
@@ -46,7 +46,7 @@
     assert_eq!(parts(&g), [Some(Part::Running); 3]);
     assert_eq!(g.saved, 18.0, "a multiple of the interval");
     g.poll(t + s(70.0));
-    assert_eq!(parts(&g), [ended(Cause::Done, None); 3]);
+    assert_eq!(parts(&g), [ended(ExitReason::Done, None); 3]);
     assert!(g.done);
 }
 
@@ -57,7 +57,7 @@
     g.join(0, 1.0, t);
     g.join(1, 1.0, t + s(10.0));
     g.poll(t + s(30.0));
-    assert_eq!(parts(&g), [ended(Cause::Alone, None), Some(Part::Gathering), None]);
+    assert_eq!(parts(&g), [ended(ExitReason::GangIncomplete, None), Some(Part::Gathering), None]);
     g.join(2, 1.0, t + s(31.0));
     g.poll(t + s(39.0));
     assert_eq!(g.part(2), Some(Part::Gathering), "the one that ended does not count");
@@ -72,7 +72,7 @@
     g.poll(t + s(17.9));
     assert_eq!(parts(&g), [Some(Part::Running), None, Some(Part::Running)]);
     g.poll(t + s(18.0));
-    assert_eq!(parts(&g), [ended(Cause::PeersGone, None), None, ended(Cause::PeersGone, None)]);
+    assert_eq!(parts(&g), [ended(ExitReason::PeersGone, None), None, ended(ExitReason::PeersGone, None)]);
     assert_eq!(g.saved, 6.0);
     // The same by a machine that hangs, but not if it goes on in time.
     let mut g = started(t);
@@ -82,7 +82,7 @@
     assert_eq!(g.part(1), Some(Part::Running));
     g.hang(0, Some(s(4.0)), t + s(10.0));
     g.poll(t + s(14.0));
-    assert_eq!(parts(&g), [ended(Cause::PeersGone, None); 3]);
+    assert_eq!(parts(&g), [ended(ExitReason::PeersGone, None); 3]);
 }
 
 #[test]
@@ -95,7 +95,7 @@
     g.poll(t + s(10.8));
     assert_eq!(parts(&g), [Some(Part::Saving); 3]);
     g.poll(t + s(10.9));
-    assert_eq!(parts(&g), [ended(Cause::Stopped, Some(true)); 3]);
+    assert_eq!(parts(&g), [ended(ExitReason::Stopped, Some(true)); 3]);
     assert_eq!(g.saved, 2.0, "progress stopped with the first stop");
 }
 
@@ -106,8 +106,8 @@
     let mut g = started(t);
     assert!(g.stop(0, s(2.0), s(1.0), t + s(13.0)) && g.stop(1, s(9.0), s(1.0), t + s(14.0)));
     g.poll(t + s(18.0));
-    let halted = ended(Cause::Stopped, Some(false));
-    assert_eq!(parts(&g), [halted, halted, ended(Cause::PeersGone, None)]);
+    let halted = ended(ExitReason::Stopped, Some(false));
+    assert_eq!(parts(&g), [halted, halted, ended(ExitReason::PeersGone, None)]);
     assert_eq!(g.saved, 6.0);
     // Too little time to save, and a second stop without any.
     for grace in [1.9, 0.0] {
@@ -117,7 +117,7 @@
         let task = if grace == 0.0 { 0 } else { 1 };
         assert!(!g.stop(task, s(grace), s(1.0), t + s(5.0)));
         g.poll(t + s(6.0));
-        assert_eq!(g.part(2), ended(Cause::PeersGone, None));
+        assert_eq!(g.part(2), ended(ExitReason::PeersGone, None));
         assert_eq!(g.saved, 0.0);
     }
 }
--- a/crates/emulator/tests/loopback.rs
+++ b/crates/emulator/tests/loopback.rs
@@ -63,7 +63,7 @@
     let (balancer, door) = (user(&emulation.users), user(&emulation.controllers[1].door));
     let hello: JobSpec = toml::from_str(HELLO).expect("a job");
     let kind = wire::JobKind::Service;
-    let service = JobSpec { id: "j-2".into(), kind, estimate_s: 0.0, spot: false, ..hello.clone() };
+    let service = JobSpec { id: "j-2".into(), kind, estimated_runtime_s: 0.0, spot: false, ..hello.clone() };
     assert!(balancer.ask("POST", "/v1/jobs", wire::encode(&hello)).await.is_some());
     assert!(door.ask("POST", "/v1/jobs", wire::encode(&service)).await.is_some());
     balancer.until("j-1", JobState::Done).await;
--- a/crates/emulator/tests/workers.rs
+++ b/crates/emulator/tests/workers.rs
@@ -8,7 +8,7 @@
 use emulator::{CloudSettings, Faults, Sending, Site, SiteSettings};
 use net::Request;
 use serde_json::{Value as Json, json};
-use wire::{MachineType, Report};
+use wire::{Heartbeat, MachineType};
 
 const M: &str = "host-000001";
 
@@ -58,7 +58,7 @@
     token: u64,
     /// The orders that go with the next answer to each machine.
     orders: HashMap<String, Json>,
-    last: HashMap<String, Report>,
+    last: HashMap<String, Heartbeat>,
     sent: Vec<(Instant, Sending)>,
     silent: bool,
 }
@@ -190,7 +190,7 @@
     t.pass(1.1);
     assert_eq!(t.tasks(M), ["halted", "halted"]);
     t.pass(1.0);
-    assert_eq!(t.last[M].tasks[0].saved, Some(true));
+    assert_eq!(t.last[M].tasks[0].checkpointed, Some(true));
     t.launch("host-000002", "j-1/0", 2);
     t.pass(4.0 + run_s * 0.35);
     assert_eq!(t.tasks("host-000002"), ["running"]);
@@ -322,7 +322,7 @@
     assert_eq!(t.tasks(M)[1], "mates_gone");
     t.site.cloud.reclaim(M, Some(Duration::from_secs(9)), t.now);
     t.pass(1.0);
-    assert!(t.last[M].notice_s.is_some_and(|s| (7.0..=9.0).contains(&s)));
+    assert!(t.last[M].spot_notice_s.is_some_and(|s| (7.0..=9.0).contains(&s)));
     t.pass(9.0);
     assert_eq!(t.site.workers().count(), 0);
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -5,71 +5,71 @@
 
 /// A machine as its owner sees it: the free-room summary's row.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct MachineRow {
+pub struct MachineStatusRow {
     pub id: String,
     /// The worker reports and is not about to be taken away.
     pub usable: bool,
     /// The owner has heard nothing of it for so long.
     pub silent_ms: u64,
     /// The owner has heard of it since it owns it.
-    pub met: bool,
+    pub heard_from: bool,
     pub free_cpus: f64,
     pub free_gpus: f64,
     pub free_memory_gb: f64,
     /// The machine fails what it is given, or hangs.
-    pub sick: bool,
+    pub unhealthy: bool,
     /// The cloud takes it away soon.
-    pub notice: bool,
+    pub spot_notice: bool,
 }
 
 /// Sent to every peer about once a second and answered in kind.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Summary {
+pub struct PeerStatus {
     pub name: String,
     pub incarnation: u64,
     /// Counts the sender's summaries: a late copy of an older one says nothing.
-    pub count: u64,
+    pub sequence: u64,
     /// Epoch of the newest map the sender knows.
     pub epoch: u64,
     /// The sender's last contact with the state service was so long ago.
     pub state_silent_ms: u64,
-    pub machines: Vec<MachineRow>,
+    pub machines: Vec<MachineStatusRow>,
 }
 
 /// A worker's report that reached a controller which does not own the machine,
 /// passed on because the worker cannot reach the owner. The body is as it came.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Relay {
-    pub report: Vec<u8>,
+pub struct RelayedHeartbeat {
+    pub heartbeat: Vec<u8>,
 }
 
 /// The end of an assignment that a machine's owner has proven, for the
 /// controller that places the job.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Proof {
+pub struct TerminationProof {
     pub job: String,
     pub task: u32,
     pub attempt: u64,
     pub machine: String,
-    pub end: u8,
+    pub reason_code: u8,
 }
 
 /// Proofs hold under the map with this epoch only.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
-pub struct Proofs {
+pub struct TerminationProofs {
     pub epoch: u64,
-    pub list: Vec<Proof>,
+    pub proofs: Vec<TerminationProof>,
 }
 
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub enum Message {
-    Summary(Summary),
-    Relay(Relay),
-    Proofs(Proofs),
+    PeerStatus(PeerStatus),
+    RelayedHeartbeat(RelayedHeartbeat),
+    TerminationProofs(TerminationProofs),
     /// The proofs were taken.
-    Taken,
+    Acknowledged,
     /// The owner's answer to a relayed report.
-    Relayed {
+    HeartbeatResponse {
         status: u16,
         body: Vec<u8>,
     },
--- a/crates/peer/tests/unit/lib.rs
+++ b/crates/peer/tests/unit/lib.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn messages_survive_and_rubbish_is_refused() {
-    let m = Message::Relayed { status: 200, body: vec![1, 2, 3] };
+    let m = Message::HeartbeatResponse { status: 200, body: vec![1, 2, 3] };
     assert_eq!(decode(&encode(&m)), Some(m));
     assert_eq!(decode(b""), None);
     assert_eq!(decode(&[0xff; 40]), None);
--- a/crates/sched/src/compact.rs
+++ b/crates/sched/src/compact.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::records::{Assignment, Name, Want};
+use crate::records::{Assignment, DesiredState, Name};
 
 const DIGITS: &[u8; 64] = b"0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_";
 
@@ -88,7 +88,7 @@
 
 /// What one list of machines and tasks has in common: the name's stem and number
 /// of digits, the attempt, and what is wanted.
-type Group = (String, usize, u64, Want, String);
+type Group = (String, usize, u64, DesiredState, String);
 
 /// Machine names in order, as those of one rental mostly follow each other.
 pub mod names {
@@ -165,7 +165,7 @@
             .iter()
             .map(|a| {
                 let (stem, digits, number) = split(&a.machine);
-                ((stem, digits, a.attempt, a.want), number, a.task)
+                ((stem, digits, a.attempt, a.desired), number, a.task)
             })
             .collect();
         sorted.sort_unstable();
@@ -218,7 +218,7 @@
                         };
                         task = step.and_then(|s| task.checked_add(s)).ok_or_else(bad)?;
                     }
-                    run.push(Assignment { task, attempt, machine: machine.clone(), want });
+                    run.push(Assignment { task, attempt, machine: machine.clone(), desired: want });
                 }
                 next = task.wrapping_add(1);
             }
--- a/crates/sched/src/inventory.rs
+++ b/crates/sched/src/inventory.rs
@@ -6,7 +6,7 @@
 
 use crate::hash::HashMap;
 use crate::records::{JobRecord, Name};
-use crate::world::{Amount, InOrder, World};
+use crate::replica::{Replica, Resources, SortedLookup};
 
 /// A machine as placement sees it within one round.
 #[derive(Debug, Clone)]
@@ -17,8 +17,8 @@
     pub machine_type: Name,
     pub zone: Name,
     pub spot: bool,
-    pub whole: Amount,
-    pub used: Amount,
+    pub capacity: Resources,
+    pub used: Resources,
     /// Whether anything may be placed there now, by its owner's word.
     pub(crate) usable: bool,
     /// What the machine costs, and how fast it fetches.
@@ -36,8 +36,8 @@
         }
     }
 
-    pub fn free(&self) -> Amount {
-        self.whole.plus(self.used, -1.0)
+    pub fn free(&self) -> Resources {
+        self.capacity.plus_scaled(self.used, -1.0)
     }
 }
 
@@ -57,7 +57,7 @@
     /// All machines that have an owner and are not being given back, in the order of their
     /// names. What is used is changed by `take` only.
     pub slots: Vec<Slot>,
-    pub team_use: HashMap<String, Amount>,
+    pub team_usage: HashMap<String, Resources>,
     /// The usable machines that are alike. Choosing looks at one of each: at every machine for
     /// every job, a round cost millions of instructions on a site of a thousand.
     pub(crate) alike: BTreeMap<Alike, BTreeSet<usize>>,
@@ -66,23 +66,23 @@
     /// Of which set of machines, owners and types it was made.
     layout: u64,
     /// What was in use of the slots that were changed since [`Inventory::begin`], in that order.
-    undo: Vec<(usize, Amount)>,
+    undo: Vec<(usize, Resources)>,
 }
 
 impl Inventory {
     /// All machines, of which those may be used that `usable` admits.
-    pub fn new(world: &World, usable: impl Fn(&str) -> bool) -> Self {
+    pub fn new(world: &Replica, usable: impl Fn(&str) -> bool) -> Self {
         Self::made_of(world, |id, _| usable(id))
     }
 
     /// The same, by the machines' names and owners' incarnations; `usable` is asked in the
     /// order of the names.
-    fn made_of(world: &World, mut usable: impl FnMut(&Name, u64) -> bool) -> Self {
+    fn made_of(world: &Replica, mut usable: impl FnMut(&Name, u64) -> bool) -> Self {
         let mut slots: Vec<Slot> = Vec::with_capacity(world.machines.len());
         let mut alike: BTreeMap<Alike, BTreeSet<usize>> = BTreeMap::new();
         // The first machine of each kind.
         let mut kinds: Vec<usize> = Vec::new();
-        let mut used = InOrder::new(&world.machine_use);
+        let mut used = SortedLookup::new(&world.machine_usage);
         for (id, m, owner) in world.owned_machines() {
             let m = &m.value;
             if m.release {
@@ -98,7 +98,7 @@
             let slot = match kinds.iter().map(|&i| &slots[i]).find(|s| like(s)) {
                 Some(s) => Slot { id: id.clone(), used, usable, ..s.clone() },
                 None => {
-                    let Some(t) = world.types.get(&*m.machine_type) else { continue };
+                    let Some(t) = world.machine_types.get(&*m.machine_type) else { continue };
                     kinds.push(slots.len());
                     Slot {
                         id: id.clone(),
@@ -106,7 +106,7 @@
                         machine_type: m.machine_type.clone(),
                         zone: m.zone.clone(),
                         spot: m.spot,
-                        whole: Amount::of_type(t),
+                        capacity: Resources::of_type(t),
                         used,
                         usable,
                         price: if m.spot { t.spot_price } else { t.price },
@@ -121,30 +121,37 @@
             slots.push(slot);
         }
         let positions = slots.iter().enumerate().map(|(i, s)| (s.id.clone(), i)).collect();
-        let team_use = world.team_use.clone();
-        Self { slots, team_use, alike, positions, layout: world.layout(), undo: Vec::new() }
+        let team_use = world.team_usage.clone();
+        Self {
+            slots,
+            team_usage: team_use,
+            alike,
+            positions,
+            layout: world.topology_generation(),
+            undo: Vec::new(),
+        }
     }
 
     /// Brings up to date what is in use. False if the inventory has to be made anew, as machines,
     /// owners or types are others.
-    pub fn refresh_use(&mut self, world: &mut World) -> bool {
-        if self.layout != world.layout() {
+    pub fn refresh_use(&mut self, world: &mut Replica) -> bool {
+        if self.layout != world.topology_generation() {
             return false;
         }
-        for id in world.take_use_changes() {
+        for id in world.take_machines_with_changed_usage() {
             if let Some(i) = self.positions.get(&id).copied() {
-                self.set_used(i, world.machine_use.get(&id).copied().unwrap_or_default());
+                self.set_used(i, world.machine_usage.get(&id).copied().unwrap_or_default());
             }
         }
-        self.team_use.clone_from(&world.team_use);
+        self.team_usage.clone_from(&world.team_usage);
         true
     }
 
     /// Brings all up to date. `usable` is asked for each machine in the order of the names, with
     /// its owner's incarnation.
-    pub fn refresh(&mut self, world: &mut World, mut usable: impl FnMut(&Name, u64) -> bool) {
+    pub fn refresh(&mut self, world: &mut Replica, mut usable: impl FnMut(&Name, u64) -> bool) {
         if !self.refresh_use(world) {
-            world.take_use_changes();
+            world.take_machines_with_changed_usage();
             *self = Self::made_of(world, usable);
             return;
         }
@@ -197,13 +204,13 @@
     }
 
     /// Takes room on a machine, or gives it back.
-    pub(crate) fn take(&mut self, i: usize, size: Amount, sign: f64) {
+    pub(crate) fn take(&mut self, i: usize, size: Resources, sign: f64) {
         let used = self.slots[i].used;
         self.undo.push((i, used));
-        self.set_used(i, used.plus(size, sign));
+        self.set_used(i, used.plus_scaled(size, sign));
     }
 
-    fn set_used(&mut self, i: usize, used: Amount) {
+    fn set_used(&mut self, i: usize, used: Resources) {
         let before = self.slots[i].alike();
         self.slots[i].used = used;
         let after = self.slots[i].alike();
@@ -234,7 +241,7 @@
     }
 
     /// Takes room on machines, or gives it back.
-    pub fn reserve(&mut self, machines: &[Name], size: Amount, sign: f64) {
+    pub fn reserve(&mut self, machines: &[Name], size: Resources, sign: f64) {
         for m in machines {
             if let Some(i) = self.find(m) {
                 self.take(i, size, sign);
@@ -247,19 +254,19 @@
     /// it avoids differ from others that are alike.
     pub(crate) fn candidates(
         &self,
-        world: &World,
+        world: &Replica,
         job: &JobRecord,
         spec: &JobSpec,
         may: impl Fn(&Slot) -> bool,
     ) -> Candidates<'_> {
-        let holders = world.holders(&spec.image).map(|m| &**m);
-        let avoided = job.avoid.iter().map(|(m, _)| m.as_str());
-        let left = job.left.iter().map(|m| &**m);
+        let holders = world.machines_with_image(&spec.image).map(|m| &**m);
+        let avoided = job.avoided_machines.iter().map(|(m, _)| m.as_str());
+        let left = job.vacated_machines.iter().map(|m| &**m);
         let mut apart: Vec<usize> = holders.chain(avoided).chain(left).filter_map(|m| self.find(m)).collect();
         apart.sort_unstable();
         apart.dedup();
         let may_any = |set: &&BTreeSet<usize>| set.first().is_some_and(|i| may(&self.slots[*i]));
-        let may_one = |i: &usize| may(&self.slots[*i]) && !job.left.contains(&self.slots[*i].id);
+        let may_one = |i: &usize| may(&self.slots[*i]) && !job.vacated_machines.contains(&self.slots[*i].id);
         Candidates {
             alike: self.alike.values().filter(may_any).map(BTreeSet::iter).collect(),
             each: apart.iter().copied().filter(may_one).collect(),
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,10 +1,10 @@
 //! The decisions of sageloom, without any input or output: callers pass in what
 //! is known and what time it is.
 
+pub mod autoscaling;
 mod compact;
 pub mod drain_records;
 pub mod drains;
-pub mod fleet;
 pub mod forecast;
 pub mod hash;
 mod inventory;
@@ -12,6 +12,6 @@
 pub mod placement;
 pub mod preempt;
 pub mod records;
+pub mod replica;
 pub mod rescheduler;
 pub mod spot_notice;
-pub mod world;
--- a/crates/sched/src/pipeline.rs
+++ b/crates/sched/src/pipeline.rs
@@ -80,12 +80,12 @@
         }
     }
 
-    pub fn is_doomed(&self, id: &str) -> bool {
+    pub fn is_cancelled_by_dependency(&self, id: &str) -> bool {
         self.doomed.contains(id)
     }
 
     /// Jobs that are cancelled with one before them, as their records do not tell yet.
-    pub fn doomed(&self) -> impl Iterator<Item = &Name> {
+    pub fn cancelled_by_dependency(&self) -> impl Iterator<Item = &Name> {
         self.doomed.iter()
     }
 
--- a/crates/sched/src/placement.rs
+++ b/crates/sched/src/placement.rs
@@ -8,11 +8,11 @@
 use crate::hash::HashMap;
 use crate::inventory::Candidates;
 pub use crate::inventory::{Inventory, Slot};
-use crate::records::{Assignment, JobRecord, Name, Phase, Want};
-use crate::world::{Amount, Team, World};
+use crate::records::{Assignment, DesiredState, JobRecord, Name, Phase};
+use crate::replica::{Replica, Resources, Team};
 
 /// Whether the job may use this kind of machine at all.
-pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+pub fn is_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     spec.types.as_ref().is_none_or(|t| t.iter().any(|t| t == machine_type))
         && spec.zone.as_ref().is_none_or(|z| z == zone)
         && (spec.spot || !spot)
@@ -24,20 +24,20 @@
 }
 
 /// The tasks that wait for a place, lowest numbers first.
-pub fn pending(job: &JobRecord) -> impl Iterator<Item = u32> + '_ {
+pub fn pending_tasks(job: &JobRecord) -> impl Iterator<Item = u32> + '_ {
     let count = match (&job.spec, job.phase) {
         (Some(spec), Phase::Active) => spec.tasks,
         _ => 0,
     };
-    let running = |t: u32| job.run.binary_search_by_key(&t, |a| a.task).is_ok();
+    let running = |t: u32| job.assignments.binary_search_by_key(&t, |a| a.task).is_ok();
     (job.done.first_missing()..count).filter(move |t| !job.done.contains(*t) && !running(*t))
 }
 
-pub fn pending_count(job: &JobRecord) -> u32 {
+pub fn pending_task_count(job: &JobRecord) -> u32 {
     match (&job.spec, job.phase) {
         (Some(spec), Phase::Active) => {
             // A task that is done has no place any more.
-            spec.tasks.saturating_sub(job.done.len() + job.run.len() as u32)
+            spec.tasks.saturating_sub(job.done.len() + job.assignments.len() as u32)
         }
         _ => 0,
     }
@@ -46,23 +46,23 @@
 /// When a job whose starts keep failing may try again: a job that was submitted
 /// with a mistake fails everywhere and must not keep machines busy.
 pub fn retry_at_ms(job: &JobRecord) -> u64 {
-    let pause = match job.errors {
+    let pause = match job.failed_starts {
         0..=2 => 0,
         n => 1000u64 << (n - 3).min(5),
     };
-    job.error_ms + pause
+    job.last_failure_ms + pause
 }
 
 /// What bounds one call of [`place`].
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Most tasks to place.
-    pub most: usize,
+    pub max_tasks: usize,
     /// How far beyond the first unfinished task others may start: what is done
     /// has to fit into the record as a bitmap.
-    pub window: u32,
+    pub task_window: u32,
     /// Whether tasks without GPUs may take room that GPU jobs could use.
-    pub lossy: bool,
+    pub may_strand_gpus: bool,
     /// How long a gang's tasks wait for each other; 0: without end.
     pub gang_wait_s: f64,
     pub now_ms: u64,
@@ -72,7 +72,7 @@
 /// for a gang, at most `most`. The job and the inventory are changed to match. `within` must
 /// not tell machines apart of the same owner, type, zone and purchase with the same in use.
 pub fn place(
-    world: &World,
+    world: &Replica,
     inventory: &mut Inventory,
     job: &mut JobRecord,
     team: &Team,
@@ -84,7 +84,7 @@
 
 /// The same on machines of these names only.
 pub fn place_at(
-    world: &World,
+    world: &Replica,
     inventory: &mut Inventory,
     job: &mut JobRecord,
     team: &Team,
@@ -95,14 +95,14 @@
 }
 
 fn place_on(
-    world: &World,
+    world: &Replica,
     inventory: &mut Inventory,
     job: &mut JobRecord,
     team: &Team,
     (within, only): (impl Fn(&Slot) -> bool, Option<&[Name]>),
     limits: Limits,
 ) -> Vec<Assignment> {
-    let Limits { most, window, now_ms, .. } = limits;
+    let Limits { max_tasks: most, task_window: window, now_ms, .. } = limits;
     let Some(spec) = job.spec.clone() else { return Vec::new() };
     if job.phase != Phase::Active || retry_at_ms(job) > now_ms {
         return Vec::new();
@@ -110,23 +110,26 @@
     let gang = spec.kind == JobKind::Gang;
     // A gang that waits for its tasks may get another machine for one it lost,
     // within the same attempt; one that breaks up starts anew once all is over.
-    if gang && job.run.iter().any(|a| a.attempt != job.attempt || a.want != Want::Run) {
+    if gang && job.assignments.iter().any(|a| a.attempt != job.attempt || a.desired != DesiredState::Running)
+    {
         return Vec::new();
     }
     let most = if gang { usize::MAX } else { most };
-    let size = Amount::of_task(&spec);
-    let in_use = inventory.team_use.get(&spec.team).copied().unwrap_or_default();
-    let quota = size.times_in(team.limit().plus(Amount { memory_gb: 0.0, ..in_use }, -1.0)) as usize;
+    let size = Resources::of_task(&spec);
+    let in_use = inventory.team_usage.get(&spec.team).copied().unwrap_or_default();
+    let quota = size.count_fitting_in(team.limit().plus_scaled(Resources { memory_gb: 0.0, ..in_use }, -1.0))
+        as usize;
     let horizon = job.done.first_missing().saturating_add(window);
-    let wanted: Vec<u32> = pending(job).take_while(|t| *t < horizon).take(most.min(quota)).collect();
-    if wanted.is_empty() || (gang && (wanted.len() as u32) < pending_count(job)) {
+    let wanted: Vec<u32> = pending_tasks(job).take_while(|t| *t < horizon).take(most.min(quota)).collect();
+    if wanted.is_empty() || (gang && (wanted.len() as u32) < pending_task_count(job)) {
         return Vec::new();
     }
-    let may = |s: &Slot| size.fits(s.free()) && allowed(&spec, &s.machine_type, &s.zone, s.spot) && within(s);
-    let apart = gang && spec.tasks > 1 && limits.gang_wait_s > 0.0 && job.run.is_empty();
+    let may =
+        |s: &Slot| size.fits(s.free()) && is_allowed(&spec, &s.machine_type, &s.zone, s.spot) && within(s);
+    let apart = gang && spec.tasks > 1 && limits.gang_wait_s > 0.0 && job.assignments.is_empty();
     // Only these are chosen by more than a machine's own rank.
     let list: Option<Vec<usize>> = (spec.one_zone || apart || only.is_some()).then(|| {
-        let stays_away = |i: &usize| !job.left.contains(&inventory.slots[*i].id);
+        let stays_away = |i: &usize| !job.vacated_machines.contains(&inventory.slots[*i].id);
         match only {
             Some(machines) => {
                 let all: BTreeSet<usize> = machines.iter().filter_map(|m| inventory.find(m)).collect();
@@ -136,7 +139,7 @@
         }
     });
     let attempt = match gang {
-        true if job.run.is_empty() => job.attempt + 1,
+        true if job.assignments.is_empty() => job.attempt + 1,
         true => job.attempt,
         false => job.attempt.max(1),
     };
@@ -181,14 +184,19 @@
         .into_iter()
         .map(|(task, i)| {
             inventory.take(i, size, 1.0);
-            Assignment { task, attempt, machine: inventory.slots[i].id.clone(), want: Want::Run }
+            Assignment {
+                task,
+                attempt,
+                machine: inventory.slots[i].id.clone(),
+                desired: DesiredState::Running,
+            }
         })
         .collect();
-    let used = inventory.team_use.entry(spec.team.clone()).or_default();
-    *used = used.plus(size, placed.len() as f64);
+    let used = inventory.team_usage.entry(spec.team.clone()).or_default();
+    *used = used.plus_scaled(size, placed.len() as f64);
     job.attempt = attempt;
-    job.run.extend(placed.iter().cloned());
-    job.run.sort_unstable_by_key(|a| a.task);
+    job.assignments.extend(placed.iter().cloned());
+    job.assignments.sort_unstable_by_key(|a| a.task);
     placed
 }
 
@@ -208,7 +216,7 @@
 /// long to fetch it, the first gives up waiting, the others give up fetching,
 /// and the next try is no better.
 fn ready_together(
-    world: &World,
+    world: &Replica,
     inventory: &Inventory,
     spec: &JobSpec,
     candidates: &[usize],
@@ -232,25 +240,25 @@
     };
     let mut sets: Vec<Vec<usize>> = starts.iter().map(set).filter(|s| !s.is_empty()).collect();
     // On one machine there is one fetch for all.
-    let size = Amount::of_task(spec);
-    let one = candidates.iter().find(|&&i| size.times_in(inventory.slots[i].free()) >= spec.tasks);
+    let size = Resources::of_task(spec);
+    let one = candidates.iter().find(|&&i| size.count_fitting_in(inventory.slots[i].free()) >= spec.tasks);
     sets.extend(one.map(|i| vec![*i]));
     sets
 }
 
 /// Whether new machines of a type are too slow with a gang's image for its tasks
 /// to be ready within the time that they wait for each other.
-pub fn too_slow(spec: &JobSpec, t: &wire::MachineType, gang_wait_s: f64) -> bool {
+pub fn image_fetch_too_slow(spec: &JobSpec, t: &wire::MachineType, gang_wait_s: f64) -> bool {
     let (early, late) = fetch_s(spec, t.fetch_gb_per_s);
     spec.kind == JobKind::Gang
         && spec.tasks > 1
         && gang_wait_s > 0.0
         && late - early > gang_wait_s
-        && Amount::of_task(spec).times_in(Amount::of_type(t)) < spec.tasks
+        && Resources::of_task(spec).count_fitting_in(Resources::of_type(t)) < spec.tasks
 }
 
 /// Whether a job could take room that a gang needs.
-pub fn competes(spec: &JobSpec, gang: &JobSpec) -> bool {
+pub fn competes_for_capacity(spec: &JobSpec, gang: &JobSpec) -> bool {
     let types = |a: &JobSpec, b: &JobSpec| match (&a.types, &b.types) {
         (Some(a), Some(b)) => a.iter().any(|t| b.contains(t)),
         _ => true,
@@ -260,14 +268,18 @@
 
 /// The free places that a gang could use once there are enough: of one zone, the
 /// one with most of them, if all its tasks have to be in one.
-pub fn collect(inventory: &Inventory, spec: &JobSpec, within: impl Fn(&Slot) -> bool) -> Vec<Name> {
-    let size = Amount::of_task(spec);
+pub fn collectable_capacity(
+    inventory: &Inventory,
+    spec: &JobSpec,
+    within: impl Fn(&Slot) -> bool,
+) -> Vec<Name> {
+    let size = Resources::of_task(spec);
     let mut places: BTreeMap<&str, Vec<&Name>> = BTreeMap::new();
     let suits =
-        |s: &Slot| size.fits(s.free()) && allowed(spec, &s.machine_type, &s.zone, s.spot) && within(s);
+        |s: &Slot| size.fits(s.free()) && is_allowed(spec, &s.machine_type, &s.zone, s.spot) && within(s);
     for s in inventory.matching(suits).into_iter().map(|i| &inventory.slots[i]) {
         let zone = if spec.one_zone { &*s.zone } else { "" };
-        let n = size.times_in(s.free()).min(spec.tasks) as usize;
+        let n = size.count_fitting_in(s.free()).min(spec.tasks) as usize;
         places.entry(zone).or_default().extend(std::iter::repeat_n(&s.id, n));
     }
     let most = places.into_values().max_by_key(Vec::len).unwrap_or_default();
@@ -275,45 +287,58 @@
 }
 
 /// The machines that would take so many tasks of a job that is yet to come.
-pub fn room_for(world: &World, inventory: &Inventory, spec: &JobSpec, tasks: u32, now_ms: u64) -> Vec<Name> {
+pub fn capacity_for(
+    world: &Replica,
+    inventory: &Inventory,
+    spec: &JobSpec,
+    tasks: u32,
+    now_ms: u64,
+) -> Vec<Name> {
     let job = JobRecord::new(spec.clone(), None, 0);
-    let may = |s: &Slot| allowed(spec, &s.machine_type, &s.zone, s.spot);
+    let may = |s: &Slot| is_allowed(spec, &s.machine_type, &s.zone, s.spot);
     let candidates = inventory.candidates(world, &job, spec, may);
     let wanted: Vec<u32> = (0..tasks).collect();
-    let limits = Limits { most: wanted.len(), window: tasks, lossy: true, gang_wait_s: 0.0, now_ms };
+    let limits = Limits {
+        max_tasks: wanted.len(),
+        task_window: tasks,
+        may_strand_gpus: true,
+        gang_wait_s: 0.0,
+        now_ms,
+    };
     let chosen = choose(world, inventory, &job, spec, candidates, &wanted, limits);
     chosen.into_iter().map(|(_, i)| inventory.slots[i].id.clone()).collect()
 }
 
 /// How many tasks of the usual GPU job a machine loses room for by one task
 /// that needs no GPU.
-pub fn gpu_loss(world: &World, spec: &JobSpec, slot: &Slot) -> u32 {
-    gpu_loss_at(world, spec, slot, slot.used)
+pub fn gpu_slots_lost(world: &Replica, spec: &JobSpec, slot: &Slot) -> u32 {
+    gpu_slots_lost_at(world, spec, slot, slot.used)
 }
 
 /// The same if so much of the machine were in use.
-pub fn gpu_loss_at(world: &World, spec: &JobSpec, slot: &Slot, used: Amount) -> u32 {
-    if spec.gpus > 0.0 || slot.whole.gpus <= 0.0 {
+pub fn gpu_slots_lost_at(world: &Replica, spec: &JobSpec, slot: &Slot, used: Resources) -> u32 {
+    if spec.gpus > 0.0 || slot.capacity.gpus <= 0.0 {
         return 0;
     }
-    let need = match world.gpu_spec.as_deref() {
-        Some(gpu) if !allowed(gpu, &slot.machine_type, &slot.zone, slot.spot) => return 0,
-        Some(gpu) => Amount::of_task(gpu),
+    let need = match world.latest_gpu_job.as_deref() {
+        Some(gpu) if !is_allowed(gpu, &slot.machine_type, &slot.zone, slot.spot) => return 0,
+        Some(gpu) => Resources::of_task(gpu),
         // None has been seen yet: suppose that one takes its share of the CPUs.
         None if slot.spot => return 0,
-        None => Amount { cpus: slot.whole.cpus / slot.whole.gpus, gpus: 1.0, memory_gb: 0.0 },
+        None => Resources { cpus: slot.capacity.cpus / slot.capacity.gpus, gpus: 1.0, memory_gb: 0.0 },
     };
-    let free = slot.whole.plus(used, -1.0);
-    need.times_in(free).saturating_sub(need.times_in(free.plus(Amount::of_task(spec), -1.0)))
+    let free = slot.capacity.plus_scaled(used, -1.0);
+    need.count_fitting_in(free)
+        .saturating_sub(need.count_fitting_in(free.plus_scaled(Resources::of_task(spec), -1.0)))
 }
 
-fn zone_of(world: &World, job: &JobRecord) -> Option<Name> {
-    job.run.iter().find_map(|a| world.machines.get(&a.machine)).map(|m| m.value.zone.clone())
+fn zone_of(world: &Replica, job: &JobRecord) -> Option<Name> {
+    job.assignments.iter().find_map(|a| world.machines.get(&a.machine)).map(|m| m.value.zone.clone())
 }
 
 /// Chooses a machine for each task in turn, without changing the inventory.
 fn choose(
-    world: &World,
+    world: &Replica,
     inventory: &Inventory,
     job: &JobRecord,
     spec: &JobSpec,
@@ -321,11 +346,11 @@
     wanted: &[u32],
     limits: Limits,
 ) -> Vec<(u32, usize)> {
-    let Limits { lossy, now_ms, .. } = limits;
-    let size = Amount::of_task(spec);
+    let Limits { may_strand_gpus: lossy, now_ms, .. } = limits;
+    let size = Resources::of_task(spec);
     let limit = zone_limit(spec);
     let mut in_zone: HashMap<&str, u32> = HashMap::default();
-    for a in &job.run {
+    for a in &job.assignments {
         match world.machines.get(&a.machine) {
             Some(m) => *in_zone.entry(&*m.value.zone).or_default() += 1,
             // A machine without a record may still be in any zone.
@@ -333,24 +358,24 @@
             None => {}
         }
     }
-    let rank = |i: usize, taken: &HashMap<usize, Amount>| -> Option<Rank> {
+    let rank = |i: usize, taken: &HashMap<usize, Resources>| -> Option<Rank> {
         let s = &inventory.slots[i];
         let used = taken.get(&i).copied().unwrap_or(s.used);
-        if !size.fits(s.whole.plus(used, -1.0)) {
+        if !size.fits(s.capacity.plus_scaled(used, -1.0)) {
             return None;
         }
-        let loss = s.whole.gpus > 0.0 && gpu_loss_at(world, spec, s, used) > 0;
+        let loss = s.capacity.gpus > 0.0 && gpu_slots_lost_at(world, spec, s, used) > 0;
         if loss && !lossy {
             return None;
         }
-        let price = s.price / s.whole.cpus.max(1.0);
-        let share = order_of(used.share_of(s.whole));
+        let price = s.price / s.capacity.cpus.max(1.0);
+        let share = order_of(used.share_of(s.capacity));
         Some(Rank {
             first: (
-                job.avoid.iter().any(|(m, until)| **m == *s.id && *until > now_ms),
+                job.avoided_machines.iter().any(|(m, until)| **m == *s.id && *until > now_ms),
                 loss,
                 if loss { order_of(price) } else { 0 },
-                spec.gpus == 0.0 && s.whole.gpus > 0.0,
+                spec.gpus == 0.0 && s.capacity.gpus > 0.0,
                 !s.spot,
             ),
             then: (
@@ -360,7 +385,7 @@
                 },
                 // Machines with GPUs are filled one by one, so that the others
                 // stay whole for jobs that need the GPUs.
-                if s.whole.gpus > 0.0 { !share } else { share },
+                if s.capacity.gpus > 0.0 { !share } else { share },
                 order_of(price),
                 i,
             ),
@@ -381,7 +406,7 @@
             zones.entry(&*inventory.slots[i].zone).or_default().push(Reverse((rank, run)));
         }
     }
-    let mut taken: HashMap<usize, Amount> = HashMap::default();
+    let mut taken: HashMap<usize, Resources> = HashMap::default();
     let mut out = Vec::new();
     for &task in wanted {
         let best = zones
@@ -403,7 +428,7 @@
             heap.push(Reverse((rank, run)));
         }
         let used = taken.get(&slot).copied().unwrap_or(inventory.slots[slot].used);
-        taken.insert(slot, used.plus(size, 1.0));
+        taken.insert(slot, used.plus_scaled(size, 1.0));
         if let Some(rank) = rank(slot, &taken) {
             heap.push(Reverse((rank, None)));
         }
@@ -442,7 +467,7 @@
 
 /// Whether a job has used up so much of the time to its deadline that it should
 /// not step back for others any more.
-pub fn pressed(job: &JobRecord, now_ms: u64) -> bool {
+pub fn is_deadline_pressing(job: &JobRecord, now_ms: u64) -> bool {
     let due = job.spec.as_ref().and_then(|s| s.deadline_s);
     let accepted = if job.accepted_ms > 0 { job.accepted_ms } else { job.submitted_ms };
     due.is_some_and(|due| now_ms.saturating_sub(accepted) as f64 / 1000.0 > due * PRESSED)
@@ -453,7 +478,7 @@
 /// What decides among jobs of the same priority, the least first: not the turn
 /// of those that have waited longest; beyond its team's guarantee; how many of
 /// the times that it should start within have passed.
-pub type Turn = (bool, bool, u8);
+pub type QueueRank = (bool, bool, u8);
 
 /// From when on room is collected for a gang.
 const LONG_S: f64 = 110.0;
@@ -468,13 +493,13 @@
 /// start: a large one never would where smaller work takes every place that
 /// comes free. Only a few at a time, at least one: were it all that wait, nobody
 /// would start in time any more where more is asked than can be done.
-pub fn longest_waiting(world: &World, now_ms: u64) -> Vec<&str> {
+pub fn longest_waiting(world: &Replica, now_ms: u64) -> Vec<&str> {
     let mut running = 0;
     let mut waiting: Vec<(u64, &str, u32)> = Vec::new();
     for (id, job) in world.open_jobs() {
         let Some(spec) = job.spec.as_deref().filter(|s| s.kind == JobKind::Gang) else { continue };
-        running += job.run.len();
-        if job.run.is_empty() && job.phase == Phase::Active && waited_s(job, now_ms) >= LONG_S {
+        running += job.assignments.len();
+        if job.assignments.is_empty() && job.phase == Phase::Active && waited_s(job, now_ms) >= LONG_S {
             waiting.push((job.submitted_ms, id, spec.tasks));
         }
     }
@@ -490,13 +515,13 @@
 /// A job's turn. Where more is asked than can be done, serving strictly by age
 /// makes everybody late: a gang that has missed one of its times lets those pass
 /// that can still keep theirs, until it is among the `longest` waiting.
-pub fn turn(
+pub fn queue_rank(
     job: &JobRecord,
     guaranteed: bool,
     longest: bool,
     times: Option<(f64, f64)>,
     now_ms: u64,
-) -> Turn {
+) -> QueueRank {
     let waited = waited_s(job, now_ms);
     let gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
     let missed = match times {
@@ -508,8 +533,8 @@
 
 /// The order in which jobs are served: priority, then their turn, then steps of
 /// pipelines by the time that is left to them, then age.
-pub fn queue_order(a: (&JobRecord, Turn), b: (&JobRecord, Turn)) -> std::cmp::Ordering {
-    let slack = |j: &JobRecord| if j.in_pipeline() { j.start_by_ms() } else { None }.unwrap_or(u64::MAX);
+pub fn queue_order(a: (&JobRecord, QueueRank), b: (&JobRecord, QueueRank)) -> std::cmp::Ordering {
+    let slack = |j: &JobRecord| if j.in_pipeline() { j.latest_start_ms() } else { None }.unwrap_or(u64::MAX);
     (b.0.priority().cmp(&a.0.priority()))
         .then(a.1.cmp(&b.1))
         .then_with(|| slack(a.0).cmp(&slack(b.0)))
@@ -518,12 +543,12 @@
 
 /// Whether every one of the job's tasks fits into the room that is free on so many machines
 /// like each.
-pub fn fits_whole<'a>(spec: &JobSpec, rooms: impl Iterator<Item = (&'a Slot, u32)>) -> bool {
-    let size = Amount::of_task(spec);
+pub fn fits_entire_job<'a>(spec: &JobSpec, rooms: impl Iterator<Item = (&'a Slot, u32)>) -> bool {
+    let size = Resources::of_task(spec);
     let mut by_zone: HashMap<&str, u32> = HashMap::default();
-    for (s, machines) in rooms.filter(|(s, _)| allowed(spec, &s.machine_type, &s.zone, s.spot)) {
+    for (s, machines) in rooms.filter(|(s, _)| is_allowed(spec, &s.machine_type, &s.zone, s.spot)) {
         let n = by_zone.entry(&*s.zone).or_default();
-        *n = n.saturating_add(size.times_in(s.free()).saturating_mul(machines));
+        *n = n.saturating_add(size.count_fitting_in(s.free()).saturating_mul(machines));
     }
     let most = zone_limit(spec);
     if spec.one_zone {
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -3,9 +3,9 @@
 use wire::{JobKind, JobSpec, Priority};
 
 use crate::hash::HashSet;
-use crate::placement::{Inventory, Slot, allowed};
-use crate::records::{Assignment, JobRecord, Name, Want};
-use crate::world::{Amount, Team, World};
+use crate::placement::{Inventory, Slot, is_allowed};
+use crate::records::{Assignment, DesiredState, JobRecord, Name};
+use crate::replica::{Replica, Resources, Team};
 
 /// A task to stop, and whether it is an array's (others lose more).
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 }
 
 impl<'a> Running<'a> {
-    pub fn new(world: &'a World, inventory: &Inventory) -> Self {
+    pub fn new(world: &'a Replica, inventory: &Inventory) -> Self {
         let of_slot = |slot: &Slot| {
             if !slot.usable {
                 return Vec::new();
@@ -44,7 +44,7 @@
 /// jobs that are within their teams' guarantees. A whole team being beyond does
 /// not do: its oldest jobs are still within, and would be stopped in turns.
 /// `priority` is the job's own or what it inherits; so it is for those that run.
-pub fn victims(
+pub fn find_victims(
     running: &Running,
     inventory: &Inventory,
     (spec, priority): (&JobSpec, Priority),
@@ -53,13 +53,13 @@
     spare_gpu_jobs: bool,
     within: impl Fn(&Slot) -> bool,
 ) -> Option<(Name, Vec<Victim>)> {
-    let size = Amount::of_task(spec);
+    let size = Resources::of_task(spec);
     let mut best: Option<(usize, &Name, Vec<Victim>)> = None;
     for (slot, on_it) in inventory.slots.iter().zip(&running.slots) {
         if !slot.usable
-            || !allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
+            || !is_allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
             || !within(slot)
-            || !size.fits(slot.whole)
+            || !size.fits(slot.capacity)
         {
             continue;
         }
@@ -69,8 +69,8 @@
         for &(id, job, a, other) in on_it {
             let chosen =
                 chosen_before.iter().any(|v| v.job == id && v.task == a.task && v.attempt == a.attempt);
-            if chosen || !job.wants(a) {
-                free = free.plus(Amount::of_task(other), 1.0);
+            if chosen || !job.should_run(a) {
+                free = free.plus_scaled(Resources::of_task(other), 1.0);
                 continue;
             }
             let rank = job.priority().unwrap_or(other.priority);
@@ -88,7 +88,7 @@
                     JobKind::Gang => 1 + other.tasks + 3 * job.attempt.clamp(1, 50) as u32,
                     JobKind::Service => 1000,
                 };
-                list.push((cost, rank, id, a, Amount::of_task(other)));
+                list.push((cost, rank, id, a, Resources::of_task(other)));
             }
         }
         list.sort_by_key(|x| (x.1, x.0, x.3.task));
@@ -98,7 +98,7 @@
             if size.fits(free) {
                 break;
             }
-            free = free.plus(amount, 1.0);
+            free = free.plus_scaled(amount, 1.0);
             cost += 1 + c as usize;
             chosen.push(Victim {
                 job: id.to_owned(),
@@ -117,29 +117,29 @@
 /// Finds work of lower priority of the job's own team that has to go so that
 /// `tasks` of the job fit into the team's limit. None: that does not help, or
 /// what is being stopped already will do.
-pub fn within_team(
-    world: &World,
+pub fn find_victims_within_team(
+    world: &Replica,
     inventory: &Inventory,
     (spec, priority): (&JobSpec, Priority),
     tasks: u32,
     team: &Team,
 ) -> Option<Vec<Victim>> {
     // A machine that does not answer would not stop them soon.
-    let flat = |a: Amount| Amount { memory_gb: 0.0, ..a };
-    let need = flat(Amount::default()).plus(flat(Amount::of_task(spec)), f64::from(tasks));
-    let in_use = world.team_use.get(&spec.team).copied().unwrap_or_default();
-    let mut free = team.limit().plus(flat(in_use), -1.0);
+    let flat = |a: Resources| Resources { memory_gb: 0.0, ..a };
+    let need = flat(Resources::default()).plus_scaled(flat(Resources::of_task(spec)), f64::from(tasks));
+    let in_use = world.team_usage.get(&spec.team).copied().unwrap_or_default();
+    let mut free = team.limit().plus_scaled(flat(in_use), -1.0);
     let mut list = Vec::new();
-    for id in &world.open {
+    for id in &world.open_job_ids {
         let Some(job) = world.jobs.get(id).map(|j| j.value.as_ref()) else { continue };
         let Some(other) = job.spec.as_deref().filter(|o| o.team == spec.team) else { continue };
         let rank = job.priority().unwrap_or(other.priority);
-        for a in &job.run {
-            if !job.wants(a) {
-                free = free.plus(flat(Amount::of_task(other)), 1.0);
+        for a in &job.assignments {
+            if !job.should_run(a) {
+                free = free.plus_scaled(flat(Resources::of_task(other)), 1.0);
             } else if rank < priority && other.kind == JobKind::Array && inventory.find(&a.machine).is_some()
             {
-                list.push((rank, id, a, flat(Amount::of_task(other))));
+                list.push((rank, id, a, flat(Resources::of_task(other))));
             }
         }
     }
@@ -150,7 +150,7 @@
         if need.fits(free) {
             break;
         }
-        free = free.plus(size, 1.0);
+        free = free.plus_scaled(size, 1.0);
         out.push(Victim { job: id.clone(), task: a.task, attempt: a.attempt, machine: a.machine.clone() });
     }
     (need.fits(free) && !out.is_empty()).then_some(out)
@@ -160,11 +160,11 @@
 pub fn mark(job: &mut crate::records::JobRecord, victim: &Victim) {
     // Only the leader knows whom the room is made for; a part would give it
     // straight back to the victim.
-    job.part = None;
+    job.shard = None;
     let gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
-    for a in &mut job.run {
+    for a in &mut job.assignments {
         if gang || (a.task == victim.task && a.attempt == victim.attempt) {
-            a.want = Want::Stop;
+            a.desired = DesiredState::Stopped;
         }
     }
 }
--- a/crates/sched/src/records/mod.rs
+++ b/crates/sched/src/records/mod.rs
@@ -34,25 +34,25 @@
 pub struct Urgency {
     pub priority: Option<Priority>,
     /// When it should be done at the latest, so that those after it are in time.
-    pub done_by_ms: Option<u64>,
+    pub deadline_ms: Option<u64>,
 }
 
 impl Urgency {
     /// The more urgent of both in each respect.
     pub fn and(self, other: Self) -> Self {
-        let earlier = self.done_by_ms.into_iter().chain(other.done_by_ms).min();
-        Self { priority: self.priority.max(other.priority), done_by_ms: earlier }
+        let earlier = self.deadline_ms.into_iter().chain(other.deadline_ms).min();
+        Self { priority: self.priority.max(other.priority), deadline_ms: earlier }
     }
 }
 
 /// Whether an assignment is to go on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Want {
+pub enum DesiredState {
     #[serde(rename = "r")]
-    Run,
+    Running,
     /// Stop with enough time to save.
     #[serde(rename = "s")]
-    Stop,
+    Stopped,
 }
 
 /// One task's place. A task has at most one at a time.
@@ -61,7 +61,7 @@
     pub task: u32,
     pub attempt: u64,
     pub machine: Name,
-    pub want: Want,
+    pub desired: DesiredState,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -71,8 +71,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Box<JobSpec>>,
     /// The controller that places the job's tasks; None: the leader.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub part: Option<String>,
+    #[serde(rename = "part", default, skip_serializing_if = "Option::is_none")]
+    pub shard: Option<String>,
     /// Time of day of the submission, in milliseconds.
     #[serde(default)]
     pub submitted_ms: u64,
@@ -84,27 +84,27 @@
     #[serde(default, skip_serializing_if = "Ranges::is_empty")]
     pub done: Ranges,
     /// Sorted by task.
-    #[serde(default, skip_serializing_if = "Vec::is_empty", with = "compact::assignments")]
-    pub run: Vec<Assignment>,
+    #[serde(rename = "run", default, skip_serializing_if = "Vec::is_empty", with = "compact::assignments")]
+    pub assignments: Vec<Assignment>,
     /// Machines that placement avoids, and until what time of day.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub avoid: Vec<(String, u64)>,
+    #[serde(rename = "avoid", default, skip_serializing_if = "Vec::is_empty")]
+    pub avoided_machines: Vec<(String, u64)>,
     /// Machines that a task of the gang's current attempt was on and is no longer.
     /// No task of that attempt is placed there again: a late copy of the word of
     /// its end would else be taken for the end of the later one.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub left: Vec<Name>,
+    #[serde(rename = "left", default, skip_serializing_if = "Vec::is_empty")]
+    pub vacated_machines: Vec<Name>,
     /// When the rescheduler last took from the disruption budget.
-    #[serde(default)]
-    pub evicted_ms: u64,
+    #[serde(rename = "evicted_ms", default)]
+    pub last_eviction_ms: u64,
     /// Starts in a row that failed by error, and when the last one did.
-    #[serde(default)]
-    pub errors: u32,
-    #[serde(default)]
-    pub error_ms: u64,
+    #[serde(rename = "errors", default)]
+    pub failed_starts: u32,
+    #[serde(rename = "error_ms", default)]
+    pub last_failure_ms: u64,
     /// The jobs that a waiting one needs, but for those that were done before.
-    #[serde(default, skip_serializing_if = "Vec::is_empty", with = "compact::ids")]
-    pub needs: Vec<Name>,
+    #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty", with = "compact::ids")]
+    pub dependencies: Vec<Name>,
     /// When a job that had to wait was accepted: its deadline counts from then, all
     /// else from `submitted_ms`, which is when the last job that it needed was done.
     #[serde(default, skip_serializing_if = "is_zero")]
@@ -128,18 +128,18 @@
         Self {
             phase: Phase::Active,
             spec: Some(Box::new(spec)),
-            part,
+            shard: part,
             submitted_ms,
             attempt: 0,
             done: Ranges::default(),
-            run: Vec::new(),
-            avoid: Vec::new(),
-            left: Vec::new(),
+            assignments: Vec::new(),
+            avoided_machines: Vec::new(),
+            vacated_machines: Vec::new(),
             // The disruption budget fills from the submission on.
-            evicted_ms: submitted_ms,
-            errors: 0,
-            error_ms: 0,
-            needs: Vec::new(),
+            last_eviction_ms: submitted_ms,
+            failed_starts: 0,
+            last_failure_ms: 0,
+            dependencies: Vec::new(),
             accepted_ms: 0,
             ended_ms: 0,
             urgency: Urgency::default(),
@@ -148,17 +148,17 @@
 
     /// A job that waits for others.
     pub fn waiting(spec: JobSpec, part: Option<String>, submitted_ms: u64, needs: Vec<Name>) -> Self {
-        Self { phase: Phase::Waiting, needs, ..Self::new(spec, part, submitted_ms) }
+        Self { phase: Phase::Waiting, dependencies: needs, ..Self::new(spec, part, submitted_ms) }
     }
 
     /// All that the job needs is done, the last of it at this time. Ageing, turns,
     /// guarantees and the disruption budget count from now on.
-    pub fn begin(&mut self, ready_ms: u64) {
+    pub fn activate(&mut self, ready_ms: u64) {
         self.phase = Phase::Active;
-        self.needs = Vec::new();
+        self.dependencies = Vec::new();
         self.accepted_ms = self.submitted_ms;
         self.submitted_ms = self.submitted_ms.max(ready_ms);
-        self.evicted_ms = self.submitted_ms;
+        self.last_eviction_ms = self.submitted_ms;
     }
 
     /// The job's priority, or that of a job that needs it if that is higher.
@@ -168,27 +168,28 @@
 
     /// When the job should be done: by its own deadline and by those of the jobs
     /// that need it.
-    pub fn due_ms(&self) -> Option<u64> {
+    pub fn deadline_ms(&self) -> Option<u64> {
         let accepted = if self.accepted_ms > 0 { self.accepted_ms } else { self.submitted_ms };
         let own = self.spec.as_ref().and_then(|s| s.deadline_s);
         let own = own.map(|due| accepted.saturating_add((due.clamp(0.0, 1e9) * 1000.0) as u64));
-        own.into_iter().chain(self.urgency.done_by_ms).min()
+        own.into_iter().chain(self.urgency.deadline_ms).min()
     }
 
     /// When the job should start at the latest.
-    pub fn start_by_ms(&self) -> Option<u64> {
-        let takes = self.spec.as_ref().map_or(0.0, |s| s.estimate_s.clamp(0.0, 1e9)) + STEP_OVERHEAD_S;
-        self.due_ms().map(|due| due.saturating_sub((takes * 1000.0) as u64))
+    pub fn latest_start_ms(&self) -> Option<u64> {
+        let takes =
+            self.spec.as_ref().map_or(0.0, |s| s.estimated_runtime_s.clamp(0.0, 1e9)) + STEP_OVERHEAD_S;
+        self.deadline_ms().map(|due| due.saturating_sub((takes * 1000.0) as u64))
     }
 
     /// What those inherit that this one needs.
-    pub fn gives(&self) -> Urgency {
-        Urgency { priority: self.priority(), done_by_ms: self.start_by_ms() }
+    pub fn urgency_for_dependencies(&self) -> Urgency {
+        Urgency { priority: self.priority(), deadline_ms: self.latest_start_ms() }
     }
 
     /// Whether the job is a step of a pipeline with a deadline.
     pub fn in_pipeline(&self) -> bool {
-        (self.accepted_ms > 0 || self.urgency != Urgency::default()) && self.due_ms().is_some()
+        (self.accepted_ms > 0 || self.urgency != Urgency::default()) && self.deadline_ms().is_some()
     }
 
     pub fn state(&self) -> JobState {
@@ -196,36 +197,43 @@
             Phase::Done => JobState::Done,
             Phase::Cancelled => JobState::Cancelled,
             Phase::Waiting => JobState::Queued,
-            Phase::Active if self.run.is_empty() => JobState::Queued,
+            Phase::Active if self.assignments.is_empty() => JobState::Queued,
             Phase::Active => JobState::Running,
         }
     }
 
     /// Whether an assignment should be on its machine.
-    pub fn wants(&self, a: &Assignment) -> bool {
-        self.phase == Phase::Active && a.want == Want::Run
+    pub fn should_run(&self, a: &Assignment) -> bool {
+        self.phase == Phase::Active && a.desired == DesiredState::Running
     }
 
     /// Removes an assignment that is proven to be over.
-    pub fn end(&mut self, task: u32, attempt: u64, how: End, now_ms: u64, avoid_s: u64) {
-        let found = self.run.binary_search_by_key(&task, |a| a.task).ok();
-        let Some(i) = found.filter(|i| self.run[*i].attempt == attempt) else {
+    pub fn end_assignment(
+        &mut self,
+        task: u32,
+        attempt: u64,
+        how: TerminationReason,
+        now_ms: u64,
+        avoid_s: u64,
+    ) {
+        let found = self.assignments.binary_search_by_key(&task, |a| a.task).ok();
+        let Some(i) = found.filter(|i| self.assignments[*i].attempt == attempt) else {
             return;
         };
-        let ended = self.run.remove(i);
+        let ended = self.assignments.remove(i);
         let Some(spec) = self.spec.as_deref() else { return };
         let gang = spec.kind == JobKind::Gang;
-        if !gang && (how != End::Done || spec.kind == JobKind::Service) {
+        if !gang && (how != TerminationReason::Done || spec.kind == JobKind::Service) {
             self.attempt = self.attempt.max(attempt + 1);
         }
-        if how == End::Done && spec.kind != JobKind::Service {
+        if how == TerminationReason::Done && spec.kind != JobKind::Service {
             if gang {
                 // The tasks of a gang complete together: one done means all are.
                 self.done = Ranges::all(spec.tasks);
             } else {
                 self.done.insert(task);
             }
-            self.errors = 0;
+            self.failed_starts = 0;
             if self.phase == Phase::Active && self.done.len() == spec.tasks {
                 self.phase = Phase::Done;
                 self.ended_ms = now_ms;
@@ -236,45 +244,48 @@
             // runs tells by its other tasks' ends that it broke up. Were the others
             // stopped, they would give up fetching, and each further try would take
             // as long and fail alike.
-            let may_wait = matches!(how, End::Lost | End::Refused | End::Alone);
-            if !may_wait || self.left.len() >= LEFT_MAX {
-                self.run.iter_mut().for_each(|a| a.want = Want::Stop);
+            let may_wait = matches!(
+                how,
+                TerminationReason::Lost | TerminationReason::Rejected | TerminationReason::GangIncomplete
+            );
+            if !may_wait || self.vacated_machines.len() >= MAX_VACATED_MACHINES {
+                self.assignments.iter_mut().for_each(|a| a.desired = DesiredState::Stopped);
             }
-            match self.run.is_empty() {
-                true => self.left.clear(),
-                false => self.left.push(ended.machine.clone()),
+            match self.assignments.is_empty() {
+                true => self.vacated_machines.clear(),
+                false => self.vacated_machines.push(ended.machine.clone()),
             }
         }
-        if how == End::Error {
-            self.errors = self.errors.saturating_add(1);
-            self.error_ms = now_ms;
-            self.avoid.retain(|(m, until)| *until > now_ms && **m != *ended.machine);
-            self.avoid.push((ended.machine.to_string(), now_ms + avoid_s * 1000));
-            let surplus = self.avoid.len().saturating_sub(AVOID_MAX);
-            self.avoid.drain(..surplus);
+        if how == TerminationReason::Error {
+            self.failed_starts = self.failed_starts.saturating_add(1);
+            self.last_failure_ms = now_ms;
+            self.avoided_machines.retain(|(m, until)| *until > now_ms && **m != *ended.machine);
+            self.avoided_machines.push((ended.machine.to_string(), now_ms + avoid_s * 1000));
+            let surplus = self.avoided_machines.len().saturating_sub(MAX_AVOIDED_MACHINES);
+            self.avoided_machines.drain(..surplus);
         }
-        self.shrink();
+        self.compact_if_final();
     }
 
     /// Drops everything but the final state, once nothing else is needed.
-    pub fn shrink(&mut self) {
-        if matches!(self.phase, Phase::Done | Phase::Cancelled) && self.run.is_empty() {
+    pub fn compact_if_final(&mut self) {
+        if matches!(self.phase, Phase::Done | Phase::Cancelled) && self.assignments.is_empty() {
             let done = std::mem::take(&mut self.done);
             *self = Self {
                 phase: self.phase,
                 spec: None,
-                part: None,
+                shard: None,
                 submitted_ms: 0,
                 attempt: 0,
                 // The count is still shown to users who ask later.
                 done: if done.pieces() <= 1 { done } else { Ranges::all(done.len()) },
-                run: Vec::new(),
-                avoid: Vec::new(),
-                left: Vec::new(),
-                evicted_ms: 0,
-                errors: 0,
-                error_ms: 0,
-                needs: Vec::new(),
+                assignments: Vec::new(),
+                avoided_machines: Vec::new(),
+                vacated_machines: Vec::new(),
+                last_eviction_ms: 0,
+                failed_starts: 0,
+                last_failure_ms: 0,
+                dependencies: Vec::new(),
                 accepted_ms: 0,
                 // Those that need it count from then.
                 ended_ms: self.ended_ms,
@@ -285,44 +296,51 @@
 }
 
 /// Longest list of avoided machines in a job's record.
-pub const AVOID_MAX: usize = 8;
+pub const MAX_AVOIDED_MACHINES: usize = 8;
 
 /// Most machines that the tasks of one attempt of a gang may leave before it is
 /// started anew.
-pub const LEFT_MAX: usize = 8;
+pub const MAX_VACATED_MACHINES: usize = 8;
 
 /// How an assignment ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum TerminationReason {
     Done,
     /// Stopped, or its gang broke up.
     Stopped,
     /// The machine did not take it.
-    Refused,
+    Rejected,
     Error,
     /// Proven gone without a word of its own.
     Lost,
     /// Its gang was not complete in time.
-    Alone,
+    GangIncomplete,
 }
 
-impl End {
+impl TerminationReason {
     /// As controllers tell each other.
     pub fn code(self) -> u8 {
         match self {
-            End::Done => 0,
-            End::Stopped => 1,
-            End::Error => 2,
-            End::Lost => 3,
-            End::Refused => 4,
-            End::Alone => 5,
+            TerminationReason::Done => 0,
+            TerminationReason::Stopped => 1,
+            TerminationReason::Error => 2,
+            TerminationReason::Lost => 3,
+            TerminationReason::Rejected => 4,
+            TerminationReason::GangIncomplete => 5,
         }
     }
 
     pub fn from_code(code: u8) -> Option<Self> {
-        [End::Done, End::Stopped, End::Error, End::Lost, End::Refused, End::Alone]
-            .into_iter()
-            .find(|e| e.code() == code)
+        [
+            TerminationReason::Done,
+            TerminationReason::Stopped,
+            TerminationReason::Error,
+            TerminationReason::Lost,
+            TerminationReason::Rejected,
+            TerminationReason::GangIncomplete,
+        ]
+        .into_iter()
+        .find(|e| e.code() == code)
     }
 }
 
@@ -349,7 +367,7 @@
 /// What a controller leaves under its name for good: which form of the records it
 /// knows. The version before did not leave any.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Upgraded {
+pub struct SchemaMarker {
     #[serde(rename = "form")]
     pub schema_version: u32,
 }
@@ -362,12 +380,12 @@
 
 /// Who is entitled to act. Every token given out carries the epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MapRecord {
+pub struct ClusterMap {
     pub epoch: u64,
     pub live: Vec<Member>,
 }
 
-impl MapRecord {
+impl ClusterMap {
     /// The owner of a machine: a hash over the live controllers of its zone, or
     /// over all of them where the zone has none. A worker can then be reached
     /// by its owner while zones are cut off from each other.
@@ -376,7 +394,7 @@
         self.live.iter().filter(|m| !near || m.zone == zone).max_by_key(|m| hash(machine, &m.name))
     }
 
-    pub fn holds(&self, name: &str, incarnation: u64) -> bool {
+    pub fn contains(&self, name: &str, incarnation: u64) -> bool {
         self.live.iter().any(|m| m.name == name && m.incarnation == incarnation)
     }
 }
@@ -393,7 +411,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TypesRecord {
+pub struct MachineTypesRecord {
     pub types: Vec<MachineType>,
 }
 
@@ -405,7 +423,7 @@
 
 /// A rental that has been asked for and whose machines are not all up yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct ScaleOut {
     #[serde(rename = "r")]
     pub request: String,
     #[serde(rename = "t")]
@@ -417,7 +435,7 @@
     #[serde(rename = "n")]
     pub count: u32,
     #[serde(rename = "a")]
-    pub asked_ms: u64,
+    pub requested_ms: u64,
     /// None: not answered yet.
     #[serde(rename = "m", with = "compact::names")]
     pub machines: Option<Vec<Name>>,
@@ -425,11 +443,12 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetRecord {
-    pub rentals: Vec<Rental>,
+    #[serde(rename = "rentals")]
+    pub scale_outs: Vec<ScaleOut>,
     /// Machines whose release the cloud has confirmed, while their own records
     /// are still to be deleted. One change tells of hundreds.
-    #[serde(default, skip_serializing_if = "Option::is_none", with = "compact::names")]
-    pub gone: Option<Vec<Name>>,
+    #[serde(rename = "gone", default, skip_serializing_if = "Option::is_none", with = "compact::names")]
+    pub removed_machines: Option<Vec<Name>>,
 }
 
 #[cfg(test)]
--- a/crates/sched/src/world/pipelines.rs
+++ b/crates/sched/src/replica/pipelines.rs
@@ -3,10 +3,10 @@
 
 use wire::JobState;
 
-use super::World;
+use super::Replica;
 use crate::records::*;
 
-impl World {
+impl Replica {
     /// A job's record as it counts now: one that waits and all of whose needs are
     /// done has begun, though its record does not say so before it is next written.
     pub(super) fn enter_pipelines(
@@ -21,13 +21,14 @@
         }
         let jobs = &self.jobs;
         let phase = |n: &Name| jobs.get(&**n).map(|j| j.value.phase);
-        if self.pipelines.enter(&id.into(), &record.needs, |n| phase(n) == Some(Phase::Done)) {
-            let ended = record.needs.iter().filter_map(|n| jobs.get(&**n)).map(|j| j.value.ended_ms).max();
-            record.begin(ended.unwrap_or(0));
+        if self.pipelines.enter(&id.into(), &record.dependencies, |n| phase(n) == Some(Phase::Done)) {
+            let ended =
+                record.dependencies.iter().filter_map(|n| jobs.get(&**n)).map(|j| j.value.ended_ms).max();
+            record.activate(ended.unwrap_or(0));
         } else if let Some(n) = record
-            .needs
+            .dependencies
             .iter()
-            .find(|n| phase(n) == Some(Phase::Cancelled) || self.pipelines.is_doomed(n))
+            .find(|n| phase(n) == Some(Phase::Cancelled) || self.pipelines.is_cancelled_by_dependency(n))
             .cloned()
         {
             self.pipelines.cancelled(&n);
@@ -39,10 +40,11 @@
     pub(super) fn let_begin(&mut self, id: &str) {
         for ready in self.pipelines.done(id) {
             let Some(mut job) = self.jobs.remove(&*ready) else { continue };
-            let ended = job.value.needs.iter().filter_map(|n| self.jobs.get(&**n)).map(|j| j.value.ended_ms);
-            job.value.begin(ended.max().unwrap_or(0));
+            let ended =
+                job.value.dependencies.iter().filter_map(|n| self.jobs.get(&**n)).map(|j| j.value.ended_ms);
+            job.value.activate(ended.max().unwrap_or(0));
             self.jobs.insert(ready.to_string(), job);
-            self.open.insert(ready.to_string());
+            self.open_job_ids.insert(ready.to_string());
             self.new_open_layout();
         }
     }
@@ -50,7 +52,9 @@
     /// What a job inherits from those that wait for it.
     fn inherited(&self, id: &str) -> Urgency {
         let of = |d: &Name| match self.jobs.get(&**d) {
-            Some(job) if !self.pipelines.is_doomed(d) => job.value.gives(),
+            Some(job) if !self.pipelines.is_cancelled_by_dependency(d) => {
+                job.value.urgency_for_dependencies()
+            }
             _ => Urgency::default(),
         };
         self.pipelines.dependents(id).map(of).fold(Urgency::default(), Urgency::and)
@@ -61,10 +65,10 @@
         let mut next: Vec<Name> = vec![id.into()];
         while let Some(id) = next.pop() {
             let Some(job) = self.jobs.get(&*id) else { continue };
-            if self.pipelines.is_doomed(&id) {
+            if self.pipelines.is_cancelled_by_dependency(&id) {
                 continue;
             }
-            let gives = job.value.gives();
+            let gives = job.value.urgency_for_dependencies();
             for need in self.pipelines.needs(&id).to_vec() {
                 let Some(job) = self.jobs.get_mut(&*need) else { continue };
                 let sum = job.value.urgency.and(gives);
@@ -93,6 +97,10 @@
     /// The job's state as its user is told: a job is cancelled with any before it.
     pub fn state_of(&self, id: &str) -> Option<JobState> {
         let job = self.jobs.get(id)?;
-        Some(if self.pipelines.is_doomed(id) { JobState::Cancelled } else { job.value.state() })
+        Some(if self.pipelines.is_cancelled_by_dependency(id) {
+            JobState::Cancelled
+        } else {
+            job.value.state()
+        })
     }
 }
--- a/crates/sched/src/world/amount.rs
+++ b/crates/sched/src/replica/resources.rs
@@ -4,7 +4,7 @@
 
 /// What tasks take and machines have.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Amount {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -12,7 +12,7 @@
 
 const SLACK: f64 = 1e-6;
 
-impl Amount {
+impl Resources {
     pub fn of_task(spec: &JobSpec) -> Self {
         Self { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
@@ -21,7 +21,7 @@
         Self { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb }
     }
 
-    pub fn plus(self, o: Self, times: f64) -> Self {
+    pub fn plus_scaled(self, o: Self, times: f64) -> Self {
         Self {
             cpus: self.cpus + o.cpus * times,
             gpus: self.gpus + o.gpus * times,
@@ -41,7 +41,7 @@
     }
 
     /// How many tasks of this size the room holds.
-    pub fn times_in(self, room: Self) -> u32 {
+    pub fn count_fitting_in(self, room: Self) -> u32 {
         let one = |need: f64, have: f64| {
             if need <= 0.0 { f64::from(u32::MAX) } else { ((have + SLACK) / need).floor().max(0.0) }
         };
@@ -68,11 +68,11 @@
 }
 
 impl Team {
-    pub fn limit(&self) -> Amount {
-        Amount { cpus: self.cpus_max, gpus: self.gpus_max, memory_gb: f64::INFINITY }
+    pub fn limit(&self) -> Resources {
+        Resources { cpus: self.cpus_max, gpus: self.gpus_max, memory_gb: f64::INFINITY }
     }
 
-    pub fn guarantee(&self) -> Amount {
-        Amount { cpus: self.cpus, gpus: self.gpus, memory_gb: f64::INFINITY }
+    pub fn guarantee(&self) -> Resources {
+        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: f64::INFINITY }
     }
 }
--- a/crates/sched/src/world/in_order.rs
+++ b/crates/sched/src/replica/sorted_lookup.rs
@@ -7,11 +7,11 @@
 
 /// Looks up names in a table in their order, each but a step from the one before: finding
 /// each machine anew in several tables cost more than what was done with them.
-pub struct InOrder<'a, V> {
+pub struct SortedLookup<'a, V> {
     rest: Peekable<btree_map::Iter<'a, Name, V>>,
 }
 
-impl<'a, V> InOrder<'a, V> {
+impl<'a, V> SortedLookup<'a, V> {
     pub fn new(table: &'a BTreeMap<Name, V>) -> Self {
         Self { rest: table.iter().peekable() }
     }
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -7,9 +7,9 @@
 use wire::{JobKind, JobSpec};
 
 use crate::hash::HashMap;
-use crate::placement::{Inventory, allowed, gpu_loss_at};
-use crate::records::{AVOID_MAX, Assignment, JobRecord, Name, Want};
-use crate::world::{Amount, World};
+use crate::placement::{Inventory, gpu_slots_lost_at, is_allowed};
+use crate::records::{Assignment, DesiredState, JobRecord, MAX_AVOIDED_MACHINES, Name};
+use crate::replica::{Replica, Resources};
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
@@ -48,23 +48,25 @@
 }
 
 /// Finds at most one eviction for each service.
-pub fn scan(world: &World, inventory: &Inventory, policy: &Policy, now_ms: u64) -> Vec<Eviction> {
-    let mut planned_use: Vec<Amount> = inventory.slots.iter().map(|s| s.used).collect();
+pub fn scan(world: &Replica, inventory: &Inventory, policy: &Policy, now_ms: u64) -> Vec<Eviction> {
+    let mut planned_use: Vec<Resources> = inventory.slots.iter().map(|s| s.used).collect();
     let mut out = Vec::new();
     // The least-used fitting machines, for every kind of task met so far.
     let mut least = Vec::new();
-    for id in &world.open {
+    for id in &world.open_job_ids {
         let Some(job) = world.jobs.get(id).map(|j| &j.value) else { continue };
         let Some(spec) = job.spec.as_deref() else { continue };
-        if spec.kind != JobKind::Service || spec.tasks < 2 || job.run.len() < spec.tasks as usize {
+        if spec.kind != JobKind::Service || spec.tasks < 2 || job.assignments.len() < spec.tasks as usize {
             continue;
         }
-        if job.run.iter().any(|a| !job.wants(a)) || job.evicted_ms + refill_ms(id, policy) > now_ms {
+        if job.assignments.iter().any(|a| !job.should_run(a))
+            || job.last_eviction_ms + refill_ms(id, policy) > now_ms
+        {
             continue;
         }
-        let size = Amount::of_task(spec);
+        let size = Resources::of_task(spec);
         let mut in_zone: HashMap<&str, u32> = HashMap::default();
-        for a in &job.run {
+        for a in &job.assignments {
             if let Some(i) = inventory.find(&a.machine) {
                 *in_zone.entry(&*inventory.slots[i].zone).or_default() += 1;
             }
@@ -79,11 +81,11 @@
         }
         let rooms = least.iter().find(|(k, _)| *k == kind).map(|(_, rooms)| rooms);
         let found = misplaced.flatten().or_else(|| {
-            job.run.iter().find_map(|a| {
+            job.assignments.iter().find_map(|a| {
                 let from = inventory.find(&a.machine)?;
                 let here = &*inventory.slots[from].zone;
                 let mine = in_zone.get(here).copied().unwrap_or(0);
-                let share = planned_use[from].share_of(inventory.slots[from].whole);
+                let share = planned_use[from].share_of(inventory.slots[from].capacity);
                 rooms.into_iter().flatten().find_map(|(zone, to, least)| {
                     let there = in_zone.get(*zone).copied().unwrap_or(0);
                     if *to == from {
@@ -99,8 +101,8 @@
             })
         });
         if let Some((a, from, to, reason)) = found {
-            planned_use[from] = planned_use[from].plus(size, -1.0);
-            planned_use[to] = planned_use[to].plus(size, 1.0);
+            planned_use[from] = planned_use[from].plus_scaled(size, -1.0);
+            planned_use[to] = planned_use[to].plus_scaled(size, 1.0);
             least.clear();
             out.push(Eviction { job: id.clone(), task: a.task, machine: a.machine.clone(), reason });
         }
@@ -112,21 +114,21 @@
 /// share that is used of it.
 fn least_used<'a>(
     inventory: &'a Inventory,
-    used: &[Amount],
+    used: &[Resources],
     spec: &JobSpec,
-    size: Amount,
+    size: Resources,
 ) -> Vec<(&'a str, usize, f64)> {
     let mut zones: BTreeMap<&str, (usize, f64)> = BTreeMap::new();
     for (i, s) in inventory.slots.iter().enumerate() {
-        let gpus_kept = s.whole.gpus > 0.0 && spec.gpus == 0.0;
+        let gpus_kept = s.capacity.gpus > 0.0 && spec.gpus == 0.0;
         if gpus_kept
             || !s.usable
-            || !size.fits(s.whole.plus(used[i], -1.0))
-            || !allowed(spec, &s.machine_type, &s.zone, s.spot)
+            || !size.fits(s.capacity.plus_scaled(used[i], -1.0))
+            || !is_allowed(spec, &s.machine_type, &s.zone, s.spot)
         {
             continue;
         }
-        let share = used[i].share_of(s.whole);
+        let share = used[i].share_of(s.capacity);
         let best = zones.entry(&*s.zone).or_insert((i, share));
         if share < best.1 {
             *best = (i, share);
@@ -137,9 +139,9 @@
 
 /// Where one service's tasks are, and what room there is.
 struct Rooms<'a> {
-    world: &'a World,
+    world: &'a Replica,
     inventory: &'a Inventory,
-    used: &'a [Amount],
+    used: &'a [Resources],
     in_zone: &'a HashMap<&'a str, u32>,
 }
 
@@ -153,15 +155,15 @@
         spec: &JobSpec,
     ) -> Option<(&'j Assignment, usize, usize, &'static str)> {
         let Self { world, inventory, used, in_zone } = self;
-        let size = Amount::of_task(spec);
-        let share = |i: usize| used[i].share_of(inventory.slots[i].whole);
-        let on_gpus = job.run.iter().filter_map(|a| {
+        let size = Resources::of_task(spec);
+        let share = |i: usize| used[i].share_of(inventory.slots[i].capacity);
+        let on_gpus = job.assignments.iter().filter_map(|a| {
             let from = inventory.find(&a.machine)?;
             let only_services = || {
                 let kinds = world.assignments(&a.machine).filter_map(|(_, j, _)| j.spec.as_ref());
                 kinds.map(|s| s.kind).all(|k| k == JobKind::Service)
             };
-            (inventory.slots[from].whole.gpus > 0.0 && only_services()).then_some((a, from))
+            (inventory.slots[from].capacity.gpus > 0.0 && only_services()).then_some((a, from))
         });
         let (a, from) = on_gpus.min_by(|x, y| share(x.1).total_cmp(&share(y.1)))?;
         let here = &*inventory.slots[from].zone;
@@ -169,13 +171,13 @@
         let to = (0..inventory.slots.len()).find(|&i| {
             let s = &inventory.slots[i];
             let there = in_zone.get(&*s.zone).copied().unwrap_or(0);
-            let lossless = || gpu_loss_at(world, spec, s, used[i]) == 0;
+            let lossless = || gpu_slots_lost_at(world, spec, s, used[i]) == 0;
             i != from
                 && s.usable
-                && size.fits(s.whole.plus(used[i], -1.0))
-                && allowed(spec, &s.machine_type, &s.zone, s.spot)
+                && size.fits(s.capacity.plus_scaled(used[i], -1.0))
+                && is_allowed(spec, &s.machine_type, &s.zone, s.spot)
                 && (*s.zone == *here || !spec.spread || there < mine)
-                && (s.whole.gpus == 0.0 || share(i) > share(from) && lossless())
+                && (s.capacity.gpus == 0.0 || share(i) > share(from) && lossless())
         })?;
         Some((a, from, to, "holds a machine with GPUs"))
     }
@@ -183,16 +185,16 @@
 
 /// The record after an eviction: budget debited, avoid entry added, stop marked.
 pub fn evict(job: &mut JobRecord, eviction: &Eviction, policy: &Policy, now_ms: u64) {
-    for a in &mut job.run {
+    for a in &mut job.assignments {
         if a.task == eviction.task && a.machine == eviction.machine {
-            a.want = Want::Stop;
+            a.desired = DesiredState::Stopped;
         }
     }
-    job.evicted_ms = now_ms;
-    job.avoid.retain(|(m, until)| *until > now_ms && **m != *eviction.machine);
-    job.avoid.push((eviction.machine.to_string(), now_ms + policy.avoid.as_millis() as u64));
-    let surplus = job.avoid.len().saturating_sub(AVOID_MAX);
-    job.avoid.drain(..surplus);
+    job.last_eviction_ms = now_ms;
+    job.avoided_machines.retain(|(m, until)| *until > now_ms && **m != *eviction.machine);
+    job.avoided_machines.push((eviction.machine.to_string(), now_ms + policy.avoid.as_millis() as u64));
+    let surplus = job.avoided_machines.len().saturating_sub(MAX_AVOIDED_MACHINES);
+    job.avoided_machines.drain(..surplus);
 }
 
 #[cfg(test)]
--- a/crates/sched/src/spot_notice.rs
+++ b/crates/sched/src/spot_notice.rs
@@ -4,7 +4,7 @@
 
 use wire::{JobKind, JobSpec};
 
-use crate::records::{JobRecord, Want};
+use crate::records::{DesiredState, JobRecord};
 
 /// For commands to arrive, and for a gang's tasks to be told within one another.
 const MARGIN: Duration = Duration::from_secs(1);
@@ -13,8 +13,8 @@
 /// A service gets its next place at once; what can save its progress does so
 /// while there is time. The rest runs on: it loses nothing by it and may finish.
 pub fn stops(spec: &JobSpec, left: Duration) -> bool {
-    let saves = spec.checkpoint_s > 0.0;
-    let save = wire::seconds(spec.save_s.min(3600.0));
+    let saves = spec.checkpoint_interval_s > 0.0;
+    let save = wire::seconds(spec.checkpoint_save_s.min(3600.0));
     match spec.kind {
         JobKind::Service => true,
         JobKind::Array | JobKind::Gang => saves && left >= save + MARGIN,
@@ -25,9 +25,9 @@
 pub fn mark(job: &mut JobRecord, task: u32) -> bool {
     let gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
     let mut changed = false;
-    for a in job.run.iter_mut().filter(|a| gang || a.task == task) {
-        changed |= a.want == Want::Run;
-        a.want = Want::Stop;
+    for a in job.assignments.iter_mut().filter(|a| gang || a.task == task) {
+        changed |= a.desired == DesiredState::Running;
+        a.desired = DesiredState::Stopped;
     }
     changed
 }
--- a/crates/sched/tests/unit/alike.rs
+++ b/crates/sched/tests/unit/alike.rs
@@ -3,8 +3,8 @@
 
 use super::tests::{add, spec, team};
 use super::*;
-use crate::records::{MachineRecord, MapRecord, Member, TypesRecord};
-use crate::world::Change;
+use crate::records::{ClusterMap, MachineRecord, MachineTypesRecord, Member};
+use crate::replica::RecordChange;
 use wire::MachineType;
 
 /// Numbers that are the same on every run.
@@ -21,8 +21,8 @@
     }
 }
 
-pub(crate) fn site(draw: &mut Draw, machines: usize) -> World {
-    let mut w = World::default();
+pub(crate) fn site(draw: &mut Draw, machines: usize) -> Replica {
+    let mut w = Replica::default();
     let kind = |name: &str, cpus, gpus, rate| MachineType {
         name: name.into(),
         cpus,
@@ -36,10 +36,10 @@
         zones: Vec::new(),
     };
     let types = vec![kind("s", 4.0, 0.0, 1.0), kind("m", 8.0, 0.0, 0.2), kind("g", 16.0, 2.0, 0.5)];
-    w.apply(Change::Types(Some(TypesRecord { types })), 1);
+    w.apply(RecordChange::Types(Some(MachineTypesRecord { types })), 1);
     let member = |n: &str, z: &str, incarnation| Member { name: n.into(), zone: z.into(), incarnation };
     let live = vec![member("n", "a", 1), member("o", "b", 2), member("p", "a", 3)];
-    w.apply(Change::Map(Some(MapRecord { epoch: 1, live })), 1);
+    w.apply(RecordChange::Map(Some(ClusterMap { epoch: 1, live })), 1);
     for n in 0..machines {
         let record = MachineRecord {
             addr: "x".into(),
@@ -48,7 +48,7 @@
             spot: draw.one_in(3),
             release: draw.one_in(20),
         };
-        w.apply(Change::Machine(format!("h-{n:03}"), Some(record)), 1);
+        w.apply(RecordChange::Machine(format!("h-{n:03}"), Some(record)), 1);
     }
     w
 }
@@ -78,14 +78,15 @@
                 continue;
             }
             let mut job = JobRecord::new(s, None, 0);
-            job.avoid = (0..draw.below(3))
+            job.avoided_machines = (0..draw.below(3))
                 .map(|_| (name(draw.below(machines)), 2000 * draw.below(2) as u64))
                 .collect();
-            job.left = (0..draw.below(2)).map(|_| name(draw.below(machines)).as_str().into()).collect();
+            job.vacated_machines =
+                (0..draw.below(2)).map(|_| name(draw.below(machines)).as_str().into()).collect();
             let limits = Limits {
-                most: 1 + draw.below(5),
-                window: 100,
-                lossy: draw.one_in(2),
+                max_tasks: 1 + draw.below(5),
+                task_window: 100,
+                may_strand_gpus: draw.one_in(2),
                 gang_wait_s: 0.0,
                 now_ms: 1000,
             };
@@ -110,16 +111,16 @@
             }
             assert_eq!(inventory.alike.values().map(BTreeSet::len).sum::<usize>(), inventory.slots.len());
             let id = by_kind.spec.as_ref().map(|s| s.id.clone()).expect("open");
-            w.apply(Change::Job(id, Some(Box::new(by_kind))), 2);
+            w.apply(RecordChange::Job(id, Some(Box::new(by_kind))), 2);
         }
         // Which machines have an image is kept both ways.
         for n in 0..6 {
             let image = format!("i-{n}");
             let each: Vec<&Name> = w.machines.keys().filter(|m| w.has_image(m, &image)).collect();
-            assert_eq!(w.holders(&image).collect::<Vec<_>>(), each);
+            assert_eq!(w.machines_with_image(&image).collect::<Vec<_>>(), each);
         }
-        w.apply(Change::Machine(name(0), None), 3);
-        assert!((0..6).all(|n| w.holders(&format!("i-{n}")).all(|m| **m != *name(0))));
+        w.apply(RecordChange::Machine(name(0), None), 3);
+        assert!((0..6).all(|n| w.machines_with_image(&format!("i-{n}")).all(|m| **m != *name(0))));
     }
     assert!(placed > 500, "{placed}");
 }
--- a/crates/sched/tests/unit/compact.rs
+++ b/crates/sched/tests/unit/compact.rs
@@ -8,18 +8,18 @@
     let mut job = JobRecord::new(crate::placement::tests::spec("j-000412", JobKind::Array, 1800), None, 0);
     // Every third task is done; the others lie scattered on 157 machines.
     (0..1800).filter(|t| t % 3 == 0).for_each(|t| job.done.insert(t));
-    job.run = (0..1800u32)
+    job.assignments = (0..1800u32)
         .filter(|t| t % 3 != 0)
         .map(|task| Assignment {
             task,
             attempt: 1 + u64::from(task % 7 == 0),
             machine: format!("host-{:06}", 100 + (task * 7919) % 157).into(),
-            want: Want::Run,
+            desired: DesiredState::Running,
         })
         .collect();
-    job.run[3].machine = "left".into();
-    job.run[4].machine = "00000000000000000012".into();
-    job.run[5].want = Want::Stop;
+    job.assignments[3].machine = "left".into();
+    job.assignments[4].machine = "00000000000000000012".into();
+    job.assignments[5].desired = DesiredState::Stopped;
     let bytes = rmp_serde::to_vec_named(&job).expect("encodes");
     let back: JobRecord = rmp_serde::from_slice(&bytes).expect("decodes");
     assert_eq!(back, job);
@@ -29,21 +29,21 @@
 
 #[test]
 fn the_names_of_a_rental_take_a_character_each() {
-    let rental = crate::records::Rental {
+    let rental = crate::records::ScaleOut {
         request: "n-1".into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
         count: 50,
-        asked_ms: 0,
+        requested_ms: 0,
         machines: Some((200..250).map(|n| format!("host-{n:06}").into()).collect()),
     };
     let json = serde_json::to_string(&rental).expect("encodes");
     assert!(json.len() < 140, "{json}");
-    assert_eq!(serde_json::from_str::<crate::records::Rental>(&json).expect("decodes"), rental);
-    let none = crate::records::Rental { machines: None, ..rental };
+    assert_eq!(serde_json::from_str::<crate::records::ScaleOut>(&json).expect("decodes"), rental);
+    let none = crate::records::ScaleOut { machines: None, ..rental };
     let bytes = rmp_serde::to_vec_named(&none).expect("encodes");
-    assert_eq!(rmp_serde::from_slice::<crate::records::Rental>(&bytes).expect("decodes"), none);
+    assert_eq!(rmp_serde::from_slice::<crate::records::ScaleOut>(&bytes).expect("decodes"), none);
 }
 
 #[test]
@@ -63,16 +63,16 @@
     let mut job = JobRecord::new(spec, None, 1_796_169_600_000);
     // Not every machine is in it, as others are taken.
     let on = |task: u32| format!("host-{:06}", task * 2 / 3 + task / 500 * 37).into();
-    let run = |task| Assignment { task, attempt: 12, machine: on(task), want: Want::Run };
-    job.run = (0..3000).map(run).collect();
-    let machines: std::collections::BTreeSet<_> = job.run.iter().map(|a| &a.machine).collect();
+    let run = |task| Assignment { task, attempt: 12, machine: on(task), desired: DesiredState::Running };
+    job.assignments = (0..3000).map(run).collect();
+    let machines: std::collections::BTreeSet<_> = job.assignments.iter().map(|a| &a.machine).collect();
     assert!(machines.len() >= 2000, "{}", machines.len());
     let json = serde_json::to_string(&job).expect("encodes");
     assert!(json.len() < 8 * 1024 - 500, "{} bytes", json.len());
     assert_eq!(serde_json::from_str::<JobRecord>(&json).expect("decodes"), job);
     // In two attempts, as when some were replaced, and with tasks missing.
-    job.run.retain(|a| a.task % 7 != 3);
-    job.run.iter_mut().filter(|a| a.task % 50 == 0).for_each(|a| a.want = Want::Stop);
+    job.assignments.retain(|a| a.task % 7 != 3);
+    job.assignments.iter_mut().filter(|a| a.task % 50 == 0).for_each(|a| a.desired = DesiredState::Stopped);
     let json = serde_json::to_string(&job).expect("encodes");
     assert_eq!(serde_json::from_str::<JobRecord>(&json).expect("decodes"), job);
 }
@@ -83,8 +83,8 @@
     let spec = crate::placement::tests::spec("j-000412", JobKind::Gang, 20_000);
     let mut job = JobRecord::new(spec, None, 0);
     let on = |task: u32| format!("host-{:06}", task / 40).into();
-    let run = |task| Assignment { task, attempt: 1, machine: on(task), want: Want::Run };
-    job.run = (0..20_000).map(run).collect();
+    let run = |task| Assignment { task, attempt: 1, machine: on(task), desired: DesiredState::Running };
+    job.assignments = (0..20_000).map(run).collect();
     let json = serde_json::to_string(&job).expect("encodes");
     assert!(json.len() < 5000, "{} bytes", json.len());
     assert_eq!(serde_json::from_str::<JobRecord>(&json).expect("decodes"), job);
@@ -92,7 +92,7 @@
 
 #[test]
 fn lists_that_are_cut_off_are_refused() {
-    let bad = (vec![("host-", 6usize, 1u64, Want::Run, "1")],);
+    let bad = (vec![("host-", 6usize, 1u64, DesiredState::Running, "1")],);
     let bytes = rmp_serde::to_vec(&bad.0).expect("encodes");
     let mut d = rmp_serde::Deserializer::new(bytes.as_slice());
     assert!(assignments::deserialize(&mut d).is_err());
--- a/crates/sched/tests/unit/forecast.rs
+++ b/crates/sched/tests/unit/forecast.rs
@@ -4,11 +4,11 @@
 #[test]
 fn services_to_come_are_a_small_share_of_what_runs() {
     let mut w = world(&[("a1", "m", "a", false)]);
-    assert!(services(&w, 1000).is_none());
+    assert!(expected_services(&w, 1000).is_none());
     let run: Vec<(u32, &str)> = (0..50).map(|t| (t, "a1")).collect();
     add(&mut w, spec("j-1", JobKind::Service, 50), &run);
-    assert_eq!(services(&w, 1000).map(|s| s.1), Some(4));
-    assert!(services(&w, 100_000).is_none(), "none has come lately");
+    assert_eq!(expected_services(&w, 1000).map(|s| s.1), Some(4));
+    assert!(expected_services(&w, 100_000).is_none(), "none has come lately");
 }
 
 #[test]
@@ -17,13 +17,13 @@
     add(&mut w, spec("j-1", JobKind::Array, 2), &[(0, "a1")]);
     let next =
         crate::records::JobRecord::waiting(spec("j-2", JobKind::Array, 3), None, 0, vec!["j-1".into()]);
-    w.apply(crate::world::Change::Job("j-2".into(), Some(Box::new(next))), 3);
-    let foreseen = |w: &World| next_steps(w).map(|s| s.id.clone()).collect::<Vec<_>>();
+    w.apply(crate::replica::RecordChange::Job("j-2".into(), Some(Box::new(next))), 3);
+    let foreseen = |w: &Replica| next_steps(w).map(|s| s.id.clone()).collect::<Vec<_>>();
     assert!(foreseen(&w).is_empty(), "one task before it has no place yet");
     add(&mut w, spec("j-1", JobKind::Array, 2), &[(0, "a1"), (1, "a1")]);
     assert_eq!(foreseen(&w), ["j-2"]);
     let mut long = spec("j-1", JobKind::Array, 2);
-    long.estimate_s = 600.0;
+    long.estimated_runtime_s = 600.0;
     add(&mut w, long, &[(0, "a1"), (1, "a1")]);
     assert!(foreseen(&w).is_empty(), "it would stand idle for long");
 }
--- a/crates/sched/tests/unit/inventory.rs
+++ b/crates/sched/tests/unit/inventory.rs
@@ -6,8 +6,8 @@
 use super::*;
 use crate::placement::alike::{Draw, site};
 use crate::placement::tests::{add, spec};
-use crate::records::{JobRecord, MapRecord, Member, Phase};
-use crate::world::Change;
+use crate::records::{ClusterMap, JobRecord, Member, Phase};
+use crate::replica::RecordChange;
 use wire::JobKind;
 
 fn assert_same(kept: &Inventory, new: &Inventory) {
@@ -19,7 +19,7 @@
     // The numbers of kinds may differ, who is alike may not.
     let alike = |b: &Inventory| b.alike.values().cloned().collect::<BTreeSet<_>>();
     assert_eq!(alike(kept), alike(new));
-    assert_eq!(kept.team_use, new.team_use);
+    assert_eq!(kept.team_usage, new.team_usage);
 }
 
 #[test]
@@ -44,7 +44,7 @@
                 let id = format!("j-{}", draw.below(30));
                 if let Some(job) = world.jobs.get(&id) {
                     let record = Box::new(JobRecord { phase: Phase::Cancelled, ..(*job.value).clone() });
-                    world.apply(Change::Job(id, Some(record)), 10 + step);
+                    world.apply(RecordChange::Job(id, Some(record)), 10 + step);
                 }
             }
             7..=9 => {
@@ -56,15 +56,15 @@
             10 if draw.one_in(4) => {
                 let id = name(draw.below(machines));
                 let record = world.machines.get(id.as_str()).map(|m| m.value.clone());
-                world.apply(Change::Machine(id.clone(), None), 10 + step);
+                world.apply(RecordChange::Machine(id.clone(), None), 10 + step);
                 if draw.one_in(2) {
-                    world.apply(Change::Machine(id, record), 10 + step);
+                    world.apply(RecordChange::Machine(id, record), 10 + step);
                 }
             }
             11 if draw.one_in(8) => {
                 let member = |n: &str, incarnation| Member { name: n.into(), zone: "a".into(), incarnation };
                 let live = vec![member("n", 1), member("o", 2 + step)];
-                world.apply(Change::Map(Some(MapRecord { epoch: 2 + step, live })), 10 + step);
+                world.apply(RecordChange::Map(Some(ClusterMap { epoch: 2 + step, live })), 10 + step);
             }
             _ => {}
         }
@@ -77,7 +77,7 @@
         inventory.begin();
         for _ in 0..draw.below(6) {
             let machine: Name = name(draw.below(machines)).as_str().into();
-            let size = Amount { cpus: 0.1, gpus: 0.0, memory_gb: 0.3 };
+            let size = Resources { cpus: 0.1, gpus: 0.0, memory_gb: 0.3 };
             inventory.reserve(&[machine], size, [1.0, -1.0][draw.below(2)]);
         }
         inventory.roll_back();
--- a/crates/sched/tests/unit/placement.rs
+++ b/crates/sched/tests/unit/placement.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::records::*;
-use crate::world::Change;
+use crate::replica::RecordChange;
 use wire::{MachineType, Priority};
 
 pub fn spec(id: &str, kind: JobKind, tasks: u32) -> JobSpec {
@@ -21,11 +21,11 @@
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_runtime_s: 1.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
-        needs: None,
+        dependencies: None,
     }
 }
 
@@ -34,8 +34,8 @@
 }
 
 /// Machines as (name, type, zone, spot). "m" has 8 CPUs, "g" 16 and 2 GPUs.
-pub fn world(machines: &[(&str, &str, &str, bool)]) -> World {
-    let mut w = World::default();
+pub fn world(machines: &[(&str, &str, &str, bool)]) -> Replica {
+    let mut w = Replica::default();
     let kind = |name: &str, cpus, gpus| MachineType {
         name: name.into(),
         cpus,
@@ -48,7 +48,12 @@
         boot_s: 30.0,
         zones: vec!["a".into(), "b".into()],
     };
-    w.apply(Change::Types(Some(TypesRecord { types: vec![kind("m", 8.0, 0.0), kind("g", 16.0, 2.0)] })), 1);
+    w.apply(
+        RecordChange::Types(Some(MachineTypesRecord {
+            types: vec![kind("m", 8.0, 0.0), kind("g", 16.0, 2.0)],
+        })),
+        1,
+    );
     for (id, machine_type, zone, spot) in machines {
         let record = MachineRecord {
             addr: "x".into(),
@@ -57,30 +62,36 @@
             spot: *spot,
             release: false,
         };
-        w.apply(Change::Machine((*id).into(), Some(record)), 1);
+        w.apply(RecordChange::Machine((*id).into(), Some(record)), 1);
     }
     let me = Member { name: "n".into(), zone: "a".into(), incarnation: 1 };
-    w.apply(Change::Map(Some(MapRecord { epoch: 1, live: vec![me] })), 1);
+    w.apply(RecordChange::Map(Some(ClusterMap { epoch: 1, live: vec![me] })), 1);
     w
 }
 
-pub fn add(w: &mut World, spec: JobSpec, run: &[(u32, &str)]) {
+pub fn add(w: &mut Replica, spec: JobSpec, run: &[(u32, &str)]) {
     let mut job = JobRecord::new(spec.clone(), None, 0);
     job.attempt = 1;
-    job.run = run
+    job.assignments = run
         .iter()
-        .map(|(task, m)| Assignment { task: *task, attempt: 1, machine: (*m).into(), want: Want::Run })
+        .map(|(task, m)| Assignment {
+            task: *task,
+            attempt: 1,
+            machine: (*m).into(),
+            desired: DesiredState::Running,
+        })
         .collect();
-    w.apply(Change::Job(spec.id, Some(Box::new(job))), 2);
+    w.apply(RecordChange::Job(spec.id, Some(Box::new(job))), 2);
 }
 
-pub fn inventory(w: &World) -> Inventory {
+pub fn inventory(w: &Replica) -> Inventory {
     Inventory::new(w, |_| true)
 }
 
-fn placed(w: &World, id: &str, team: &Team) -> Vec<(u32, String)> {
+fn placed(w: &Replica, id: &str, team: &Team) -> Vec<(u32, String)> {
     let mut job = w.jobs[id].value.as_ref().clone();
-    let limits = Limits { most: 100, window: 1000, lossy: false, gang_wait_s: 0.0, now_ms: 1000 };
+    let limits =
+        Limits { max_tasks: 100, task_window: 1000, may_strand_gpus: false, gang_wait_s: 0.0, now_ms: 1000 };
     let list = place(w, &mut inventory(w), &mut job, team, |_| true, limits);
     list.into_iter().map(|a| (a.task, a.machine.to_string())).collect()
 }
@@ -109,8 +120,8 @@
     assert_eq!(placed(&w, "j-1", &team()).len(), 2);
     add(&mut w, s, &[(0, "a1")]);
     let mut old = w.jobs["j-1"].value.as_ref().clone();
-    old.run[0].want = Want::Stop;
-    w.apply(Change::Job("j-1".into(), Some(Box::new(old))), 3);
+    old.assignments[0].desired = DesiredState::Stopped;
+    w.apply(RecordChange::Job("j-1".into(), Some(Box::new(old))), 3);
     assert!(placed(&w, "j-1", &team()).is_empty(), "an old attempt is still out");
 }
 
@@ -127,8 +138,8 @@
     let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", true)]);
     add(&mut w, spec("j-2", JobKind::Array, 3), &[(0, "a2"), (1, "a2"), (2, "a2")]);
     let mut job = JobRecord::new(spec("j-1", JobKind::Array, 6), None, 0);
-    job.avoid = vec![("a1".into(), 5000)];
-    w.apply(Change::Job("j-1".into(), Some(Box::new(job))), 3);
+    job.avoided_machines = vec![("a1".into(), 5000)];
+    w.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 3);
     let got: Vec<String> = placed(&w, "j-1", &team()).into_iter().map(|p| p.1).collect();
     assert_eq!(got, ["a2", "a1", "a1", "a1", "a1"]);
 }
@@ -146,11 +157,11 @@
 #[test]
 fn a_job_that_fails_everywhere_pauses_ever_longer() {
     let mut job = JobRecord::new(spec("j-1", JobKind::Array, 1), None, 0);
-    (job.errors, job.error_ms) = (2, 100);
+    (job.failed_starts, job.last_failure_ms) = (2, 100);
     assert_eq!(retry_at_ms(&job), 100);
-    job.errors = 4;
+    job.failed_starts = 4;
     assert_eq!(retry_at_ms(&job), 2100);
-    job.errors = 400;
+    job.failed_starts = 400;
     assert_eq!(retry_at_ms(&job), 32_100);
 }
 
@@ -168,31 +179,37 @@
     let mut started = 0;
     for n in 3..9 {
         // The oldest small job ends, and another is there before.
-        let ends = |id: &&String| *id != "j-1" && !w.jobs[*id].value.run.is_empty();
-        let first = w.open.iter().find(ends).cloned();
+        let ends = |id: &&String| *id != "j-1" && !w.jobs[*id].value.assignments.is_empty();
+        let first = w.open_job_ids.iter().find(ends).cloned();
         if let Some(id) = first {
-            w.apply(Change::Job(id, None), version);
+            w.apply(RecordChange::Job(id, None), version);
         }
         small.id = format!("j-{n}");
         add(&mut w, small.clone(), &[]);
         version += 1;
         let mut b = inventory(&w);
-        for id in w.open.clone() {
+        for id in w.open_job_ids.clone() {
             let mut job = w.jobs[&id].value.as_ref().clone();
             let spec = job.spec.clone().expect("open");
-            let limits = Limits { most: 9, window: 9, lossy: false, gang_wait_s: 0.0, now_ms: 1000 };
+            let limits = Limits {
+                max_tasks: 9,
+                task_window: 9,
+                may_strand_gpus: false,
+                gang_wait_s: 0.0,
+                now_ms: 1000,
+            };
             let placed = place(&w, &mut b, &mut job, &team(), |_| true, limits);
-            if placed.is_empty() && job.run.is_empty() {
-                let room = collect(&b, &spec, |_| true);
-                b.reserve(&room, Amount::of_task(&spec), 1.0);
+            if placed.is_empty() && job.assignments.is_empty() {
+                let room = collectable_capacity(&b, &spec, |_| true);
+                b.reserve(&room, Resources::of_task(&spec), 1.0);
             } else {
                 started += u32::from(id == "j-1" && !placed.is_empty());
-                w.apply(Change::Job(id, Some(Box::new(job))), version);
+                w.apply(RecordChange::Job(id, Some(Box::new(job))), version);
             }
         }
     }
     assert_eq!(started, 1);
-    assert!(w.jobs["j-1"].value.run.iter().all(|a| a.machine.starts_with('a')));
+    assert!(w.jobs["j-1"].value.assignments.iter().all(|a| a.machine.starts_with('a')));
 }
 
 #[test]
@@ -202,18 +219,19 @@
     (s.one_zone, s.cpus) = (true, 8.0);
     add(&mut w, s, &[(0, "a1"), (1, "gone")]);
     let mut job = w.jobs["j-1"].value.as_ref().clone();
-    job.end(1, 1, End::Lost, 0, 0);
-    let limits = Limits { most: 9, window: 9, lossy: false, gang_wait_s: 0.0, now_ms: 1000 };
+    job.end_assignment(1, 1, TerminationReason::Lost, 0, 0);
+    let limits =
+        Limits { max_tasks: 9, task_window: 9, may_strand_gpus: false, gang_wait_s: 0.0, now_ms: 1000 };
     let mut whole = job.clone();
     let placed = place(&w, &mut inventory(&w), &mut whole, &team(), |_| true, limits);
     assert_eq!(placed.len(), 1);
     assert_eq!((placed[0].task, placed[0].attempt, &*placed[0].machine), (1, 1, "a2"));
     // Once its tasks say that it broke up, it starts anew, when all is over.
-    job.end(0, 1, End::Stopped, 0, 0);
+    job.end_assignment(0, 1, TerminationReason::Stopped, 0, 0);
     let placed = place(&w, &mut inventory(&w), &mut job, &team(), |_| true, limits);
-    assert!(placed.is_empty() && job.run.is_empty(), "one zone holds only one of two now");
+    assert!(placed.is_empty() && job.assignments.is_empty(), "one zone holds only one of two now");
     let mut w2 = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
-    w2.apply(Change::Job("j-1".into(), Some(Box::new(job.clone()))), 9);
+    w2.apply(RecordChange::Job("j-1".into(), Some(Box::new(job.clone()))), 9);
     let placed = place(&w2, &mut inventory(&w2), &mut job, &team(), |_| true, limits);
     assert_eq!(placed.iter().map(|a| a.attempt).collect::<Vec<_>>(), [2, 2]);
 }
@@ -225,7 +243,7 @@
     fresh.submitted_ms = 75_000;
     let times = Some((60.0, 150.0));
     let first = |longest, now_ms| {
-        let of = |j, l| turn(j, true, l, times, now_ms);
+        let of = |j, l| queue_rank(j, true, l, times, now_ms);
         queue_order((&job, of(&job, longest)), (&fresh, of(&fresh, false))).is_lt()
     };
     assert!(first(false, 59_000), "both may still be in time: by age");
@@ -243,7 +261,7 @@
     }
     assert!(longest_waiting(&w, 10_000).is_empty());
     assert_eq!(longest_waiting(&w, 115_000), ["j-1", "j-2"], "15% of 40 tasks");
-    w.apply(Change::Job("j-0".into(), None), 9);
+    w.apply(RecordChange::Job("j-0".into(), None), 9);
     assert_eq!(longest_waiting(&w, 115_000), ["j-1"], "one at least");
 }
 
@@ -255,24 +273,25 @@
     let mut before = spec("j-1", JobKind::Array, 1);
     before.image_gb = 40.0;
     add(&mut w, before.clone(), &[(0, "a1")]);
-    w.apply(Change::Job("j-1".into(), None), 3);
+    w.apply(RecordChange::Job("j-1".into(), None), 3);
     add(&mut w, s.clone(), &[]);
-    let on = |w: &World, now_ms| -> Vec<String> {
+    let on = |w: &Replica, now_ms| -> Vec<String> {
         let mut job = w.jobs["j-2"].value.as_ref().clone();
-        let limits = Limits { most: 9, window: 9, lossy: false, gang_wait_s: 30.0, now_ms };
+        let limits =
+            Limits { max_tasks: 9, task_window: 9, may_strand_gpus: false, gang_wait_s: 30.0, now_ms };
         let placed = place(w, &mut inventory(w), &mut job, &team(), |_| true, limits);
         placed.into_iter().map(|a| a.machine.to_string()).collect()
     };
     assert_eq!(on(&w, 1000), ["a2", "a3"], "a1 has the image, the others take 40 s");
-    w.apply(Change::Machine("a3".into(), None), 4);
+    w.apply(RecordChange::Machine("a3".into(), None), 4);
     assert!(on(&w, 1000).is_empty());
     assert_eq!(on(&w, 200_000).len(), 2, "better than to wait for ever");
-    let t = w.types["m"].clone();
-    assert!(!too_slow(&s, &t, 30.0));
+    let t = w.machine_types["m"].clone();
+    assert!(!image_fetch_too_slow(&s, &t, 30.0));
     s.image_gb = 80.0;
-    assert!(too_slow(&s, &t, 30.0));
+    assert!(image_fetch_too_slow(&s, &t, 30.0));
     s.cpus = 4.0;
-    assert!(!too_slow(&s, &t, 30.0), "one machine holds it all");
+    assert!(!image_fetch_too_slow(&s, &t, 30.0), "one machine holds it all");
 }
 
 /// One task of a gang has the image, the other fetches it for longer than the
@@ -285,35 +304,40 @@
     add(&mut w, s, &[(0, "a1"), (1, "a2")]);
     let mut job = w.jobs["j-1"].value.as_ref().clone();
     job.attempt = 1;
-    job.end(0, 1, End::Alone, 0, 0);
-    assert_eq!(job.run.iter().map(|a| a.want).collect::<Vec<_>>(), [Want::Run], "it goes on fetching");
-    w.apply(Change::Job("j-1".into(), Some(Box::new(job.clone()))), 3);
-    let limits = Limits { most: 9, window: 9, lossy: false, gang_wait_s: 30.0, now_ms: 1000 };
+    job.end_assignment(0, 1, TerminationReason::GangIncomplete, 0, 0);
+    assert_eq!(
+        job.assignments.iter().map(|a| a.desired).collect::<Vec<_>>(),
+        [DesiredState::Running],
+        "it goes on fetching"
+    );
+    w.apply(RecordChange::Job("j-1".into(), Some(Box::new(job.clone()))), 3);
+    let limits =
+        Limits { max_tasks: 9, task_window: 9, may_strand_gpus: false, gang_wait_s: 30.0, now_ms: 1000 };
     let placed = place(&w, &mut inventory(&w), &mut job, &team(), |_| true, limits);
     assert_eq!(placed.len(), 1);
     assert_eq!((placed[0].task, placed[0].attempt, &*placed[0].machine), (0, 1, "a3"));
     // Nor may any machine see the same attempt twice.
     let mut alone = w.jobs["j-1"].value.as_ref().clone();
-    w.apply(Change::Machine("a3".into(), None), 4);
+    w.apply(RecordChange::Machine("a3".into(), None), 4);
     assert!(place(&w, &mut inventory(&w), &mut alone, &team(), |_| true, limits).is_empty());
     // At last all have given up: the next attempt may be anywhere.
-    alone.end(1, 1, End::Alone, 0, 0);
-    assert!(alone.run.is_empty() && alone.left.is_empty());
-    w.apply(Change::Job("j-1".into(), Some(Box::new(alone.clone()))), 5);
+    alone.end_assignment(1, 1, TerminationReason::GangIncomplete, 0, 0);
+    assert!(alone.assignments.is_empty() && alone.vacated_machines.is_empty());
+    w.apply(RecordChange::Job("j-1".into(), Some(Box::new(alone.clone()))), 5);
     let placed = place(&w, &mut inventory(&w), &mut alone, &team(), |_| true, limits);
     assert_eq!(placed.iter().map(|a| a.attempt).collect::<Vec<_>>(), [2, 2]);
-    for _ in 0..LEFT_MAX {
-        job.left.push("x".into());
+    for _ in 0..MAX_VACATED_MACHINES {
+        job.vacated_machines.push("x".into());
     }
-    job.end(1, 1, End::Alone, 0, 0);
-    assert!(job.run.iter().all(|a| a.want == Want::Stop), "not without end");
+    job.end_assignment(1, 1, TerminationReason::GangIncomplete, 0, 0);
+    assert!(job.assignments.iter().all(|a| a.desired == DesiredState::Stopped), "not without end");
 }
 
 #[test]
 fn services_go_where_their_image_comes_soonest() {
     let mut w = world(&[("a1", "m", "a", false), ("a2", "f", "a", false), ("a3", "m", "a", false)]);
-    let slow = w.types["m"].clone();
-    w.types.insert(
+    let slow = w.machine_types["m"].clone();
+    w.machine_types.insert(
         "f".into(),
         MachineType { name: "f".into(), fetch_gb_per_s: slow.fetch_gb_per_s * 8.0, ..slow },
     );
@@ -327,15 +351,15 @@
 #[test]
 fn a_gang_ends_together() {
     let mut job = JobRecord::new(spec("j-1", JobKind::Gang, 2), None, 0);
-    let run = |task| Assignment { task, attempt: 1, machine: "m".into(), want: Want::Run };
-    job.run = vec![run(0), run(1)];
+    let run = |task| Assignment { task, attempt: 1, machine: "m".into(), desired: DesiredState::Running };
+    job.assignments = vec![run(0), run(1)];
     (job.attempt, job.phase) = (1, Phase::Active);
     let mut broken = job.clone();
-    broken.end(0, 1, End::Stopped, 0, 0);
-    assert_eq!((broken.phase, broken.run[0].want), (Phase::Active, Want::Stop));
-    job.end(0, 1, End::Done, 0, 0);
+    broken.end_assignment(0, 1, TerminationReason::Stopped, 0, 0);
+    assert_eq!((broken.phase, broken.assignments[0].desired), (Phase::Active, DesiredState::Stopped));
+    job.end_assignment(0, 1, TerminationReason::Done, 0, 0);
     assert_eq!(job.phase, Phase::Done);
     assert!(job.spec.is_some(), "the other task still takes its share");
-    job.end(1, 1, End::Lost, 0, 0);
+    job.end_assignment(1, 1, TerminationReason::Lost, 0, 0);
     assert!(job.spec.is_none() && job.done.len() == 2);
 }
--- a/crates/sched/tests/unit/preempt.rs
+++ b/crates/sched/tests/unit/preempt.rs
@@ -11,7 +11,7 @@
     let s = spec("j-2", JobKind::Array, 1);
     let find = |within: &[&str]| {
         let within = within.iter().map(|s| (*s).to_owned()).collect();
-        victims(
+        find_victims(
             &Running::new(&w, &inventory(&w)),
             &inventory(&w),
             (&s, s.priority),
@@ -37,7 +37,7 @@
     let mut s = spec("j-3", JobKind::Service, 2);
     s.priority = Priority::High;
     let found = |chosen: &[Victim]| {
-        victims(
+        find_victims(
             &Running::new(&w, &inventory(&w)),
             &inventory(&w),
             (&s, s.priority),
@@ -51,7 +51,7 @@
     assert_eq!(first[0].job, "j-2");
     s.cpus = 4.0;
     assert!(
-        victims(
+        find_victims(
             &Running::new(&w, &inventory(&w)),
             &inventory(&w),
             (&s, s.priority),
@@ -69,12 +69,12 @@
     let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     add(&mut w, spec("j-1", JobKind::Gang, 1), &[(0, "a1")]);
     let mut often = w.jobs["j-1"].value.as_ref().clone();
-    (often.attempt, often.run[0].attempt) = (5, 5);
-    w.apply(crate::world::Change::Job("j-1".into(), Some(Box::new(often))), 3);
+    (often.attempt, often.assignments[0].attempt) = (5, 5);
+    w.apply(crate::replica::RecordChange::Job("j-1".into(), Some(Box::new(often))), 3);
     add(&mut w, spec("j-2", JobKind::Gang, 2), &[(0, "a2"), (1, "a2")]);
     let mut s = spec("j-3", JobKind::Service, 1);
     (s.priority, s.cpus) = (Priority::Production, 7.0);
-    let found = victims(
+    let found = find_victims(
         &Running::new(&w, &inventory(&w)),
         &inventory(&w),
         (&s, s.priority),
@@ -93,9 +93,12 @@
     let mut s = spec("j-2", JobKind::Service, 1);
     s.priority = Priority::Production;
     let limited = Team { cpus_max: 7.0, ..team() };
-    assert_eq!(within_team(&w, &inventory(&w), (&s, s.priority), 1, &limited).map(|v| v.len()), Some(1));
+    assert_eq!(
+        find_victims_within_team(&w, &inventory(&w), (&s, s.priority), 1, &limited).map(|v| v.len()),
+        Some(1)
+    );
     assert!(
-        within_team(&w, &inventory(&w), (&s, s.priority), 1, &team()).is_none(),
+        find_victims_within_team(&w, &inventory(&w), (&s, s.priority), 1, &team()).is_none(),
         "there is room in the limit"
     );
 }
--- a/crates/sched/tests/unit/records.rs
+++ b/crates/sched/tests/unit/records.rs
@@ -14,7 +14,7 @@
 #[test]
 fn owner_stays_in_the_zone_while_it_has_a_controller() {
     let member = |n: &str, z: &str| Member { name: n.into(), zone: z.into(), incarnation: 1 };
-    let map = MapRecord { epoch: 1, live: vec![member("a", "x"), member("b", "y"), member("c", "x")] };
+    let map = ClusterMap { epoch: 1, live: vec![member("a", "x"), member("b", "y"), member("c", "x")] };
     for i in 0..50 {
         let owner = map.owner(&format!("host-{i:06}"), "y").map(|m| m.name.as_str());
         assert_eq!(owner, Some("b"));
--- a/crates/sched/tests/unit/rescheduler.rs
+++ b/crates/sched/tests/unit/rescheduler.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::placement::tests::{add, inventory, spec, world};
-use crate::records::{JobRecord, Want};
+use crate::records::{DesiredState, JobRecord};
 
-fn crowded(kind: JobKind, tasks: u32) -> World {
+fn crowded(kind: JobKind, tasks: u32) -> Replica {
     let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     let run: Vec<(u32, &str)> = (0..tasks).map(|t| (t, "a1")).collect();
     add(&mut w, spec("j-1", kind, tasks), &run);
@@ -12,7 +12,7 @@
 #[test]
 fn only_services_with_replicas_move_and_only_past_the_threshold() {
     let policy = Policy::default();
-    let scan = |w: &World| scan(w, &inventory(w), &policy, 1_000_000).len();
+    let scan = |w: &Replica| scan(w, &inventory(w), &policy, 1_000_000).len();
     assert_eq!(scan(&crowded(JobKind::Service, 2)), 1);
     assert_eq!(scan(&crowded(JobKind::Service, 1)), 0, "single replicas stay put");
     assert_eq!(scan(&crowded(JobKind::Array, 2)), 0);
@@ -51,14 +51,14 @@
     let found = scan(&w, &inventory(&w), &policy, 1_000_000);
     let mut job: JobRecord = w.jobs["j-1"].value.as_ref().clone();
     evict(&mut job, &found[0], &policy, 1_000_000);
-    assert_eq!(job.run.iter().filter(|a| a.want == Want::Stop).count(), 1);
-    assert_eq!(job.avoid, [("a1".to_owned(), 1_300_000)]);
+    assert_eq!(job.assignments.iter().filter(|a| a.desired == DesiredState::Stopped).count(), 1);
+    assert_eq!(job.avoided_machines, [("a1".to_owned(), 1_300_000)]);
     let refills: Vec<u64> = (0..20).map(|n| refill_ms(&format!("j-{n:06}"), &policy)).collect();
     assert!(refills.iter().all(|r| (60_000..75_000).contains(r)));
     assert!(refills.iter().collect::<std::collections::BTreeSet<_>>().len() > 10, "refills are staggered");
     // All replicas but one stay up.
     let mut w2 = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
-    job.evicted_ms = 0;
-    w2.apply(crate::world::Change::Job("j-1".into(), Some(Box::new(job))), 5);
+    job.last_eviction_ms = 0;
+    w2.apply(crate::replica::RecordChange::Job("j-1".into(), Some(Box::new(job))), 5);
     assert!(scan(&w2, &inventory(&w2), &policy, 1_000_000).is_empty());
 }
--- a/crates/store/src/chunks.rs
+++ b/crates/store/src/chunks.rs
@@ -9,9 +9,9 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use rmpv::Value;
-use sched::world::Change;
+use sched::replica::RecordChange;
 
-use crate::codec::{Put, decode_change, key};
+use crate::codec::{KeyWrite, decode_change, key};
 
 const FIELD: &str = "wide";
 /// What a part's value takes beside its text.
@@ -31,25 +31,25 @@
 
 /// A record in parts: these are written first, in this order; then the head.
 #[derive(Debug)]
-pub struct Chunked {
+pub struct ChunkedRecord {
     /// Its parts, in the order in which they are written.
-    pub parts: Vec<Put>,
+    pub parts: Vec<KeyWrite>,
     /// The head that names them.
-    pub head: Put,
+    pub head: KeyWrite,
 }
 
 /// Splits a record's value. The nonce must never have been used for this key.
-pub fn split(put: &Put, nonce: u64, value_bytes: usize) -> Option<Chunked> {
+pub fn split_record(put: &KeyWrite, nonce: u64, value_bytes: usize) -> Option<ChunkedRecord> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, put.value.as_ref()?).ok()?;
     let text = STANDARD_NO_PAD.encode(bytes);
     let nonce = format!("{nonce:x}");
     let each = value_bytes.saturating_sub(PART_EXTRA).max(64);
-    let mut parts: Vec<Put> = text
+    let mut parts: Vec<KeyWrite> = text
         .as_bytes()
         .chunks(each)
         .enumerate()
-        .map(|(n, chunk)| Put {
+        .map(|(n, chunk)| KeyWrite {
             key: part_key(&put.key, &nonce, n),
             value: Some(Value::from(String::from_utf8_lossy(chunk).into_owned())),
             lease: None,
@@ -59,7 +59,7 @@
     parts.reverse();
     let names = Value::Array(vec![Value::from(nonce), Value::from(count)]);
     let head = Value::Map(vec![(Value::from(FIELD), names)]);
-    Some(Chunked { parts, head: Put { key: put.key.clone(), value: Some(head), lease: None } })
+    Some(ChunkedRecord { parts, head: KeyWrite { key: put.key.clone(), value: Some(head), lease: None } })
 }
 
 /// The nonce and the number of parts, if the value is the head of a chunked record.
@@ -81,14 +81,14 @@
 
 /// What is known of chunked records: reads changes of keys as changes of records.
 #[derive(Default)]
-pub struct Reader {
+pub struct RecordReader {
     heads: HashMap<String, Head>,
     texts: BTreeMap<String, String>,
 }
 
 /// Parts that no head names.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Orphans {
+pub struct OrphanedChunks {
     /// The record's key.
     pub of: String,
     /// The nonce of the parts' keys.
@@ -97,10 +97,10 @@
     pub keys: Vec<String>,
 }
 
-impl Reader {
+impl RecordReader {
     /// Takes in a change of a key: what it means for the records, whether there is a
     /// value that cannot be read (yet), and at which version the record changed.
-    pub fn take(&mut self, key: &str, value: Option<Value>, version: u64) -> (Change, bool, u64) {
+    pub fn apply(&mut self, key: &str, value: Option<Value>, version: u64) -> (RecordChange, bool, u64) {
         if let Some((of, nonce, _)) = parse_part(key) {
             match value.as_ref().and_then(Value::as_str) {
                 Some(text) => self.texts.insert(key.to_owned(), text.to_owned()),
@@ -111,7 +111,7 @@
                     let version = h.version;
                     self.resolve(&of, version)
                 }
-                _ => (Change::Other, false, version),
+                _ => (RecordChange::Other, false, version),
             };
         }
         match value.as_ref().and_then(head_of) {
@@ -137,7 +137,7 @@
         rmpv::decode::read_value(&mut bytes.as_slice()).ok()
     }
 
-    fn resolve(&mut self, of: &str, version: u64) -> (Change, bool, u64) {
+    fn resolve(&mut self, of: &str, version: u64) -> (RecordChange, bool, u64) {
         let whole = self.whole(of);
         if let Some(head) = self.heads.get_mut(of) {
             head.pending = whole.is_none();
@@ -154,7 +154,7 @@
     }
 
     /// The parts that no head names, by their records.
-    pub fn orphans(&self) -> Vec<Orphans> {
+    pub fn orphans(&self) -> Vec<OrphanedChunks> {
         let named: HashSet<(&str, &str)> =
             self.heads.iter().map(|(k, h)| (k.as_str(), h.nonce.as_str())).collect();
         let mut lost: BTreeMap<(String, String), Vec<(usize, String)>> = BTreeMap::new();
@@ -166,7 +166,7 @@
         }
         let orphans = lost.into_iter().map(|((of, nonce), mut keys)| {
             keys.sort_unstable();
-            Orphans { of, nonce, keys: keys.into_iter().map(|k| k.1).collect() }
+            OrphanedChunks { of, nonce, keys: keys.into_iter().map(|k| k.1).collect() }
         });
         orphans.collect()
     }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use wire::{Changes, Condition, Items, Lease, LeaseRequest, Op, Txn, TxnAnswer};
 
-use crate::codec::{Put, key};
+use crate::codec::{KeyWrite, key};
 
 /// Why the state service did not do what it was asked, or may not have.
 #[derive(Debug, thiserror::Error)]
@@ -16,27 +16,27 @@
     Refused(u16),
     /// Above the state service's requests or changes a second: nothing was carried out.
     #[error("above the rate limit")]
-    Rate,
+    RateLimited,
     /// It was not sent: the state service could not take it.
     #[error("larger than a value may be: {0}")]
-    Large(String),
+    ValueTooLarge(String),
     /// The request may have been carried out, or may be later.
     #[error(transparent)]
-    Net(#[from] NetError),
+    Network(#[from] NetError),
     /// The answer could not be read.
     #[error("answer not understood: {0}")]
-    Answer(#[from] wire::DecodeError),
+    InvalidResponse(#[from] wire::DecodeError),
     /// They are no longer kept that far back, or are too many to be told at once.
     #[error("the changes cannot be followed from there")]
-    TooOld,
+    Compacted,
     /// The lease is over: whatever was attached to it is deleted.
     #[error("the lease is over")]
-    NoLease,
+    LeaseExpired,
 }
 
 /// What became of a transaction.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum TxnOutcome {
     /// It was carried out, at this revision.
     Committed {
         /// The state service's revision with it.
@@ -53,7 +53,7 @@
 
 /// A client of the state service.
 #[derive(Clone)]
-pub struct StateClient {
+pub struct KeyValueClient {
     client: Client,
     addr: String,
     /// Most bytes of an answer with changes.
@@ -69,7 +69,7 @@
 const CHANGES_LEAST: usize = 2 << 20;
 const CHANGES_MOST: usize = 16 << 20;
 
-impl StateClient {
+impl KeyValueClient {
     /// `memory_bytes`: what the process may hold.
     pub fn new(client: Client, addr: String, memory_bytes: usize) -> Self {
         let changes_bytes = (memory_bytes / CHANGES_PART).clamp(CHANGES_LEAST, CHANGES_MOST);
@@ -97,7 +97,7 @@
         let body = body.map(wire::encode).unwrap_or_default();
         let answer = self.client.request(&self.addr, method, path, body, limit, deadline).await?;
         match answer.status {
-            429 => Err(StoreError::Rate),
+            429 => Err(StoreError::RateLimited),
             503 => Err(StoreError::Refused(503)),
             _ => Ok(answer),
         }
@@ -122,18 +122,22 @@
     pub async fn watch(&self, after: u64, wait: Duration) -> Result<Changes<Value>, StoreError> {
         let path = format!("/follow?prefix={}&after={after}&hold_ms={}", key::PREFIX, wait.as_millis());
         let answer = self.call_within::<()>("GET", &path, None, self.changes_bytes, wait + DEADLINE).await;
-        if let Err(StoreError::Net(NetError::TooLarge(..))) = answer {
-            return Err(StoreError::TooOld);
+        if let Err(StoreError::Network(NetError::TooLarge(..))) = answer {
+            return Err(StoreError::Compacted);
         }
         let answer = answer?;
         if answer.status == 410 {
-            return Err(StoreError::TooOld);
+            return Err(StoreError::Compacted);
         }
         Self::read(answer)
     }
 
     /// Carries out changes, all or none, if every key has the version that is asked for.
-    pub async fn txn(&self, conditions: Vec<Condition>, puts: Vec<Put>) -> Result<Outcome, StoreError> {
+    pub async fn txn(
+        &self,
+        conditions: Vec<Condition>,
+        puts: Vec<KeyWrite>,
+    ) -> Result<TxnOutcome, StoreError> {
         let ops = puts
             .into_iter()
             .map(|p| match p.value {
@@ -145,38 +149,38 @@
         match answer.status {
             200 => {
                 let a: TxnAnswer = wire::decode(&answer.body)?;
-                Ok(Outcome::Committed { revision: a.revision })
+                Ok(TxnOutcome::Committed { revision: a.revision })
             }
             409 => {
                 let a: TxnAnswer = wire::decode(&answer.body)?;
-                Ok(Outcome::Conflict { failed: a.failed, revision: a.revision })
+                Ok(TxnOutcome::Conflict { failed: a.failed, revision: a.revision })
             }
-            400 if answer.body.windows(13).any(|w| w == b"no such lease") => Err(StoreError::NoLease),
+            400 if answer.body.windows(13).any(|w| w == b"no such lease") => Err(StoreError::LeaseExpired),
             s => Err(StoreError::Refused(s)),
         }
     }
 
     /// Begins a lease.
-    pub async fn new_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let body = LeaseRequest { ttl_ms: ttl.as_millis() as u64 };
         let lease: Lease = Self::read(self.call("POST", "/leases", Some(&body), DEADLINE).await?)?;
         Ok(lease.lease)
     }
 
     /// Renews a lease.
-    pub async fn touch(&self, lease: u64) -> Result<(), StoreError> {
+    pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
         let answer = self
             .call::<()>("POST", &format!("/leases/{lease}/touch"), None, Duration::from_millis(1500))
             .await?;
         match answer.status {
             200 => Ok(()),
-            404 => Err(StoreError::NoLease),
+            404 => Err(StoreError::LeaseExpired),
             s => Err(StoreError::Refused(s)),
         }
     }
 
     /// Ends a lease at once, and deletes what is attached to it.
-    pub async fn end_lease(&self, lease: u64) -> Result<(), StoreError> {
+    pub async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError> {
         self.call::<()>("DELETE", &format!("/leases/{lease}"), None, DEADLINE).await.map(|_| ())
     }
 }
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -3,8 +3,8 @@
 use rmpv::Value;
 use sched::drain_records::{DRAIN_SCHEMA, DrainRecord};
 use sched::drains::CordonId;
-use sched::records::{SCHEMA_VERSION, Upgraded};
-use sched::world::Change;
+use sched::records::{SCHEMA_VERSION, SchemaMarker};
+use sched::replica::RecordChange;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -68,7 +68,7 @@
 
 /// One put or delete of a transaction.
 #[derive(Debug, Clone)]
-pub struct Put {
+pub struct KeyWrite {
     /// The key.
     pub key: String,
     /// None deletes the key.
@@ -77,7 +77,7 @@
     pub lease: Option<u64>,
 }
 
-impl Put {
+impl KeyWrite {
     /// A put of a record.
     pub fn new<T: Serialize>(key: String, value: &T) -> Self {
         // By way of bytes, so that the value is just what a reader will see.
@@ -140,7 +140,7 @@
 /// The schema that a controller had. Whatever the record says otherwise, it stands for the
 /// first version that left one.
 fn schema_of(value: Value) -> u32 {
-    parse::<Upgraded>(value).map_or(SCHEMA_VERSION, |u| u.schema_version)
+    parse::<SchemaMarker>(value).map_or(SCHEMA_VERSION, |u| u.schema_version)
 }
 
 /// A drain's record; one of a later schema cannot be read.
@@ -157,29 +157,31 @@
 
 /// Reads a change of a key; `None` is a deletion. The second part tells that
 /// there is a value, but none that can be read.
-pub fn decode_change(key: &str, value: Option<Value>) -> (Change, bool) {
+pub fn decode_change(key: &str, value: Option<Value>) -> (RecordChange, bool) {
     let mut bad = false;
-    let Some(rest) = key.strip_prefix(key::PREFIX) else { return (Change::Other, false) };
+    let Some(rest) = key.strip_prefix(key::PREFIX) else { return (RecordChange::Other, false) };
     let change = match rest.split_once('/') {
-        Some(("jobs", id)) => Change::Job(id.to_owned(), read(value, &mut bad)),
-        Some(("machines", id)) => Change::Machine(id.to_owned(), read(value, &mut bad)),
-        Some(("teams", id)) => Change::Team(id.to_owned(), read(value, &mut bad)),
-        Some(("members", id)) => Change::Member(id.to_owned(), read(value, &mut bad)),
-        Some(("upgraded", id)) => Change::Upgraded(id.to_owned(), value.map(schema_of)),
-        Some(("drains", name)) => Change::Drain(name.to_owned(), read_drain(value, &mut bad)),
+        Some(("jobs", id)) => RecordChange::Job(id.to_owned(), read(value, &mut bad)),
+        Some(("machines", id)) => RecordChange::Machine(id.to_owned(), read(value, &mut bad)),
+        Some(("teams", id)) => RecordChange::Team(id.to_owned(), read(value, &mut bad)),
+        Some(("members", id)) => RecordChange::Member(id.to_owned(), read(value, &mut bad)),
+        Some(("upgraded", id)) => RecordChange::SchemaMarker(id.to_owned(), value.map(schema_of)),
+        Some(("drains", name)) => RecordChange::Drain(name.to_owned(), read_drain(value, &mut bad)),
         Some(("cordons", rest)) => match cordon_id(rest) {
-            Some(id) => Change::Cordon(id, read(value, &mut bad)),
-            None => Change::Other,
+            Some(id) => RecordChange::Cordon(id, read(value, &mut bad)),
+            None => RecordChange::Other,
         },
-        Some(("disruptions", team)) => Change::Disruptions(team.to_owned(), read(value, &mut bad)),
+        Some(("disruptions", team)) => RecordChange::Disruptions(team.to_owned(), read(value, &mut bad)),
         // Only its version matters: were one that cannot be read passed over, no placement
         // would be conditional on the version that it has.
-        None if rest == "cordon-fence" => Change::CordonFence(value.map(|v| parse(v).unwrap_or_default())),
-        None if rest == "leader" => Change::Leader(read(value, &mut bad)),
-        None if rest == "map" => Change::Map(read(value, &mut bad)),
-        None if rest == "types" => Change::Types(read(value, &mut bad)),
-        None if rest == "fleet" => Change::Fleet(read(value, &mut bad)),
-        _ => Change::Other,
+        None if rest == "cordon-fence" => {
+            RecordChange::CordonFence(value.map(|v| parse(v).unwrap_or_default()))
+        }
+        None if rest == "leader" => RecordChange::Leader(read(value, &mut bad)),
+        None if rest == "map" => RecordChange::Map(read(value, &mut bad)),
+        None if rest == "types" => RecordChange::Types(read(value, &mut bad)),
+        None if rest == "fleet" => RecordChange::Fleet(read(value, &mut bad)),
+        _ => RecordChange::Other,
     };
     (change, bad)
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -2,12 +2,12 @@
 
 #![warn(missing_docs)]
 
-mod budget;
 mod chunks;
 mod client;
 mod codec;
+mod rate_limiter;
 
-pub use budget::Budget;
-pub use chunks::{Chunked, Orphans, Reader, split};
-pub use client::{Outcome, StateClient, StoreError};
-pub use codec::{Put, decode_change, key};
+pub use chunks::{ChunkedRecord, OrphanedChunks, RecordReader, split_record};
+pub use client::{KeyValueClient, StoreError, TxnOutcome};
+pub use codec::{KeyWrite, decode_change, key};
+pub use rate_limiter::RateLimiter;
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/rate_limiter.rs
@@ -2,7 +2,7 @@
 
 /// A token bucket that callers wait on before they use the state service.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RateLimiter {
     per_s: f64,
     burst: f64,
     level: f64,
@@ -20,7 +20,7 @@
 /// Most debt, in seconds of the rate, and longest wait.
 const DEBT_S: f64 = 2.0;
 
-impl Budget {
+impl RateLimiter {
     /// A bucket that is full now and fills at this rate.
     pub fn new(per_s: f64, burst: f64, now: Instant) -> Self {
         Self { per_s, burst, level: burst, at: now, denied: None }
@@ -45,7 +45,7 @@
 
     /// Takes `n` units, going into debt, and tells how long to wait first.
     /// `reserve` is left for more urgent callers.
-    pub fn take(&mut self, n: f64, reserve: f64, now: Instant) -> Duration {
+    pub fn acquire(&mut self, n: f64, reserve: f64, now: Instant) -> Duration {
         let wait = self.wait(n + reserve, now);
         // Debt does not pile up: what could not be done is not done later.
         self.level = (self.level - n).max(-DEBT_S * self.per_s);
@@ -53,7 +53,7 @@
     }
 
     /// The service refused for its rate: whatever was thought left is gone.
-    pub fn drained(&mut self, now: Instant) {
+    pub fn note_refusal(&mut self, now: Instant) {
         self.fill(now);
         self.level = self.level.min(0.0);
     }
@@ -82,12 +82,12 @@
     }
 
     /// How many units are there now.
-    pub fn level(&mut self, now: Instant) -> f64 {
+    pub fn available(&mut self, now: Instant) -> f64 {
         self.fill(now);
         self.level
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/budget.rs"]
+#[path = "../tests/unit/rate_limiter.rs"]
 mod tests;
--- a/crates/store/tests/unit/chunks.rs
+++ b/crates/store/tests/unit/chunks.rs
@@ -3,15 +3,15 @@
 
 fn large() -> FleetRecord {
     let gone = (0..400u32).map(|n| format!("host-{:06}", n * 7919 % 100_000).as_str().into()).collect();
-    FleetRecord { rentals: Vec::new(), gone: Some(gone) }
+    FleetRecord { scale_outs: Vec::new(), removed_machines: Some(gone) }
 }
 
-fn wide(nonce: u64) -> Chunked {
-    split(&Put::new(key::FLEET.into(), &large()), nonce, 500).expect("parts")
+fn wide(nonce: u64) -> ChunkedRecord {
+    split_record(&KeyWrite::new(key::FLEET.into(), &large()), nonce, 500).expect("parts")
 }
 
-fn fleet(change: &Change) -> Option<&FleetRecord> {
-    if let Change::Fleet(f) = change { f.as_ref() } else { None }
+fn fleet(change: &RecordChange) -> Option<&FleetRecord> {
+    if let RecordChange::Fleet(f) = change { f.as_ref() } else { None }
 }
 
 #[test]
@@ -22,39 +22,39 @@
         assert!(put.json_len() <= 500 + put.key.len() + 20, "{}", put.json_len());
     }
     let mut sorted = large();
-    sorted.gone.iter_mut().for_each(|g| g.sort_unstable());
-    let mut reader = Reader::default();
+    sorted.removed_machines.iter_mut().for_each(|g| g.sort_unstable());
+    let mut reader = RecordReader::default();
     // In order, as the state service tells it.
     for put in &w.parts {
-        assert!(matches!(reader.take(&put.key, put.value.clone(), 3), (Change::Other, false, 3)));
+        assert!(matches!(reader.apply(&put.key, put.value.clone(), 3), (RecordChange::Other, false, 3)));
     }
-    let (change, bad, at) = reader.take(&w.head.key, w.head.value.clone(), 4);
+    let (change, bad, at) = reader.apply(&w.head.key, w.head.value.clone(), 4);
     assert_eq!((fleet(&change), bad, at), (Some(&sorted), false, 4));
     // The head first, as in a list by keys: nothing can be read, nothing is deleted.
-    let mut reader = Reader::default();
-    assert!(reader.take(&w.head.key, w.head.value.clone(), 4).1);
+    let mut reader = RecordReader::default();
+    assert!(reader.apply(&w.head.key, w.head.value.clone(), 4).1);
     let (last, others) = w.parts.split_last().expect("parts");
     for put in others {
-        assert!(!reader.take(&put.key, put.value.clone(), 3).1);
+        assert!(!reader.apply(&put.key, put.value.clone(), 3).1);
     }
-    let (change, bad, at) = reader.take(&last.key, last.value.clone(), 3);
+    let (change, bad, at) = reader.apply(&last.key, last.value.clone(), 3);
     assert_eq!((fleet(&change), bad, at), (Some(&sorted), false, 4));
 }
 
 #[test]
 fn only_parts_that_no_head_names_are_orphans() {
     let (old, new) = (wide(7), wide(8));
-    let mut reader = Reader::default();
+    let mut reader = RecordReader::default();
     for put in old.parts.iter().chain([&old.head]).chain(&new.parts) {
-        reader.take(&put.key, put.value.clone(), 1);
+        reader.apply(&put.key, put.value.clone(), 1);
     }
-    let nonces = |r: &Reader| r.orphans().iter().map(|o| o.nonce.clone()).collect::<Vec<_>>();
+    let nonces = |r: &RecordReader| r.orphans().iter().map(|o| o.nonce.clone()).collect::<Vec<_>>();
     assert_eq!(nonces(&reader), ["8"], "not committed yet, or never");
-    reader.take(&new.head.key, new.head.value.clone(), 2);
+    reader.apply(&new.head.key, new.head.value.clone(), 2);
     assert_eq!(nonces(&reader), ["7"]);
     let first = &reader.orphans()[0].keys[0];
     assert_eq!(Some(first), old.parts.last().map(|p| &p.key), "the first part is written last, gone first");
-    reader.take(key::FLEET, Put::new(key::FLEET.into(), &FleetRecord::default()).value, 3);
+    reader.apply(key::FLEET, KeyWrite::new(key::FLEET.into(), &FleetRecord::default()).value, 3);
     assert_eq!(nonces(&reader), ["7", "8"], "it fits into one value again");
     assert!(!reader.is_chunked(key::FLEET));
 }
--- a/crates/store/tests/unit/codec.rs
+++ b/crates/store/tests/unit/codec.rs
@@ -7,17 +7,22 @@
         &rmp_serde::to_vec_named(&JobRecord {
             phase: Phase::Active,
             spec: None,
-            part: Some("n".into()),
+            shard: Some("n".into()),
             submitted_ms: 5,
             attempt: 2,
             done: Ranges::all(3),
-            run: vec![Assignment { task: 4, attempt: 2, machine: "host-1".into(), want: Want::Run }],
-            avoid: vec![("host-9".into(), 77)],
-            left: vec!["host-8".into()],
-            evicted_ms: 0,
-            errors: 1,
-            error_ms: 9,
-            needs: vec!["j-000000000000000001".into(), "j-7".into()],
+            assignments: vec![Assignment {
+                task: 4,
+                attempt: 2,
+                machine: "host-1".into(),
+                desired: DesiredState::Running,
+            }],
+            avoided_machines: vec![("host-9".into(), 77)],
+            vacated_machines: vec!["host-8".into()],
+            last_eviction_ms: 0,
+            failed_starts: 1,
+            last_failure_ms: 9,
+            dependencies: vec!["j-000000000000000001".into(), "j-7".into()],
             accepted_ms: 4,
             ended_ms: 0,
             urgency: Urgency::default(),
@@ -25,11 +30,11 @@
         .unwrap_or_default(),
     )
     .expect("decodes");
-    job.error_ms = 10;
-    let put = Put::new(key::job("j-1"), &job);
+    job.last_failure_ms = 10;
+    let put = KeyWrite::new(key::job("j-1"), &job);
     let (change, bad) = decode_change(&put.key, put.value);
     assert!(!bad);
-    let Change::Job(id, Some(back)) = change else { unreachable!("a job") };
+    let RecordChange::Job(id, Some(back)) = change else { unreachable!("a job") };
     assert_eq!((id.as_str(), *back), ("j-1", job));
 }
 
--- a/crates/wire/src/jobs.rs
+++ b/crates/wire/src/jobs.rs
@@ -55,16 +55,16 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     #[serde(rename = "guess_s")]
-    pub estimate_s: f64,
+    pub estimated_runtime_s: f64,
     #[serde(rename = "knot_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     #[serde(rename = "tie_s")]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
     #[serde(rename = "awaits", default, skip_serializing_if = "Option::is_none")]
-    pub needs: Option<Vec<String>>,
+    pub dependencies: Option<Vec<String>>,
 }
 
 pub const MAX_TASKS: u32 = 100_000;
@@ -125,11 +125,11 @@
             ("size_gb", amount(self.image_gb)),
             ("shapes", self.types.as_ref().is_none_or(|t| t.len() <= 32 && t.iter().all(|s| text(s)))),
             ("bay", self.zone.as_ref().is_none_or(|z| text(z))),
-            ("guess_s", amount(self.estimate_s)),
-            ("knot_s", amount(self.checkpoint_s)),
-            ("tie_s", amount(self.save_s)),
+            ("guess_s", amount(self.estimated_runtime_s)),
+            ("knot_s", amount(self.checkpoint_interval_s)),
+            ("tie_s", amount(self.checkpoint_save_s)),
             ("due_s", self.deadline_s.is_none_or(amount)),
-            ("awaits", self.needs.as_ref().is_none_or(|n| n.iter().all(|id| is_job_id(id)))),
+            ("awaits", self.dependencies.as_ref().is_none_or(|n| n.iter().all(|id| is_job_id(id)))),
         ];
         checks.iter().find(|(_, ok)| !ok).map(|(name, _)| *name)
     }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -25,11 +25,11 @@
     #[serde(rename = "mates_gone")]
     PeersGone,
     #[serde(rename = "alone")]
-    Alone,
+    GangIncomplete,
     #[serde(rename = "error")]
     Error,
     #[serde(rename = "no_room")]
-    NoRoom,
+    NoCapacity,
     #[serde(rename = "in_use")]
     Busy,
     #[serde(rename = "no_such")]
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "thread")]
     pub task: String,
     #[serde(rename = "try")]
@@ -48,12 +48,12 @@
     #[serde(rename = "status")]
     pub state: TaskState,
     #[serde(default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitReason>,
     #[serde(rename = "stored", default)]
-    pub saved: Option<bool>,
+    pub checkpointed: Option<bool>,
 }
 
-impl TaskReport {
+impl TaskStatus {
     /// The job and the task's number, or None if the name has another form.
     pub fn parts(&self) -> Option<(&str, u32)> {
         let (job, n) = self.task.split_once('/')?;
@@ -62,7 +62,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "frame")]
     pub machine: String,
     pub addr: String,
@@ -73,22 +73,22 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     #[serde(rename = "stint")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub spot_notice_s: Option<f64>,
     #[serde(rename = "threads", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// Longest name of a machine: it is part of a key of the state service, which has 200
 /// bytes at most.
 const NAME_MOST: usize = 120;
 
-impl Report {
+impl Heartbeat {
     /// Whether the machine's name can be one: recorded with any other, it would make the
     /// records of all that are written with it fail.
     pub fn is_named(&self) -> bool {
@@ -126,9 +126,9 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
@@ -136,9 +136,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Commands {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "stint")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/wire/tests/unit/lib.rs
+++ b/crates/wire/tests/unit/lib.rs
@@ -27,7 +27,7 @@
     let job: JobSpec = same(JOB);
     assert_eq!((job.kind, job.priority, job.tasks), (JobKind::Gang, Priority::High, 16));
     assert_eq!(job.invalid_field(), None);
-    let report: Report = decode(&msgpack(
+    let report: Heartbeat = decode(&msgpack(
         r#"{"frame":"host-000231","addr":"10.1.0.232:9000","shape":"g8","bay":"a","loaner":true,"stint":1,
             "tally":88,"baton":41,"warning_s":null,"new_field":7,
             "threads":[{"thread":"j-000412/3","try":2,"status":"running"},
@@ -35,8 +35,8 @@
     ))
     .expect("a report");
     assert_eq!(report.tasks[0].parts(), Some(("j-000412", 3)));
-    assert_eq!(report.tasks[1].cause, Some(Cause::Other));
-    same::<ReportAnswer>(
+    assert_eq!(report.tasks[1].cause, Some(ExitReason::Other));
+    same::<HeartbeatResponse>(
         r#"{"baton":41,"orders":[{"verb":"launch","thread":"j-000412/4","try":2},
             {"verb":"stop","thread":"j-000377/1","try":1,"leeway_s":10.0},{"verb":"clear","thread":"j-1/0","try":1}]}"#,
     );
