--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -17,6 +17,7 @@
 };
 
 use crate::api;
+use crate::change_feed;
 use crate::controller::{Controller, wall_ms};
 use crate::fleet_duty::Fleet;
 use crate::operators::Operators;
@@ -24,7 +25,6 @@
 use crate::reconcile;
 use crate::round;
 use crate::settings::Settings;
-use crate::state_duty;
 use crate::worker::{Worker, first_token};
 
 const EPOCH: u64 = 7;
@@ -76,7 +76,7 @@
 
 /// A controller that leads two, with its half of the machines and all the jobs.
 pub struct Site {
-    pub controller: Controller,
+    pub controller: Arc<Controller>,
     machines: usize,
     open: usize,
     seq: u64,
@@ -186,11 +186,11 @@
 impl Site {
     /// Takes in a record as it comes from the state service.
     fn apply(&self, put: KeyWrite) {
-        let mut core = self.controller.core();
-        let version = core.world.revision + 1;
-        let (change, _, version) = core.reader.apply(&put.key, put.value, version);
-        core.world.apply(change, version);
-        core.world.revision = version;
+        let mut state = self.controller.state();
+        let version = state.records.replica.revision + 1;
+        let (change, _, version) = state.records.reader.apply(&put.key, put.value, version);
+        state.records.replica.apply(change, version);
+        state.records.replica.revision = version;
     }
 
     pub fn empty() -> Self {
@@ -199,7 +199,7 @@
         let controller = Controller::new(settings, Operators::default(), 1);
         let site = Self { controller, machines: 0, open: 0, seq: 1, _runtime: runtime };
         let kinds = [kind("s", 8.0, 0.0), kind("m", 16.0, 0.0), kind("l", 32.0, 0.0), kind("g", 16.0, 2.0)];
-        let me = site.controller.me.clone();
+        let me = site.controller.identity.clone();
         let other = Member { name: "n-1".into(), zone: "b".into(), incarnation: 2 };
         site.apply(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: kinds.to_vec() }));
         for m in [&me, &other] {
@@ -211,10 +211,10 @@
         }
         site.apply(KeyWrite::new(key::LEADER.into(), &me));
         site.apply(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: EPOCH, live: vec![me, other] }));
-        let mut core = site.controller.core();
-        core.ready = true;
-        core.fresh_at = Some(Instant::now());
-        drop(core);
+        let mut state = site.controller.state();
+        state.records.is_loaded = true;
+        state.records.fresh_at = Some(Instant::now());
+        drop(state);
         site
     }
 
@@ -241,10 +241,10 @@
     /// What the machine's worker reports: all that is on it runs, but that the first
     /// `ended` tasks are done.
     fn report(&self, n: usize, ended: usize) -> Heartbeat {
-        let core = self.controller.core();
+        let state = self.controller.state();
         let id = machine_id(n);
         let m = machine(n);
-        let on = core.world.assignments(&id).enumerate().map(|(i, (job, _, a))| TaskStatus {
+        let on = state.records.replica.assignments(&id).enumerate().map(|(i, (job, _, a))| TaskStatus {
             task: format!("{job}/{}", a.task),
             attempt: a.attempt,
             state: if i < ended { TaskState::Exited } else { TaskState::Running },
@@ -277,7 +277,7 @@
             let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
             worker.ingest(report, true, now);
             worker.renew(now);
-            self.controller.core().workers.insert(machine_id(n).into(), worker);
+            self.controller.state().machines.workers.insert(machine_id(n).into(), worker);
         }
     }
 
@@ -321,8 +321,8 @@
     }
 
     fn decide(&self, ops: usize) -> round::Round {
-        let mut core = self.controller.core();
-        reconcile::decide(&self.controller, &mut core, false, ops, Instant::now(), wall_ms())
+        let mut state = self.controller.state();
+        reconcile::decide(&self.controller, &mut state, false, ops, Instant::now(), wall_ms())
             .expect("entitled")
     }
 
@@ -354,8 +354,7 @@
         let request = Request { method: "GET".into(), path, body: Default::default() };
         let mut answer = std::pin::pin!(api::serve(self.controller.clone(), request));
         let reply = poll(answer.as_mut()).or_else(|| {
-            let asked = self.controller.core().asked;
-            self.controller.verified.send_modify(|v| v.granted = asked);
+            self.controller.read_barrier.grant_all();
             poll(answer.as_mut())
         });
         assert_eq!(reply.map(|r| r.status), Some(200));
@@ -384,7 +383,7 @@
 
     /// Changes of running jobs, each with one task less, as the watch tells them.
     fn news(&self, jobs: usize) -> Vec<u8> {
-        let first = self.controller.core().world.revision + 1;
+        let first = self.controller.state().records.replica.revision + 1;
         let event = |n: usize| {
             let mut job = running(n, self.machines);
             job.assignments.remove(1);
@@ -462,8 +461,12 @@
             self.round(&mut done, "round that places 32 tasks", 8, 64);
             let round = self.decide(16);
             measured(|| {
-                let round::Assembled { conditions, puts, .. } =
-                    round::assemble(&controller.core().world, &round, &controller.plan(), usize::MAX);
+                let round::Assembled { conditions, puts, .. } = round::assemble(
+                    &controller.state().records.replica,
+                    &round,
+                    &controller.state_limits(),
+                    usize::MAX,
+                );
                 let put = |p: KeyWrite| p.value.map(|value| Op::Put { put: p.key, value, lease: p.lease });
                 wire::encode(&Txn { conditions, ops: puts.into_iter().filter_map(put).collect() })
             });
@@ -473,17 +476,17 @@
             self.round(&mut done, "round with 32 jobs without room", 8, 16);
             let now = Instant::now();
             let mut fleet = Fleet::leading_since(now - Duration::from_secs(60));
-            controller.core().refresh_inventory(&controller.me, controller.report_every(), now);
-            measured(|| fleet.wanted(&controller, &controller.core(), now));
+            controller.state().refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+            measured(|| fleet.wanted(&controller, &controller.state(), now));
             case_over(&mut done, "rentals planned for 32 jobs", 1);
             self.drop_jobs(3_000_100, 32);
-            measured(|| fleet.wanted(&controller, &controller.core(), now));
+            measured(|| fleet.wanted(&controller, &controller.state(), now));
             case_over(&mut done, "rentals planned for none", 1);
-            controller.core().fresh_at = Some(now);
-            controller.core().beat(now);
-            measured(|| fleet.surplus(&controller, &controller.core(), now));
+            controller.state().records.fresh_at = Some(now);
+            controller.state().tick(now);
+            measured(|| fleet.surplus(&controller, &controller.state(), now));
             case_over(&mut done, "returns planned", 1);
-            controller.core().given.since = None;
+            controller.state().scheduling.recent_assignments.since = None;
             let new = spec(4_000_000, JobKind::Array, 1);
             measured(|| api::choose_part(&controller, &new));
             case_over(&mut done, "part for a first new job", 1);
@@ -499,14 +502,15 @@
             });
             case_over(&mut done, "summary heard", 1);
             measured(|| {
-                let mut core = controller.core();
-                core.beat(Instant::now());
-                core.stands_aside(&controller.me, controller.report_every(), Instant::now())
+                let mut state = controller.state();
+                state.tick(Instant::now());
+                state.update_isolation(&controller.identity, controller.heartbeat_interval(), Instant::now())
             });
             case_over(&mut done, "pulse and membership", 1);
             measured(|| {
-                let mut core = controller.core();
-                controller.share_writes(&mut core, Instant::now() + Duration::from_secs(self.seq * 10));
+                let mut state = controller.state();
+                controller
+                    .update_write_share(&mut state, Instant::now() + Duration::from_secs(self.seq * 10));
             });
             case_over(&mut done, "shares of the changes", 1);
             self.over_http(&mut done);
@@ -515,10 +519,10 @@
             measured(|| bodies.into_iter().for_each(|b| self.hello(b)));
             case_over(&mut done, "report with news", n);
             self.round(&mut done, "round after 64 ends", 1, 64);
-            controller.core().handed.clear();
+            controller.state().proofs = Default::default();
             let jobs = self.open.min(TIMES);
             let news = self.news(jobs);
-            measured(|| state_duty::take_in(&controller, wire::decode(&news).expect("changes")));
+            measured(|| change_feed::apply_changes(&controller, wire::decode(&news).expect("changes")));
             case_over(&mut done, "watch event", jobs);
             let page = self.page();
             let mut world = sched::replica::Replica::default();
@@ -537,7 +541,7 @@
             }
             let bodies = self.reports(0);
             bodies.into_iter().for_each(|b| self.hello(b));
-            controller.core().handed.clear();
+            controller.state().proofs = Default::default();
             self.settle();
             assert!(self.decide(16).jobs.is_empty(), "nothing is open");
             cases.extend(done);
--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -2,6 +2,7 @@
 
 pub(crate) mod reports;
 
+use std::sync::Arc;
 use std::time::Duration;
 
 use net::{Reply, Request};
@@ -17,10 +18,10 @@
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 use crate::placer;
-use crate::state::{Core, GivenToParts};
+use crate::state::{ControllerState, RecentAssignments, SchedulingState};
 pub(crate) use reports::{arrivals, report};
 
-pub async fn serve(controller: Controller, request: Request) -> Reply {
+pub async fn serve(controller: Arc<Controller>, request: Request) -> Reply {
     let path = request.path.split('?').next().unwrap_or_default();
     let post = request.method == "POST";
     let get = request.method == "GET";
@@ -61,8 +62,8 @@
 }
 
 fn healthz(controller: &Controller) -> Reply {
-    let core = controller.core();
-    if core.ready && !core.alone_without_state(clock::now()) {
+    let state = controller.state();
+    if state.records.is_loaded && !state.alone_lost_store(clock::now()) {
         Reply { status: 200, body: wire::encode(&"ok"), retry_after: None }
     } else {
         Reply::busy("not ready", 1)
@@ -74,15 +75,16 @@
 
 /// What the mirror knows of a job.
 fn look(controller: &Controller, id: &str) -> Option<JobStatus> {
-    let core = controller.core();
-    let job = core.world.jobs.get(id).map(|j| &j.value)?;
-    let state = core.world.state_of(id)?;
+    let state = controller.state();
+    let job = state.records.replica.jobs.get(id).map(|j| &j.value)?;
+    let job_state = state.records.replica.state_of(id)?;
     let running = if job.phase == Phase::Active { job.assignments.len() as u32 } else { 0 };
-    let is_done = |n: &Name| core.world.jobs.get(&**n).is_some_and(|j| j.value.phase == Phase::Done);
-    let waits_for = if state.is_final() { &[][..] } else { &job.dependencies };
+    let is_done =
+        |n: &Name| state.records.replica.jobs.get(&**n).is_some_and(|j| j.value.phase == Phase::Done);
+    let waits_for = if job_state.is_final() { &[][..] } else { &job.dependencies };
     let waits_for =
         waits_for.iter().filter(|n| !is_done(n)).take(NEEDS_SHOWN).map(|n| n.to_string()).collect();
-    Some(JobStatus { id: id.to_owned(), state, done: job.done.len(), running, waits_for })
+    Some(JobStatus { id: id.to_owned(), state: job_state, done: job.done.len(), running, waits_for })
 }
 
 /// The job's state as an answer must have it: a final state as soon as it is
@@ -91,11 +93,11 @@
     if let Some(s) = look(controller, id).filter(|s| s.state.is_final()) {
         return Ok(Some(s));
     }
-    let ready = controller.core().ready;
-    if !ready || !controller.fresh().await {
+    let ready = controller.state().records.is_loaded;
+    if !ready || !controller.read_barrier.wait().await {
         return Err(Reply::busy("the state service cannot be asked", 1));
     }
-    if controller.core().world.unreadable.contains(id) {
+    if controller.state().records.replica.unreadable.contains(id) {
         return Err(Reply::busy("the job's record cannot be read", 5));
     }
     Ok(look(controller, id))
@@ -118,20 +120,26 @@
 
 /// The part that a new job goes to: the one with most room, if any holds it.
 pub(crate) fn choose_part(controller: &Controller, spec: &JobSpec) -> Option<String> {
-    let mut guard = controller.core();
-    let core = &mut *guard;
-    if placer::collected_for(&core.world, spec, wall_ms()) {
+    let mut guard = controller.state();
+    let state = &mut *guard;
+    if placer::collected_for(&state.records.replica, spec, wall_ms()) {
         return None;
     }
     let now = clock::now();
-    let epoch = core.map()?.epoch;
-    let recent = core.given.since.is_some_and(|t| now.saturating_duration_since(t) < GIVEN_FOR);
-    if core.given.epoch != epoch || !recent {
-        core.refresh_inventory(&controller.me, controller.report_every(), now);
-        core.given = GivenToParts { since: Some(now), epoch, ..GivenToParts::default() };
+    let epoch = state.cluster_map()?.epoch;
+    let recent = state
+        .scheduling
+        .recent_assignments
+        .since
+        .is_some_and(|t| now.saturating_duration_since(t) < GIVEN_FOR);
+    if state.scheduling.recent_assignments.epoch != epoch || !recent {
+        state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+        state.scheduling.recent_assignments =
+            RecentAssignments { since: Some(now), epoch, ..RecentAssignments::default() };
     }
-    let Core { world, inventory, given, .. } = core;
-    let world: &Replica = world;
+    let ControllerState { records, scheduling, .. } = state;
+    let SchedulingState { inventory, recent_assignments: given, .. } = scheduling;
+    let world: &Replica = &records.replica;
     let parts = world.current_map()?.live.iter().filter_map(|m| {
         let rooms = || inventory.alike_of(m.incarnation).filter(|(s, _)| gpu_slots_lost(world, spec, s) == 0);
         let taken = given.cpus.get(&m.incarnation).copied().unwrap_or(0.0);
@@ -150,7 +158,8 @@
 async fn refuse(controller: &Controller, id: Option<&str>, status: u16, why: &str) -> Reply {
     let refused = Reply::error(status, why);
     let Some(id) = id else { return refused };
-    let listed = || look(controller, id).is_some() || controller.core().world.unreadable.contains(id);
+    let listed =
+        || look(controller, id).is_some() || controller.state().records.replica.unreadable.contains(id);
     match known(controller, id).await {
         Ok(Some(s)) => Reply::new(200, &s),
         Ok(None) => refused,
@@ -170,18 +179,18 @@
 
 /// Why a job can never run by the records; Err if that cannot be told now.
 fn refusal(controller: &Controller, spec: &JobSpec, needs: &[Name]) -> Result<Option<&'static str>, Reply> {
-    let core = controller.core();
-    if core.world.machine_types.is_empty() {
+    let state = controller.state();
+    if state.records.replica.machine_types.is_empty() {
         return Err(Reply::busy("the machine types are not known yet", 1));
     }
-    if !autoscaling::fits_some_machine_type(spec, &core.world.machine_types) {
+    if !autoscaling::fits_some_machine_type(spec, &state.records.replica.machine_types) {
         return Ok(Some("no allowed machine type can hold a task"));
     }
     for need in needs {
-        if core.world.unreadable.contains(&**need) {
+        if state.records.replica.unreadable.contains(&**need) {
             return Err(Reply::busy("the record of a job that it awaits cannot be read", 5));
         }
-        let Some(job) = core.world.jobs.get(&**need) else {
+        let Some(job) = state.records.replica.jobs.get(&**need) else {
             return Ok(Some("awaits: a job that was never accepted"));
         };
         if job.value.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service) {
@@ -190,7 +199,7 @@
     }
     // Only asked once all controllers have this version. An old one cannot read the
     // record of a job that waits, and would have no answer for its user.
-    if !needs.is_empty() && core.old_is_live() {
+    if !needs.is_empty() && state.old_version_is_live() {
         return Err(Reply::busy("a controller of an older version is live", 5));
     }
     Ok(None)
@@ -203,11 +212,12 @@
     part: Option<String>,
     needs: Vec<Name>,
 ) -> JobRecord {
-    let core = controller.core();
+    let state = controller.state();
     let now_ms = wall_ms();
-    let phase = |n: &Name| core.world.jobs.get(&**n).map(|j| j.value.phase);
-    let cancelled =
-        |n: &Name| phase(n) == Some(Phase::Cancelled) || core.world.pipelines.is_cancelled_by_dependency(n);
+    let phase = |n: &Name| state.records.replica.jobs.get(&**n).map(|j| j.value.phase);
+    let cancelled = |n: &Name| {
+        phase(n) == Some(Phase::Cancelled) || state.records.replica.pipelines.is_cancelled_by_dependency(n)
+    };
     if needs.iter().any(cancelled) {
         let mut record = JobRecord::new(spec, None, now_ms);
         record.phase = Phase::Cancelled;
@@ -236,7 +246,7 @@
     needs.dedup();
     let described = if needs.is_empty() { body.len() } else { wire::encode(&spec).len() };
     let id = spec.id.clone();
-    if look(controller, &id).is_some() || controller.core().world.unreadable.contains(&id) {
+    if look(controller, &id).is_some() || controller.state().records.replica.unreadable.contains(&id) {
         return match known(controller, &id).await {
             Ok(Some(s)) => Reply::new(200, &s),
             Ok(None) => Reply::busy("try again", 1),
@@ -246,10 +256,10 @@
     if let Some(why) = never_runs(controller, &spec, &needs) {
         return refuse(controller, Some(&id), 422, why).await;
     }
-    if !controller.core().ready {
+    if !controller.state().records.is_loaded {
         return Reply::busy("not ready", 1);
     }
-    if described > controller.describe_bytes() {
+    if described > controller.max_description_bytes() {
         // It may have been accepted when the limits were larger.
         return match known(controller, &id).await {
             Ok(Some(s)) => Reply::new(200, &s),
@@ -259,9 +269,10 @@
     }
     // What became of its needs must not be told by an old view: a job whose user was
     // told long ago that one before it is cancelled would be called queued.
-    let fresh =
-        |controller: &Controller| controller.core().fresh_at.is_some_and(|f| clock::since(f) < NEEDS_FRESH);
-    if !needs.is_empty() && !fresh(controller) && !controller.fresh().await {
+    let fresh = |controller: &Controller| {
+        controller.state().records.fresh_at.is_some_and(|f| clock::since(f) < NEEDS_FRESH)
+    };
+    if !needs.is_empty() && !fresh(controller) && !controller.read_barrier.wait().await {
         return Reply::busy("the state service cannot be asked", 1);
     }
     match refusal(controller, &spec, &needs) {
@@ -285,7 +296,7 @@
     let part = choose_part(controller, &spec);
     let (class, tasks) = (spec.class.clone(), spec.tasks);
     let record = new_record(controller, spec, part, needs);
-    controller.write_for_user();
+    controller.count_user_write();
     let conditions = vec![Condition { key: key::job(&id), version: 0 }];
     match controller.commit(conditions, vec![KeyWrite::new(key::job(&id), &record)]).await {
         Ok(TxnOutcome::Committed { revision }) => {
@@ -297,8 +308,12 @@
                 needs = record.dependencies.len(),
                 "accepted"
             );
-            controller.core().world.apply(RecordChange::Job(id.clone(), Some(Box::new(record))), revision);
-            controller.kick.notify_one();
+            controller
+                .state()
+                .records
+                .replica
+                .apply(RecordChange::Job(id.clone(), Some(Box::new(record))), revision);
+            controller.wake_scheduler.notify_one();
             let queued = JobStatus {
                 id: id.clone(),
                 state: JobState::Queued,
@@ -309,7 +324,7 @@
             Reply::new(201, &look(controller, &id).filter(|s| s.state.is_final()).unwrap_or(queued))
         }
         Ok(TxnOutcome::Conflict { revision, .. }) => {
-            controller.reach(revision, Duration::from_secs(1)).await;
+            controller.wait_for_revision(revision, Duration::from_secs(1)).await;
             match known(controller, &id).await {
                 Ok(Some(s)) => Reply::new(200, &s),
                 Ok(None) => Reply::busy("try again", 1),
@@ -340,9 +355,9 @@
                 Err(reply) => return reply,
             },
         }
-        controller.write_for_user();
+        controller.count_user_write();
         let Some((mut record, version)) =
-            controller.core().world.jobs.get(id).map(|j| (j.value.clone(), j.version))
+            controller.state().records.replica.jobs.get(id).map(|j| (j.value.clone(), j.version))
         else {
             continue;
         };
@@ -357,8 +372,12 @@
                 debug!(job = id, "cancelled");
                 let done = record.done.len();
                 // All that need it are cancelled with it from now on.
-                controller.core().world.apply(RecordChange::Job(id.to_owned(), Some(record)), revision);
-                controller.kick.notify_one();
+                controller
+                    .state()
+                    .records
+                    .replica
+                    .apply(RecordChange::Job(id.to_owned(), Some(record)), revision);
+                controller.wake_scheduler.notify_one();
                 return Reply::new(
                     200,
                     &JobStatus {
@@ -371,7 +390,7 @@
                 );
             }
             Ok(TxnOutcome::Conflict { revision, .. }) => {
-                controller.reach(revision, Duration::from_secs(1)).await;
+                controller.wait_for_revision(revision, Duration::from_secs(1)).await;
             }
             Err(e) => return not_written(controller, &e),
         }
--- a/crates/daemon/src/api/reports.rs
+++ b/crates/daemon/src/api/reports.rs
@@ -1,5 +1,6 @@
 //! Reports of workers, and machines that report for the first time.
 
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use net::Reply;
@@ -12,9 +13,9 @@
 
 use crate::clock;
 use crate::controller::Controller;
-use crate::load::{Counts, Purpose, sample_names};
+use crate::load::{LoadCounters, Purpose, sample_names};
 use crate::peers;
-use crate::state::Core;
+use crate::state::ControllerState;
 use crate::worker::{Worker, final_stops, first_token};
 
 fn elsewhere(report_to: Option<String>) -> Reply {
@@ -39,10 +40,10 @@
     if !report.is_named() {
         return Reply::error(400, "frame: not a machine's name");
     }
-    Counts::add(&controller.counts.reports, 1);
+    LoadCounters::add(&controller.load.reports, 1);
     match take_report(controller, &report, relayed, clock::now()) {
         Disposal::Answer(reply) => {
-            Counts::add(&controller.counts.turned_away, u64::from(reply.status != 200));
+            LoadCounters::add(&controller.load.turned_away, u64::from(reply.status != 200));
             reply
         }
         Disposal::Relay(owner) => {
@@ -56,17 +57,6 @@
     }
 }
 
-/// How long a worker's reports are passed on before it is sent to its machine's owner
-/// once more. Passed on without end, hundreds of workers kept reporting to controllers
-/// in other zones after an upgrade, and a cut between the zones cost their leases. While
-/// a controller is cut off from its workers, being sent there costs each of them the
-/// better part of a lease: this is longer than such cuts mostly last.
-const RELAY_FOR: Duration = Duration::from_secs(60);
-
-/// So many more machines than there are records of may be remembered as sent on, before
-/// those are forgotten that were sent long ago.
-const MISDIRECTED_SPARE: usize = 1024;
-
 pub(crate) fn take_report(
     controller: &Controller,
     report: &Heartbeat,
@@ -74,54 +64,52 @@
     now: Instant,
 ) -> Disposal {
     let machine = &report.machine;
-    let mut guard = controller.core();
-    let core = &mut *guard;
-    let Some(map) = core.world.current_map() else { return Disposal::Answer(elsewhere(None)) };
-    let known = core.world.owner_of(machine);
+    let mut guard = controller.state();
+    let state = &mut *guard;
+    let Some(map) = state.records.replica.current_map() else { return Disposal::Answer(elsewhere(None)) };
+    let known = state.records.replica.owner_of(machine);
     let Some(owner) = known.or_else(|| map.owner(machine, &report.zone)).cloned() else {
         return Disposal::Answer(elsewhere(None));
     };
     let epoch = map.epoch;
     // Only the owner can renew the lease of a worker that has to stop something: the
     // answers of others have no commands.
-    let must_stop = |core: &Core| !final_stops(&report.tasks, &core.world).is_empty();
-    if owner != controller.me {
-        if relayed || owner.name == controller.me.name {
+    let must_stop = |state: &ControllerState| !final_stops(&report.tasks, &state.records.replica).is_empty();
+    if owner != controller.identity {
+        if relayed || owner.name == controller.identity.name {
             return Disposal::Answer(elsewhere(None));
         }
         // The worker has seen nobody of this epoch yet: after a crash of several
         // controllers its lease may be about to end. Any live controller renews
         // it once, with the epoch's first token; the next report is sent on.
         let token = first_token(epoch);
-        if report.fencing_token < token && controller.may_renew(core, now) && !must_stop(core) {
+        if report.fencing_token < token && controller.may_renew_leases(state, now) && !must_stop(state) {
             return Disposal::Answer(Reply::new(
                 200,
                 &HeartbeatResponse { fencing_token: token, commands: Vec::new() },
             ));
         }
-        if core.misdirected.len() > core.world.machines.len() + MISDIRECTED_SPARE {
-            core.misdirected.retain(|_, sent| now.saturating_duration_since(*sent) < RELAY_FOR);
-        }
-        let sent = core.misdirected.get(machine);
-        if sent.is_some_and(|t| now.saturating_duration_since(*t) < RELAY_FOR) {
+        state.machines.prune_redirections(state.records.replica.machines.len(), now);
+        if state.machines.was_redirected(machine, now) {
             // It was sent to its owner just now and came back.
             return Disposal::Relay(owner.name);
         }
-        core.misdirected.insert(machine.clone(), now);
+        state.machines.note_redirection(machine, now);
         return Disposal::Answer(elsewhere(Some(owner.name)));
     }
-    if !controller.may_renew(core, now) {
+    if !controller.may_renew_leases(state, now) {
         return Disposal::Answer(elsewhere(None));
     }
-    if !core.world.machines.contains_key(machine.as_str()) {
-        return if must_stop(core) { Disposal::Answer(elsewhere(None)) } else { Disposal::Adopt(epoch) };
+    if !state.records.replica.machines.contains_key(machine.as_str()) {
+        return if must_stop(state) { Disposal::Answer(elsewhere(None)) } else { Disposal::Adopt(epoch) };
     }
-    let limits = controller.worker_limits(core.fresh_at);
-    let owned_since = core.world.owned_since_epoch(machine);
-    if core.workers.get(machine.as_str()).is_some_and(|w| w.lapsed(owned_since)) {
-        core.workers.remove(machine.as_str());
+    let limits = controller.worker_limits(state.records.fresh_at);
+    let owned_since = state.records.replica.owned_since_epoch(machine);
+    if state.machines.workers.get(machine.as_str()).is_some_and(|w| w.lapsed(owned_since)) {
+        state.machines.workers.remove(machine.as_str());
     }
-    let worker = core
+    let worker = state
+        .machines
         .workers
         .entry(machine.as_str().into())
         .or_insert_with(|| Worker::new(report.addr.clone(), epoch, now));
@@ -134,12 +122,12 @@
     // the worker waits to have answered.
     worker.renew(now);
     let commands = match news {
-        true => worker.answer(machine, &core.world, &limits, now),
-        false => worker.final_stops(&core.world),
+        true => worker.answer(machine, &state.records.replica, &limits, now),
+        false => worker.final_stops(&state.records.replica),
     };
     let answer = HeartbeatResponse { fencing_token: worker.token(), commands };
     if worker.due(now) {
-        controller.kick.notify_one();
+        controller.wake_scheduler.notify_one();
     }
     Disposal::Answer(Reply::new(200, &answer))
 }
@@ -152,23 +140,24 @@
         spot: report.spot,
         release: false,
     };
-    controller.core().arrivals.insert(report.machine.as_str().into(), record);
-    controller.arrival.notify_one();
+    controller.state().machines.unrecorded.insert(report.machine.as_str().into(), record);
+    controller.unrecorded_machine.notify_one();
 }
 
 /// Records machines that have reported for the first time, many at once. Each
 /// is asked itself first: a late copy of a report must not bring back a machine
 /// that was returned.
-pub async fn arrivals(controller: Controller) {
+pub async fn arrivals(controller: Arc<Controller>) {
     loop {
-        controller.arrival.notified().await;
+        controller.unrecorded_machine.notified().await;
         sleep(Duration::from_millis(150)).await;
         loop {
             let list: Vec<(Name, MachineRecord)> = {
-                let mut core = controller.core();
-                let Core { arrivals, world, .. } = &mut *core;
+                let mut state = controller.state();
+                let ControllerState { machines, records, .. } = &mut *state;
+                let (arrivals, world) = (&mut machines.unrecorded, &records.replica);
                 arrivals.retain(|id, _| !world.machines.contains_key(id));
-                let ops = controller.plan().txn_ops;
+                let ops = controller.state_limits().txn_ops;
                 let some: Vec<Name> = arrivals.keys().take(ops).cloned().collect();
                 some.into_iter().filter_map(|id| arrivals.remove_entry(&id)).collect()
             };
@@ -179,7 +168,7 @@
                 .into_iter()
                 .map(|(id, record)| {
                     let controller = controller.clone();
-                    let tasks = controller.tasks.clone();
+                    let tasks = controller.task_tracker.clone();
                     tasks.spawn(
                         async move { answers(&controller, &id, &record).await.then_some((id, record)) },
                     )
@@ -197,7 +186,7 @@
 pub(crate) async fn answers(controller: &Controller, machine: &str, record: &MachineRecord) -> bool {
     let deadline = Duration::from_millis(1500);
     let answer = controller
-        .workers_http
+        .worker_http
         .request(&record.addr, "GET", "/status", Vec::new(), wire::BODY_LIMIT * 4, deadline)
         .await;
     answer.is_ok_and(|a| wire::decode::<Heartbeat>(&a.body).is_ok_and(|r| r.machine == machine))
@@ -207,13 +196,13 @@
     if list.is_empty() {
         return;
     }
-    controller.may_write(list.len(), 0.0).await;
-    controller.counts.spend(Purpose::Machines, list.len());
+    controller.wait_for_write(list.len(), 0.0).await;
+    controller.load.spend(Purpose::Machines, list.len());
     let conditions = list.iter().map(|(id, _)| Condition { key: key::machine(id), version: 0 }).collect();
     let puts = list.iter().map(|(id, r)| KeyWrite::new(key::machine(id), r)).collect();
     match controller.commit(conditions, puts).await {
         Ok(TxnOutcome::Committed { revision }) => {
-            let mut core = controller.core();
+            let mut state = controller.state();
             let names: Vec<&Name> = list.iter().map(|(id, _)| id).collect();
             info!(count = names.len(), machines = sample_names(&names), "machines are up");
             for (id, record) in list {
@@ -224,20 +213,20 @@
                     spot = record.spot,
                     "machine is up"
                 );
-                core.world.apply(RecordChange::Machine(id.to_string(), Some(record)), revision);
+                state.records.replica.apply(RecordChange::Machine(id.to_string(), Some(record)), revision);
             }
-            controller.kick.notify_one();
-            controller.summary_due.notify_one();
+            controller.wake_scheduler.notify_one();
+            controller.peer_status_due.notify_one();
         }
         Ok(TxnOutcome::Conflict { revision, .. }) => {
-            controller.reach(revision, Duration::from_secs(1)).await;
+            controller.wait_for_revision(revision, Duration::from_secs(1)).await;
         }
         Err(e) => {
             debug!(error = %e, "machines were not recorded");
             controller.note_refusal(&e);
             if matches!(e, StoreError::RateLimited) {
                 // Not waited for until they report again.
-                controller.core().arrivals.extend(list);
+                controller.state().machines.unrecorded.extend(list);
             }
         }
     }
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -10,7 +10,7 @@
 use wire::Condition;
 
 use crate::clock;
-use crate::controller::{Controller, Inner};
+use crate::controller::Controller;
 use crate::load::Purpose;
 
 /// Most bytes of a transaction, which may have 64 KiB, that records take.
@@ -23,14 +23,14 @@
 /// How long parts lie that no head names before they are deleted.
 const ORPHANED_FOR: Duration = Duration::from_secs(60);
 
-impl Inner {
+impl Controller {
     /// Commits a transaction. What is larger than a value is written in parts before.
     pub async fn commit(
         &self,
         mut conditions: Vec<Condition>,
         mut puts: Vec<KeyWrite>,
     ) -> Result<TxnOutcome, StoreError> {
-        let plan = self.plan();
+        let plan = self.state_limits();
         let mut sizes = Vec::with_capacity(puts.len());
         for put in &mut puts {
             let size = put.value_len();
@@ -44,7 +44,7 @@
             }
             sizes.push((put.key.clone(), put.value_len()));
         }
-        let result = self.state.txn(conditions, puts).await;
+        let result = self.kv_client.txn(conditions, puts).await;
         if let Err(StoreError::Refused(400)) = &result {
             self.note_400(&sizes);
         }
@@ -70,9 +70,9 @@
         for some in chunked.parts.chunks(at_once) {
             let mut tries = 0;
             written = loop {
-                self.core().writes.acquire(some.len() as f64, 0.0, clock::now());
-                self.counts.spend(Purpose::Parts, some.len());
-                match self.state.txn(Vec::new(), some.to_vec()).await {
+                self.state().writes.limiter.acquire(some.len() as f64, 0.0, clock::now());
+                self.load.spend(Purpose::Parts, some.len());
+                match self.kv_client.txn(Vec::new(), some.to_vec()).await {
                     Ok(TxnOutcome::Committed { revision } | TxnOutcome::Conflict { revision, .. }) => {
                         break revision;
                     }
@@ -96,7 +96,7 @@
     /// A transaction was refused as it was. It is never sent again unchanged: either the
     /// limits have become smaller, or its records are told apart.
     fn note_400(&self, puts: &[(String, usize)]) {
-        let before = self.plan();
+        let before = self.state_limits();
         let next = self.settings.facts.state.next.clone().unwrap_or_default();
         let largest = puts.iter().max_by_key(|p| p.1);
         let (key, bytes) = largest.map_or(("", 0), |p| (p.0.as_str(), p.1));
@@ -104,8 +104,8 @@
         let beyond = next.value_kb.is_some_and(|kb| bytes as f64 > kb * 1024.0)
             || next.txn_ops.is_some_and(|ops| puts.len() > ops);
         if beyond && !before.chunked {
-            self.seen.fallen.store(true, Ordering::Relaxed);
-            let plan = self.plan();
+            self.limit_changes.sizes_reduced.store(true, Ordering::Relaxed);
+            let plan = self.state_limits();
             info!(
                 value_bytes = plan.value_bytes,
                 txn_ops = plan.txn_ops,
@@ -120,16 +120,16 @@
         if !matches!(e, StoreError::RateLimited) {
             return;
         }
-        let (now, seen) = (clock::now(), self.seen.get());
-        let mut core = self.core();
-        core.writes.note_refusal(now);
+        let (now, seen) = (clock::now(), self.limit_changes.get());
+        let mut state = self.state();
+        state.writes.limiter.note_refusal(now);
         let next = self.settings.facts.state.next.clone().unwrap_or_default();
         let slower = next.write_rps.is_some() || next.rps.is_some();
-        if slower && !seen.slow && (seen.all_new || seen.fallen) {
-            self.seen.slow.store(true, Ordering::Relaxed);
-            let plan = self.plan();
+        if slower && !seen.rates_reduced && (seen.all_upgraded || seen.sizes_reduced) {
+            self.limit_changes.rates_reduced.store(true, Ordering::Relaxed);
+            let plan = self.state_limits();
             info!(write_rps = plan.write_rps, rps = plan.rps, "the state service takes less a second");
-            self.share_writes(&mut core, now);
+            self.update_write_share(&mut state, now);
         }
     }
 }
@@ -152,20 +152,20 @@
             return None;
         }
         self.looked = Some(now);
-        let mut core = controller.core();
+        let mut state = controller.state();
         // While changes are short, they only cost memory.
-        if core.writes.available(now) < 0.0 {
+        if state.writes.limiter.available(now) < 0.0 {
             return None;
         }
-        let orphans = core.reader.orphans();
+        let orphans = state.records.reader.orphans();
         let id = |o: &OrphanedChunks| (o.of.clone(), o.nonce.clone());
         self.seen.retain(|k, _| orphans.iter().any(|o| id(o) == *k));
-        let ops = controller.plan().txn_ops;
+        let ops = controller.state_limits().txn_ops;
         let due = orphans.into_iter().find(|o| {
             let since = *self.seen.entry(id(o)).or_insert(now);
             now.saturating_duration_since(since) >= ORPHANED_FOR
         })?;
-        let version = version_of(&core.world, &due.of)?;
+        let version = version_of(&state.records.replica, &due.of)?;
         let puts = due.keys.iter().take(ops).map(|k| KeyWrite::delete(k.clone())).collect();
         Some((vec![Condition { key: due.of, version }], puts))
     }
--- a/crates/daemon/src/drains/eviction.rs
+++ b/crates/daemon/src/drains/eviction.rs
@@ -9,7 +9,7 @@
 use wire::JobKind;
 
 use crate::controller::Controller;
-use crate::state::Core;
+use crate::state::ControllerState;
 
 /// What may be evicted in one round.
 pub struct EvictionBudget<'c> {
@@ -19,14 +19,19 @@
 impl<'c> EvictionBudget<'c> {
     /// For the evictions of a round. None: drains are switched off, or some controller knows
     /// none. What it sees running nobody would be told, and entries would stay for good.
-    pub fn of_round(controller: &'c Controller, core: &Core, evictions: &[Eviction]) -> Option<Self> {
-        let applies = controller.operators.drains.enabled && super::paused(controller, &core.world).is_none();
-        applies.then(|| Self::new(controller, core, evictions))
+    pub fn of_round(
+        controller: &'c Controller,
+        state: &ControllerState,
+        evictions: &[Eviction],
+    ) -> Option<Self> {
+        let applies = controller.operators.drains.enabled
+            && super::paused(controller, &state.records.replica).is_none();
+        applies.then(|| Self::new(controller, state, evictions))
     }
 
     /// For these evictions, by the records.
-    fn new(controller: &'c Controller, core: &Core, evictions: &[Eviction]) -> Self {
-        let world = &core.world;
+    fn new(controller: &'c Controller, state: &ControllerState, evictions: &[Eviction]) -> Self {
+        let world = &state.records.replica;
         let budgets = &controller.operators.drains.budgets;
         let evicted = |id: &str| evictions.iter().any(|e| e.job == id);
         let concerned = |(id, job): &(&String, &sched::records::JobRecord)| {
@@ -34,7 +39,7 @@
             service.is_some_and(|s| evicted(id) || budgets.teams.contains_key(&s.team))
         };
         let services: Vec<_> = world.open_jobs().filter(concerned).collect();
-        let capacity = DisruptionRecord::capacity(controller.plan().value_bytes);
+        let capacity = DisruptionRecord::capacity(controller.state_limits().value_bytes);
         let team_of = |id: &str| super::team_of(controller, id);
         Self { ledger: view::ledger(world, &services, budgets, &ByRecords, team_of, capacity) }
     }
--- a/crates/daemon/src/drains/mod.rs
+++ b/crates/daemon/src/drains/mod.rs
@@ -14,6 +14,7 @@
 mod transactions;
 
 use std::collections::HashSet;
+use std::sync::Arc;
 use std::time::Duration;
 
 use drain::lifecycle::Event;
@@ -29,8 +30,8 @@
 use tracing::{info, warn};
 
 use crate::clock;
-use crate::controller::{Controller, Inner, wall_ms};
-use crate::state::Core;
+use crate::controller::{Controller, wall_ms};
+use crate::state::ControllerState;
 pub use eviction::EvictionBudget;
 use state::{DrainState, Hold};
 use transactions::Transaction;
@@ -55,7 +56,7 @@
 const SAVE_MOST_S: f64 = 600.0;
 
 /// The leader's duty.
-pub async fn duty(controller: Controller) {
+pub async fn duty(controller: Arc<Controller>) {
     let mut cost = Duration::ZERO;
     loop {
         sleep(TICK.max(cost * LEAVE)).await;
@@ -69,24 +70,24 @@
 
 /// Whether this controller leads, there is something to do, and its view of the records is
 /// one to act by. What it knew otherwise is forgotten: another leads meanwhile.
-fn is_due(controller: &Inner) -> bool {
-    let mut core = controller.core();
-    let busy = core.world.drains.is_busy();
-    let leads = core.leads(&controller.me);
+fn is_due(controller: &Controller) -> bool {
+    let mut state = controller.state();
+    let busy = state.records.replica.drains.is_busy();
+    let leads = state.is_leader(&controller.identity);
     if !leads || !busy {
-        if !core.drains.asked.is_empty() || !core.drains.holds.is_empty() {
-            core.drains = DrainState::default();
+        if !state.drains.asked.is_empty() || !state.drains.holds.is_empty() {
+            state.drains = DrainState::default();
         }
         return false;
     }
-    core.is_view_fresh(clock::now())
+    state.may_stop_work(clock::now())
 }
 
 /// One step; tells how long its decisions took.
-async fn take_step(controller: &Controller) -> Duration {
-    tell_unreadable(&mut controller.core());
+async fn take_step(controller: &Arc<Controller>) -> Duration {
+    tell_unreadable(&mut controller.state());
     for housekeeping in [transactions::settle, transactions::lift_cordons, transactions::note_outcomes] {
-        let transaction = housekeeping(controller, &mut controller.core());
+        let transaction = housekeeping(controller, &mut controller.state());
         if let Some(transaction) = transaction {
             transaction.commit(controller).await;
         }
@@ -100,8 +101,9 @@
 }
 
 /// Says once of each drain that its record cannot be read. Its machines stay cordoned.
-fn tell_unreadable(core: &mut Core) {
-    let Core { world, drains, .. } = core;
+fn tell_unreadable(state: &mut ControllerState) {
+    let ControllerState { records, drains, .. } = state;
+    let world = &records.replica;
     drains.unreadable.retain(|name| world.drains.unreadable.contains(name));
     for name in &world.drains.unreadable {
         if drains.unreadable.insert(name.clone()) {
@@ -112,10 +114,11 @@
 
 /// Has a solver look for an order of the machines of each new drain, on a thread of its own.
 /// Until it has one, and if it finds none in its time, the greedy order serves.
-fn plan_orders(controller: &Controller) {
+fn plan_orders(controller: &Arc<Controller>) {
     let budgets = &controller.operators.drains.budgets;
-    let mut core = controller.core();
-    let Core { world, drains, .. } = &mut *core;
+    let mut state = controller.state();
+    let ControllerState { records, drains, .. } = &mut *state;
+    let world = &records.replica;
     drains.planned.retain(|name| world.drains.records.contains_key(name));
     let is_new = |name: &String| !drains.planned.contains(name);
     let active = world.drains.records.iter().filter(|(name, d)| d.value.is_active() && is_new(name));
@@ -125,15 +128,15 @@
     let machines: Vec<step::Machine> =
         names.iter().map(|m| step::Machine { units: view::units_on(world, m), name: m.clone() }).collect();
     let problem = waves::problem(world, &machines, budgets);
-    drop(core);
+    drop(state);
     let controller = controller.clone();
-    let tasks = controller.tasks.clone();
+    let tasks = controller.task_tracker.clone();
     tasks.spawn(async move {
         let solve = move || waves::plan(&problem, &Effort::LEADER);
         let Ok((order, planned, method)) = tokio::task::spawn_blocking(solve).await else { return };
         info!(drain = name, machines = names.len(), waves = planned.len(), ?method, "the drain is planned");
         let order = order.into_iter().map(|i| names[i].clone()).collect();
-        controller.core().drains.orders.insert(name, order);
+        controller.state().drains.orders.insert(name, order);
     });
 }
 
@@ -145,45 +148,45 @@
 
 fn decide(controller: &Controller) -> Option<Step> {
     let now = clock::now();
-    let mut core = controller.core();
+    let mut state = controller.state();
     let budgets = &controller.operators.drains.budgets;
-    let drains = view::active_drains(&core.world, budgets, &core.drains.orders);
-    core.drains.asked = view::jobs_to_ask(&core.world, &drains, budgets);
-    let running = observe::running(controller, &core, now);
+    let drains = view::active_drains(&state.records.replica, budgets, &state.drains.orders);
+    state.drains.asked = view::jobs_to_ask(&state.records.replica, &drains, budgets);
+    let running = observe::running(controller, &state, now);
     if drains.is_empty() {
-        core.drains.wants_room.clear();
+        state.drains.wants_room.clear();
         return None;
     }
-    let plan = controller.plan();
-    let ops = core.writes.allowance(now).min(plan.txn_ops);
+    let plan = controller.state_limits();
+    let ops = state.writes.limiter.allowance(now).min(plan.txn_ops);
     let limits = Limits {
         moves: ops.min(MOVES_MOST),
-        room_attempt: room_attempt(&core.world),
-        paused: paused(controller, &core.world),
+        room_attempt: room_attempt(&state.records.replica),
+        paused: paused(controller, &state.records.replica),
         now_ms: wall_ms(),
     };
-    core.refresh_inventory(&controller.me, controller.report_every(), now);
-    let mut inventory = std::mem::take(&mut core.inventory);
+    state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+    let mut inventory = std::mem::take(&mut state.scheduling.inventory);
     inventory.begin();
     let capacity = DisruptionRecord::capacity(plan.value_bytes);
-    let decision = look(controller, &core, &mut inventory, &drains, &running, &limits, capacity);
+    let decision = look(controller, &state, &mut inventory, &drains, &running, &limits, capacity);
     inventory.roll_back();
-    core.inventory = inventory;
-    core.drains.wants_room = decision.wants_room.iter().cloned().collect();
+    state.scheduling.inventory = inventory;
+    state.drains.wants_room = decision.wants_room.iter().cloned().collect();
     Some(Step { decision, ops })
 }
 
 fn look(
     controller: &Controller,
-    core: &Core,
+    state: &ControllerState,
     inventory: &mut sched::placement::Inventory,
     drains: &[Drain],
     running: &ObservedTasks,
     limits: &Limits,
     capacity: usize,
 ) -> Decision {
-    let world = &core.world;
-    for (job, hold) in core.drains.holds.iter().filter(|(job, h)| h.is_needed(world, job)) {
+    let world = &state.records.replica;
+    for (job, hold) in state.drains.holds.iter().filter(|(job, h)| h.is_needed(world, job)) {
         let Some(spec) = world.jobs.get(job).and_then(|j| j.value.spec.as_deref()) else { continue };
         inventory.reserve(&hold.machines, sched::replica::Resources::of_task(spec), 1.0);
     }
@@ -202,7 +205,7 @@
 }
 
 /// The name of the team that an id in a key stands for.
-pub fn team_of(controller: &Inner, id: &str) -> String {
+pub fn team_of(controller: &Controller, id: &str) -> String {
     let found = controller.teams.iter().find(|t| key::team_id(&t.name) == id);
     found.map_or_else(|| id.to_owned(), |t| t.name.clone())
 }
@@ -215,7 +218,7 @@
 
 /// Why nothing may be stopped at all: a controller that knows no drains, or has them switched
 /// off, could place something on a machine that is being drained.
-pub fn paused(controller: &Inner, world: &Replica) -> Option<Obstacle> {
+pub fn paused(controller: &Controller, world: &Replica) -> Option<Obstacle> {
     let names =
         controller.settings.peers.iter().map(|p| &p.node_name).chain([&controller.settings.node_name]);
     let knows = |name: &String| world.schema_versions.get(name).is_some_and(|s| *s >= DRAINS_SCHEMA_VERSION);
@@ -236,7 +239,7 @@
     let mut moved: HashSet<String> = HashSet::new();
     let mut left = ops;
     while !moves.is_empty() && left > 1 {
-        let built = transactions::stop(controller, &controller.core(), moves, left);
+        let built = transactions::stop(controller, &controller.state(), moves, left);
         let Some((transaction, taken)) = built else { break };
         left = left.saturating_sub(transaction.puts());
         let some = &moves[..taken];
@@ -260,8 +263,9 @@
 /// Keeps the room that was found for what was stopped until it is placed there.
 fn hold_room(controller: &Controller, moves: &[step::Move]) {
     let now = clock::now();
-    let mut core = controller.core();
-    let Core { world, drains, .. } = &mut *core;
+    let mut state = controller.state();
+    let ControllerState { records, drains, .. } = &mut *state;
+    let world = &records.replica;
     for m in moves {
         let Some(job) = world.jobs.get(&*m.unit.id.job).map(|j| &j.value) else { continue };
         let save_s = job.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s.min(SAVE_MOST_S));
@@ -276,16 +280,16 @@
 /// Writes a drain's record: at once if it ends, else every few seconds at the most.
 async fn tell(controller: &Controller, name: &str, record: DrainRecord) {
     let transaction = {
-        let mut core = controller.core();
+        let mut state = controller.state();
         let now = clock::now();
         let recent =
-            core.drains.told.get(name).is_some_and(|t| now.saturating_duration_since(*t) < TOLD_EVERY);
+            state.drains.told.get(name).is_some_and(|t| now.saturating_duration_since(*t) < TOLD_EVERY);
         if recent && record.is_active() {
             return;
         }
-        core.drains.told.insert(name.to_owned(), now);
-        let Some(known) = core.world.drains.records.get(name) else { return };
-        let mut transaction = Transaction::new(&core.world);
+        state.drains.told.insert(name.to_owned(), now);
+        let Some(known) = state.records.replica.drains.records.get(name) else { return };
+        let mut transaction = Transaction::new(&state.records.replica);
         transaction.put_drain(name, record.clone(), known.version);
         transaction
     };
--- a/crates/daemon/src/drains/observe.rs
+++ b/crates/daemon/src/drains/observe.rs
@@ -1,6 +1,7 @@
 //! Which tasks run, by the words of the machines' owners. The records tell what is to run;
 //! whether a replica is up, its owner knows from its machine's reports.
 
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use drain::view::ObservedTasks;
@@ -11,9 +12,9 @@
 
 use super::state::PeerAnswer;
 use crate::clock;
-use crate::controller::{Controller, Inner};
+use crate::controller::Controller;
 use crate::peers::LARGE;
-use crate::state::Core;
+use crate::state::ControllerState;
 
 /// Where peers ask.
 pub const PATH: &str = "/running-tasks";
@@ -25,13 +26,13 @@
 /// The tasks of the jobs that were asked for that are seen running, by this controller and by
 /// those of its peers whose words are of now and of the present map. What nobody sees running
 /// counts as down.
-pub fn running(controller: &Inner, core: &Core, now: Instant) -> ObservedTasks {
+pub fn running(controller: &Controller, state: &ControllerState, now: Instant) -> ObservedTasks {
     let mut all = ObservedTasks::default();
-    let Some(map) = core.map() else { return all };
-    for of_job in own(controller, core, core.drains.asked.iter().map(String::as_str), now) {
+    let Some(map) = state.cluster_map() else { return all };
+    for of_job in own(controller, state, state.drains.asked.iter().map(String::as_str), now) {
         note(&mut all, &of_job);
     }
-    for (name, answer) in &core.drains.answers {
+    for (name, answer) in &state.drains.answers {
         let recent = now.saturating_duration_since(answer.asked_at) < ANSWER_FOR;
         if recent && answer.epoch == map.epoch && map.contains(name, answer.incarnation) {
             all.extend(answer.tasks.clone());
@@ -48,19 +49,19 @@
 
 /// The tasks of some jobs that run on machines of this controller.
 fn own<'a>(
-    controller: &Inner,
-    core: &Core,
+    controller: &Controller,
+    state: &ControllerState,
     jobs: impl Iterator<Item = &'a str>,
     now: Instant,
 ) -> Vec<RunningTasksOfJob> {
-    let silent = controller.report_every() * 5 / 2;
+    let silent = controller.heartbeat_interval() * 5 / 2;
     let runs = |job: &str, a: &sched::records::Assignment| {
-        let mine = core.world.owner_of(&a.machine) == Some(&controller.me);
-        let worker = core.workers.get(&a.machine).filter(|w| mine && w.silent_for(now) <= silent);
+        let mine = state.records.replica.owner_of(&a.machine) == Some(&controller.identity);
+        let worker = state.machines.workers.get(&a.machine).filter(|w| mine && w.silent_for(now) <= silent);
         worker.is_some_and(|w| w.is_running(&format!("{job}/{}", a.task), a.attempt))
     };
     let of_job = |job: &str| {
-        let record = &core.world.jobs.get(job)?.value;
+        let record = &state.records.replica.jobs.get(job)?.value;
         let running = record.assignments.iter().filter(|a| runs(job, a));
         let tasks: Vec<RunningTask> =
             running.map(|a| RunningTask { task: a.task, attempt: a.attempt }).collect();
@@ -70,37 +71,42 @@
 }
 
 /// Asks one peer, for as long as there is something to ask for.
-pub async fn ask_peer(controller: Controller, name: String, address: String) {
+pub async fn ask_peer(controller: Arc<Controller>, name: String, address: String) {
     loop {
         sleep(ASK_EVERY).await;
         let asked_at = clock::now();
         let Some(request) = request(&controller) else { continue };
         let Some(answer) = exchange(&controller, &address, &request).await else { continue };
-        take(&mut controller.core(), &name, &request, answer, asked_at);
+        take(&mut controller.state(), &name, &request, answer, asked_at);
     }
 }
 
-fn request(controller: &Inner) -> Option<RunningTasksRequest> {
-    let core = controller.core();
-    if core.drains.asked.is_empty() || !core.leads(&controller.me) {
+fn request(controller: &Controller) -> Option<RunningTasksRequest> {
+    let state = controller.state();
+    if state.drains.asked.is_empty() || !state.is_leader(&controller.identity) {
         return None;
     }
-    let epoch = core.map()?.epoch;
-    let jobs = core.drains.asked.iter().cloned().collect();
+    let epoch = state.cluster_map()?.epoch;
+    let jobs = state.drains.asked.iter().cloned().collect();
     Some(RunningTasksRequest { nonce: rand::rng().random(), epoch, jobs })
 }
 
 /// Sends a request. A controller without drains answers 404: nothing that runs on its machines
 /// is known to.
-async fn exchange(controller: &Inner, address: &str, request: &RunningTasksRequest) -> Option<RunningTasks> {
+async fn exchange(
+    controller: &Controller,
+    address: &str,
+    request: &RunningTasksRequest,
+) -> Option<RunningTasks> {
     let body = peer::encode_running_request(request);
-    let answer = controller.http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
+    let answer =
+        controller.peer_and_cloud_http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
     (answer.status == 200).then(|| peer::decode_running(&answer.body)).flatten()
 }
 
 /// Takes in an answer, if it is one to this request from the peer that was asked.
 pub(crate) fn take(
-    core: &mut Core,
+    state: &mut ControllerState,
     name: &str,
     request: &RunningTasksRequest,
     answer: RunningTasks,
@@ -112,7 +118,7 @@
     let mut tasks = ObservedTasks::default();
     answer.jobs.iter().for_each(|of_job| note(&mut tasks, of_job));
     let RunningTasks { incarnation, epoch, .. } = answer;
-    core.drains.answers.insert(name.to_owned(), PeerAnswer { incarnation, epoch, asked_at, tasks });
+    state.drains.answers.insert(name.to_owned(), PeerAnswer { incarnation, epoch, asked_at, tasks });
     true
 }
 
@@ -124,15 +130,15 @@
     let Some(request) = peer::decode_running_request(body) else {
         return Reply::error(400, "not a request for running tasks");
     };
-    let core = controller.core();
-    let epoch = core.map().map_or(0, |m| m.epoch);
+    let state = controller.state();
+    let epoch = state.cluster_map().map_or(0, |m| m.epoch);
     let jobs = request.jobs.iter().map(String::as_str);
     let answer = RunningTasks {
         nonce: request.nonce,
-        name: controller.me.name.clone(),
-        incarnation: controller.me.incarnation,
+        name: controller.identity.name.clone(),
+        incarnation: controller.identity.incarnation,
         epoch,
-        jobs: own(controller, &core, jobs, clock::now()),
+        jobs: own(controller, &state, jobs, clock::now()),
     };
     Reply { status: 200, body: peer::encode_running(&answer), retry_after: None }
 }
--- a/crates/daemon/src/drains/transactions.rs
+++ b/crates/daemon/src/drains/transactions.rs
@@ -24,7 +24,7 @@
 use crate::controller::{Controller, wall_ms};
 use crate::load::Purpose;
 use crate::round::disruption_condition;
-use crate::state::Core;
+use crate::state::ControllerState;
 
 /// How long a cordon may lie without a drain's record before it is taken away: the command
 /// that starts a drain writes its cordons first.
@@ -99,21 +99,21 @@
     /// Commits it. True if it surely was; what it changed is then known here.
     pub async fn commit(self, controller: &Controller) -> bool {
         let Self { conditions, puts, changes } = self;
-        controller.core().writes.acquire(puts.len() as f64, 0.0, clock::now());
-        controller.counts.spend(Purpose::Drains, puts.len());
+        controller.state().writes.limiter.acquire(puts.len() as f64, 0.0, clock::now());
+        controller.load.spend(Purpose::Drains, puts.len());
         match controller.commit(conditions, puts).await {
             Ok(TxnOutcome::Committed { revision }) => {
-                let mut core = controller.core();
+                let mut state = controller.state();
                 for change in changes {
-                    core.world.apply(change, revision);
+                    state.records.replica.apply(change, revision);
                 }
-                drop(core);
-                controller.kick.notify_one();
+                drop(state);
+                controller.wake_scheduler.notify_one();
                 true
             }
             Ok(TxnOutcome::Conflict { failed, revision }) => {
                 debug!(?failed, "a step of a drain met newer records");
-                controller.reach(revision, Duration::from_secs(2)).await;
+                controller.wait_for_revision(revision, Duration::from_secs(2)).await;
                 false
             }
             Err(e) => {
@@ -126,15 +126,15 @@
 }
 
 /// Takes off the teams' records what runs again, or never will.
-pub fn settle(controller: &Controller, core: &mut Core) -> Option<Transaction> {
-    let running = observe::running(controller, core, clock::now());
-    let world = &core.world;
+pub fn settle(controller: &Controller, state: &mut ControllerState) -> Option<Transaction> {
+    let running = observe::running(controller, state, clock::now());
+    let world = &state.records.replica;
     let mut transaction = Transaction::new(world);
     for (team, record) in &world.drains.disruptions {
         let open = &record.value.open;
         let is_left = |d: &&Disruption| !view::is_settled(world, d, &running);
         let left: Vec<Disruption> = open.iter().filter(is_left).cloned().collect();
-        if left.len() < open.len() && transaction.puts() < controller.plan().txn_ops {
+        if left.len() < open.len() && transaction.puts() < controller.state_limits().txn_ops {
             transaction.put_disruptions(world, team, DisruptionRecord { open: left });
         }
     }
@@ -143,10 +143,10 @@
 
 /// Lifts the cordons of drains that end, and closes those that have none any more. Cordons
 /// whose drain was never written go after a while.
-pub fn lift_cordons(controller: &Controller, core: &mut Core) -> Option<Transaction> {
-    let abandoned = abandoned(core);
-    let world = &core.world;
-    let most = controller.plan().txn_ops;
+pub fn lift_cordons(controller: &Controller, state: &mut ControllerState) -> Option<Transaction> {
+    let abandoned = abandoned(state);
+    let world = &state.records.replica;
+    let most = controller.state_limits().txn_ops;
     let mut transaction = Transaction::new(world);
     let closing = |name: &str| world.drains.records.get(name).map(|d| &d.value.phase);
     for (id, cordon) in world.drains.cordons.iter().filter(|(_, c)| c.value.active) {
@@ -180,9 +180,10 @@
 }
 
 /// The drains of which there have been cordons alone for a while.
-fn abandoned(core: &mut Core) -> Vec<String> {
+fn abandoned(state: &mut ControllerState) -> Vec<String> {
     let now = clock::now();
-    let Core { world, drains, .. } = core;
+    let ControllerState { records, drains, .. } = state;
+    let world = &records.replica;
     // A drain that is over is resumed by its cordons first, too.
     let is_over = |d: &DrainRecord| matches!(d.phase, DrainPhase::Closed(_));
     let goes_on = |name: &str| world.drains.records.get(name).is_some_and(|d| !is_over(&d.value));
@@ -199,8 +200,8 @@
 }
 
 /// Notes on which machines nothing is left, and which are no longer there.
-pub fn note_outcomes(controller: &Controller, core: &mut Core) -> Option<Transaction> {
-    let world = &core.world;
+pub fn note_outcomes(controller: &Controller, state: &mut ControllerState) -> Option<Transaction> {
+    let world = &state.records.replica;
     let mut transaction = Transaction::new(world);
     let active = |name: &str| world.drains.records.get(name).is_some_and(|d| d.value.is_active());
     for (id, cordon) in world.drains.cordons.iter().filter(|(id, _)| active(&id.0)) {
@@ -213,7 +214,7 @@
                 changed |= record.note_emptied(machine);
             }
         }
-        if changed && transaction.puts() < controller.plan().txn_ops {
+        if changed && transaction.puts() < controller.state_limits().txn_ops {
             transaction.put_cordon(id, record, cordon.version);
         }
     }
@@ -224,18 +225,18 @@
 /// records of what is down by choice, and the drains' own records. Tells how many they are.
 pub fn stop(
     controller: &Controller,
-    core: &Core,
+    state: &ControllerState,
     moves: &[Move],
     ops: usize,
 ) -> Option<(Transaction, usize)> {
-    let world = &core.world;
+    let world = &state.records.replica;
     let now_ms = wall_ms();
     let mut jobs: BTreeMap<Name, Box<JobRecord>> = BTreeMap::new();
     let mut teams: BTreeMap<String, DisruptionRecord> = BTreeMap::new();
     let mut drains: BTreeMap<String, DrainRecord> = BTreeMap::new();
     // Where a transaction has two changes only, the drain's record is a condition alone, and does
     // not count what was moved.
-    let counts = controller.plan().txn_ops >= CHANGES_OF_A_STOP;
+    let counts = controller.state_limits().txn_ops >= CHANGES_OF_A_STOP;
     let (mut taken, mut bytes) = (0, 0);
     for m in moves {
         let id = &m.unit.id;
--- a/crates/daemon/src/fleet_duty.rs
+++ b/crates/daemon/src/fleet_duty.rs
@@ -1,6 +1,7 @@
 //! The leader's dealings with the cloud: renting, giving back, keeping the types.
 
 use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use sched::autoscaling::MachineOffer;
@@ -16,7 +17,7 @@
 use crate::commit::Sweeper;
 use crate::controller::{Controller, wall_ms};
 use crate::load::Purpose;
-use crate::state::Core;
+use crate::state::ControllerState;
 
 mod rentals;
 mod returns;
@@ -70,13 +71,13 @@
 const LEAVE: u32 = 8;
 /// Room is kept ready for this long after the latest GPU job.
 const SPARE_FOR: Duration = Duration::from_secs(300);
-pub async fn fleet(controller: Controller) {
+pub async fn fleet(controller: Arc<Controller>) {
     let mut fleet = Fleet::default();
     let mut cost = Duration::ZERO;
     loop {
         sleep(TICK.max(cost * LEAVE)).await;
         cost = Duration::ZERO;
-        if !controller.core().leads(&controller.me) {
+        if !controller.state().is_leader(&controller.identity) {
             fleet = Fleet { requests: fleet.requests, ..Fleet::default() };
             continue;
         }
@@ -96,14 +97,14 @@
     async fn step(&mut self, controller: &Controller) -> Duration {
         let every =
             |at: Option<Instant>, s: u64| at.is_none_or(|t| clock::since(t) >= Duration::from_secs(s));
-        let types_known = !controller.core().world.machine_types.is_empty();
+        let types_known = !controller.state().records.replica.machine_types.is_empty();
         if every(self.types_at, if types_known { 60 } else { 1 }) {
             self.refresh_types(controller).await;
         }
         self.refresh_list(controller).await;
         if every(self.logged_at, 10) {
             self.logged_at = Some(clock::now());
-            log_cluster(&controller.core());
+            log_cluster(&controller.state());
         }
         if let Some((conditions, puts)) = self.sweeper.next(controller, clock::now()) {
             write(controller, conditions, puts).await;
@@ -119,10 +120,10 @@
         match controller.cloud.machine_types().await {
             Ok(types) => {
                 let (version, same) = {
-                    let core = controller.core();
-                    let same = core.world.machine_types.len() == types.len()
-                        && types.iter().all(|t| core.world.machine_types.get(&t.name) == Some(t));
-                    (core.world.machine_types_version, same)
+                    let state = controller.state();
+                    let same = state.records.replica.machine_types.len() == types.len()
+                        && types.iter().all(|t| state.records.replica.machine_types.get(&t.name) == Some(t));
+                    (state.records.replica.machine_types_version, same)
                 };
                 if same {
                     return;
@@ -183,8 +184,10 @@
     async fn put_fleet(&self, controller: &Controller, change: impl Fn(&mut FleetRecord)) -> bool {
         for _ in 0..3 {
             let (mut fleet, version) = {
-                let core = controller.core();
-                core.world
+                let state = controller.state();
+                state
+                    .records
+                    .replica
                     .fleet
                     .as_ref()
                     .map_or((FleetRecord::default(), 0), |f| (f.value.clone(), f.version))
@@ -194,7 +197,7 @@
             if write(controller, vec![Condition { key: key::FLEET.into(), version }], vec![put]).await {
                 return true;
             }
-            if !controller.core().leads(&controller.me) {
+            if !controller.state().is_leader(&controller.identity) {
                 return false;
             }
         }
@@ -210,7 +213,7 @@
 const FLEET_VALUES: f64 = 3.0;
 /// How many bytes the fleet's record may have.
 fn fleet_bytes(controller: &Controller) -> usize {
-    let plan = controller.plan();
+    let plan = controller.state_limits();
     let now = controller.settings.facts.state.value_kb * 1024.0;
     let bytes = if plan.chunked { now.min(plan.value_bytes * FLEET_VALUES) } else { plan.value_bytes };
     (bytes * 0.95) as usize
@@ -234,9 +237,9 @@
 }
 
 /// Says in the log what waits, by class, and how full the machines are, by kind.
-fn log_cluster(core: &Core) {
+fn log_cluster(state: &ControllerState) {
     let mut waiting: BTreeMap<&str, (u32, u32, u32)> = BTreeMap::new();
-    for job in core.world.open_job_ids.iter().filter_map(|id| core.world.jobs.get(id)) {
+    for job in state.records.replica.open_job_ids.iter().filter_map(|id| state.records.replica.jobs.get(id)) {
         let Some(spec) = job.value.spec.as_deref() else { continue };
         let n = placement::pending_task_count(&job.value);
         let of_class = waiting.entry(&spec.class).or_default();
@@ -245,9 +248,9 @@
         of_class.2 += job.value.assignments.len() as u32;
     }
     let mut kinds: BTreeMap<String, (u32, f64, f64)> = BTreeMap::new();
-    for (id, m) in &core.world.machines {
-        let Some(t) = core.world.machine_types.get(&*m.value.machine_type) else { continue };
-        let used = core.world.machine_usage.get(id).map_or(0.0, |u| u.cpus);
+    for (id, m) in &state.records.replica.machines {
+        let Some(t) = state.records.replica.machine_types.get(&*m.value.machine_type) else { continue };
+        let used = state.records.replica.machine_usage.get(id).map_or(0.0, |u| u.cpus);
         let spot = if m.value.spot { "spot " } else { "" };
         let kind = kinds.entry(format!("{spot}{}", m.value.machine_type)).or_default();
         *kind = (kind.0 + 1, kind.1 + used, kind.2 + t.cpus);
@@ -264,11 +267,11 @@
 }
 
 /// The job whose next of a kind should find room ready.
-fn spare_spec<'a>(controller: &Controller, core: &'a Core) -> Option<&'a JobSpec> {
-    if wall_ms().saturating_sub(core.world.latest_gpu_job_ms) > SPARE_FOR.as_millis() as u64 {
+fn spare_spec<'a>(controller: &Controller, state: &'a ControllerState) -> Option<&'a JobSpec> {
+    if wall_ms().saturating_sub(state.records.replica.latest_gpu_job_ms) > SPARE_FOR.as_millis() as u64 {
         return None;
     }
-    core.world.latest_gpu_job.as_deref().filter(|s| {
+    state.records.replica.latest_gpu_job.as_deref().filter(|s| {
         s.kind == JobKind::Gang
             && controller.operators.spare_gpu_tasks > 0
             && controller.settings.starts_in_time(&s.class)
@@ -278,20 +281,24 @@
 /// Writes as the leader: nothing is written once the map has changed.
 async fn write(controller: &Controller, mut conditions: Vec<Condition>, puts: Vec<KeyWrite>) -> bool {
     {
-        let core = controller.core();
-        let Some(map) = core.world.cluster_map.as_ref().filter(|_| core.leads(&controller.me)) else {
+        let state = controller.state();
+        let Some(map) =
+            state.records.replica.cluster_map.as_ref().filter(|_| state.is_leader(&controller.identity))
+        else {
             return false;
         };
         conditions.push(Condition { key: key::MAP.into(), version: map.version });
     }
     // Machines take long to boot; a request for some does not wait behind rounds
     // that are in debt.
-    controller.core().writes.acquire(puts.len() as f64, 0.0, clock::now());
-    controller.counts.spend(Purpose::Fleet, puts.len());
+    controller.state().writes.limiter.acquire(puts.len() as f64, 0.0, clock::now());
+    controller.load.spend(Purpose::Fleet, puts.len());
     match controller.commit(conditions, puts).await {
-        Ok(TxnOutcome::Committed { revision }) => controller.reach(revision, Duration::from_secs(2)).await,
+        Ok(TxnOutcome::Committed { revision }) => {
+            controller.wait_for_revision(revision, Duration::from_secs(2)).await
+        }
         Ok(TxnOutcome::Conflict { revision, .. }) => {
-            controller.reach(revision, Duration::from_secs(2)).await;
+            controller.wait_for_revision(revision, Duration::from_secs(2)).await;
             false
         }
         Err(e) => {
--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/fleet_duty/rentals.rs
@@ -18,7 +18,7 @@
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 use crate::load::sample_names;
-use crate::state::Core;
+use crate::state::ControllerState;
 
 /// Most kinds of machines asked for between two looks at what is wanted.
 const RENT_AT_ONCE: usize = 6;
@@ -29,14 +29,15 @@
 pub(super) const RENT_ROOM: usize = 60;
 
 /// Machine types that fetch a gang's image too slowly, unless all do.
-fn unsuited(controller: &Controller, core: &Core, spec: &JobSpec) -> Vec<Name> {
+fn unsuited(controller: &Controller, state: &ControllerState, spec: &JobSpec) -> Vec<Name> {
     let wait = controller.settings.facts.workers.gang_wait_s;
     let may = |t: &&MachineType| {
         Resources::of_task(spec).fits(Resources::of_type(t))
             && spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
     };
-    let (slow, quick): (Vec<_>, Vec<_>) = core
-        .world
+    let (slow, quick): (Vec<_>, Vec<_>) = state
+        .records
+        .replica
         .machine_types
         .values()
         .filter(may)
@@ -82,8 +83,8 @@
 
 /// How many tasks of an array or a gang a drain would move if there were room for them: a gang
 /// as a whole.
-fn tasks_to_move(core: &Core, job: &JobRecord, spec: &JobSpec) -> u32 {
-    let waits = |a: &&Assignment| core.drains.wants_room.contains(&a.machine) && job.should_run(a);
+fn tasks_to_move(state: &ControllerState, job: &JobRecord, spec: &JobSpec) -> u32 {
+    let waits = |a: &&Assignment| state.drains.wants_room.contains(&a.machine) && job.should_run(a);
     let there = job.assignments.iter().filter(waits).count() as u32;
     if spec.kind == JobKind::Gang && there > 0 { spec.tasks } else { there }
 }
@@ -91,7 +92,7 @@
 impl Fleet {
     /// Drops rentals whose machines are all up, and gives up on those that are not.
     pub(super) async fn settle_rentals(&mut self, controller: &Controller) {
-        let settled = self.settled(&controller.core(), clock::now(), wall_ms());
+        let settled = self.settled(&controller.state(), clock::now(), wall_ms());
         let Some((fleet, version, late)) = settled else { return };
         if !late.is_empty() {
             if controller.cloud.release(names(&late)).await.is_err() {
@@ -112,11 +113,11 @@
     /// a while, so that the next attempt rents another.
     fn pass_over_late(&mut self, controller: &Controller, late: &[Name]) {
         let kinds: Vec<MachineOffer> = {
-            let core = controller.core();
-            if core.drains.wants_room.is_empty() {
+            let state = controller.state();
+            if state.drains.wants_room.is_empty() {
                 return;
             }
-            let rentals = core.world.fleet.iter().flat_map(|f| &f.value.scale_outs);
+            let rentals = state.records.replica.fleet.iter().flat_map(|f| &f.value.scale_outs);
             let is_late = |r: &&ScaleOut| r.machines.iter().flatten().any(|m| late.contains(m));
             let kind = |r: &ScaleOut| MachineOffer {
                 machine_type: r.machine_type.clone(),
@@ -134,19 +135,21 @@
     /// came up. By an old view, those that are up and busy would be among them.
     pub(super) fn settled(
         &self,
-        core: &Core,
+        state: &ControllerState,
         now: Instant,
         now_ms: u64,
     ) -> Option<(FleetRecord, u64, Vec<Name>)> {
-        let f = core.world.fleet.as_ref().filter(|_| core.is_view_fresh(now))?;
+        let f = state.records.replica.fleet.as_ref().filter(|_| state.may_stop_work(now))?;
         let mut late: Vec<Name> = Vec::new();
         let mut rentals = Vec::new();
         for r in &f.value.scale_outs {
-            let boot = core.world.machine_types.get(&*r.machine_type).map_or(60.0, |t| t.boot_s);
+            let boot = state.records.replica.machine_types.get(&*r.machine_type).map_or(60.0, |t| t.boot_s);
             let age = now_ms.saturating_sub(r.requested_ms) as f64 / 1000.0;
             let mut r = r.clone();
             if let Some(machines) = &mut r.machines {
-                machines.retain(|m| !core.world.machines.contains_key(m) && !self.released.contains_key(m));
+                machines.retain(|m| {
+                    !state.records.replica.machines.contains_key(m) && !self.released.contains_key(m)
+                });
                 if age > boot * 3.0 + 15.0 {
                     late.append(machines);
                 }
@@ -164,12 +167,17 @@
     }
 
     /// Machines with tasks that have not been heard of for longer than placement would wait.
-    pub(super) fn about_to_go(&self, controller: &Controller, core: &Core, now: Instant) -> HashSet<Name> {
-        let limit = controller.report_every() * 5 / 2;
+    pub(super) fn about_to_go(
+        &self,
+        controller: &Controller,
+        state: &ControllerState,
+        now: Instant,
+    ) -> HashSet<Name> {
+        let limit = controller.heartbeat_interval() * 5 / 2;
         // An owner that hears hardly any of its machines is itself cut off.
         let mut by_owner: HashMap<u64, (usize, usize)> = HashMap::default();
         let mut quiet: Vec<(&Name, u64)> = Vec::new();
-        for m in core.machine_views(&controller.me, now) {
+        for m in state.machine_views(&controller.identity, now) {
             let is_quiet = m.health.is_some_and(|h| h.silent > limit);
             let count = by_owner.entry(m.owner.incarnation).or_default();
             *count = (count.0 + 1, count.1 + usize::from(is_quiet));
@@ -182,14 +190,19 @@
     }
 
     /// What is wanted beyond the room that is there or coming. The inventory has to be up to date.
-    pub(crate) fn wanted(&mut self, controller: &Controller, core: &Core, now: Instant) -> Vec<MachineOffer> {
+    pub(crate) fn wanted(
+        &mut self,
+        controller: &Controller,
+        state: &ControllerState,
+        now: Instant,
+    ) -> Vec<MachineOffer> {
         let settled =
             self.led_since.is_some_and(|t| now.saturating_duration_since(t) > Duration::from_secs(2));
-        if !settled || core.world.machine_types.is_empty() || self.listed_at.is_none() {
+        if !settled || state.records.replica.machine_types.is_empty() || self.listed_at.is_none() {
             return Vec::new();
         }
         let now_ms = wall_ms();
-        let mut demands = self.waiting_demands(controller, core, now, now_ms);
+        let mut demands = self.waiting_demands(controller, state, now, now_ms);
         // What is to start within a time of its own comes before what is not.
         let in_time = |j: &JobRecord| {
             let starts = j.spec.as_ref().is_some_and(|s| controller.settings.starts_in_time(&s.class));
@@ -197,21 +210,21 @@
         };
         demands.sort_by(|a, b| placement::queue_order((a.0, in_time(a.0)), (b.0, in_time(b.0))));
         // The next steps of pipelines, before they are ready; last, as they may be late.
-        let soon: Vec<&JobSpec> = forecast::next_steps(&core.world).collect();
+        let soon: Vec<&JobSpec> = forecast::next_steps(&state.records.replica).collect();
         self.note_waiting(demands.iter().map(|(_, d)| d.spec).chain(soon.iter().copied()));
         let services = demands.partition_point(|(_, d)| d.spec.kind == JobKind::Service);
         let mut demands: Vec<Demand> = demands.into_iter().map(|(_, d)| d).collect();
         let demand =
             |spec, tasks| Demand { spec, tasks, in_zone: HashMap::default(), unsuitable_types: Vec::new() };
         demands.extend(soon.iter().map(|spec| Demand {
-            unsuitable_types: unsuited(controller, core, spec),
+            unsuitable_types: unsuited(controller, state, spec),
             ..demand(*spec, spec.tasks)
         }));
-        let expected = forecast::expected_services(&core.world, now_ms);
+        let expected = forecast::expected_services(&state.records.replica, now_ms);
         if let Some((spec, tasks)) = &expected {
             demands.insert(services, demand(spec, *tasks));
         }
-        let spare = spare_spec(controller, core).map(|s| JobSpec { one_zone: false, ..s.clone() });
+        let spare = spare_spec(controller, state).map(|s| JobSpec { one_zone: false, ..s.clone() });
         if let Some(spec) = &spare {
             demands.push(demand(spec, self.spare_tasks(controller, now)));
         }
@@ -220,9 +233,9 @@
         }
         plan_scale_out(
             &demands,
-            &self.room_to_come(core),
-            &core.world.machine_types,
-            core.world.latest_gpu_job.as_deref(),
+            &self.room_to_come(state),
+            &state.records.replica.machine_types,
+            state.records.replica.latest_gpu_job.as_deref(),
             |o| self.blocked.get(o).is_some_and(|(t, _)| now < *t),
             RENT_MAX as usize,
         )
@@ -232,16 +245,16 @@
     fn waiting_demands<'c>(
         &self,
         controller: &Controller,
-        core: &'c Core,
+        state: &'c ControllerState,
         now: Instant,
         now_ms: u64,
     ) -> Vec<(&'c JobRecord, Demand<'c>)> {
-        let mut lost = self.about_to_go(controller, core, now);
+        let mut lost = self.about_to_go(controller, state, now);
         // Room for what is to be moved off machines that are drained, before it is stopped.
-        lost.extend(core.drains.wants_room.iter().cloned());
+        lost.extend(state.drains.wants_room.iter().cloned());
         let mut demands = Vec::new();
         let mut left: HashMap<&str, Resources> = HashMap::default();
-        for (_, job) in core.world.open_jobs() {
+        for (_, job) in state.records.replica.open_jobs() {
             let Some(spec) = job.spec.as_deref() else { continue };
             // Room for replicas on machines that are lost, most likely, is rented before
             // they are given up. They have their share of the team's limit already.
@@ -249,7 +262,7 @@
             let replaced = match spec.kind {
                 JobKind::Service if !lost.is_empty() => job.assignments.iter().filter(there).count() as u32,
                 // Only where a drain waits for room.
-                _ if !core.drains.wants_room.is_empty() => tasks_to_move(core, job, spec),
+                _ if !state.drains.wants_room.is_empty() => tasks_to_move(state, job, spec),
                 _ => 0,
             };
             let waiting = placement::pending_task_count(job);
@@ -261,7 +274,7 @@
             }
             let Some(team) = controller.team(&spec.team) else { continue };
             let room = left.entry(&spec.team).or_insert_with(|| {
-                let used = core.world.team_usage.get(&spec.team).copied().unwrap_or_default();
+                let used = state.records.replica.team_usage.get(&spec.team).copied().unwrap_or_default();
                 team.limit().plus_scaled(used.without_memory(), -1.0)
             });
             let size = Resources::of_task(spec).without_memory();
@@ -273,13 +286,13 @@
             *room = room.plus_scaled(size, -f64::from(admitted));
             let mut in_zone: HashMap<Name, u32> = HashMap::default();
             for a in job.assignments.iter().filter(|a| !lost.contains(&a.machine)) {
-                if let Some(m) = core.world.machines.get(&a.machine) {
+                if let Some(m) = state.records.replica.machines.get(&a.machine) {
                     *in_zone.entry(m.value.zone.clone()).or_default() += 1;
                 }
             }
             demands.push((
                 job,
-                Demand { spec, tasks, in_zone, unsuitable_types: unsuited(controller, core, spec) },
+                Demand { spec, tasks, in_zone, unsuitable_types: unsuited(controller, state, spec) },
             ));
         }
         demands
@@ -301,8 +314,9 @@
 
     /// All room that may be used: what was rented and is not up yet, what the cloud lists and
     /// nobody has heard of, and what is free on the machines that are up.
-    fn room_to_come(&self, core: &Core) -> Vec<ExpectedCapacity> {
-        let full = |t: &str| core.world.machine_types.get(t).map(Resources::of_type).unwrap_or_default();
+    fn room_to_come(&self, state: &ControllerState) -> Vec<ExpectedCapacity> {
+        let full =
+            |t: &str| state.records.replica.machine_types.get(t).map(Resources::of_type).unwrap_or_default();
         let empty = |machine_type: &Name, zone: &Name, spot| ExpectedCapacity {
             machine_type: machine_type.clone(),
             zone: zone.clone(),
@@ -311,26 +325,26 @@
             gpus: full(machine_type).gpus,
             is_up: false,
         };
-        let mut coming: Vec<ExpectedCapacity> = Vec::with_capacity(core.inventory.slots.len());
+        let mut coming: Vec<ExpectedCapacity> = Vec::with_capacity(state.scheduling.inventory.slots.len());
         let mut counted: HashSet<&Name> = HashSet::default();
-        for r in core.world.fleet.iter().flat_map(|f| f.value.scale_outs.iter()) {
+        for r in state.records.replica.fleet.iter().flat_map(|f| f.value.scale_outs.iter()) {
             let n = match &r.machines {
                 Some(list) => {
                     counted.extend(list);
-                    list.iter().filter(|m| !core.world.machines.contains_key(*m)).count()
+                    list.iter().filter(|m| !state.records.replica.machines.contains_key(*m)).count()
                 }
                 None => r.count as usize,
             };
             coming.extend(std::iter::repeat_n(empty(&r.machine_type, &r.zone, r.spot), n));
         }
-        let mut known = SortedLookup::new(&core.world.machines);
+        let mut known = SortedLookup::new(&state.records.replica.machines);
         for (id, m) in &self.listed {
             let known = known.get(id).is_some() || counted.contains(id) || self.released.contains_key(id);
             if !known && m.status != MachineStatus::Failed {
                 coming.push(empty(&m.machine_type.as_str().into(), &m.zone.as_str().into(), m.spot));
             }
         }
-        coming.extend(core.inventory.usable().map(|s| ExpectedCapacity {
+        coming.extend(state.scheduling.inventory.usable().map(|s| ExpectedCapacity {
             machine_type: s.machine_type.clone(),
             zone: s.zone.clone(),
             spot: s.spot,
@@ -349,10 +363,10 @@
     pub(super) async fn rent(&mut self, controller: &Controller) -> Duration {
         let now = clock::now();
         let wanted = {
-            let mut core = controller.core();
-            core.refresh_inventory(&controller.me, controller.report_every(), now);
-            self.gpu_demand.note(&core.world, now);
-            self.wanted(controller, &core, now)
+            let mut state = controller.state();
+            state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+            self.gpu_demand.note(&state.records.replica, now);
+            self.wanted(controller, &state, now)
         };
         let cost = clock::since(now);
         let mut kinds: Vec<(MachineOffer, u32)> = Vec::new();
@@ -364,8 +378,13 @@
         }
         kinds.truncate(RENT_AT_ONCE);
         // The record of rentals may be full until some of them are up.
-        let room =
-            controller.core().world.fleet.as_ref().map_or(usize::MAX, |f| names_left(&f.value, controller));
+        let room = controller
+            .state()
+            .records
+            .replica
+            .fleet
+            .as_ref()
+            .map_or(usize::MAX, |f| names_left(&f.value, controller));
         kinds.truncate(room / (RENT_ROOM + RENT_MAX as usize));
         if !kinds.is_empty() {
             self.rent_kinds(controller, kinds, now).await;
@@ -381,7 +400,7 @@
             .map(|(offer, count)| {
                 self.requests += 1;
                 ScaleOut {
-                    request: format!("{:x}-{:x}", controller.me.incarnation, self.requests),
+                    request: format!("{:x}-{:x}", controller.identity.incarnation, self.requests),
                     machine_type: offer.machine_type,
                     zone: offer.zone,
                     spot: offer.spot,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -4,6 +4,7 @@
 #[cfg(feature = "bench")]
 #[path = "../benches/load/cases.rs"]
 pub mod cases;
+mod change_feed;
 mod client;
 mod clock;
 mod commit;
@@ -25,6 +26,7 @@
 mod large_site;
 mod limits;
 mod load;
+mod membership;
 mod operators;
 mod peers;
 #[cfg(test)]
@@ -35,6 +37,7 @@
 #[cfg(test)]
 #[path = "../tests/unit/production.rs"]
 mod production;
+mod read_barrier;
 mod read_index;
 mod read_records;
 mod reconcile;
@@ -50,11 +53,11 @@
 #[path = "../tests/unit/stand_in.rs"]
 mod stand_in;
 mod state;
-mod state_duty;
 mod worker;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::sync::Arc;
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
@@ -209,61 +212,61 @@
     spawn_duties(&controller);
     let n = controller.clone();
     let peers = move |request| peers::serve(n.clone(), request);
-    controller.spawn_duty(net::serve(
+    controller.spawn_task(net::serve(
         peer_listener,
-        controller.internal.clone(),
+        controller.peer_connections.clone(),
         1 << 20,
         peers,
-        controller.stop.clone(),
-        controller.tasks.clone(),
+        controller.shutdown.clone(),
+        controller.task_tracker.clone(),
     ));
     let n = controller.clone();
     let users = move |request| api::serve(n.clone(), request);
-    controller.spawn_duty(net::serve(
+    controller.spawn_task(net::serve(
         front_listener,
         controller.public_connections.clone(),
         wire::BODY_LIMIT,
         users,
-        controller.stop.clone(),
-        controller.tasks.clone(),
+        controller.shutdown.clone(),
+        controller.task_tracker.clone(),
     ));
     stop.await;
     info!("stopping");
-    controller.stop.cancel();
-    controller.tasks.close();
-    let _ = tokio::time::timeout(Duration::from_secs(2), controller.tasks.wait()).await;
+    controller.shutdown.cancel();
+    controller.task_tracker.close();
+    let _ = tokio::time::timeout(Duration::from_secs(2), controller.task_tracker.wait()).await;
     leave(&controller).await;
     Ok(())
 }
 
 /// Starts all duties but the servers.
-fn spawn_duties(controller: &Controller) {
-    controller.spawn_duty(state_duty::mirror(controller.clone()));
-    controller.spawn_duty(state_duty::verifier(controller.clone()));
-    controller.spawn_duty(state_duty::membership(controller.clone()));
-    controller.spawn_duty(reconcile::heartbeat(controller.clone()));
-    controller.spawn_duty(reconcile::rounds(controller.clone()));
-    controller.spawn_duty(prober::prober(controller.clone()));
-    controller.spawn_duty(api::arrivals(controller.clone()));
-    controller.spawn_duty(fleet_duty::fleet(controller.clone()));
-    controller.spawn_duty(load::log_regularly(controller.clone()));
+fn spawn_duties(controller: &Arc<Controller>) {
+    controller.spawn_task(change_feed::follow_records(controller.clone()));
+    controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
+    controller.spawn_task(membership::keep_membership(controller.clone()));
+    controller.spawn_task(reconcile::heartbeat(controller.clone()));
+    controller.spawn_task(reconcile::rounds(controller.clone()));
+    controller.spawn_task(prober::prober(controller.clone()));
+    controller.spawn_task(api::arrivals(controller.clone()));
+    controller.spawn_task(fleet_duty::fleet(controller.clone()));
+    controller.spawn_task(load::log_regularly(controller.clone()));
     if controller.operators.drains.enabled {
-        controller.spawn_duty(drains::duty(controller.clone()));
+        controller.spawn_task(drains::duty(controller.clone()));
     }
     for peer in &controller.settings.peers {
         if controller.operators.drains.enabled {
             let (name, address) = (peer.node_name.clone(), peer.address.clone());
-            controller.spawn_duty(drains::observe::ask_peer(controller.clone(), name, address));
+            controller.spawn_task(drains::observe::ask_peer(controller.clone(), name, address));
         }
-        controller.spawn_duty(peers::exchange_summaries(controller.clone(), peer.address.clone()));
+        controller.spawn_task(peers::exchange_summaries(controller.clone(), peer.address.clone()));
     }
 }
 
 /// Leaving at once saves the others the wait for the lease's end.
 async fn leave(controller: &Controller) {
-    let lease = controller.core().lease;
+    let lease = controller.state().membership.lease;
     if let Some(lease) = lease {
-        let _ = controller.state.revoke_lease(lease).await;
+        let _ = controller.kv_client.revoke_lease(lease).await;
     }
 }
 
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -1,5 +1,6 @@
 //! What a controller's own work amounts to, told in the log every ten seconds.
 
+use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
@@ -33,7 +34,7 @@
 
 /// Counted since the last line.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct LoadCounters {
     changes: [AtomicU64; PURPOSES.len()],
     pub conflicts: AtomicU64,
     pub rounds: AtomicU64,
@@ -45,7 +46,7 @@
     pub turned_away: AtomicU64,
 }
 
-impl Counts {
+impl LoadCounters {
     pub fn spend(&self, purpose: Purpose, changes: usize) {
         if let Some(i) = PURPOSES.iter().position(|(p, _)| *p == purpose) {
             self.changes[i].fetch_add(changes as u64, Ordering::Relaxed);
@@ -72,11 +73,11 @@
 
 const EVERY: Duration = Duration::from_secs(10);
 
-pub async fn log_regularly(controller: Controller) {
+pub async fn log_regularly(controller: Arc<Controller>) {
     loop {
         sleep(EVERY).await;
         let take = |c: &AtomicU64| c.swap(0, Ordering::Relaxed);
-        let c = &controller.counts;
+        let c = &controller.load;
         let front: Vec<String> =
             controller.public_connections.by_share().map(|(name, n)| format!("{name} {n}")).collect();
         let rounds = take(&c.rounds);
@@ -85,12 +86,13 @@
             connections = format!(
                 "{}, peers {}, to workers {}, to the state service {}, to others {}",
                 front.join(", "),
-                controller.internal.open(),
-                controller.workers_http.open(),
-                controller.state_http.open(),
-                controller.http.open()
+                controller.peer_connections.open(),
+                controller.worker_http.open(),
+                controller.kv_http.open(),
+                controller.peer_and_cloud_http.open()
             ),
-            closed_for_want = controller.public_connections.take_closed() + controller.internal.take_closed(),
+            closed_for_want =
+                controller.public_connections.take_closed() + controller.peer_connections.take_closed(),
             changes = c.take_changes(),
             conflicts = take(&c.conflicts),
             rounds,
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,5 +1,6 @@
 //! Free-room summaries among the controllers, and relayed reports.
 
+use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -14,26 +15,26 @@
 use crate::drains::observe;
 use crate::read_index;
 use crate::reconcile;
-use crate::state::{Core, PeerView, takes_work};
+use crate::state::{ControllerState, ReceivedStatus, accepts_work};
 
 pub(crate) const LARGE: usize = 1 << 20;
 
 pub(crate) fn summary(controller: &Controller) -> PeerStatus {
-    let core = controller.core();
+    let state = controller.state();
     let now = clock::now();
-    let report = controller.report_every();
-    let stood_still = core.stood_still(now);
-    let mut workers = SortedLookup::new(&core.workers);
-    let mut used = SortedLookup::new(&core.world.machine_usage);
-    let owned = core.world.owned_machines().filter(|(.., owner)| **owner == controller.me);
+    let report = controller.heartbeat_interval();
+    let stood_still = state.pauses.was_paused(now);
+    let mut workers = SortedLookup::new(&state.machines.workers);
+    let mut used = SortedLookup::new(&state.records.replica.machine_usage);
+    let owned = state.records.replica.owned_machines().filter(|(.., owner)| **owner == controller.identity);
     let machines = owned
         .filter_map(|(id, record, _)| {
             let worker = workers.get(id)?;
-            let kind = core.world.machine_types.get(&*record.value.machine_type)?;
+            let kind = state.records.replica.machine_types.get(&*record.value.machine_type)?;
             let used = used.get(id).copied().unwrap_or_default();
             Some(MachineStatusRow {
                 id: id.to_string(),
-                usable: takes_work(worker, report, now),
+                usable: accepts_work(worker, report, now),
                 silent_ms: if stood_still { 0 } else { millis(worker.silent_for(now)) },
                 heard_from: worker.heard.is_some(),
                 free_cpus: kind.cpus - used.cpus,
@@ -45,11 +46,14 @@
         })
         .collect();
     PeerStatus {
-        name: controller.me.name.clone(),
-        incarnation: controller.me.incarnation,
-        sequence: controller.counts.summaries.fetch_add(1, Ordering::Relaxed) + 1,
-        epoch: core.map().map_or(0, |m| m.epoch),
-        state_silent_ms: core.fresh_at.map_or(u64::MAX, |f| millis(now.saturating_duration_since(f))),
+        name: controller.identity.name.clone(),
+        incarnation: controller.identity.incarnation,
+        sequence: controller.load.summaries.fetch_add(1, Ordering::Relaxed) + 1,
+        epoch: state.cluster_map().map_or(0, |m| m.epoch),
+        state_silent_ms: state
+            .records
+            .fresh_at
+            .map_or(u64::MAX, |f| millis(now.saturating_duration_since(f))),
         machines,
     }
 }
@@ -59,11 +63,12 @@
 }
 
 pub(crate) fn take(controller: &Controller, mut summary: PeerStatus) {
-    let mut core = controller.core();
-    if !controller.settings.peers.iter().any(|p| p.node_name == summary.name) || !newer(&core, &summary) {
+    let mut state = controller.state();
+    if !controller.settings.peers.iter().any(|p| p.node_name == summary.name) || !newer(&state, &summary) {
         return;
     }
-    let Core { world, rows, .. } = &mut *core;
+    let ControllerState { records, peers, .. } = &mut *state;
+    let (world, rows) = (&records.replica, &mut peers.machines);
     for row in std::mem::take(&mut summary.machines) {
         // Not what a controller says of machines that are another's by now.
         let owner = world.owner_of(&row.id);
@@ -83,15 +88,15 @@
         rows.retain(|id, _| world.machines.contains_key(id));
     }
     let now = clock::now();
-    core.read_indexes.heard(&summary.name, summary.incarnation, now);
-    core.peers.insert(summary.name.clone(), PeerView { summary, at: now });
+    state.peers.read_indexes.heard(&summary.name, summary.incarnation, now);
+    state.peers.statuses.insert(summary.name.clone(), ReceivedStatus { status: summary, received_at: now });
 }
 
 /// Whether a summary is newer than what is known of its sender. A late copy, of an
 /// earlier process too, must not pass for the sender's word of now.
-fn newer(core: &Core, summary: &PeerStatus) -> bool {
-    let known = core.peers.get(&summary.name).map(|p| &p.summary);
-    let member = core.world.members.get(&summary.name).map(|m| m.value.incarnation);
+fn newer(state: &ControllerState, summary: &PeerStatus) -> bool {
+    let known = state.peers.statuses.get(&summary.name).map(|p| &p.status);
+    let member = state.records.replica.members.get(&summary.name).map(|m| m.value.incarnation);
     match known {
         Some(k) if k.incarnation == summary.incarnation => summary.sequence > k.sequence,
         Some(k) => summary.epoch >= k.epoch && member.is_none_or(|m| m == summary.incarnation),
@@ -108,29 +113,31 @@
 
 /// Tells one peer about this controller's machines, and hears of its own. Of two controllers
 /// one asks and the other answers, whoever comes first.
-pub async fn exchange_summaries(controller: Controller, address: String) {
+pub async fn exchange_summaries(controller: Arc<Controller>, address: String) {
     let mut urgent = true;
     loop {
         read_index::ask(&controller, &address).await;
         if urgent || !answered_lately(&controller, &address) {
             exchange(&controller, &address).await;
         }
-        urgent = timeout(SUMMARY_EVERY, controller.summary_due.notified()).await.is_ok();
+        urgent = timeout(SUMMARY_EVERY, controller.peer_status_due.notified()).await.is_ok();
         tokio::time::sleep(SUMMARY_PAUSE).await;
     }
 }
 
 fn answered_lately(controller: &Controller, address: &str) -> bool {
     let Some(peer) = controller.settings.peers.iter().find(|p| p.address == address) else { return false };
-    let core = controller.core();
-    let asked_at = core.peers.get(&peer.node_name).map(|p| p.at);
+    let state = controller.state();
+    let asked_at = state.peers.statuses.get(&peer.node_name).map(|p| p.received_at);
     asked_at.is_some_and(|t| clock::since(t) < ANSWERED_FOR)
 }
 
 async fn exchange(controller: &Controller, address: &str) {
     let body = peer::encode(&Message::PeerStatus(summary(controller)));
-    let answer =
-        controller.http.request(address, "POST", "/peer", body, LARGE, Duration::from_millis(900)).await;
+    let answer = controller
+        .peer_and_cloud_http
+        .request(address, "POST", "/peer", body, LARGE, Duration::from_millis(900))
+        .await;
     if let Ok(answer) = answer
         && let Some(Message::PeerStatus(s)) = peer::decode(&answer.body)
     {
@@ -143,7 +150,7 @@
     let peer = controller.settings.peers.iter().find(|p| p.node_name == owner)?;
     let body = peer::encode(&Message::RelayedHeartbeat(peer::RelayedHeartbeat { heartbeat: report }));
     let answer = controller
-        .http
+        .peer_and_cloud_http
         .request(&peer.address, "POST", "/peer", body, LARGE, Duration::from_millis(2000))
         .await
         .ok()?;
@@ -165,12 +172,13 @@
     let Some(peer) = controller.settings.peers.iter().find(|p| p.node_name == to) else { return false };
     let body = peer::encode(&Message::TerminationProofs(peer::TerminationProofs { epoch, proofs: list }));
     let deadline = Duration::from_millis(1200);
-    let answer = controller.http.request(&peer.address, "POST", "/peer", body, LARGE, deadline).await;
+    let answer =
+        controller.peer_and_cloud_http.request(&peer.address, "POST", "/peer", body, LARGE, deadline).await;
     answer.is_ok_and(|a| peer::decode(&a.body) == Some(Message::Acknowledged))
 }
 
 /// Serves the peers.
-pub async fn serve(controller: Controller, request: Request) -> Reply {
+pub async fn serve(controller: Arc<Controller>, request: Request) -> Reply {
     if !matches!(request.path.as_str(), "/peer" | read_index::PATH | observe::PATH) {
         return Reply::error(404, "unknown path");
     }
--- a/crates/daemon/src/placer/holds.rs
+++ b/crates/daemon/src/placer/holds.rs
@@ -1,13 +1,13 @@
 //! Room that is held for what drains have stopped.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
 use sched::placement::Inventory;
-use sched::records::Name;
 use sched::replica::{Replica, Resources};
 
 use crate::drains::state::Hold;
+use crate::state::Reservation;
 
 /// Keeps the room that was found for what drains have stopped from all other jobs. For a job
 /// that waits it is like room that was made for it.
@@ -15,19 +15,20 @@
     world: &Replica,
     inventory: &mut Inventory,
     holds: &mut BTreeMap<String, Hold>,
-    reserved: &mut std::collections::HashMap<String, (Vec<Name>, Instant)>,
+    reservations: &mut HashMap<String, Reservation>,
     queue: &[String],
     now: Instant,
 ) {
     holds.retain(|job, hold| now < hold.until && hold.is_needed(world, job));
     for (job, hold) in holds.iter() {
         let Some(spec) = world.jobs.get(job).and_then(|j| j.value.spec.as_deref()) else { continue };
-        if reserved.contains_key(job) {
+        if reservations.contains_key(job) {
             continue;
         }
         inventory.reserve(&hold.machines, Resources::of_task(spec), 1.0);
         if queue.contains(job) {
-            reserved.insert(job.clone(), (hold.machines.clone(), hold.until));
+            let reservation = Reservation { machines: hold.machines.clone(), until: hold.until };
+            reservations.insert(job.clone(), reservation);
         }
     }
 }
--- a/crates/daemon/src/placer/mod.rs
+++ b/crates/daemon/src/placer/mod.rs
@@ -17,9 +17,8 @@
 use wire::{JobKind, JobSpec, Priority};
 
 use crate::controller::Controller;
-use crate::reconcile::REFUSED_FOR;
 use crate::round::{Event, Round, edit};
-use crate::state::Core;
+use crate::state::{ControllerState, Reservation, SchedulingState};
 use claims::{Claim, claim_share, claims};
 use holds::hold_for_drains;
 pub use queue::Guaranteed;
@@ -43,22 +42,22 @@
 /// for what finds none.
 pub(crate) fn place(
     controller: &Controller,
-    core: &mut Core,
+    state: &mut ControllerState,
     round: &mut Round,
     ops: usize,
     now: Instant,
     now_ms: u64,
 ) {
-    let queue = waiting_here(controller, core, round);
+    let queue = waiting_here(controller, state, round);
     if queue.is_empty() {
         return;
     }
-    core.refresh_inventory(&controller.me, controller.report_every(), now);
-    let mut inventory = std::mem::take(&mut core.inventory);
+    state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+    let mut inventory = std::mem::take(&mut state.scheduling.inventory);
     inventory.begin();
-    place_queue(controller, core, &mut inventory, round, queue, Budget { ops, now, now_ms });
+    place_queue(controller, state, &mut inventory, round, queue, Budget { ops, now, now_ms });
     inventory.roll_back();
-    core.inventory = inventory;
+    state.scheduling.inventory = inventory;
 }
 
 /// What a round has, and when it is.
@@ -73,29 +72,28 @@
 /// Places these jobs on the inventory.
 fn place_queue(
     controller: &Controller,
-    core: &mut Core,
+    state: &mut ControllerState,
     inventory: &mut Inventory,
     round: &mut Round,
     queue: Vec<String>,
     budget: Budget,
 ) {
     let Budget { now, now_ms, .. } = budget;
-    let leads = core.leads(&controller.me);
-    let Core { world, reserved, searched, refused, guaranteed, drains, .. } = core;
+    let leads = state.is_leader(&controller.identity);
+    let ControllerState { records, scheduling, drains, .. } = state;
     let holds = &mut drains.holds;
-    let world: &Replica = world;
-    guaranteed.refresh(world, &controller.teams);
-    let guaranteed = &guaranteed.jobs;
+    let world: &Replica = &records.replica;
+    scheduling.guaranteed.refresh(world, &controller.teams);
     free_what_ended(world, inventory, round);
-    reserved.retain(|id, (_, until)| now < *until && queue.contains(id));
-    searched.retain(|_, t| now.saturating_duration_since(*t) < SEARCH_PAUSE);
-    for (id, (machines, _)) in reserved.iter() {
+    scheduling.reservations.retain(|id, r| now < r.until && queue.contains(id));
+    scheduling.last_victim_search.retain(|_, t| now.saturating_duration_since(*t) < SEARCH_PAUSE);
+    for (id, reservation) in &scheduling.reservations {
         let Some(spec) = world.jobs.get(id).and_then(|j| j.value.spec.as_deref()) else { continue };
-        inventory.reserve(machines, Resources::of_task(spec), 1.0);
+        inventory.reserve(&reservation.machines, Resources::of_task(spec), 1.0);
     }
-    hold_for_drains(world, inventory, holds, reserved, &queue, now);
+    hold_for_drains(world, inventory, holds, &mut scheduling.reservations, &queue, now);
     let longest: HashSet<&str> = placement::longest_waiting(world, now_ms).into_iter().collect();
-    let queue = in_order(controller, world, queue, guaranteed, &longest, now_ms);
+    let queue = in_order(controller, world, queue, &scheduling.guaranteed.jobs, &longest, now_ms);
     let mut pass = Pass {
         controller,
         world,
@@ -104,11 +102,8 @@
         round,
         budget,
         leads,
-        guaranteed,
         longest,
-        reserved,
-        searched,
-        refused,
+        scheduling,
         running: None,
         // Services start within seconds, on room that is there: some is kept from
         // everything else.
@@ -146,13 +141,10 @@
     budget: Budget,
     leads: bool,
     claims: Vec<Claim>,
-    /// The jobs that are within their teams' guarantees.
-    guaranteed: &'a HashSet<String>,
     /// The gangs that have waited longest, for which room is collected.
     longest: HashSet<&'w str>,
-    reserved: &'a mut std::collections::HashMap<String, (Vec<Name>, Instant)>,
-    searched: &'a mut std::collections::HashMap<String, Instant>,
-    refused: &'a mut std::collections::HashMap<String, Instant>,
+    /// What is remembered from one cycle to the next.
+    scheduling: &'a mut SchedulingState,
     /// All that runs, once it was looked for.
     running: Option<preempt::Running<'w>>,
     /// Services to be expected, until room is kept for them.
@@ -200,10 +192,10 @@
             team,
             priority: job.priority().unwrap_or(spec.priority),
             size: Resources::of_task(&spec),
-            in_part: job.shard.as_deref() == Some(controller.me.name.as_str()),
+            in_part: job.shard.as_deref() == Some(controller.identity.name.as_str()),
         };
         self.keep_room_for_services(&spec);
-        let held = self.reserved.get(&id).map(|(m, _)| m.clone()).unwrap_or_default();
+        let held = self.scheduling.reservations.get(&id).map(|r| r.machines.clone()).unwrap_or_default();
         self.inventory.reserve(&held, candidate.size, -1.0);
         let Found { placed, last_resort } = self.find_place(&candidate, &mut job, &held);
         if !placed.is_empty() {
@@ -233,11 +225,11 @@
 
     fn find_place(&mut self, candidate: &Candidate, job: &mut JobRecord, held: &[Name]) -> Found {
         let Candidate { spec, team, in_part, .. } = *candidate;
-        let (world, me, leads) = (self.world, &self.controller.me, self.leads);
+        let (world, me, leads) = (self.world, &self.controller.identity, self.leads);
         let reach = |s: &placement::Slot| leads && !in_part || s.owner == me.incarnation;
         let limits = placement::Limits {
-            max_tasks: self.controller.run_max().saturating_sub(job.assignments.len()),
-            task_window: self.controller.window(),
+            max_tasks: self.controller.max_assignments_per_record().saturating_sub(job.assignments.len()),
+            task_window: self.controller.task_window(),
             may_strand_gpus: false,
             gang_wait_s: self.controller.settings.facts.workers.gang_wait_s,
             now_ms: self.budget.now_ms,
@@ -290,7 +282,16 @@
         let whole = |s: &placement::Slot| placement::gpu_slots_lost(world, spec, s) == 0;
         let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
         let asker = (spec, candidate.priority);
-        preempt::find_victims(running, self.inventory, asker, self.guaranteed, &[], true, whole).is_some()
+        preempt::find_victims(
+            running,
+            self.inventory,
+            asker,
+            &self.scheduling.guaranteed.jobs,
+            &[],
+            true,
+            whole,
+        )
+        .is_some()
     }
 
     fn note_placed(&mut self, candidate: &Candidate, job: Box<JobRecord>, placed: Vec<Assignment>) {
@@ -298,7 +299,7 @@
         if spec.kind == JobKind::Gang && !may_be_written(self.controller, id, &job) {
             // Nobody else is to wait for room that it cannot take.
             info!(job = id, "a gang of so many machines waits until all controllers are upgraded");
-            self.refused.insert(id.to_owned(), self.budget.now + REFUSED_FOR);
+            self.scheduling.hold_back(id.to_owned(), self.budget.now);
             self.give_up(spec, &placed);
             return;
         }
@@ -307,11 +308,12 @@
         self.round.placing.insert(id.to_owned());
         // The rest of the room that is made for it stays its own: given to others, it
         // would be made again and again (recorded: a task was stopped eight times).
-        if let Some((machines, until)) = self.reserved.remove(id) {
+        if let Some(Reservation { machines, until }) = self.scheduling.reservations.remove(id) {
             let left = still_held(machines, &placed, placement::pending_task_count(&job));
             if !left.is_empty() {
                 self.inventory.reserve(&left, size, 1.0);
-                self.reserved.insert(id.to_owned(), (left, until));
+                let left = Reservation { machines: left, until };
+                self.scheduling.reservations.insert(id.to_owned(), left);
             }
         }
         self.round.jobs.insert(id.to_owned(), job);
@@ -331,13 +333,13 @@
     /// free: what is there is kept for it until the rest is.
     fn collect_room(&mut self, candidate: &Candidate) {
         let Candidate { id, spec, team, size, .. } = *candidate;
-        if !self.longest.contains(id) || self.reserved.contains_key(id) {
+        if !self.longest.contains(id) || self.scheduling.reservations.contains_key(id) {
             return;
         }
         let in_use = self.inventory.team_usage.get(&spec.team).copied().unwrap_or_default();
         let quota = team.limit().plus_scaled(in_use.without_memory(), -1.0);
         if size.count_fitting_in(quota) >= spec.tasks {
-            let (leads, me) = (self.leads, self.controller.me.incarnation);
+            let (leads, me) = (self.leads, self.controller.identity.incarnation);
             let room = placement::collectable_capacity(self.inventory, spec, |s| leads || s.owner == me);
             self.inventory.reserve(&room, size, 1.0);
         }
@@ -346,10 +348,10 @@
     /// Stops what may be stopped so that the job, or the first tasks of it, will fit.
     fn make_room(&mut self, candidate: &Candidate, job: &JobRecord, last_resort: bool) {
         let Candidate { id, spec, .. } = *candidate;
-        if self.reserved.contains_key(id) || !self.may_search(candidate, job) {
+        if self.scheduling.reservations.contains_key(id) || !self.may_search(candidate, job) {
             return;
         }
-        self.searched.insert(id.to_owned(), self.budget.now);
+        self.scheduling.last_victim_search.insert(id.to_owned(), self.budget.now);
         // A gang needs room for all its tasks; others start as room is made.
         let gang = spec.kind == JobKind::Gang;
         let tasks = if gang { spec.tasks } else { placement::pending_task_count(job).min(PREEMPT_MOST) };
@@ -367,7 +369,8 @@
             false => room.victims.iter().map(save).fold(0.0, f64::max).min(SAVE_MOST_S),
         };
         let until = self.budget.now + RESERVE_FOR + wire::seconds(save_s);
-        self.reserved.insert(id.to_owned(), (room.machines, until));
+        let reservation = Reservation { machines: room.machines, until };
+        self.scheduling.reservations.insert(id.to_owned(), reservation);
         for v in room.victims {
             let Some(record) = edit(self.round, self.world, &v.job) else { continue };
             preempt::mark(record, &v);
@@ -386,7 +389,7 @@
             && (!gang || job.assignments.is_empty())
             && !is_patient(job, now_ms)
             && self.round.searches < SEARCHES
-            && !self.searched.get(candidate.id).is_some_and(recent)
+            && !self.scheduling.last_victim_search.get(candidate.id).is_some_and(recent)
     }
 
     /// What to stop for so many tasks, and where; the room is taken on the inventory.
@@ -410,7 +413,7 @@
                 running,
                 self.inventory,
                 asker,
-                self.guaranteed,
+                &self.scheduling.guaranteed.jobs,
                 &room.victims,
                 !last_resort,
                 whole,
@@ -437,7 +440,7 @@
 
 /// Whether a gang's record fits into a value, or may be written in parts.
 fn may_be_written(controller: &Controller, id: &str, job: &JobRecord) -> bool {
-    let plan = controller.plan();
+    let plan = controller.state_limits();
     // Below this many assignments it surely fits.
     let surely = (plan.value_bytes / GANG_TASK_BYTES) as usize / 2;
     plan.chunked
--- a/crates/daemon/src/placer/queue.rs
+++ b/crates/daemon/src/placer/queue.rs
@@ -8,7 +8,7 @@
 
 use crate::controller::Controller;
 use crate::round::Round;
-use crate::state::Core;
+use crate::state::ControllerState;
 
 /// The open jobs that fit into their teams' guarantees along with the earlier unfinished
 /// jobs of the same team. Kept until the open jobs are others: a job's tasks do not matter.
@@ -48,14 +48,14 @@
 }
 
 /// The jobs with tasks that wait and that this controller places.
-pub(super) fn waiting_here(controller: &Controller, core: &Core, round: &Round) -> Vec<String> {
+pub(super) fn waiting_here(controller: &Controller, state: &ControllerState, round: &Round) -> Vec<String> {
     let waits = |(id, job): &(&String, &JobRecord)| {
         let job = round.jobs.get(*id).map_or(*job, |j| j);
         placement::pending_task_count(job) > 0
-            && core.world.scheduler_of(job) == Some(&controller.me.name)
+            && state.records.replica.scheduler_of(job) == Some(&controller.identity.name)
             && !round.held.contains(*id)
     };
-    core.world.open_jobs().filter(waits).map(|(id, _)| id.clone()).collect()
+    state.records.replica.open_jobs().filter(waits).map(|(id, _)| id.clone()).collect()
 }
 
 /// The queue in the order in which it is served.
--- a/crates/daemon/src/prober.rs
+++ b/crates/daemon/src/prober.rs
@@ -1,5 +1,6 @@
 //! Asks workers that have not been heard of.
 
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use net::NetError;
@@ -23,7 +24,7 @@
 
 /// Asks owned workers that have not been heard of for their status, so that a
 /// new owner need not wait for their reports.
-pub async fn prober(controller: Controller) {
+pub async fn prober(controller: Arc<Controller>) {
     let mut turn = 0;
     loop {
         sleep(PROBE_EVERY).await;
@@ -37,7 +38,7 @@
         }
         for (machine, addr) in quiet.into_iter().take(at_once) {
             let controller = controller.clone();
-            let tasks = controller.tasks.clone();
+            let tasks = controller.task_tracker.clone();
             tasks.spawn(async move { probe(&controller, &machine, &addr).await });
         }
     }
@@ -50,10 +51,12 @@
 
 /// The owned workers that have not been heard of for longer than a report may take.
 fn quiet_workers(controller: &Controller, now: Instant) -> Vec<(Name, String)> {
-    let limit = controller.report_every() * 3 / 2 + Duration::from_millis(500);
-    let core = controller.core();
+    let limit = controller.heartbeat_interval() * 3 / 2 + Duration::from_millis(500);
+    let state = controller.state();
     let quiet = |w: &Worker| w.heard.is_none() || w.silent_for(now) > limit;
-    core.workers
+    state
+        .machines
+        .workers
         .iter()
         .filter(|(_, w)| !w.addr.is_empty() && quiet(w))
         .map(|(id, w)| (id.clone(), w.addr.clone()))
@@ -62,7 +65,7 @@
 
 /// Asks one worker for its status.
 async fn probe(controller: &Controller, machine: &Name, addr: &str) {
-    let asked = controller.workers_http.request(
+    let asked = controller.worker_http.request(
         addr,
         "GET",
         "/status",
@@ -76,7 +79,7 @@
         Err(NetError::Busy(_)) => return,
         Err(_) => None,
     };
-    if let Some(w) = controller.core().workers.get_mut(machine) {
+    if let Some(w) = controller.state().machines.workers.get_mut(machine) {
         match report {
             Some(report) => {
                 w.ingest(report, false, clock::now());
@@ -84,7 +87,7 @@
             None => w.did_not_answer(),
         }
     }
-    controller.kick.notify_one();
+    controller.wake_scheduler.notify_one();
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -30,7 +30,7 @@
 use crate::clock;
 use crate::controller::Controller;
 use crate::peers::LARGE;
-use crate::state::Core;
+use crate::state::ControllerState;
 
 /// Answers in parts are in the order of versions. Those of `/read-index`, which came before,
 /// were in the order of ids, and could not be continued.
@@ -89,21 +89,27 @@
 }
 
 /// What to ask a peer, if there is need to.
-pub(crate) fn request(core: &Core, nonce: u64, now: Instant) -> Option<ReadIndexRequest> {
-    let fresh = core.fresh_at.is_some_and(|f| now.saturating_duration_since(f) < ASK_AFTER);
-    (core.ready && !fresh)
-        .then(|| ReadIndexRequest { nonce, after: core.read_indexes.after(core.world.revision) })
+pub(crate) fn request(state: &ControllerState, nonce: u64, now: Instant) -> Option<ReadIndexRequest> {
+    let fresh = state.records.fresh_at.is_some_and(|f| now.saturating_duration_since(f) < ASK_AFTER);
+    (state.records.is_loaded && !fresh).then(|| ReadIndexRequest {
+        nonce,
+        after: state.peers.read_indexes.after(state.records.replica.revision),
+    })
 }
 
 /// This controller's answer: what it has read, and what it knows of beyond.
-pub(crate) fn answer(controller: &Controller, core: &Core, request: &ReadIndexRequest) -> ReadIndex {
-    let (cancelled, truncated) = cancelled_after(&core.world, request.after);
+pub(crate) fn answer(
+    controller: &Controller,
+    state: &ControllerState,
+    request: &ReadIndexRequest,
+) -> ReadIndex {
+    let (cancelled, truncated) = cancelled_after(&state.records.replica, request.after);
     ReadIndex {
         nonce: request.nonce,
-        name: controller.me.name.clone(),
-        incarnation: controller.me.incarnation,
-        epoch: core.map().map_or(0, |m| m.epoch),
-        revision: core.world.revision,
+        name: controller.identity.name.clone(),
+        incarnation: controller.identity.incarnation,
+        epoch: state.cluster_map().map_or(0, |m| m.epoch),
+        revision: state.records.replica.revision,
         cancelled,
         truncated,
     }
@@ -136,7 +142,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Word {
     /// All that the peer had confirmed when it was asked is known here.
-    Counts,
+    LoadCounters,
     /// What changed up to this revision is; the rest has to be asked for.
     Continues(u64),
     /// It says nothing of what the peer has confirmed.
@@ -146,20 +152,20 @@
 /// Takes in a peer's answer to a request that was sent at a time, from which on its word
 /// counts.
 pub(crate) fn take(
-    core: &mut Core,
+    state: &mut ControllerState,
     peer: &str,
     asked: &ReadIndexRequest,
     index: ReadIndex,
     sent: Instant,
     now: Instant,
 ) -> Word {
-    if index.nonce != asked.nonce || index.name != peer || !core.ready {
+    if index.nonce != asked.nonce || index.name != peer || !state.records.is_loaded {
         return Word::Void;
     }
-    core.read_indexes.heard(peer, index.incarnation, now);
-    let known = core.read_indexes.first_heard(peer, index.incarnation);
-    let before = core.fresh_at.zip(known).is_some_and(|(fresh, heard)| heard <= fresh);
-    let epoch = core.map().map_or(0, |m| m.epoch);
+    state.peers.read_indexes.heard(peer, index.incarnation, now);
+    let known = state.peers.read_indexes.first_heard(peer, index.incarnation);
+    let before = state.records.fresh_at.zip(known).is_some_and(|(fresh, heard)| heard <= fresh);
+    let epoch = state.cluster_map().map_or(0, |m| m.epoch);
     let mut counts = index.epoch <= epoch && (index.revision > 0 || before);
     let known_up_to = index.cancelled.last().map(|job| job.version);
     let mut learnt = 0;
@@ -168,10 +174,13 @@
         // of it had come from there.
         match wire::decode::<JobRecord>(&job.record) {
             Ok(record) if record.phase == Phase::Cancelled => {
-                let newer = core.world.jobs.get(&job.id).is_none_or(|j| j.version < job.version);
+                let newer = state.records.replica.jobs.get(&job.id).is_none_or(|j| j.version < job.version);
                 if newer {
                     learnt += 1;
-                    core.world.apply(RecordChange::Job(job.id, Some(Box::new(record))), job.version);
+                    state
+                        .records
+                        .replica
+                        .apply(RecordChange::Job(job.id, Some(Box::new(record))), job.version);
                 }
             }
             _ => counts = false,
@@ -189,18 +198,18 @@
     }
     // Of an earlier process's answers nothing is left to build on.
     let found = PeerIndex { incarnation: index.incarnation, revision: index.revision, at: sent };
-    let entry = core.read_indexes.peers.entry(peer.to_owned()).or_insert(found);
+    let entry = state.peers.read_indexes.peers.entry(peer.to_owned()).or_insert(found);
     if entry.incarnation != index.incarnation || sent >= entry.at {
         *entry = found;
     }
-    Word::Counts
+    Word::LoadCounters
 }
 
 /// Asks a peer while the state service cannot be asked, for as many parts as there are.
 pub async fn ask(controller: &Controller, address: &str) {
     let Some(peer) = controller.settings.peers.iter().find(|p| p.address == address) else { return };
     let sent = clock::now();
-    let Some(mut asked) = request(&controller.core(), rand::rng().random(), sent) else { return };
+    let Some(mut asked) = request(&controller.state(), rand::rng().random(), sent) else { return };
     // All parts have to be one process's: another may know less than the first did.
     let mut incarnation = None;
     loop {
@@ -208,12 +217,12 @@
         let revision = index.revision;
         let same = *incarnation.get_or_insert(index.incarnation) == index.incarnation;
         let word = match same {
-            true => take(&mut controller.core(), &peer.node_name, &asked, index, sent, clock::now()),
+            true => take(&mut controller.state(), &peer.node_name, &asked, index, sent, clock::now()),
             false => Word::Void,
         };
         match word {
-            Word::Counts => {
-                controller.kick.notify_one();
+            Word::LoadCounters => {
+                controller.wake_scheduler.notify_one();
                 return;
             }
             Word::Continues(after) => asked = ReadIndexRequest { nonce: rand::rng().random(), after },
@@ -229,7 +238,8 @@
 /// as long as it is there, leases are renewed within the bound alone.
 async fn exchange(controller: &Controller, address: &str, asked: &ReadIndexRequest) -> Option<ReadIndex> {
     let body = peer::encode_request(asked);
-    let answer = controller.http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
+    let answer =
+        controller.peer_and_cloud_http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
     (answer.status == 200).then(|| peer::decode_index(&answer.body)).flatten()
 }
 
@@ -238,7 +248,7 @@
     let Some(request) = peer::decode_request(body) else {
         return Reply::error(400, "not a request for a read index");
     };
-    let index = answer(controller, &controller.core(), &request);
+    let index = answer(controller, &controller.state(), &request);
     Reply { status: 200, body: peer::encode_index(&index), retry_after: None }
 }
 
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -2,6 +2,7 @@
 //! transaction a round, conditional on everything it was decided from.
 
 use std::collections::BTreeMap;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use peer::TerminationProof;
@@ -17,19 +18,19 @@
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 use crate::drains;
-use crate::load::{Counts, Purpose};
+use crate::load::{LoadCounters, Purpose};
 use crate::peers;
 use crate::placer;
 use crate::round::{Assembled, Event, Round, assemble, edit, log_events};
-use crate::state::{Core, HandedProof};
+use crate::state::{ControllerState, FORWARDED_PROOF_TIMEOUT, PendingProof};
 use crate::worker::{Key, Worker};
 
 /// Nothing was stopped after all: no room is being made.
 fn release(round: &Round, controller: &Controller) {
-    let mut core = controller.core();
+    let mut state = controller.state();
     for e in &round.log {
         if let Event::Preempted { by, .. } = e {
-            core.reserved.remove(by);
+            state.scheduling.reservations.remove(by);
         }
     }
 }
@@ -37,36 +38,26 @@
 const GAP: Duration = Duration::from_millis(40);
 /// A round leaves this many times its own processor time to everything else.
 const LEAVE: u32 = 4;
-/// How long another controller has to write an end that was handed to it.
-const HANDED_FOR: Duration = Duration::from_millis(5000);
-/// How often a record in parts is written at the most.
-const CHUNKED_EVERY: Duration = Duration::from_millis(1200);
-/// How long a record that is refused is left alone.
-pub(crate) const REFUSED_FOR: Duration = Duration::from_secs(20);
-/// How long rounds hold one job each after a refusal.
-const CAUTIOUS_FOR: Duration = Duration::from_secs(4);
-/// How long a controller that could not be reached is left alone.
-const SHUN: Duration = Duration::from_secs(3);
 
-pub async fn rounds(controller: Controller) {
+pub async fn rounds(controller: Arc<Controller>) {
     let mut scanned = clock::now();
     loop {
-        let _ = timeout(Duration::from_millis(250), controller.kick.notified()).await;
+        let _ = timeout(Duration::from_millis(250), controller.wake_scheduler.notified()).await;
         let now = clock::now();
         let scan = now.saturating_duration_since(scanned) >= controller.operators.rescheduler.scan;
         if scan {
             scanned = now;
         }
         let round = {
-            let mut core = controller.core();
+            let mut state = controller.state();
             // Without changes to spend, a round only sees to the workers. What
             // waits meanwhile goes into a larger round later.
-            let ops = core.writes.allowance(now).min(controller.plan().txn_ops);
-            decide(&controller, &mut core, scan, ops, now, wall_ms())
+            let ops = state.writes.limiter.allowance(now).min(controller.state_limits().txn_ops);
+            decide(&controller, &mut state, scan, ops, now, wall_ms())
         };
         let cost = clock::since(now);
-        Counts::add(&controller.counts.rounds, 1);
-        Counts::add(&controller.counts.round_us, cost.as_micros() as u64);
+        LoadCounters::add(&controller.load.rounds, 1);
+        LoadCounters::add(&controller.load.round_us, cost.as_micros() as u64);
         let Some(mut round) = round else {
             sleep(GAP).await;
             continue;
@@ -86,42 +77,41 @@
 
 pub(crate) fn decide(
     controller: &Controller,
-    core: &mut Core,
+    state: &mut ControllerState,
     scan: bool,
     ops: usize,
     now: Instant,
     now_ms: u64,
 ) -> Option<Round> {
-    if !core.ready {
+    if !state.records.is_loaded {
         // The records are being read again; the tokens given out still count.
         return None;
     }
-    if !core.in_map(&controller.me) {
-        core.workers.clear();
+    if !state.is_live(&controller.identity) {
+        state.machines.workers.clear();
         return None;
     }
     // Ends leave some of the round for what starts: where much ends all the time,
     // nothing would ever take its place.
     let cordon_fence = controller.operators.drains.enabled;
     let mut round = Round { most_ended: (ops * 2 / 3).max(1), cordon_fence, ..Round::default() };
-    core.written_in_chunks.retain(|_, t| now.saturating_duration_since(*t) < CHUNKED_EVERY);
-    core.refused.retain(|_, until| now < *until);
-    round.held = core.written_in_chunks.keys().chain(core.refused.keys()).cloned().collect();
-    cascade(controller, core, &mut round, ops);
+    state.scheduling.expire(now);
+    round.held = state.scheduling.jobs_on_hold().cloned().collect();
+    cascade(controller, state, &mut round, ops);
     // First what was on machines that are gone: it is bounded, and its jobs can go on
     // nowhere else meanwhile. Behind the ends of arrays, which come without end on a
     // busy site, it waited for minutes.
-    drop_gone(controller, core, &mut round, now_ms);
-    own_machines(controller, core, &mut round, now, now_ms);
+    drop_gone(controller, state, &mut round, now_ms);
+    own_machines(controller, state, &mut round, now, now_ms);
     if ops == 0 {
         round.jobs.clear();
         round.log.clear();
         return Some(round);
     }
-    handed(controller, core, &mut round, now, now_ms);
-    placer::place(controller, core, &mut round, ops, now, now_ms);
-    if scan && core.leads(&controller.me) {
-        reschedule(controller, core, &mut round, ops, now, now_ms);
+    handed(controller, state, &mut round, now, now_ms);
+    placer::place(controller, state, &mut round, ops, now, now_ms);
+    if scan && state.is_leader(&controller.identity) {
+        reschedule(controller, state, &mut round, ops, now, now_ms);
     }
     Some(round)
 }
@@ -129,16 +119,16 @@
 /// Writes down that jobs are cancelled with one before them. Users are told so from
 /// the records as they are; this lets go of what is kept of them, a few at a time, and
 /// whoever places such a job goes on with it whenever it gets to it.
-fn cascade(controller: &Controller, core: &Core, round: &mut Round, ops: usize) {
-    for id in core.world.pipelines.cancelled_by_dependency() {
+fn cascade(controller: &Controller, state: &ControllerState, round: &mut Round, ops: usize) {
+    for id in state.records.replica.pipelines.cancelled_by_dependency() {
         if round.jobs.len() >= (ops / 2).max(1) {
             break;
         }
-        let mine = |j: &JobRecord| core.world.scheduler_of(j) == Some(&controller.me.name);
-        if !core.world.jobs.get(&**id).is_some_and(|j| mine(&j.value)) {
+        let mine = |j: &JobRecord| state.records.replica.scheduler_of(j) == Some(&controller.identity.name);
+        if !state.records.replica.jobs.get(&**id).is_some_and(|j| mine(&j.value)) {
             continue;
         }
-        if let Some(record) = edit(round, &core.world, id) {
+        if let Some(record) = edit(round, &state.records.replica, id) {
             record.phase = Phase::Cancelled;
             record.compact_if_final();
             round.log.push(Event::Orphaned { job: id.to_string() });
@@ -147,21 +137,28 @@
 }
 
 /// Reconciles the owned workers with the records, as far as either has changed.
-fn own_machines(controller: &Controller, core: &mut Core, round: &mut Round, now: Instant, now_ms: u64) {
-    let Core { world, workers, peers, shunned, fresh_at, handed, .. } = core;
+fn own_machines(
+    controller: &Controller,
+    state: &mut ControllerState,
+    round: &mut Round,
+    now: Instant,
+    now_ms: u64,
+) {
+    let ControllerState { records, machines, peers, proofs, .. } = state;
+    let (fresh_at, world, workers) = (records.fresh_at, &mut records.replica, &mut machines.workers);
     let Some(epoch) = world.current_map().map(|m| m.epoch) else { return };
     let changed: Vec<Name> = match world.take_changed_machines() {
         Some(touched) => touched.into_iter().collect(),
         None => {
             let kept = |id: &Name, w: &Worker| {
-                world.owner_of(id) == Some(&controller.me) && !w.lapsed(world.owned_since_epoch(id))
+                world.owner_of(id) == Some(&controller.identity) && !w.lapsed(world.owned_since_epoch(id))
             };
             workers.retain(|id, w| kept(id, w));
-            world.owned_by(&controller.me).cloned().collect()
+            world.owned_by(&controller.identity).cloned().collect()
         }
     };
     for id in changed {
-        match world.machines.get(&id).filter(|_| world.owner_of(&id) == Some(&controller.me)) {
+        match world.machines.get(&id).filter(|_| world.owner_of(&id) == Some(&controller.identity)) {
             Some(record) => {
                 let new = || Worker::new(record.value.addr.clone(), epoch, now);
                 workers.entry(id).or_insert_with(new).look_again();
@@ -171,7 +168,7 @@
             }
         }
     }
-    let limits = controller.worker_limits(*fresh_at);
+    let limits = controller.worker_limits(fresh_at);
     for (id, worker) in workers.iter_mut() {
         worker.enter_epoch(epoch);
         if !worker.due(now) {
@@ -184,15 +181,16 @@
             let since = worker.ended_since(&key, now);
             // One writer for each job: two owners that write the same record at
             // the same time only make each other's transactions fail.
-            if placer == controller.me.name {
+            if placer == controller.identity.name {
                 // Written with all that is known to have ended of its job.
                 let machine = id.to_string();
-                handed.insert(key, HandedProof { machine, how, epoch, at: now, since });
+                let proof = PendingProof { machine, reason: how, epoch, received_at: now, proven_at: since };
+                proofs.insert(key, proof);
                 continue;
             }
-            let by_itself = now.saturating_duration_since(since) > HANDED_FOR
-                || shunned.get(placer).is_some_and(|t| now < *t)
-                || !peers.contains_key(placer);
+            let by_itself = now.saturating_duration_since(since) > FORWARDED_PROOF_TIMEOUT
+                || peers.is_backing_off(placer, now)
+                || !peers.statuses.contains_key(placer);
             if by_itself {
                 end(round, world, &key, id, how, now_ms);
             } else if since == now {
@@ -265,27 +263,25 @@
 
 /// Takes in the ends that owners have proven and handed over. A proof holds
 /// under the map it was made under: a later owner may launch what is absent.
-fn handed(controller: &Controller, core: &mut Core, round: &mut Round, now: Instant, now_ms: u64) {
-    let Some(epoch) = core.map().map(|m| m.epoch) else { return };
-    let Core { world, handed, .. } = core;
-    handed.retain(|key, proof| {
-        let stands = world.jobs.get(&key.0).is_some_and(|job| {
-            world.scheduler_of(&job.value) == Some(&controller.me.name)
-                && job.value.assignments.binary_search_by_key(&key.1, |a| a.task).is_ok_and(|i| {
-                    let a = &job.value.assignments[i];
-                    a.attempt == key.2 && *a.machine == *proof.machine
-                })
-        });
-        stands && proof.epoch == epoch && now.saturating_duration_since(proof.at) < HANDED_FOR * 4
-    });
-    let mut jobs: BTreeMap<&str, Vec<(&Key, &HandedProof)>> = BTreeMap::new();
-    for (key, proof) in handed.iter() {
+fn handed(
+    controller: &Controller,
+    state: &mut ControllerState,
+    round: &mut Round,
+    now: Instant,
+    now_ms: u64,
+) {
+    let Some(epoch) = state.cluster_map().map(|m| m.epoch) else { return };
+    let ControllerState { records, proofs, .. } = state;
+    let world = &records.replica;
+    proofs.retain_valid(world, &controller.identity.name, epoch, now);
+    let mut jobs: BTreeMap<&str, Vec<(&Key, &PendingProof)>> = BTreeMap::new();
+    for (key, proof) in proofs.iter() {
         jobs.entry(&key.0).or_default().push((key, proof));
     }
     // A change tells of all that has ended of a job. Where changes are short, those
     // come first that complete a job, tell of much, or have waited long: by names
     // alone, some would wait while others are written for every single task.
-    let mut order: Vec<(f64, Vec<(&Key, &HandedProof)>)> = jobs
+    let mut order: Vec<(f64, Vec<(&Key, &PendingProof)>)> = jobs
         .into_iter()
         .filter_map(|(id, ends)| {
             let job = &world.jobs.get(id)?.value;
@@ -295,17 +291,18 @@
         .collect();
     order.sort_by(|a, b| b.0.total_cmp(&a.0));
     for (key, proof) in order.into_iter().flat_map(|(_, ends)| ends) {
-        end(round, world, key, &proof.machine, proof.how, now_ms);
+        end(round, world, key, &proof.machine, proof.reason, now_ms);
     }
 }
 
 /// How much a change is worth that tells of these ends of a job.
-fn worth(job: &JobRecord, ends: &[(&Key, &HandedProof)], now: Instant) -> f64 {
-    let done = ends.iter().filter(|(_, p)| p.how == TerminationReason::Done).count() as u32;
+fn worth(job: &JobRecord, ends: &[(&Key, &PendingProof)], now: Instant) -> f64 {
+    let done = ends.iter().filter(|(_, p)| p.reason == TerminationReason::Done).count() as u32;
     let tasks = job.spec.as_ref().map_or(0, |s| s.tasks);
     let gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
     let completes = done > 0 && (gang || job.done.len() + done >= tasks);
-    let oldest = ends.iter().map(|(_, p)| now.saturating_duration_since(p.since)).max().unwrap_or_default();
+    let oldest =
+        ends.iter().map(|(_, p)| now.saturating_duration_since(p.proven_at)).max().unwrap_or_default();
     let urgent = match job.priority() {
         Some(Priority::Production) => 6.0,
         Some(Priority::High) => 4.0,
@@ -320,40 +317,34 @@
 const PROOFS_AT_ONCE: usize = 2048;
 
 /// Hands ends over to the controller that places the jobs.
-fn hand_over(controller: &Controller, to: String, proofs: Vec<TerminationProof>) {
-    let Some(epoch) = controller.core().map().map(|m| m.epoch) else { return };
+fn hand_over(controller: &Arc<Controller>, to: String, proofs: Vec<TerminationProof>) {
+    let Some(epoch) = controller.state().cluster_map().map(|m| m.epoch) else { return };
     let controller = controller.clone();
-    let tasks = controller.tasks.clone();
+    let tasks = controller.task_tracker.clone();
     tasks.spawn(async move {
         for some in proofs.chunks(PROOFS_AT_ONCE) {
             if !peers::hand_over(&controller, &to, epoch, some.to_vec()).await {
                 // Its jobs' ends are written here for a while.
-                controller.core().shunned.insert(to, clock::now() + SHUN);
-                controller.kick.notify_one();
+                controller.state().peers.note_unreachable(to, clock::now());
+                controller.wake_scheduler.notify_one();
                 return;
             }
         }
     });
 }
 
-/// Keeps proofs that a peer has handed over until they are written.
-pub fn take_proofs(controller: &Controller, epoch: u64, proofs: Vec<TerminationProof>, at: Instant) {
-    let mut core = controller.core();
-    for p in proofs {
-        let Some(how) = TerminationReason::from_code(p.reason_code) else { continue };
-        let proof = HandedProof { machine: p.machine, how, epoch, at, since: at };
-        core.handed.insert((p.job, p.task, p.attempt), proof);
-    }
-    drop(core);
-    controller.kick.notify_one();
+/// Keeps proofs that a peer has forwarded until they are written.
+pub fn take_proofs(controller: &Controller, epoch: u64, proofs: Vec<TerminationProof>, now: Instant) {
+    controller.state().proofs.insert_forwarded(epoch, proofs, now);
+    controller.wake_scheduler.notify_one();
 }
 
 /// Ends assignments on machines without a record: a record goes only after the
 /// cloud has confirmed the release, and nothing is launched without one.
-fn drop_gone(controller: &Controller, core: &Core, round: &mut Round, now_ms: u64) {
-    for machine in &core.world.machines_without_record {
-        for (id, job, a) in core.world.assignments(machine) {
-            if core.world.scheduler_of(job) != Some(&controller.me.name) {
+fn drop_gone(controller: &Controller, state: &ControllerState, round: &mut Round, now_ms: u64) {
+    for machine in &state.records.replica.machines_without_record {
+        for (id, job, a) in state.records.replica.assignments(machine) {
+            if state.records.replica.scheduler_of(job) != Some(&controller.identity.name) {
                 continue;
             }
             // The rest has its turn in the next rounds: what ends in this one can
@@ -361,7 +352,7 @@
             if round.jobs.len() >= round.most_ended && !round.jobs.contains_key(id) {
                 continue;
             }
-            if let Some(record) = edit(round, &core.world, id) {
+            if let Some(record) = edit(round, &state.records.replica, id) {
                 record.end_assignment(a.task, a.attempt, TerminationReason::Lost, now_ms, 0);
                 round.log.push(Event::Ended {
                     job: id.to_owned(),
@@ -376,19 +367,19 @@
 
 fn reschedule(
     controller: &Controller,
-    core: &mut Core,
+    state: &mut ControllerState,
     round: &mut Round,
     ops: usize,
     now: Instant,
     now_ms: u64,
 ) {
     let policy = &controller.operators.rescheduler;
-    core.refresh_inventory(&controller.me, controller.report_every(), now);
-    let evictions = rescheduler::scan(&core.world, &core.inventory, policy, now_ms);
+    state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+    let evictions = rescheduler::scan(&state.records.replica, &state.scheduling.inventory, policy, now_ms);
     if evictions.is_empty() {
         return;
     }
-    let mut budget = drains::EvictionBudget::of_round(controller, core, &evictions);
+    let mut budget = drains::EvictionBudget::of_round(controller, state, &evictions);
     for e in evictions {
         // With its team's record of what is down by choice.
         let changes = 1 + usize::from(budget.is_some());
@@ -397,10 +388,10 @@
             continue;
         }
         if let Some(budget) = &mut budget {
-            let Some(disruption) = budget.debit(&core.world, &e, now_ms) else { continue };
+            let Some(disruption) = budget.debit(&state.records.replica, &e, now_ms) else { continue };
             round.disruptions.insert(e.job.clone(), disruption);
         }
-        let Some(record) = edit(round, &core.world, &e.job) else { continue };
+        let Some(record) = edit(round, &state.records.replica, &e.job) else { continue };
         rescheduler::evict(record, &e, policy, now_ms);
         round.log.push(Event::Evicted(e));
     }
@@ -409,87 +400,86 @@
 /// Commits a round in one transaction, as far as the limits of one go.
 pub(crate) async fn commit(controller: &Controller, round: Round) {
     let Assembled { conditions, puts, left_out, teams, disruptions, chunked } = {
-        let mut core = controller.core();
-        let cautious = core.cautious.is_some_and(|until| clock::now() < until);
-        let most_jobs = if cautious { 1 } else { usize::MAX };
-        let assembled = assemble(&core.world, &round, &controller.plan(), most_jobs);
-        core.writes.acquire(assembled.puts.len() as f64, 0.0, clock::now());
-        controller.counts.spend(Purpose::Rounds, assembled.puts.len());
+        let mut state = controller.state();
+        let most_jobs = if state.scheduling.writes_single_jobs(clock::now()) { 1 } else { usize::MAX };
+        let assembled = assemble(&state.records.replica, &round, &controller.state_limits(), most_jobs);
+        state.writes.limiter.acquire(assembled.puts.len() as f64, 0.0, clock::now());
+        controller.load.spend(Purpose::Rounds, assembled.puts.len());
         assembled
     };
     if puts.is_empty() {
         return;
     }
-    let limits = controller.seen.get();
+    let limits = controller.limit_changes.get();
     let sent: Vec<String> = round.jobs.keys().filter(|id| !left_out.contains(*id)).cloned().collect();
     let result = controller.commit(conditions, puts).await;
     if let Some(id) = chunked {
-        controller.core().written_in_chunks.insert(id, clock::now());
+        controller.state().scheduling.note_chunked_write(id, clock::now());
     }
     match result {
         Ok(TxnOutcome::Committed { revision }) => {
             log_events(round.log.iter().filter(|e| !left_out.contains(e.job())));
             // The next round need not wait until the news of this one arrives.
-            let mut core = controller.core();
+            let mut state = controller.state();
             for (id, record) in round.jobs {
                 if !left_out.contains(&id) {
-                    core.world.apply(RecordChange::Job(id, Some(record)), revision);
+                    state.records.replica.apply(RecordChange::Job(id, Some(record)), revision);
                 }
             }
             for (team, record) in teams {
-                core.world.apply(RecordChange::Team(team, Some(record)), revision);
+                state.records.replica.apply(RecordChange::Team(team, Some(record)), revision);
             }
             for (team, record) in disruptions {
-                core.world.apply(RecordChange::Disruptions(team, Some(record)), revision);
+                state.records.replica.apply(RecordChange::Disruptions(team, Some(record)), revision);
             }
         }
         Ok(TxnOutcome::Conflict { failed, revision }) => {
-            Counts::add(&controller.counts.conflicts, 1);
+            LoadCounters::add(&controller.load.conflicts, 1);
             debug!(?failed, puts = round.puts(), "a round met newer records");
             release(&round, controller);
-            controller.reach(revision, Duration::from_secs(2)).await;
+            controller.wait_for_revision(revision, Duration::from_secs(2)).await;
         }
         Err(e) => {
             debug!(error = %e, "a round was not committed, as far as is known");
             release(&round, controller);
             controller.note_refusal(&e);
             if matches!(e, StoreError::Refused(400) | StoreError::ValueTooLarge(_))
-                && controller.seen.get() == limits
+                && controller.limit_changes.get() == limits
             {
                 set_apart(controller, sent);
             }
             sleep(Duration::from_millis(200)).await;
         }
     }
-    controller.kick.notify_one();
+    controller.wake_scheduler.notify_one();
 }
 
 /// The state service refuses a round for what it is, though it keeps the limits that
 /// are known: its jobs have rounds of their own for a while, and the one that is
 /// refused alone waits. None of the others is to wait with it.
 fn set_apart(controller: &Controller, jobs: Vec<String>) {
-    let mut core = controller.core();
+    let mut state = controller.state();
     let now = clock::now();
     match <[String; 1]>::try_from(jobs) {
         Ok([job]) => {
             warn!(job, "its record is refused; it is left alone for a while");
-            core.refused.insert(job, now + REFUSED_FOR);
+            state.scheduling.hold_back(job, now);
         }
-        Err(_) => core.cautious = Some(now + CAUTIOUS_FOR),
+        Err(_) => state.scheduling.write_single_jobs(now),
     }
 }
 
 /// Sends commands to a worker and takes in the report that answers them.
-fn send(controller: &Controller, machine: Name, addr: String, commands: Commands) {
+fn send(controller: &Arc<Controller>, machine: Name, addr: String, commands: Commands) {
     let token = commands.fencing_token;
     let controller = controller.clone();
-    let tasks = controller.tasks.clone();
+    let tasks = controller.task_tracker.clone();
     tasks.spawn(async move {
         debug!(machine = &*machine, token = commands.fencing_token, orders = ?commands.commands, "commands");
         let body = wire::encode(&commands);
         let deadline = Duration::from_millis(2500);
         let answer = controller
-            .workers_http
+            .worker_http
             .request(&addr, "POST", "/commands", body, wire::BODY_LIMIT * 4, deadline)
             .await;
         let report = match answer {
@@ -503,16 +493,22 @@
                 None
             }
         };
-        answered(&mut controller.core(), &machine, token, report, clock::now());
-        controller.kick.notify_one();
+        answered(&mut controller.state(), &machine, token, report, clock::now());
+        controller.wake_scheduler.notify_one();
     });
 }
 
 /// Takes in what became of commands: the report that answers them, if any. An address may
 /// have become another machine's, whose word says nothing of the one that was meant.
-pub(crate) fn answered(core: &mut Core, machine: &str, token: u64, report: Option<Heartbeat>, now: Instant) {
+pub(crate) fn answered(
+    state: &mut ControllerState,
+    machine: &str,
+    token: u64,
+    report: Option<Heartbeat>,
+    now: Instant,
+) {
     let report = report.filter(|r| r.machine == machine);
-    let Some(w) = core.workers.get_mut(machine) else { return };
+    let Some(w) = state.machines.workers.get_mut(machine) else { return };
     w.finish(token, report.is_some(), now);
     if let Some(report) = report {
         w.ingest(report, false, now);
@@ -520,9 +516,9 @@
 }
 
 /// Notices when the process has stood still.
-pub async fn heartbeat(controller: Controller) {
+pub async fn heartbeat(controller: Arc<Controller>) {
     loop {
-        controller.core().beat(clock::now());
+        controller.state().tick(clock::now());
         sleep(Duration::from_millis(250)).await;
     }
 }
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -13,7 +13,7 @@
 use wire::{Commands, Condition};
 
 use crate::commit::TXN_BYTES;
-use crate::limits::Plan;
+use crate::limits::StateLimits;
 
 /// What one round wants to have done.
 #[derive(Default)]
@@ -83,7 +83,7 @@
     pub(crate) chunked: Option<String>,
 }
 
-pub(crate) fn assemble(world: &Replica, round: &Round, plan: &Plan, most_jobs: usize) -> Assembled {
+pub(crate) fn assemble(world: &Replica, round: &Round, plan: &StateLimits, most_jobs: usize) -> Assembled {
     let mut chunked = None;
     let mut puts = Vec::new();
     // By the ids in their keys: a name with a space was never found here once another
--- /dev/null
+++ b/crates/daemon/src/state/machine_view.rs
@@ -0,0 +1,85 @@
+//! All machines with an owner, by the records and by their owners' word.
+
+use std::time::{Duration, Instant};
+
+use peer::MachineStatusRow;
+use sched::records::{MachineRecord, Member, Name};
+use sched::replica::{Resources, SortedLookup};
+
+use super::ControllerState;
+use crate::worker::Worker;
+
+/// How long a peer's word of its machines counts for giving them up.
+const MAX_STATUS_AGE_TO_RELEASE: Duration = Duration::from_secs(4);
+
+/// A machine's condition as its owner knows it.
+#[derive(Debug, Clone, Copy)]
+pub struct MachineHealth {
+    /// How long nothing has been heard of it, or nothing could be told to it.
+    pub silent: Duration,
+    /// Whether it was heard from since its owner has it.
+    pub heard_from: bool,
+    /// Whether it fails what it is given.
+    pub unhealthy: bool,
+    /// Whether the cloud takes it away soon.
+    pub spot_notice: bool,
+}
+
+impl MachineHealth {
+    fn of_worker(worker: &Worker, now: Instant) -> Self {
+        Self {
+            silent: worker.silent_for(now),
+            heard_from: worker.heard.is_some(),
+            unhealthy: worker.sick(),
+            spot_notice: worker.notice_until.is_some(),
+        }
+    }
+
+    fn of_row(row: &MachineStatusRow) -> Self {
+        Self {
+            silent: Duration::from_millis(row.silent_ms),
+            heard_from: row.heard_from,
+            unhealthy: row.unhealthy,
+            spot_notice: row.spot_notice,
+        }
+    }
+}
+
+/// A machine with an owner.
+#[derive(Debug)]
+pub struct MachineView<'a> {
+    /// Its name.
+    pub id: &'a Name,
+    /// Its record.
+    pub record: &'a MachineRecord,
+    /// The controller that owns it.
+    pub owner: &'a Member,
+    /// What is in use of it; `None` if nothing is there.
+    pub used: Option<Resources>,
+    /// Its condition; `None` if its owner has said nothing of it.
+    pub health: Option<MachineHealth>,
+    /// Whether its owner has been heard from just now.
+    pub is_current: bool,
+}
+
+impl ControllerState {
+    /// All machines with an owner, in the order of their names, and what their owners know of
+    /// them.
+    pub fn machine_views(&self, me: &Member, now: Instant) -> impl Iterator<Item = MachineView<'_>> {
+        let replica = &self.records.replica;
+        let mut workers = SortedLookup::new(&self.machines.workers);
+        let mut rows = SortedLookup::new(&self.peers.machines);
+        let mut used = SortedLookup::new(&replica.machine_usage);
+        let heard = self.peers.heard_within(MAX_STATUS_AGE_TO_RELEASE, now);
+        let my_incarnation = me.incarnation;
+        replica.owned_machines().map(move |(id, record, owner)| {
+            let (health, is_current) = if owner.incarnation == my_incarnation {
+                (workers.get(id).map(|worker| MachineHealth::of_worker(worker, now)), true)
+            } else {
+                let is_current = heard.iter().any(|name| **name == *owner.name);
+                (rows.get(id).map(MachineHealth::of_row), is_current)
+            };
+            MachineView { id, record: &record.value, owner, used: used.get(id).copied(), health, is_current }
+        })
+    }
+}
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -30,7 +30,9 @@
     "reconcile",
     "round",
     "state",
-    "state_duty",
+    "change_feed",
+    "membership",
+    "read_barrier",
     "worker",
 ];
 
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -3,8 +3,8 @@
 use crate::operators::Operators;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
-use crate::state_duty;
 use crate::worker::tests::spec;
+use crate::{change_feed, read_barrier};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
@@ -53,12 +53,12 @@
     addr
 }
 
-async fn controller(state: String) -> Controller {
+async fn controller(state: String) -> Arc<Controller> {
     let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
     settings.external.state = state;
     let controller = Controller::new(settings, Operators::default(), 1);
-    controller.spawn_duty(state_duty::mirror(controller.clone()));
-    controller.spawn_duty(state_duty::verifier(controller.clone()));
+    controller.spawn_task(change_feed::follow_records(controller.clone()));
+    controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
     controller
 }
 
@@ -90,7 +90,7 @@
         assert_eq!(ask(id).await.status, 503, "{id}: it may have changed meanwhile");
     }
     assert!(since.elapsed() < Duration::from_secs(4), "refused, not held back");
-    controller.stop.cancel();
+    controller.shutdown.cancel();
 }
 
 /// A worker that cannot reach its owner is passed on for a while only.
@@ -98,9 +98,9 @@
 fn workers_are_sent_to_their_owner_again_and_again() {
     let controller = crate::scale::controller(40, 2);
     let machine = {
-        let core = controller.core();
-        let others = |id: &&Name| core.world.owner_of(id).is_some_and(|o| o.name == "n-1");
-        core.world.machines.keys().find(others).cloned().expect("one of the other's")
+        let core = controller.state();
+        let others = |id: &&Name| core.records.replica.owner_of(id).is_some_and(|o| o.name == "n-1");
+        core.records.replica.machines.keys().find(others).cloned().expect("one of the other's")
     };
     let report: Heartbeat = wire::decode(&wire::encode(&serde_json::json!({"frame": &*machine, "addr": "a",
         "shape": "m", "bay": "z", "loaner": false, "stint": 1, "tally": 1, "baton": u64::MAX >> 1,
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::settings::tests::EXAMPLE;
-use crate::state::PeerView;
+use crate::state::ReceivedStatus;
 use peer::PeerStatus;
 use sched::records::ClusterMap;
 use sched::replica::RecordChange;
@@ -21,56 +21,60 @@
 #[test]
 fn a_controller_that_reaches_nobody_stands_aside_until_it_hears_others() {
     let controller = crate::scale::controller(40, 2);
-    let (me, report) = (controller.me.clone(), controller.report_every());
+    let (me, report) = (controller.identity.clone(), controller.heartbeat_interval());
     let start = Instant::now() + Duration::from_secs(60);
-    let mut core = controller.core();
+    let mut state = controller.state();
     let member = |n: &str| Member { name: n.into(), zone: "a".into(), incarnation: 1 };
-    core.world.apply(RecordChange::Member("n-1".into(), Some(member("n-1"))), 1 << 40);
-    crate::reconcile::decide(&controller, &mut core, false, 4, start, 0);
-    assert!(core.workers.len() >= 3);
-    let aside = |core: &mut Core, heard: bool, peer: bool, s: u64| {
+    state.records.replica.apply(RecordChange::Member("n-1".into(), Some(member("n-1"))), 1 << 40);
+    crate::reconcile::decide(&controller, &mut state, false, 4, start, 0);
+    assert!(state.machines.workers.len() >= 3);
+    let aside = |state: &mut ControllerState, heard: bool, peer: bool, s: u64| {
         let now = start + Duration::from_secs(s);
-        (core.beat, core.fresh_at) = (now, Some(now));
+        state.pauses = crate::state::PauseDetector::new(now);
+        state.records.fresh_at = Some(now);
         if heard {
-            core.workers.values_mut().for_each(|w| w.heard = Some(now));
+            state.machines.workers.values_mut().for_each(|w| w.heard = Some(now));
         }
         if peer {
-            core.peers.insert("n-1".into(), PeerView { summary: summary("n-1", 7, 0), at: now });
+            state
+                .peers
+                .statuses
+                .insert("n-1".into(), ReceivedStatus { status: summary("n-1", 7, 0), received_at: now });
         }
-        core.stands_aside(&me, report, now)
+        state.update_isolation(&me, report, now)
     };
-    assert!(!aside(&mut core, true, false, 10), "cut off from its peers, not from its workers");
-    assert!(!aside(&mut core, false, true, 20), "from its workers, not from its peers");
-    assert!(aside(&mut core, false, false, 30));
-    assert!(aside(&mut core, false, true, 32), "not back at once");
-    assert!(!aside(&mut core, false, true, 36));
-    assert!(!aside(&mut core, false, false, 50), "nor away again at once");
-    assert!(aside(&mut core, false, false, 60));
-    core.world.apply(RecordChange::Member("n-1".into(), None), 1 << 41);
-    assert!(!aside(&mut core, false, false, 61), "there is nobody else");
+    assert!(!aside(&mut state, true, false, 10), "cut off from its peers, not from its workers");
+    assert!(!aside(&mut state, false, true, 20), "from its workers, not from its peers");
+    assert!(aside(&mut state, false, false, 30));
+    assert!(aside(&mut state, false, true, 32), "not back at once");
+    assert!(!aside(&mut state, false, true, 36));
+    assert!(!aside(&mut state, false, false, 50), "nor away again at once");
+    assert!(aside(&mut state, false, false, 60));
+    state.records.replica.apply(RecordChange::Member("n-1".into(), None), 1 << 41);
+    assert!(!aside(&mut state, false, false, 61), "there is nobody else");
 }
 
 /// The changes a second go where the jobs are that have to be written.
 #[test]
 fn shares_follow_the_jobs_that_each_places() {
     let controller = crate::scale::controller(40, 4);
-    let mut core = controller.core();
-    let fixed = |core: &Core, name: &str| share_by_jobs(core, name).expect("live");
-    let me = controller.me.name.clone();
-    let sum = |core: &Core| {
+    let mut state = controller.state();
+    let fixed = |state: &ControllerState, name: &str| share_by_jobs(state, name).expect("live");
+    let me = controller.identity.name.clone();
+    let sum = |state: &ControllerState| {
         let names = [me.as_str(), "n-1", "n-2", "n-3"];
-        names.iter().map(|n| fixed(core, n)).sum::<f64>()
+        names.iter().map(|n| fixed(state, n)).sum::<f64>()
     };
-    assert!((sum(&core) - SHARES_SUM).abs() < 1e-9);
-    let before = fixed(&core, "n-2");
+    assert!((sum(&state) - SHARES_SUM).abs() < 1e-9);
+    let before = fixed(&state, "n-2");
     for n in 0..20 {
         let spec = crate::worker::tests::spec(&format!("j-{n}"), JobKind::Array);
         let job = sched::records::JobRecord::new(spec, Some("n-2".into()), 0);
-        core.world.apply(RecordChange::Job(format!("j-{n}"), Some(Box::new(job))), 1 << 40);
+        state.records.replica.apply(RecordChange::Job(format!("j-{n}"), Some(Box::new(job))), 1 << 40);
     }
-    assert!(fixed(&core, "n-2") > before * 2.0 && fixed(&core, &me) >= LEADER_LEAST);
-    assert!((sum(&core) - SHARES_SUM).abs() < 1e-9);
-    assert!(share_by_jobs(&core, "n-9").is_none());
+    assert!(fixed(&state, "n-2") > before * 2.0 && fixed(&state, &me) >= LEADER_LEAST);
+    assert!((sum(&state) - SHARES_SUM).abs() < 1e-9);
+    assert!(share_by_jobs(&state, "n-9").is_none());
 }
 
 /// A controller that has lost the state service and its peers, but not its
@@ -87,21 +91,25 @@
     let over = bound.as_secs_f64() * 1.0005 + w.lease_s * 1.0005;
     assert!(over < w.cancel_s && bound > Duration::from_secs(5), "{over}");
     let controller = Controller::new(settings, Operators::default(), 1);
-    let (start, me) = (Instant::now(), controller.me.clone());
-    let mut core = controller.core();
-    core.ready = true;
-    core.world.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live: vec![me.clone()] })), 1);
-    core.fresh_at = Some(start);
-    let renews = |core: &Core, at: Duration| core.may_renew(&me, ["n-1"], bound, start + at);
-    assert!(renews(&core, bound - Duration::from_millis(1)));
-    assert!(!renews(&core, bound), "no peer says that it has no state service either");
+    let (start, me) = (Instant::now(), controller.identity.clone());
+    let mut state = controller.state();
+    state.records.is_loaded = true;
+    state.records.replica.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live: vec![me.clone()] })), 1);
+    state.records.fresh_at = Some(start);
+    let renews =
+        |state: &ControllerState, at: Duration| state.may_renew_leases(&me, ["n-1"], bound, start + at);
+    assert!(renews(&state, bound - Duration::from_millis(1)));
+    assert!(!renews(&state, bound), "no peer says that it has no state service either");
     let mut hear = |silent_ms, epoch, at| {
-        core.peers.insert("n-1".into(), PeerView { summary: summary("n-1", epoch, silent_ms), at });
-        renews(&core, bound)
+        state.peers.statuses.insert(
+            "n-1".into(),
+            ReceivedStatus { status: summary("n-1", epoch, silent_ms), received_at: at },
+        );
+        renews(&state, bound)
     };
     assert!(!hear(100, 4, start + bound), "a peer can still take cancellations");
     assert!(!hear(60_000, 4, start + bound), "an outage for all, as it says, but since when?");
     assert!(!hear(60_000, 4, start), "its word is old");
     assert!(!hear(60_000, 5, start + bound), "there is a newer map");
-    assert!(!core.may_renew(&me, ["n-1"], bound, start), "at any time");
+    assert!(!state.may_renew_leases(&me, ["n-1"], bound, start), "at any time");
 }
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -3,7 +3,7 @@
 use crate::round::{self, Assembled, Round};
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
-use crate::state::Core;
+use crate::state::ControllerState;
 use crate::worker::tests::spec;
 use crate::worker::{Worker, first_token};
 use drain::budget::UnitId;
@@ -13,12 +13,13 @@
 use sched::records::*;
 use sched::replica::RecordChange;
 use sched::rescheduler::Eviction;
+use std::sync::Arc;
 use store::{KeyWrite, decode_change};
 use wire::{Condition, Heartbeat, JobKind, TaskState, TaskStatus};
 
 const ON: &str = "drains {\n enabled = true\n}\n";
 
-fn controller(operators: &str) -> Controller {
+fn controller(operators: &str) -> Arc<Controller> {
     let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
     settings.peers = vec![Peer { node_name: "n-1".into(), address: "127.0.0.1:3".into() }];
     Controller::new(settings, Operators::parse("o.hcl", operators).expect("valid"), 1)
@@ -41,8 +42,8 @@
 }
 
 /// A service of two replicas on two machines, one of which is drained.
-fn site(core: &mut Core, me: &Member) {
-    let world = &mut core.world;
+fn site(core: &mut ControllerState, me: &Member) {
+    let world = &mut core.records.replica;
     let other = Member { name: "n-1".into(), zone: "a".into(), incarnation: 2 };
     let live = vec![me.clone(), other.clone()];
     world.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
@@ -69,7 +70,7 @@
     world.apply(RecordChange::Cordon(("d".into(), 0), Some(CordonRecord::new(vec!["m-1".into()]))), 4);
     world.apply(RecordChange::CordonFence(Some(CordonFence { generation: 1 })), 4);
     world.apply(RecordChange::Drain("d".into(), Some(record())), 5);
-    core.ready = true;
+    core.records.is_loaded = true;
 }
 
 fn unit() -> Unit {
@@ -81,13 +82,13 @@
     conditions.iter().find(|c| c.key == key).map(|c| c.version)
 }
 
-fn eviction_round(controller: &Controller, core: &Core) -> Round {
+fn eviction_round(controller: &Arc<Controller>, core: &ControllerState) -> Round {
     let eviction = Eviction { job: "j-1".into(), task: 1, machine: "m-2".into(), reason: "crowded machine" };
     let evictions = std::slice::from_ref(&eviction);
     let mut budget = EvictionBudget::of_round(controller, core, evictions).expect("all know drains");
-    let disruption = budget.debit(&core.world, &eviction, 9).expect("nothing is down");
+    let disruption = budget.debit(&core.records.replica, &eviction, 9).expect("nothing is down");
     let mut round = Round::default();
-    round.jobs.insert("j-1".into(), core.world.jobs["j-1"].value.clone());
+    round.jobs.insert("j-1".into(), core.records.replica.jobs["j-1"].value.clone());
     round.disruptions.insert("j-1".into(), disruption);
     round
 }
@@ -96,17 +97,17 @@
 #[test]
 fn all_that_stops_by_choice_changes_the_same_record() {
     let controller = controller(ON);
-    let mut core = controller.core();
-    site(&mut core, &controller.me);
+    let mut core = controller.state();
+    site(&mut core, &controller.identity);
     let open =
         vec![Disruption { job: "j-9".into(), task: 0, attempt: 1, by: Stopper::Rescheduler, since_ms: 1 }];
-    core.world.apply(RecordChange::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
+    core.records.replica.apply(RecordChange::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
     let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
     let (transaction, taken) = transactions::stop(&controller, &core, &moves, 9).expect("one to stop");
     assert_eq!((taken, transaction.puts()), (1, 3), "the job, the team's record and the drain's");
     let (conditions, puts) = transaction.parts();
     let round = eviction_round(&controller, &core);
-    let assembled = round::assemble(&core.world, &round, &controller.plan(), usize::MAX);
+    let assembled = round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
     for (conditions, puts) in [(conditions, puts), (&assembled.conditions[..], &assembled.puts[..])] {
         assert_eq!(version_of(conditions, &key::disruptions("t")), Some(7));
         assert_eq!(version_of(conditions, &key::job("j-1")), Some(3));
@@ -127,8 +128,8 @@
     let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
     settings.facts.state.txn_ops = 2;
     let controller = Controller::new(settings, Operators::parse("o.hcl", ON).expect("valid"), 1);
-    let mut core = controller.core();
-    site(&mut core, &controller.me);
+    let mut core = controller.state();
+    site(&mut core, &controller.identity);
     let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
     let (transaction, taken) = transactions::stop(&controller, &core, &moves, 2).expect("one to stop");
     let (conditions, puts) = transaction.parts();
@@ -140,14 +141,14 @@
 fn a_round_is_conditional_on_the_cordons_only_where_drains_are_on() {
     for (operators, fence) in [(ON, Some(4)), ("", None)] {
         let controller = controller(operators);
-        let mut core = controller.core();
-        site(&mut core, &controller.me);
+        let mut core = controller.state();
+        site(&mut core, &controller.identity);
         let cordon_fence = controller.operators.drains.enabled;
         let mut round = Round { cordon_fence, ..Round::default() };
-        round.jobs.insert("j-1".into(), core.world.jobs["j-1"].value.clone());
+        round.jobs.insert("j-1".into(), core.records.replica.jobs["j-1"].value.clone());
         round.placing.insert("j-1".into());
         let Assembled { conditions, puts, .. } =
-            round::assemble(&core.world, &round, &controller.plan(), usize::MAX);
+            round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
         assert_eq!(version_of(&conditions, key::CORDON_FENCE), fence);
         assert!(puts.iter().all(|p| p.key != key::CORDON_FENCE), "it is not written");
     }
@@ -156,16 +157,16 @@
 #[test]
 fn nothing_is_placed_on_a_cordoned_machine_and_all_is_paused_by_an_old_controller() {
     let controller = controller(ON);
-    let mut core = controller.core();
-    site(&mut core, &controller.me);
+    let mut core = controller.state();
+    site(&mut core, &controller.identity);
     let types = vec![crate::worker::tests::kind(40.0, 90.0, &["a"])];
-    core.world.apply(RecordChange::Types(Some(MachineTypesRecord { types })), 8);
-    let inventory = sched::placement::Inventory::new(&core.world, |_| true);
+    core.records.replica.apply(RecordChange::Types(Some(MachineTypesRecord { types })), 8);
+    let inventory = sched::placement::Inventory::new(&core.records.replica, |_| true);
     assert!(inventory.find("m-1").is_none());
-    assert!(paused(&controller, &core.world).is_none());
+    assert!(paused(&controller, &core.records.replica).is_none());
     // One that comes back without drains says so with its entry among the members.
-    core.world.apply(RecordChange::SchemaMarker("n-1".into(), Some(SCHEMA_VERSION)), 9);
-    let obstacle = paused(&controller, &core.world).expect("paused");
+    core.records.replica.apply(RecordChange::SchemaMarker("n-1".into(), Some(SCHEMA_VERSION)), 9);
+    let obstacle = paused(&controller, &core.records.replica).expect("paused");
     // Its machines' replicas would never be seen running: evictions go on as without drains.
     assert!(EvictionBudget::of_round(&controller, &core, &[]).is_none());
     assert_eq!((obstacle.kind, &*obstacle.job), (ObstacleKind::OldController, "n-1"));
@@ -191,14 +192,14 @@
 #[test]
 fn a_drain_of_a_later_schema_is_unreadable_and_its_machines_stay_cordoned() {
     let controller = controller(ON);
-    let mut core = controller.core();
-    site(&mut core, &controller.me);
+    let mut core = controller.state();
+    site(&mut core, &controller.identity);
     let later = KeyWrite::new(key::drain("d"), &DrainRecord { schema: DRAIN_SCHEMA + 1, ..record() });
     let (change, bad) = decode_change(&later.key, later.value);
     assert!(bad);
-    core.world.mark_unreadable(change);
-    assert!(core.world.drains.unreadable.contains("d"));
-    assert!(core.world.drains.is_cordoned("m-1"));
+    core.records.replica.mark_unreadable(change);
+    assert!(core.records.replica.drains.unreadable.contains("d"));
+    assert!(core.records.replica.drains.is_cordoned("m-1"));
 }
 
 /// What an owner says of its machines counts only by reports of now, only for the map that it
@@ -207,10 +208,10 @@
 fn only_what_is_seen_now_counts_as_running() {
     let controller = controller(ON);
     let now = clock::now();
-    let mut core = controller.core();
-    site(&mut core, &controller.me);
+    let mut core = controller.state();
+    site(&mut core, &controller.identity);
     core.drains.asked = ["j-1".to_owned()].into();
-    let mine = |m: &&str| core.world.owner_of(m) == Some(&controller.me);
+    let mine = |m: &&str| core.records.replica.owner_of(m) == Some(&controller.identity);
     let machine = ["m-1", "m-2"].into_iter().find(mine).expect("one of two machines is its own");
     let task = if machine == "m-1" { 0 } else { 1 };
     let mut worker = Worker::new("x".into(), 4, now);
@@ -233,12 +234,12 @@
         }],
     };
     worker.ingest(report(1, TaskState::Fetching), true, now);
-    core.workers.insert(machine.into(), worker);
-    let seen = |core: &Core, at| {
+    core.machines.workers.insert(machine.into(), worker);
+    let seen = |core: &ControllerState, at| {
         drain::view::Running::is_running(&observe::running(&controller, core, at), "j-1", task, 1)
     };
     assert!(!seen(&core, now), "it fetches its image");
-    let worker = core.workers.get_mut(machine).expect("there");
+    let worker = core.machines.workers.get_mut(machine).expect("there");
     worker.ingest(report(2, TaskState::Running), true, now);
     assert!(seen(&core, now));
     assert!(!seen(&core, now + Duration::from_secs(9)), "nothing was heard for three reports");
@@ -253,7 +254,7 @@
             tasks: vec![peer::RunningTask { task: 9, attempt: 3 }],
         }],
     };
-    let other = |core: &Core| {
+    let other = |core: &ControllerState| {
         drain::view::Running::is_running(&observe::running(&controller, core, now), "j-1", 9, 3)
     };
     assert!(!observe::take(&mut core, "n-1", &request, answer(8, 4, 2), now), "another's answer");
--- a/crates/daemon/tests/unit/fault_days/controllers.rs
+++ b/crates/daemon/tests/unit/fault_days/controllers.rs
@@ -1,5 +1,6 @@
 //! The controllers' processes: they start, end and come back.
 
+use std::sync::Arc;
 use std::time::Duration;
 
 use net::Client;
@@ -15,7 +16,7 @@
 
 #[derive(Default)]
 pub(super) struct Process {
-    pub(super) controller: Option<Controller>,
+    pub(super) controller: Option<Arc<Controller>>,
     pub(super) incarnation: u64,
 }
 
@@ -80,7 +81,7 @@
     /// It ends without a word.
     pub(super) fn kill_controller(&self, n: usize) {
         if let Some(controller) = self.lock().controllers[n].controller.take() {
-            controller.stop.cancel();
+            controller.shutdown.cancel();
         }
     }
 
@@ -88,7 +89,7 @@
     pub(super) async fn stop_controller(&self, n: usize) {
         let controller = self.lock().controllers[n].controller.clone();
         if let Some(controller) = controller {
-            controller.stop.cancel();
+            controller.shutdown.cancel();
             let _ = timeout(Duration::from_secs(3), crate::leave(&controller)).await;
             self.kill_controller(n);
         }
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -3,6 +3,7 @@
 //! protocol describes them. Each test brings one combination about, by its script alone.
 
 use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use sched::records::*;
@@ -31,7 +32,7 @@
 
 /// Controllers and the state service.
 struct Site {
-    nodes: Vec<Controller>,
+    nodes: Vec<Arc<Controller>>,
     keys: HashMap<String, u64>,
     log: Vec<(u64, KeyWrite)>,
     /// How much of the log each controller's mirror has.
@@ -110,7 +111,7 @@
     /// A new map of these controllers, of which the first leads.
     fn map(&mut self, live: &[usize]) {
         self.epoch += 1;
-        let live: Vec<Member> = live.iter().map(|n| self.nodes[*n].me.clone()).collect();
+        let live: Vec<Member> = live.iter().map(|n| self.nodes[*n].identity.clone()).collect();
         self.put(vec![
             KeyWrite::new(key::LEADER.into(), &live[0]),
             KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: self.epoch, live }),
@@ -120,22 +121,23 @@
     /// A controller ends, and another process begins under its name. It knows nothing.
     fn restart(&mut self, n: usize) {
         let settings = self.nodes[n].settings.clone();
-        let incarnation = self.nodes[n].me.incarnation + 1000;
+        let incarnation = self.nodes[n].identity.incarnation + 1000;
         self.nodes[n] = Controller::new(settings, Operators::default(), incarnation);
         self.seen[n] = 0;
     }
 
     /// A controller reads all changes.
     fn read(&mut self, n: usize) {
-        let mut core = self.nodes[n].core();
+        let mut core = self.nodes[n].state();
         for (revision, put) in &self.log[self.seen[n]..] {
             let (change, bad) = decode_change(&put.key, put.value.clone());
             assert!(!bad, "{}", put.key);
-            core.world.apply(change, *revision);
-            core.world.revision = *revision;
+            core.records.replica.apply(change, *revision);
+            core.records.replica.revision = *revision;
         }
         self.seen[n] = self.log.len();
-        (core.ready, core.fresh_at, core.beat) = (true, Some(self.now), self.now);
+        (core.records.is_loaded, core.records.fresh_at) = (true, Some(self.now));
+        core.pauses = crate::state::PauseDetector::new(self.now);
     }
 
     /// A round of decisions: it is committed if nothing changed meanwhile, and told
@@ -143,11 +145,12 @@
     fn round(&mut self, n: usize) -> Vec<(Name, Commands)> {
         let (sends, conditions, puts) = {
             let controller = &self.nodes[n];
-            let mut core = controller.core();
+            let mut core = controller.state();
             let Some(round) = reconcile::decide(controller, &mut core, false, 16, self.now, 1_000_000) else {
                 return Vec::new();
             };
-            let assembled = round::assemble(&core.world, &round, &controller.plan(), usize::MAX);
+            let assembled =
+                round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
             (round.sends, assembled.conditions, assembled.puts)
         };
         self.txn(&conditions, puts);
@@ -163,7 +166,7 @@
     }
 
     fn answered(&mut self, n: usize, machine: &str, commands: &Commands, report: Option<Heartbeat>) {
-        reconcile::answered(&mut self.nodes[n].core(), machine, commands.fencing_token, report, self.now);
+        reconcile::answered(&mut self.nodes[n].state(), machine, commands.fencing_token, report, self.now);
     }
 
     fn job(&self, id: &str) -> Box<JobRecord> {
@@ -219,7 +222,7 @@
     fn ask(&mut self, n: usize, host: &mut Host) {
         host.live(self.now);
         let report = host.report();
-        if let Some(w) = self.nodes[n].core().workers.get_mut(host.id) {
+        if let Some(w) = self.nodes[n].state().machines.workers.get_mut(host.id) {
             w.ingest(report, false, self.now);
         }
     }
@@ -365,7 +368,7 @@
         unreachable!("a map")
     };
     let owner = map.owner("host-1", "a").expect("an owner").name.clone();
-    site.nodes.iter().position(|n| n.me.name == owner).expect("a controller")
+    site.nodes.iter().position(|n| n.identity.name == owner).expect("a controller")
 }
 
 #[path = "faults_reports.rs"]
--- a/crates/daemon/tests/unit/faults_records.rs
+++ b/crates/daemon/tests/unit/faults_records.rs
@@ -205,7 +205,7 @@
     }
     assert!(host.runs("j-1/0"));
     // It knows nothing of the new map.
-    site.nodes[old].core().fresh_at = Some(site.now);
+    site.nodes[old].state().records.fresh_at = Some(site.now);
     let before = site.log.len();
     site.round(old);
     assert_eq!(site.log.len(), before);
