--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -18,7 +18,7 @@
 use crate::stand_in::*;
 use crate::worker::tests::spec;
 use crate::worker::{Limits, Worker, first_token};
-use crate::{reconcile, round, state_duty};
+use crate::{change_feed, membership, read_barrier, reconcile, round};
 
 /// A description without one of its fields, or with another value in it.
 fn odd(id: &str, field: &str, value: Option<serde_json::Value>) -> Vec<u8> {
@@ -67,8 +67,9 @@
         [unknown, too_large].map(|s| wire::encode(&s))
     };
     let fits_nowhere = wire::encode(&JobSpec { cpus: 41.0, ..spec("j-6", JobKind::Array) });
-    let post =
-        async |controller: &Controller, body: &[u8]| ask(controller, "POST", "/v1/jobs", body.to_vec()).await;
+    let post = async |controller: &Arc<Controller>, body: &[u8]| {
+        ask(controller, "POST", "/v1/jobs", body.to_vec()).await
+    };
 
     let service = Service::default();
     let (controller, door) = service.controller(0, 1, 1).await;
@@ -88,7 +89,7 @@
     all_refused("refused by the state service from the start").await;
     assert_eq!(post(&controller, &fits_nowhere).await.0, 503);
     door.set(Trouble::None);
-    assert!(soon(20, || controller.core().ready).await);
+    assert!(soon(20, || controller.state().records.is_loaded).await);
     all_refused("no machine types").await;
     assert_eq!(post(&controller, &fits_nowhere).await.0, 503, "nobody knows yet");
     let (key, (types, ..)) = Service::with_types().store().keys.pop_first().expect("the types");
@@ -252,9 +253,11 @@
 }
 
 /// One round that gives a job's only task to a machine.
-async fn place(controller: &Controller, id: &str, machine: &str) {
+async fn place(controller: &Arc<Controller>, id: &str, machine: &str) {
     let mut round = round::Round::default();
-    let Some(mut job) = controller.core().world.jobs.get(id).map(|j| j.value.clone()) else { return };
+    let Some(mut job) = controller.state().records.replica.jobs.get(id).map(|j| j.value.clone()) else {
+        return;
+    };
     job.attempt += 1;
     job.assignments = vec![Assignment {
         task: 0,
@@ -298,8 +301,8 @@
     let (controller, door) = service.controller(0, 1, 1).await;
     door.set(Trouble::Flaky);
     follow(&controller);
-    assert!(soon(20, || controller.core().ready).await, "the records are read");
-    assert_eq!(controller.core().world.jobs.len(), 9);
+    assert!(soon(20, || controller.state().records.is_loaded).await, "the records are read");
+    assert_eq!(controller.state().records.replica.jobs.len(), 9);
 }
 
 /// The state service answers, but takes longer than users wait: they are told so in time,
@@ -321,11 +324,16 @@
         assert_eq!(state_once(&controller, "j-1").await.0, 503);
         assert!(asked.elapsed() < Duration::from_millis(2500), "{:?}", asked.elapsed());
     }
-    let fresh = controller.core().fresh_at.map(|t| t.elapsed());
+    let fresh = controller.state().records.fresh_at.map(|t| t.elapsed());
     assert!(fresh.is_some_and(|f| f < Duration::from_millis(5800)), "{fresh:?}");
     door.set(Trouble::Slow(Duration::from_millis(300)));
     assert!(
-        soon(20, || controller.core().fresh_at.is_some_and(|t| t.elapsed() < Duration::from_secs(1))).await
+        soon(20, || controller
+            .state()
+            .records
+            .fresh_at
+            .is_some_and(|t| t.elapsed() < Duration::from_secs(1)))
+        .await
     );
     assert_eq!(state(&controller, "j-1").await, (200, Some(JobState::Queued)), "slow, but in time");
 }
@@ -359,8 +367,8 @@
     let (other, _) = service.controller(1, 2, 2).await;
     service.elect(&[&other], 1);
     follow(&controller);
-    controller.spawn_duty(state_duty::membership(controller.clone()));
-    assert!(soon(20, || controller.core().world.members.contains_key("n-0")).await);
+    controller.spawn_task(membership::keep_membership(controller.clone()));
+    assert!(soon(20, || controller.state().records.replica.members.contains_key("n-0")).await);
     door.set(Trouble::Slow(Duration::from_millis(1700)));
     sleep(Duration::from_millis(1500)).await;
     service.store().put(KeyWrite::delete(key::LEADER.into()));
@@ -382,8 +390,8 @@
     settings.peers = vec![Peer { node_name: "n-1".into(), address: hangs }];
     let controller = Controller::new(settings, Operators::default(), 1);
     follow(&controller);
-    controller.spawn_duty(state_duty::membership(controller.clone()));
-    assert!(soon(20, || controller.core().in_map(&controller.me)).await);
+    controller.spawn_task(membership::keep_membership(controller.clone()));
+    assert!(soon(20, || controller.state().is_live(&controller.identity)).await);
     assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await.0, 201);
     for n in 0..200 {
         let (controller, report) = (controller.clone(), wire::encode(&report(&format!("host-{n}"), 1)));
@@ -529,7 +537,7 @@
         assert_eq!(submit(&a, &spec).await.0, 201);
         // Its part is the controller that is about to go.
         let mut record = service.store().job(&spec.id).expect("accepted");
-        record.shard = Some(gone.me.name.clone());
+        record.shard = Some(gone.identity.name.clone());
         service.store().put(KeyWrite::new(key::job(&spec.id), &record));
     }
     caught_up(&service, &a).await;
@@ -548,7 +556,10 @@
     // Named by a submission in the same moment, at a controller that has not heard of it.
     let (c, door) = service.follower(2, 3).await;
     assert_eq!(submit(&c, &step("j-5", &[])).await.0, 201);
-    assert!(soon(20, || c.core().fresh_at.is_some_and(|t| t.elapsed() < Duration::from_millis(300))).await);
+    assert!(
+        soon(20, || c.state().records.fresh_at.is_some_and(|t| t.elapsed() < Duration::from_millis(300)))
+            .await
+    );
     door.deaf.store(true, Ordering::Relaxed);
     assert_eq!(cancel(&a, "j-5").await.0, 200);
     assert!(matches!(submit(&c, &step("j-6", &["j-5"])).await, (201, Some(_))));
@@ -558,13 +569,13 @@
     // The placer is gone, and its leadership with it: nobody is to write it down yet.
     door.deaf.store(false, Ordering::Relaxed);
     service.store().put(KeyWrite::delete(key::LEADER.into()));
-    let live = vec![a.me.clone(), b.me.clone()];
+    let live = vec![a.identity.clone(), b.identity.clone()];
     service.store().put(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: 2, live }));
     caught_up(&service, &a).await;
     round(&a).await;
     all_told().await;
     assert_eq!(service.store().job("j-3").map(|j| j.phase), Some(Phase::Waiting));
-    service.store().put(KeyWrite::new(key::LEADER.into(), &a.me));
+    service.store().put(KeyWrite::new(key::LEADER.into(), &a.identity));
     caught_up(&service, &a).await;
     for _ in 0..4 {
         round(&a).await;
@@ -573,7 +584,7 @@
     for id in ["j-2", "j-3", "j-6"] {
         assert_eq!(service.store().job(id).map(|j| j.phase), Some(Phase::Cancelled), "{id}");
     }
-    assert_eq!(a.core().world.pipelines.cancelled_by_dependency().count(), 0);
+    assert_eq!(a.state().records.replica.pipelines.cancelled_by_dependency().count(), 0);
 }
 
 /// Transactions are carried out at once and only their answers are lost, while another
@@ -582,11 +593,13 @@
 async fn lost_answers_are_found_out_by_reading() {
     let service = Service::with_types();
     let (a, door) = service.controller(0, 2, 1).await;
-    let follows =
-        [tokio::spawn(state_duty::mirror(a.clone())), tokio::spawn(state_duty::verifier(a.clone()))];
+    let follows = [
+        tokio::spawn(change_feed::follow_records(a.clone())),
+        tokio::spawn(read_barrier::serve_read_barrier(a.clone())),
+    ];
     let (b, _) = service.follower(1, 2).await;
     service.elect(&[&a, &b], 1);
-    assert!(soon(20, || a.core().in_map(&a.me)).await);
+    assert!(soon(20, || a.state().is_live(&a.identity)).await);
     assert_eq!(submit(&a, &spec("j-2", JobKind::Array)).await.0, 201);
     assert_eq!(submit(&a, &spec("j-3", JobKind::Array)).await.0, 201);
     door.set(Trouble::Unanswered);
@@ -635,8 +648,8 @@
     let (controller, door) = service.controller(0, 1, 7).await;
     door.set(Trouble::Unanswered);
     follow(&controller);
-    controller.spawn_duty(state_duty::membership(controller.clone()));
-    assert!(soon(20, || controller.core().leads(&controller.me)).await);
+    controller.spawn_task(membership::keep_membership(controller.clone()));
+    assert!(soon(20, || controller.state().is_leader(&controller.identity)).await);
     assert_eq!(service.store().map().map(|m| m.epoch), Some(1), "one map, written once");
 }
 
@@ -649,8 +662,8 @@
     for n in 0..2 {
         let (controller, _) = service.controller(n, 2, 1 + n as u64).await;
         follow(&controller);
-        controller.spawn_duty(state_duty::membership(controller.clone()));
-        assert!(soon(20, || controller.core().in_map(&controller.me)).await);
+        controller.spawn_task(membership::keep_membership(controller.clone()));
+        assert!(soon(20, || controller.state().is_live(&controller.identity)).await);
         nodes.push(controller);
     }
     let (a, b) = (&nodes[0], &nodes[1]);
@@ -685,15 +698,17 @@
     late("one is done");
     // A process comes back with another incarnation while its predecessor is a member still,
     // and its predecessor's requests are under way.
-    let leads = if a.core().leads(&a.me) { 0 } else { 1 };
-    nodes[leads].stop.cancel();
+    let leads = if a.state().is_leader(&a.identity) { 0 } else { 1 };
+    nodes[leads].shutdown.cancel();
     let (again, _) = service.controller(leads, 2, 9).await;
     follow(&again);
-    again.spawn_duty(state_duty::membership(again.clone()));
-    assert!(soon(20, || again.core().leads(&again.me) && again.core().in_map(&again.me)).await);
+    again.spawn_task(membership::keep_membership(again.clone()));
+    assert!(
+        soon(20, || again.state().is_leader(&again.identity) && again.state().is_live(&again.identity)).await
+    );
     late("the leader came back");
     let map = service.store().map().expect("a map");
-    assert!(map.contains(&again.me.name, 9) && map.live.len() == 2, "{map:?}");
+    assert!(map.contains(&again.identity.name, 9) && map.live.len() == 2, "{map:?}");
     for (id, state_now) in
         [("j-1", JobState::Cancelled), ("j-3", JobState::Done), ("j-4", JobState::Cancelled)]
     {
@@ -748,8 +763,8 @@
     for n in 0..3 {
         nodes.push(join(&service, n, 1 + n as u64).await);
     }
-    let leader = |nodes: &[(Controller, Arc<Door>)]| {
-        nodes.iter().position(|(n, _)| n.core().leads(&n.me) && n.core().in_map(&n.me))
+    let leader = |nodes: &[(Arc<Controller>, Arc<Door>)]| {
+        nodes.iter().position(|(n, _)| n.state().is_leader(&n.identity) && n.state().is_live(&n.identity))
     };
     assert!(soon(20, || service.store().map().is_some_and(|m| m.live.len() == 3)).await);
     assert!(soon(20, || leader(&nodes).is_some()).await);
@@ -770,8 +785,8 @@
             nodes.iter().for_each(|(_, door)| door.set(Trouble::Refused));
         }
         let Some(i) = leader(&nodes) else { unreachable!("somebody leads") };
-        let old = nodes[i].0.me.clone();
-        nodes[i].0.stop.cancel();
+        let old = nodes[i].0.identity.clone();
+        nodes[i].0.shutdown.cancel();
         nodes[i] = join(&service, i, 100 + change).await;
         if change == 5 {
             nodes[i].1.set(Trouble::Refused);
@@ -784,17 +799,18 @@
         let settled = || {
             let store = service.store();
             let map = store.map().unwrap_or_default();
-            map.epoch > epoch && nodes.iter().all(|(n, _)| map.contains(&n.me.name, n.me.incarnation))
+            map.epoch > epoch
+                && nodes.iter().all(|(n, _)| map.contains(&n.identity.name, n.identity.incarnation))
         };
         assert!(soon(20, settled).await, "after change {change}: {:?}", service.store().map());
         let revision = service.store().revision;
         for (controller, _) in &nodes {
-            assert!(controller.reach(revision, Duration::from_secs(5)).await);
+            assert!(controller.wait_for_revision(revision, Duration::from_secs(5)).await);
         }
         epoch = service.store().map().expect("a map").epoch;
-        let leading: Vec<_> = nodes.iter().filter(|(n, _)| n.core().leads(&n.me)).collect();
+        let leading: Vec<_> = nodes.iter().filter(|(n, _)| n.state().is_leader(&n.identity)).collect();
         assert_eq!(leading.len(), 1, "one leads");
-        assert_ne!(leading[0].0.me, old);
+        assert_ne!(leading[0].0.identity, old);
         for (controller, _) in &nodes {
             for (id, last) in &told {
                 assert_eq!(state(controller, id).await, (200, Some(*last)), "{id}");
@@ -804,10 +820,10 @@
 }
 
 /// A controller that is live as soon as it can be.
-async fn join(service: &Service, n: usize, incarnation: u64) -> (Controller, Arc<Door>) {
+async fn join(service: &Service, n: usize, incarnation: u64) -> (Arc<Controller>, Arc<Door>) {
     let (controller, door) = service.controller(n, 3, incarnation).await;
     follow(&controller);
-    controller.spawn_duty(state_duty::membership(controller.clone()));
+    controller.spawn_task(membership::keep_membership(controller.clone()));
     (controller, door)
 }
 
@@ -818,9 +834,11 @@
     let service = Service::with_types();
     let (a, door) = service.follower(0, 2).await;
     let (b, _) = service.controller(1, 2, 2).await;
-    let follows =
-        [tokio::spawn(state_duty::mirror(b.clone())), tokio::spawn(state_duty::verifier(b.clone()))];
-    assert!(soon(20, || b.core().ready).await);
+    let follows = [
+        tokio::spawn(change_feed::follow_records(b.clone())),
+        tokio::spawn(read_barrier::serve_read_barrier(b.clone())),
+    ];
+    assert!(soon(20, || b.state().records.is_loaded).await);
     service.elect(&[&a, &b], 1);
     for id in ["j-1", "j-2"] {
         caught_up(&service, &a).await;
@@ -841,7 +859,7 @@
     assert_eq!(submit(&a, &spec("j-1", JobKind::Array)).await, (200, Some(JobState::Done)));
     // Cancelled first, while the other writes that it is done, by records from before.
     follows.iter().for_each(|f| f.abort());
-    let view = b.core().world.jobs["j-2"].value.clone();
+    let view = b.state().records.replica.jobs["j-2"].value.clone();
     assert_eq!(cancel(&a, "j-2").await, (200, Some(JobState::Cancelled)));
     let mut late = round::Round::default();
     late.jobs.insert("j-2".into(), Box::new(done(*view)));
@@ -849,7 +867,7 @@
     follow(&b);
     // And once more by who has heard of it: its only task is done all the same.
     caught_up(&service, &b).await;
-    let record = b.core().world.jobs["j-2"].value.clone();
+    let record = b.state().records.replica.jobs["j-2"].value.clone();
     assert_eq!((record.phase, record.assignments.len()), (Phase::Cancelled, 1));
     let mut after = round::Round::default();
     after.jobs.insert("j-2".into(), Box::new(done(*record)));
@@ -916,7 +934,11 @@
     let mut version = service.store().revision;
     let mut apply = |id: &str, record: &JobRecord| {
         version += 1;
-        controller.core().world.apply(RecordChange::Job(id.into(), Some(Box::new(record.clone()))), version);
+        controller
+            .state()
+            .records
+            .replica
+            .apply(RecordChange::Job(id.into(), Some(Box::new(record.clone()))), version);
     };
     for n in 0..2400u32 {
         let id = format!("j-{n}");
@@ -938,12 +960,12 @@
         }
         if n >= 40 {
             let old = format!("j-{}", n - 40);
-            let record = controller.core().world.jobs[&old].value.clone();
+            let record = controller.state().records.replica.jobs[&old].value.clone();
             let mut record = *record;
             if (n - 40) % 4 == 0 {
                 record.phase = Phase::Cancelled;
             }
-            record.phase = if controller.core().world.pipelines.is_cancelled_by_dependency(&old) {
+            record.phase = if controller.state().records.replica.pipelines.is_cancelled_by_dependency(&old) {
                 Phase::Cancelled
             } else {
                 record.phase
@@ -957,8 +979,8 @@
             apply(&old, &record);
         }
     }
-    let core = controller.core();
-    let w = &core.world;
+    let core = controller.state();
+    let w = &core.records.replica;
     assert_eq!(w.jobs.len(), 2400);
     assert!(
         w.open_job_ids.len() <= 41 && w.jobs_by_machine.len() <= 40 && w.machine_usage.len() <= 40,
--- a/crates/daemon/tests/unit/fleet_duty_rentals.rs
+++ b/crates/daemon/tests/unit/fleet_duty_rentals.rs
@@ -29,7 +29,7 @@
 fn machines_that_came_up_unseen_are_not_released() {
     let controller = crate::scale::controller(4, 1);
     let now = Instant::now();
-    let mut core = controller.core();
+    let mut state = controller.state();
     let rental = ScaleOut {
         request: String::new(),
         machine_type: "m".into(),
@@ -40,22 +40,22 @@
         machines: Some(vec!["host-000009".into()]),
     };
     let record = FleetRecord { scale_outs: vec![rental], removed_machines: None };
-    core.world.apply(RecordChange::Fleet(Some(record)), 1 << 40);
+    state.records.replica.apply(RecordChange::Fleet(Some(record)), 1 << 40);
     let fleet = Fleet::default();
-    let late = |core: &Core, now: Instant, now_ms: u64| {
-        fleet.settled(core, now, now_ms).map_or(0, |(_, _, late)| late.len())
+    let late = |state: &ControllerState, now: Instant, now_ms: u64| {
+        fleet.settled(state, now, now_ms).map_or(0, |(_, _, late)| late.len())
     };
-    (core.fresh_at, core.beat) = (Some(now), now);
-    assert_eq!(late(&core, now, 60_000), 0, "it may still come up");
-    assert_eq!(late(&core, now, 200_000), 1);
+    (state.records.fresh_at, state.pauses) = (Some(now), crate::state::PauseDetector::new(now));
+    assert_eq!(late(&state, now, 60_000), 0, "it may still come up");
+    assert_eq!(late(&state, now, 200_000), 1);
     let later = now + Duration::from_secs(5);
-    assert_eq!(late(&core, later, 200_000), 0);
-    core.fresh_at = Some(later);
-    assert_eq!(late(&core, later, 200_000), 0, "it stood still");
-    (core.fresh_at, core.beat) = (Some(now), later);
-    assert_eq!(late(&core, later, 200_000), 0, "it has not heard what came up");
-    core.fresh_at = Some(later);
-    assert_eq!(late(&core, later, 200_000), 1);
+    assert_eq!(late(&state, later, 200_000), 0);
+    state.records.fresh_at = Some(later);
+    assert_eq!(late(&state, later, 200_000), 0, "it stood still");
+    (state.records.fresh_at, state.pauses) = (Some(now), crate::state::PauseDetector::new(later));
+    assert_eq!(late(&state, later, 200_000), 0, "it has not heard what came up");
+    state.records.fresh_at = Some(later);
+    assert_eq!(late(&state, later, 200_000), 1);
 }
 
 /// The change that writes requests down was carried out and only its answer was lost: it is
--- a/crates/daemon/tests/unit/fleet_duty_returns.rs
+++ b/crates/daemon/tests/unit/fleet_duty_returns.rs
@@ -11,55 +11,68 @@
     let controller = scale::controller(2400, 1);
     let now = Instant::now();
     scale::fill(&controller, now);
-    let mut core = controller.core();
-    let dark: Vec<Name> =
-        core.world.machines.iter().filter(|(_, m)| *m.value.zone == *"d").map(|(id, _)| id.clone()).collect();
-    let later = now + controller.report_every() * 3;
-    let hear = |core: &mut Core, at: Instant| {
-        core.workers.iter_mut().filter(|(id, _)| !dark.contains(id)).for_each(|(_, w)| w.heard = Some(at));
+    let mut state = controller.state();
+    let dark: Vec<Name> = state
+        .records
+        .replica
+        .machines
+        .iter()
+        .filter(|(_, m)| *m.value.zone == *"d")
+        .map(|(id, _)| id.clone())
+        .collect();
+    let later = now + controller.heartbeat_interval() * 3;
+    let hear = |state: &mut ControllerState, at: Instant| {
+        state
+            .machines
+            .workers
+            .iter_mut()
+            .filter(|(id, _)| !dark.contains(id))
+            .for_each(|(_, w)| w.heard = Some(at));
     };
-    hear(&mut core, later);
+    hear(&mut state, later);
     let mut fleet =
         Fleet { led_since: Some(now - Duration::from_secs(60)), listed_at: Some(now), ..Fleet::default() };
-    let replicas = |core: &Core, ids: &[Name]| {
+    let replicas = |state: &ControllerState, ids: &[Name]| {
         let of = |id: &Name| {
             let service = |j: &JobRecord| j.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service);
-            core.world.assignments(id).filter(|(_, j, _)| service(j)).count()
+            state.records.replica.assignments(id).filter(|(_, j, _)| service(j)).count()
         };
         ids.iter().map(of).sum::<usize>()
     };
-    let all = replicas(&core, &dark);
+    let all = replicas(&state, &dark);
     assert!(all > 100, "{all}");
-    let types = core.world.machine_types.clone();
+    let types = state.records.replica.machine_types.clone();
     let cpus =
         |offers: &[MachineOffer]| offers.iter().map(|o| types[&*o.machine_type].cpus).sum::<f64>() as usize;
-    core.refresh_inventory(&controller.me, controller.report_every(), later);
-    assert!(cpus(&fleet.wanted(&controller, &core, later)) >= all * 4, "room for all of them is rented");
-    let awake = |core: &mut Core, at: Instant| (core.fresh_at, core.beat) = (Some(at), at);
-    awake(&mut core, later);
-    assert_eq!(fleet.surplus(&controller, &core, later), [], "too early to give them up");
-    let silent = now + controller.silent_limit();
-    hear(&mut core, silent);
-    awake(&mut core, silent);
-    let mut ready: Vec<Name> = fleet.surplus(&controller, &core, silent).into_iter().map(|s| s.0).collect();
+    state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), later);
+    assert!(cpus(&fleet.wanted(&controller, &state, later)) >= all * 4, "room for all of them is rented");
+    let awake = |state: &mut ControllerState, at: Instant| {
+        (state.records.fresh_at, state.pauses) = (Some(at), crate::state::PauseDetector::new(at))
+    };
+    awake(&mut state, later);
+    assert_eq!(fleet.surplus(&controller, &state, later), [], "too early to give them up");
+    let silent = now + controller.silence_limit();
+    hear(&mut state, silent);
+    awake(&mut state, silent);
+    let mut ready: Vec<Name> = fleet.surplus(&controller, &state, silent).into_iter().map(|s| s.0).collect();
     assert_eq!(ready.len(), dark.len());
-    fleet.pace(&controller, &core, &mut ready, silent);
-    let first = replicas(&core, &ready);
+    fleet.pace(&controller, &state, &mut ready, silent);
+    let first = replicas(&state, &ready);
     assert!(first > 0 && first <= all / PACE_PART + 16, "{first} of {all}");
     // They find no room: hardly any others follow.
     let gone = Some(ready.clone());
-    core.world.apply(
+    state.records.replica.apply(
         RecordChange::Fleet(Some(FleetRecord { scale_outs: Vec::new(), removed_machines: gone })),
         1 << 40,
     );
-    let mut more: Vec<Name> = fleet.surplus(&controller, &core, silent).into_iter().map(|s| s.0).collect();
+    let mut more: Vec<Name> = fleet.surplus(&controller, &state, silent).into_iter().map(|s| s.0).collect();
     let left = more.clone();
-    fleet.pace(&controller, &core, &mut more, silent);
+    fleet.pace(&controller, &state, &mut more, silent);
     assert!(more.is_empty(), "{}", more.len());
     // Once their leases are over there is nothing to wait for.
     let over = silent + controller.worker_limits(None).lease;
     let mut rest = left.clone();
-    fleet.pace(&controller, &core, &mut rest, over);
+    fleet.pace(&controller, &state, &mut rest, over);
     assert_eq!(rest, left);
 }
 
@@ -70,21 +83,21 @@
     let controller = scale::controller(100, 1);
     let now = Instant::now();
     scale::fill(&controller, now);
-    let mut core = controller.core();
+    let mut state = controller.state();
     let mut fleet = Fleet::default();
-    core.beat(now);
+    state.tick(now);
     let woken = now + Duration::from_secs(32);
     // Some reports are taken in before anything else runs.
-    core.workers.values_mut().take(40).for_each(|w| w.heard = Some(woken));
-    assert_eq!(fleet.surplus(&controller, &core, woken), [], "before the beat");
-    core.fresh_at = Some(woken);
-    core.beat(woken);
-    assert_eq!(fleet.surplus(&controller, &core, woken), [], "after it");
-    let later = woken + controller.silent_limit();
-    (0..9).for_each(|n| core.beat(woken + controller.silent_limit() * n / 8));
-    core.fresh_at = Some(later);
-    core.workers.values_mut().take(40).for_each(|w| w.heard = Some(later));
-    assert_eq!(fleet.surplus(&controller, &core, later).len(), 60, "but for what it does not hear now");
+    state.machines.workers.values_mut().take(40).for_each(|w| w.heard = Some(woken));
+    assert_eq!(fleet.surplus(&controller, &state, woken), [], "before the beat");
+    state.records.fresh_at = Some(woken);
+    state.tick(woken);
+    assert_eq!(fleet.surplus(&controller, &state, woken), [], "after it");
+    let later = woken + controller.silence_limit();
+    (0..9).for_each(|n| state.tick(woken + controller.silence_limit() * n / 8));
+    state.records.fresh_at = Some(later);
+    state.machines.workers.values_mut().take(40).for_each(|w| w.heard = Some(later));
+    assert_eq!(fleet.surplus(&controller, &state, later).len(), 60, "but for what it does not hear now");
 }
 
 /// Hundreds of rentals and hundreds of machines gone at a time: whatever the
@@ -120,7 +133,7 @@
         let gone = fleet.removed_machines.get_or_insert_default();
         gone.extend((0..room).map(|n| Name::from(format!("host-{:06}", n * 104_729 % 1_000_000))));
         let json = serde_json::to_string(&fleet).expect("encodes").len() as f64;
-        assert!(json < controller.plan().value_bytes, "{json}");
+        assert!(json < controller.state_limits().value_bytes, "{json}");
     }
 }
 
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -1,6 +1,7 @@
 //! About four thousand machines, and where nothing is bounded below that. What is counted
 //! here (changes, requests, bytes, machines looked at) fails when a fixed limit comes back.
 
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use sched::placement::pending_task_count;
@@ -27,9 +28,9 @@
 }
 
 /// Takes in what a round would write, as if it had been committed; tells how many changes.
-fn commit(controller: &Controller, world: &mut Replica, mut round: round::Round) -> usize {
+fn commit(controller: &Arc<Controller>, world: &mut Replica, mut round: round::Round) -> usize {
     let round::Assembled { puts, left_out, teams, .. } =
-        round::assemble(world, &round, &controller.plan(), usize::MAX);
+        round::assemble(world, &round, &controller.state_limits(), usize::MAX);
     for (id, record) in std::mem::take(&mut round.jobs) {
         if !left_out.contains(&id) {
             apply(world, RecordChange::Job(id, Some(record)));
@@ -41,8 +42,8 @@
     puts.len()
 }
 
-fn report(controller: &Controller, machine: &str, seq: u64, token: u64) -> Heartbeat {
-    let core = controller.core();
+fn report(controller: &Arc<Controller>, machine: &str, seq: u64, token: u64) -> Heartbeat {
+    let core = controller.state();
     let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskStatus {
         task: format!("{job}/{}", a.task),
         attempt: a.attempt,
@@ -50,7 +51,7 @@
         cause: None,
         checkpointed: None,
     };
-    let record = &core.world.machines[machine].value;
+    let record = &core.records.replica.machines[machine].value;
     Heartbeat {
         machine: machine.into(),
         addr: record.addr.clone(),
@@ -61,7 +62,7 @@
         sequence: seq,
         fencing_token: token,
         spot_notice_s: None,
-        tasks: core.world.assignments(machine).map(running).collect(),
+        tasks: core.records.replica.assignments(machine).map(running).collect(),
     }
 }
 
@@ -72,32 +73,32 @@
     let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
     scale::fill(&controller, now);
-    let mut core = controller.core();
-    let free_before: usize = core.world.machines.len() - core.world.jobs_by_machine.len();
+    let mut core = controller.state();
+    let free_before: usize = core.records.replica.machines.len() - core.records.replica.jobs_by_machine.len();
     for n in 0..40 {
         let mut job = spec(&format!("j-{}", 5_000_000 + n), JobKind::Array);
         (job.tasks, job.cpus) = (100, 1.0);
         let record = JobRecord::new(job, None, 1000);
         apply(
-            &mut core.world,
+            &mut core.records.replica,
             RecordChange::Job(record.spec.as_ref().expect("some").id.clone(), Some(Box::new(record))),
         );
     }
     let waiting = |world: &Replica| {
         world.open_job_ids.iter().map(|id| pending_task_count(&world.jobs[id].value)).sum::<u32>()
     };
-    let first = waiting(&core.world);
+    let first = waiting(&core.records.replica);
     assert!(first >= 4000, "{first}");
     let mut rounds = 0;
-    while waiting(&core.world) > 0 && rounds < 40 {
+    while waiting(&core.records.replica) > 0 && rounds < 40 {
         rounds += 1;
         let at = now + Duration::from_millis(100 * rounds);
-        core.fresh_at = Some(at);
-        core.workers.values_mut().for_each(|w| w.heard = Some(at));
+        core.records.fresh_at = Some(at);
+        core.machines.workers.values_mut().for_each(|w| w.heard = Some(at));
         let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
-        assert!(commit(&controller, &mut core.world, round) <= 16);
+        assert!(commit(&controller, &mut core.records.replica, round) <= 16);
     }
-    assert_eq!(waiting(&core.world), 0, "after {rounds} rounds, {free_before} machines were empty");
+    assert_eq!(waiting(&core.records.replica), 0, "after {rounds} rounds, {free_before} machines were empty");
     assert!(rounds <= 8, "{rounds}");
 }
 
@@ -109,18 +110,18 @@
     let controller = scale::controller(MACHINES, 5);
     let now = Instant::now();
     scale::fill(&controller, now);
-    let before = controller.core().workers.len();
+    let before = controller.state().machines.workers.len();
     assert!(before < MACHINES / 2, "{before}");
-    let map = ClusterMap { epoch: 8, live: vec![controller.me.clone()] };
+    let map = ClusterMap { epoch: 8, live: vec![controller.identity.clone()] };
     {
-        let mut core = controller.core();
-        apply(&mut core.world, RecordChange::Map(Some(map)));
+        let mut core = controller.state();
+        apply(&mut core.records.replica, RecordChange::Map(Some(map)));
         let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
         assert!(round.jobs.is_empty(), "nothing is over");
-        assert_eq!(core.workers.len(), MACHINES);
+        assert_eq!(core.machines.workers.len(), MACHINES);
     }
     // Half of the workers find the new owner; each is answered and its lease renewed.
-    let machines: Vec<Name> = controller.core().world.machines.keys().cloned().collect();
+    let machines: Vec<Name> = controller.state().records.replica.machines.keys().cloned().collect();
     let later = now + Duration::from_secs(2);
     for id in machines.iter().step_by(2) {
         let report = report(&controller, id, 2, first_token(7));
@@ -133,16 +134,16 @@
     }
     // The others are late. None of them has been asked yet: whatever time has passed, they
     // are not silent.
-    let silent = now + controller.silent_limit() * 2;
-    let mut core = controller.core();
+    let silent = now + controller.silence_limit() * 2;
+    let mut core = controller.state();
     let unmet: Vec<Name> =
-        core.workers.iter().filter(|(_, w)| w.heard.is_none()).map(|(id, _)| id.clone()).collect();
+        core.machines.workers.iter().filter(|(_, w)| w.heard.is_none()).map(|(id, _)| id.clone()).collect();
     assert!(unmet.len() > MACHINES / 4, "{}", unmet.len());
-    assert!(unmet.iter().all(|id| core.workers[id].silent_for(silent) == Duration::ZERO));
+    assert!(unmet.iter().all(|id| core.machines.workers[id].silent_for(silent) == Duration::ZERO));
     for id in &unmet {
-        core.workers.get_mut(id).expect("owned").did_not_answer();
+        core.machines.workers.get_mut(id).expect("owned").did_not_answer();
     }
-    assert!(unmet.iter().all(|id| core.workers[id].silent_for(silent) > controller.silent_limit()));
+    assert!(unmet.iter().all(|id| core.machines.workers[id].silent_for(silent) > controller.silence_limit()));
 }
 
 /// A zone of a third of all machines is lost: a change for each job that had something there,
@@ -152,22 +153,30 @@
     let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
     scale::fill(&controller, now);
-    let mut core = controller.core();
-    let lost: Vec<Name> =
-        core.world.machines.iter().filter(|(_, m)| *m.value.zone == *"d").map(|(id, _)| id.clone()).collect();
+    let mut core = controller.state();
+    let lost: Vec<Name> = core
+        .records
+        .replica
+        .machines
+        .iter()
+        .filter(|(_, m)| *m.value.zone == *"d")
+        .map(|(id, _)| id.clone())
+        .collect();
     assert_eq!(lost.len(), MACHINES / 4);
-    let hit: std::collections::BTreeSet<String> =
-        lost.iter().flat_map(|id| core.world.assignments(id).map(|(job, ..)| job.to_owned())).collect();
+    let hit: std::collections::BTreeSet<String> = lost
+        .iter()
+        .flat_map(|id| core.records.replica.assignments(id).map(|(job, ..)| job.to_owned()))
+        .collect();
     let fleet = FleetRecord { scale_outs: Vec::new(), removed_machines: Some(lost) };
     assert!(store::KeyWrite::new("f".into(), &fleet).json_len() < 4096, "one small value names all of them");
-    apply(&mut core.world, RecordChange::Fleet(Some(fleet)));
+    apply(&mut core.records.replica, RecordChange::Fleet(Some(fleet)));
     let (mut changes, mut rounds) = (0, 0);
-    while !core.world.machines_without_record.is_empty() {
+    while !core.records.replica.machines_without_record.is_empty() {
         rounds += 1;
-        assert!(rounds < 200, "{} left", core.world.machines_without_record.len());
+        assert!(rounds < 200, "{} left", core.records.replica.machines_without_record.len());
         let at = now + Duration::from_millis(100 * rounds);
         let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
-        changes += commit(&controller, &mut core.world, round);
+        changes += commit(&controller, &mut core.records.replica, round);
     }
     assert!(hit.len() > 100, "{}", hit.len());
     assert!(changes <= hit.len() * 3 / 2, "{changes} changes for {} jobs", hit.len());
@@ -180,11 +189,11 @@
     let controller = scale::controller(2 * MACHINES, 1);
     let now = Instant::now();
     {
-        let mut core = controller.core();
-        let owned: Vec<Name> = core.world.owned_by(&controller.me).cloned().collect();
+        let mut core = controller.state();
+        let owned: Vec<Name> = core.records.replica.owned_by(&controller.identity).cloned().collect();
         assert_eq!(owned.len(), 2 * MACHINES);
         for id in owned {
-            core.workers.insert(id, Worker::new("10.1.0.1:9000".into(), 7, now));
+            core.machines.workers.insert(id, Worker::new("10.1.0.1:9000".into(), 7, now));
         }
     }
     let summary = peers::summary(&controller);
@@ -200,40 +209,40 @@
     let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
     {
-        let mut core = controller.core();
-        let owned: Vec<Name> = core.world.owned_by(&controller.me).cloned().collect();
+        let mut core = controller.state();
+        let owned: Vec<Name> = core.records.replica.owned_by(&controller.identity).cloned().collect();
         for id in owned {
             let mut worker = Worker::new("10.1.0.1:9000".into(), 7, now);
             worker.owned_since = now;
-            core.workers.insert(id, worker);
+            core.machines.workers.insert(id, worker);
         }
     }
-    let machines: Vec<Name> = controller.core().world.machines.keys().cloned().collect();
+    let machines: Vec<Name> = controller.state().records.replica.machines.keys().cloned().collect();
     for id in &machines {
         let report = report(&controller, id, 1, first_token(7));
-        let mut core = controller.core();
-        let worker = core.workers.get_mut(id).expect("owned");
+        let mut core = controller.state();
+        let worker = core.machines.workers.get_mut(id).expect("owned");
         worker.ingest(report, true, now);
         worker.renew(now);
     }
-    let mut core = controller.core();
-    core.fresh_at = Some(now);
+    let mut core = controller.state();
+    core.records.fresh_at = Some(now);
     let add = |world: &mut Replica, id: &str, kind, tasks, cpus| {
         let mut job = spec(id, kind);
         (job.tasks, job.cpus) = (tasks, cpus);
         apply(world, RecordChange::Job(id.into(), Some(Box::new(JobRecord::new(job, None, 1000)))));
     };
     // So many that there is one on nearly every machine without GPUs, three thousand.
-    add(&mut core.world, "j-1", JobKind::Gang, 6900, 4.0);
-    add(&mut core.world, "j-2", JobKind::Array, 4, 2.0);
+    add(&mut core.records.replica, "j-1", JobKind::Gang, 6900, 4.0);
+    add(&mut core.records.replica, "j-2", JobKind::Array, 4, 2.0);
     let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
     assert!(!round.placing.contains("j-1"), "its record cannot be written");
     assert!(round.placing.contains("j-2"), "nobody waits with it");
-    commit(&controller, &mut core.world, round);
-    controller.seen.all_new.store(true, std::sync::atomic::Ordering::Relaxed);
+    commit(&controller, &mut core.records.replica, round);
+    controller.limit_changes.all_upgraded.store(true, std::sync::atomic::Ordering::Relaxed);
     let later = now + Duration::from_secs(21);
-    core.fresh_at = Some(later);
-    core.workers.values_mut().for_each(|w| {
+    core.records.fresh_at = Some(later);
+    core.machines.workers.values_mut().for_each(|w| {
         w.excuse(later);
         w.heard = Some(later);
     });
@@ -243,7 +252,7 @@
     let machines: std::collections::BTreeSet<&Name> = record.assignments.iter().map(|a| &a.machine).collect();
     assert!(machines.len() > 2900, "{}", machines.len());
     let put = store::KeyWrite::new(store::key::job("j-1"), record);
-    assert!(put.value_len() as f64 > controller.plan().value_bytes);
-    let assembled = round::assemble(&core.world, &round, &controller.plan(), usize::MAX);
+    assert!(put.value_len() as f64 > controller.state_limits().value_bytes);
+    let assembled = round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
     assert_eq!(assembled.chunked.as_deref(), Some("j-1"));
 }
--- a/crates/daemon/tests/unit/load.rs
+++ b/crates/daemon/tests/unit/load.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn changes_are_told_by_purpose_once() {
-    let counts = Counts::default();
+    let counts = LoadCounters::default();
     counts.spend(Purpose::Rounds, 3);
     counts.spend(Purpose::Fleet, 1);
     counts.spend(Purpose::Rounds, 2);
--- a/crates/daemon/tests/unit/peers.rs
+++ b/crates/daemon/tests/unit/peers.rs
@@ -27,13 +27,13 @@
                 machines: Vec::new(),
             },
         );
-        controller.core().peers["n-1"].summary.state_silent_ms
+        controller.state().peers.statuses["n-1"].status.state_silent_ms
     };
     assert_eq!(hear(7, 1, 60_000), 60_000, "an outage");
     assert_eq!(hear(7, 2, 100), 100);
     assert_eq!(hear(7, 1, 60_000), 100, "a copy of the first");
     let member = Member { name: "n-1".into(), zone: "a".into(), incarnation: 8 };
-    controller.core().world.apply(RecordChange::Member("n-1".into(), Some(member)), 1);
+    controller.state().records.replica.apply(RecordChange::Member("n-1".into(), Some(member)), 1);
     assert_eq!(hear(8, 1, 50), 50, "a new process counts anew");
     assert_eq!(hear(7, 9, 60_000), 50, "its predecessor is gone");
 }
@@ -43,11 +43,13 @@
 #[test]
 fn what_was_said_of_a_machine_goes_with_its_owner() {
     let controller = crate::scale::controller(40, 2);
-    let mut core = controller.core();
-    let theirs: Vec<_> = core.world.machines.keys().cloned().collect();
-    let other = |core: &Core, id: &str| core.world.owner_of(id).is_some_and(|o| o.name == "n-1");
+    let mut state = controller.state();
+    let theirs: Vec<_> = state.records.replica.machines.keys().cloned().collect();
+    let other = |state: &ControllerState, id: &str| {
+        state.records.replica.owner_of(id).is_some_and(|o| o.name == "n-1")
+    };
     for id in &theirs {
-        if other(&core, id) {
+        if other(&state, id) {
             let row = MachineStatusRow {
                 id: id.to_string(),
                 usable: false,
@@ -59,16 +61,20 @@
                 unhealthy: false,
                 spot_notice: false,
             };
-            core.rows.insert(id.clone(), row);
+            state.peers.machines.insert(id.clone(), row);
         }
     }
-    let said = core.rows.len();
+    let forget_reassigned = |state: &mut ControllerState, before: &_| {
+        let ControllerState { records, peers, .. } = state;
+        peers.forget_reassigned_machines(before, &records.replica);
+    };
+    let said = state.peers.machines.len();
     assert!(said > 0);
-    let before = core.row_owners();
-    core.forget_rows(&before);
-    assert_eq!(core.rows.len(), said, "nothing has changed");
-    let map = sched::records::ClusterMap { epoch: 8, live: vec![controller.me.clone()] };
-    core.world.apply(RecordChange::Map(Some(map)), 1 << 40);
-    core.forget_rows(&before);
-    assert!(core.rows.is_empty());
+    let before = state.peers.machine_owners(&state.records.replica);
+    forget_reassigned(&mut state, &before);
+    assert_eq!(state.peers.machines.len(), said, "nothing has changed");
+    let map = sched::records::ClusterMap { epoch: 8, live: vec![controller.identity.clone()] };
+    state.records.replica.apply(RecordChange::Map(Some(map)), 1 << 40);
+    forget_reassigned(&mut state, &before);
+    assert!(state.peers.machines.is_empty());
 }
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -21,7 +21,7 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
-use crate::{api, reconcile, state_duty};
+use crate::{api, change_feed, read_barrier, reconcile};
 
 #[derive(Default)]
 struct Store {
@@ -153,16 +153,16 @@
     }
 
     /// A controller that follows the records, alone among its kind.
-    async fn controller(&self, incarnation: u64, text: &str) -> Controller {
+    async fn controller(&self, incarnation: u64, text: &str) -> Arc<Controller> {
         let mut settings = Settings::parse("example", text).expect("valid");
         settings.external.state = self.listen().await;
         (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e4, 1e4);
         let controller = Controller::new(settings, Operators::default(), incarnation);
-        controller.spawn_duty(state_duty::mirror(controller.clone()));
-        controller.spawn_duty(state_duty::verifier(controller.clone()));
+        controller.spawn_task(change_feed::follow_records(controller.clone()));
+        controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
         assert!(
             timeout(Duration::from_secs(5), async {
-                while !controller.core().ready {
+                while !controller.state().records.is_loaded {
                     sleep(Duration::from_millis(5)).await;
                 }
             })
@@ -173,13 +173,16 @@
     }
 
     /// This controller leads, and is the only one.
-    fn elect(&self, controller: &Controller, epoch: u64) {
+    fn elect(&self, controller: &Arc<Controller>, epoch: u64) {
         let mut store = self.store();
-        store.put(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch, live: vec![controller.me.clone()] }));
-        store.put(KeyWrite::new(key::LEADER.into(), &controller.me));
-        store.put(KeyWrite::new(key::member(&controller.me.name), &controller.me));
         store.put(KeyWrite::new(
-            key::upgraded(&controller.me.name),
+            key::MAP.into(),
+            &ClusterMap { epoch, live: vec![controller.identity.clone()] },
+        ));
+        store.put(KeyWrite::new(key::LEADER.into(), &controller.identity));
+        store.put(KeyWrite::new(key::member(&controller.identity.name), &controller.identity));
+        store.put(KeyWrite::new(
+            key::upgraded(&controller.identity.name),
             &SchemaMarker { schema_version: SCHEMA_VERSION },
         ));
     }
@@ -193,23 +196,28 @@
 }
 
 /// The mirror has all that there is.
-async fn caught_up(service: &Service, controller: &Controller) {
+async fn caught_up(service: &Service, controller: &Arc<Controller>) {
     let revision = service.store().revision;
-    assert!(controller.reach(revision, Duration::from_secs(5)).await);
+    assert!(controller.wait_for_revision(revision, Duration::from_secs(5)).await);
 }
 
-async fn ask(controller: &Controller, method: &str, path: &str, body: Vec<u8>) -> (u16, Option<JobStatus>) {
+async fn ask(
+    controller: &Arc<Controller>,
+    method: &str,
+    path: &str,
+    body: Vec<u8>,
+) -> (u16, Option<JobStatus>) {
     let request = Request { method: method.into(), path: path.into(), body: body.into() };
     let reply = api::serve(controller.clone(), request).await;
     (reply.status, wire::decode(&reply.body).ok())
 }
 
-async fn submit(controller: &Controller, spec: &JobSpec) -> (u16, Option<JobState>) {
+async fn submit(controller: &Arc<Controller>, spec: &JobSpec) -> (u16, Option<JobState>) {
     let (status, job) = ask(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
     (status, job.map(|j| j.state))
 }
 
-async fn state(controller: &Controller, id: &str) -> Option<JobState> {
+async fn state(controller: &Arc<Controller>, id: &str) -> Option<JobState> {
     ask(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await.1.map(|j| j.state)
 }
 
@@ -219,10 +227,10 @@
 }
 
 /// One round of a controller, committed.
-async fn round(controller: &Controller) {
+async fn round(controller: &Arc<Controller>) {
     let decided = {
-        let mut core = controller.core();
-        let ops = controller.plan().txn_ops;
+        let mut core = controller.state();
+        let ops = controller.state_limits().txn_ops;
         reconcile::decide(controller, &mut core, false, ops, Instant::now(), crate::controller::wall_ms())
     };
     if let Some(round) = decided {
@@ -277,8 +285,10 @@
     service.store().limits = Some((2048, 4));
     assert_eq!(submit(&controller, &long).await, (201, Some(JobState::Queued)));
     caught_up(&service, &controller).await;
-    assert!(service.store().refused.is_empty() && controller.core().reader.is_chunked(&key::job("j-7")));
-    assert_eq!(controller.core().world.jobs["j-7"].value.dependencies.len(), 6000);
+    assert!(
+        service.store().refused.is_empty() && controller.state().records.reader.is_chunked(&key::job("j-7"))
+    );
+    assert_eq!(controller.state().records.replica.jobs["j-7"].value.dependencies.len(), 6000);
     // Only checked if it can be.
     service.store().out = true;
     sleep(Duration::from_millis(1700)).await;
@@ -288,12 +298,12 @@
     let old = Member { name: "n-9".into(), zone: "a".into(), incarnation: 9 };
     service.store().put(KeyWrite::new(key::member("n-9"), &old));
     let since = Instant::now();
-    while !controller.core().old_is_live() && since.elapsed() < Duration::from_secs(5) {
+    while !controller.state().old_version_is_live() && since.elapsed() < Duration::from_secs(5) {
         sleep(Duration::from_millis(10)).await;
     }
     assert_eq!(submit(&controller, &step("j-8", &["j-1"])).await.0, 503);
     assert_eq!(submit(&controller, &spec("j-8", JobKind::Array)).await.0, 201);
-    controller.stop.cancel();
+    controller.shutdown.cancel();
 }
 
 /// The first of a chain is cancelled, and the controller ends at once; all others too,
@@ -313,7 +323,7 @@
     assert_eq!(submit(&first, &step("j-90", &["j-0"])).await.0, 201);
     let (status, told) = ask(&first, "POST", "/v1/jobs/j-1/withdraw", Vec::new()).await;
     assert_eq!((status, told.map(|t| t.state)), (200, Some(JobState::Cancelled)));
-    first.stop.cancel();
+    first.shutdown.cancel();
     // Nobody has written down anything of the others yet.
     let second = service.controller(2, EXAMPLE).await;
     for id in ["j-2", "j-20", "j-39"] {
@@ -331,9 +341,11 @@
     service.store().out = true;
     round(&second).await;
     service.store().out = false;
-    let left = |controller: &Controller| controller.core().world.pipelines.cancelled_by_dependency().count();
+    let left = |controller: &Arc<Controller>| {
+        controller.state().records.replica.pipelines.cancelled_by_dependency().count()
+    };
     assert!((1..38).contains(&left(&second)), "a few at a time");
-    second.stop.cancel();
+    second.shutdown.cancel();
     let third = service.controller(3, EXAMPLE).await;
     service.elect(&third, 3);
     caught_up(&service, &third).await;
@@ -341,10 +353,11 @@
         round(&third).await;
     }
     assert_eq!(left(&third), 0);
-    let cancelled = third.core().world.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
+    let cancelled =
+        third.state().records.replica.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
     assert_eq!(cancelled, 40, "j-1 to j-39 and j-50");
     assert_eq!(state(&third, "j-2").await, Some(JobState::Cancelled));
-    third.stop.cancel();
+    third.shutdown.cancel();
 }
 
 /// One committed outcome decides: the cancellation of a job that is done by then.
@@ -364,8 +377,8 @@
     let (status, told) = ask(&controller, "POST", "/v1/jobs/j-0/withdraw", Vec::new()).await;
     assert_eq!((status, told.map(|t| t.state)), (200, Some(JobState::Done)));
     caught_up(&service, &controller).await;
-    assert!(controller.core().world.open_job_ids.contains("j-1"), "it may begin");
-    controller.stop.cancel();
+    assert!(controller.state().records.replica.open_job_ids.contains("j-1"), "it may begin");
+    controller.shutdown.cancel();
 }
 
 const SMALL: &str = "txn_ops = 16\nnext = { value_kb = 2, txn_ops = 4, write_rps = 20 }";
@@ -410,14 +423,14 @@
     let controller = service.controller(1, &with_next()).await;
     service.elect(&controller, 1);
     caught_up(&service, &controller).await;
-    assert!(controller.plan().chunked, "all have said that they are new");
+    assert!(controller.state_limits().chunked, "all have said that they are new");
     service.store().limits = Some((2048, 4));
     let mut tasks: Vec<u32> = (500..1800).collect();
     let mut seen = 0;
     while !tasks.is_empty() {
         let (mut record, version) = {
-            let core = controller.core();
-            (core.world.jobs["j-1"].value.clone(), core.world.jobs["j-1"].version)
+            let core = controller.state();
+            (core.records.replica.jobs["j-1"].value.clone(), core.records.replica.jobs["j-1"].version)
         };
         let some: Vec<u32> = tasks.drain(..tasks.len().min(130)).collect();
         some.iter().for_each(|t| record.end_assignment(*t, 1, TerminationReason::Done, 2000, 60));
@@ -427,22 +440,22 @@
             unreachable!("the record stays changeable")
         };
         caught_up(&service, &controller).await;
-        assert_eq!(controller.core().world.jobs["j-1"].value.assignments.len(), tasks.len());
+        assert_eq!(controller.state().records.replica.jobs["j-1"].value.assignments.len(), tasks.len());
         // Whoever reads all of it anew sees the same.
         let other = service.controller(9, &with_next()).await;
-        assert_eq!(other.core().world.jobs["j-1"].value.assignments, record.assignments);
-        other.stop.cancel();
+        assert_eq!(other.state().records.replica.jobs["j-1"].value.assignments, record.assignments);
+        other.shutdown.cancel();
         seen += 1;
     }
     assert!(seen >= 10);
     // The record of the fleet: hundreds of rentals, one dropped.
-    let version = controller.core().world.fleet.as_ref().map_or(0, |f| f.version);
+    let version = controller.state().records.replica.fleet.as_ref().map_or(0, |f| f.version);
     fleet.scale_outs.pop();
     let put = KeyWrite::new(key::FLEET.into(), &fleet);
     let conditions = vec![Condition { key: key::FLEET.into(), version }];
     assert!(matches!(controller.commit(conditions, vec![put]).await, Ok(TxnOutcome::Committed { .. })));
     caught_up(&service, &controller).await;
-    assert_eq!(controller.core().world.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
+    assert_eq!(controller.state().records.replica.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
     assert!(service.store().refused.is_empty(), "{:?}", service.store().refused);
     // What no head names goes after a while, and nothing else.
     let before = service.store().keys.len();
@@ -455,11 +468,11 @@
         }
     }
     assert!(service.store().keys.len() + 8 < before);
-    assert!(controller.core().reader.orphans().is_empty());
+    assert!(controller.state().records.reader.orphans().is_empty());
     let last = service.controller(8, &with_next()).await;
-    assert_eq!(last.core().world.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
-    controller.stop.cancel();
-    last.stop.cancel();
+    assert_eq!(last.state().records.replica.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
+    controller.shutdown.cancel();
+    last.shutdown.cancel();
 }
 
 /// A head that is carried out late, after its parts were swept, names nothing.
@@ -471,7 +484,7 @@
     let controller = service.controller(1, &with_next()).await;
     service.elect(&controller, 1);
     caught_up(&service, &controller).await;
-    let version = controller.core().world.jobs["j-1"].version;
+    let version = controller.state().records.replica.jobs["j-1"].version;
     let chunked = store::split_record(&KeyWrite::new(key::job("j-1"), &job), 77, 2048).expect("parts");
     let first = chunked.parts.last().expect("parts").key.clone();
     chunked.parts.into_iter().for_each(|p| service.store().put(p));
@@ -486,9 +499,9 @@
         }
     }
     let conditions = vec![Condition { key: key::job("j-1"), version }, Condition { key: first, version: at }];
-    let late = controller.state.txn(conditions, vec![chunked.head]).await;
+    let late = controller.kv_client.txn(conditions, vec![chunked.head]).await;
     assert!(matches!(late, Ok(TxnOutcome::Conflict { .. })));
-    controller.stop.cancel();
+    controller.shutdown.cancel();
 }
 
 /// The limits that are to come are there, though one controller has not said that it is
@@ -506,24 +519,25 @@
     let controller = service.controller(1, &text).await;
     service.elect(&controller, 1);
     caught_up(&service, &controller).await;
-    assert!(!controller.plan().chunked, "the other may still come back old");
+    assert!(!controller.state_limits().chunked, "the other may still come back old");
     service.store().limits = Some((2048, 4));
     let write = async || {
-        let version = controller.core().world.jobs["j-1"].version;
+        let version = controller.state().records.replica.jobs["j-1"].version;
         let conditions = vec![Condition { key: key::job("j-1"), version }];
         controller.commit(conditions, vec![KeyWrite::new(key::job("j-1"), &job)]).await
     };
     assert!(matches!(write().await, Err(StoreError::Refused(400))));
-    assert!(controller.plan().chunked && controller.plan().txn_ops == 4);
+    assert!(controller.state_limits().chunked && controller.state_limits().txn_ops == 4);
     assert!(matches!(write().await, Ok(TxnOutcome::Committed { .. })), "in smaller pieces");
     caught_up(&service, &controller).await;
     assert_eq!(service.store().refused, [400], "never sent again unchanged");
-    assert_eq!(controller.plan().write_rps, 30.0, "the full rate until then");
+    assert_eq!(controller.state_limits().write_rps, 30.0, "the full rate until then");
     service.store().rate = Some(0);
-    let e = controller.state.txn(Vec::new(), vec![KeyWrite::delete(key::job("j-2"))]).await.expect_err("429");
+    let e =
+        controller.kv_client.txn(Vec::new(), vec![KeyWrite::delete(key::job("j-2"))]).await.expect_err("429");
     controller.note_refusal(&e);
-    assert_eq!(controller.plan().write_rps, 20.0, "from the first refusal on");
-    controller.share_writes(&mut controller.core(), Instant::now());
-    assert!(controller.core().writes.per_second() <= 20.0);
-    controller.stop.cancel();
+    assert_eq!(controller.state_limits().write_rps, 20.0, "from the first refusal on");
+    controller.update_write_share(&mut controller.state(), Instant::now());
+    assert!(controller.state().writes.limiter.per_second() <= 20.0);
+    controller.shutdown.cancel();
 }
--- a/crates/daemon/tests/unit/placer.rs
+++ b/crates/daemon/tests/unit/placer.rs
@@ -46,8 +46,8 @@
     let controller =
         Controller::new(Settings::parse("example", EXAMPLE).expect("valid"), Operators::default(), 1);
     let now = Instant::now();
-    let mut core = controller.core();
-    core.ready = true;
+    let mut state = controller.state();
+    state.records.is_loaded = true;
     let kind = crate::worker::tests::kind(controller.teams[0].cpus_max * 2.0, 64.0, &["a"]);
     let machine = MachineRecord {
         addr: "host-1".into(),
@@ -58,21 +58,21 @@
     };
     let mut changes = vec![
         RecordChange::Types(Some(MachineTypesRecord { types: vec![kind] })),
-        RecordChange::Leader(Some(controller.me.clone())),
-        RecordChange::Map(Some(ClusterMap { epoch: 7, live: vec![controller.me.clone()] })),
+        RecordChange::Leader(Some(controller.identity.clone())),
+        RecordChange::Map(Some(ClusterMap { epoch: 7, live: vec![controller.identity.clone()] })),
         RecordChange::Machine("host-1".into(), Some(machine)),
     ];
     let id = |j: &JobRecord| j.spec.as_ref().expect("open").id.clone();
     changes.extend(jobs.into_iter().map(|j| RecordChange::Job(id(&j), Some(Box::new(j)))));
     for (n, change) in changes.into_iter().enumerate() {
-        core.world.apply(change, n as u64 + 1);
+        state.records.replica.apply(change, n as u64 + 1);
     }
     let mut worker = Worker::new("host-1".into(), 7, now);
     let report = serde_json::json!({"frame": "host-1", "addr": "host-1", "shape": "m", "bay": "a",
         "loaner": false, "stint": 1, "tally": 1, "baton": first_token(7), "threads": []});
     worker.ingest(wire::decode(&wire::encode(&report)).expect("a report"), true, now);
-    core.workers.insert("host-1".into(), worker);
-    let round = crate::reconcile::decide(&controller, &mut core, false, 16, now, 1000).expect("a round");
+    state.machines.workers.insert("host-1".into(), worker);
+    let round = crate::reconcile::decide(&controller, &mut state, false, 16, now, 1000).expect("a round");
     round.jobs.iter().map(|(id, j)| (id.clone(), j.assignments.len())).collect()
 }
 
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -5,13 +5,14 @@
 use crate::worker::tests::spec;
 use crate::worker::{Worker, first_token};
 use sched::records::*;
+use std::sync::Arc;
 use wire::{Command, Heartbeat, JobKind};
 
 const MACHINE: &str = "host-1";
 
 /// One of three controllers, which all know a job with a task on the machine, up to
 /// revision 3. The first one owns it.
-fn controller(n: usize, incarnation: u64) -> Controller {
+fn controller(n: usize, incarnation: u64) -> Arc<Controller> {
     let mut text = EXAMPLE.replacen("n-0", &format!("n-{n}"), 1);
     for other in (0..3).filter(|o| *o != n) {
         text = text.replacen(
@@ -27,10 +28,10 @@
     Controller::new(settings, Operators::default(), incarnation)
 }
 
-fn read(controller: &Controller) {
-    let mut core = controller.core();
+fn read(controller: &Arc<Controller>) {
+    let mut state = controller.state();
     let live = vec![Member { name: "n-0".into(), zone: "a".into(), incarnation: 1 }];
-    core.world.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
+    state.records.replica.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
     let machine = MachineRecord {
         addr: "a".into(),
         machine_type: "m".into(),
@@ -38,36 +39,36 @@
         spot: false,
         release: false,
     };
-    core.world.apply(RecordChange::Machine(MACHINE.into(), Some(machine)), 2);
+    state.records.replica.apply(RecordChange::Machine(MACHINE.into(), Some(machine)), 2);
     for id in ["j-1", "j-2"] {
         let mut job = JobRecord::new(spec(id, JobKind::Service), None, 0);
         job.assignments =
             vec![Assignment { task: 0, attempt: 1, machine: MACHINE.into(), desired: DesiredState::Running }];
-        core.world.apply(RecordChange::Job(id.into(), Some(Box::new(job))), 3);
+        state.records.replica.apply(RecordChange::Job(id.into(), Some(Box::new(job))), 3);
     }
-    core.world.revision = 3;
-    core.ready = true;
+    state.records.replica.revision = 3;
+    state.records.is_loaded = true;
 }
 
 /// What a controller does when it confirms a cancellation to a user.
-fn confirm(controller: &Controller, id: &str, revision: u64) {
-    let mut core = controller.core();
-    let mut record = core.world.jobs[id].value.clone();
+fn confirm(controller: &Arc<Controller>, id: &str, revision: u64) {
+    let mut state = controller.state();
+    let mut record = state.records.replica.jobs[id].value.clone();
     record.phase = Phase::Cancelled;
     record.compact_if_final();
-    core.world.apply(RecordChange::Job(id.into(), Some(record)), revision);
+    state.records.replica.apply(RecordChange::Job(id.into(), Some(record)), revision);
 }
 
 /// One question and its answer between two controllers; whether its word counts.
-fn exchange(asker: &Controller, of: &Controller, at: Instant) -> bool {
-    let mut core = asker.core();
-    let Some(asked) = request(&core, 77, at) else { return false };
-    let bytes = peer::encode_index(&answer(of, &of.core(), &asked));
+fn exchange(asker: &Arc<Controller>, of: &Arc<Controller>, at: Instant) -> bool {
+    let mut state = asker.state();
+    let Some(asked) = request(&state, 77, at) else { return false };
+    let bytes = peer::encode_index(&answer(of, &of.state(), &asked));
     let index = peer::decode_index(&bytes).expect("an answer");
-    take(&mut core, &of.me.name, &asked, index, at, at) == Word::Counts
+    take(&mut state, &of.identity.name, &asked, index, at, at) == Word::LoadCounters
 }
 
-fn three() -> [Controller; 3] {
+fn three() -> [Arc<Controller>; 3] {
     let all = [controller(0, 1), controller(1, 2), controller(2, 3)];
     all.iter().for_each(read);
     all
@@ -82,7 +83,7 @@
     let [leader, other, third] = three();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
-    leader.core().fresh_at = Some(start);
+    leader.state().records.fresh_at = Some(start);
     let mut worker = Worker::new("a".into(), 4, start);
     let list = serde_json::json!([{"thread": "j-1/0", "try": 1, "status": "running"},
         {"thread": "j-2/0", "try": 1, "status": "running"}]);
@@ -91,17 +92,17 @@
     worker.ingest(wire::decode::<Heartbeat>(&wire::encode(&report)).expect("a report"), true, start);
     confirm(&other, "j-1", 4);
     let late = start + bound + Duration::from_secs(20);
-    let renews = |at: Instant| leader.may_renew(&leader.core(), at);
+    let renews = |at: Instant| leader.may_renew_leases(&leader.state(), at);
     assert!(renews(start + Duration::from_secs(2)) && !renews(late), "nobody has been asked");
     assert!(exchange(&leader, &third, late) && !renews(late), "all of them have to answer");
     assert!(exchange(&leader, &other, late) && renews(late));
-    let core = leader.core();
-    let limits = leader.worker_limits(core.fresh_at);
-    let plan = worker.reconcile(MACHINE, &core.world, &limits, late);
+    let state = leader.state();
+    let limits = leader.worker_limits(state.records.fresh_at);
+    let plan = worker.reconcile(MACHINE, &state.records.replica, &limits, late);
     let stop = Command::Stop { task: "j-1/0".into(), attempt: 1, grace_s: 0.0 };
     assert_eq!((plan.commands, plan.ends), (vec![stop], vec![]), "the cancelled one, and only that");
     // What it can write later is conditional on the version that it learnt.
-    assert_eq!(core.world.jobs["j-1"].version, 4);
+    assert_eq!(state.records.replica.jobs["j-1"].version, 4);
 }
 
 /// In a long outage in which nothing was cancelled no lease is lost, as long as all answer;
@@ -111,18 +112,18 @@
     let [leader, other, third] = three();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
-    leader.core().fresh_at = Some(start);
+    leader.state().records.fresh_at = Some(start);
     for s in (2..600).step_by(2) {
         let now = start + Duration::from_secs(s);
         assert!(exchange(&leader, &other, now) && exchange(&leader, &third, now));
-        assert!(leader.may_renew(&leader.core(), now), "{s} s");
+        assert!(leader.may_renew_leases(&leader.state(), now), "{s} s");
     }
     let last = start + Duration::from_secs(598);
-    assert!(leader.may_renew(&leader.core(), last + bound - Duration::from_millis(1)));
-    assert!(!leader.may_renew(&leader.core(), last + bound), "one that falls silent ends it");
+    assert!(leader.may_renew_leases(&leader.state(), last + bound - Duration::from_millis(1)));
+    assert!(!leader.may_renew_leases(&leader.state(), last + bound), "one that falls silent ends it");
     // With the state service there is nothing to ask.
-    leader.core().fresh_at = Some(last);
-    assert!(request(&leader.core(), 1, last + Duration::from_secs(1)).is_none());
+    leader.state().records.fresh_at = Some(last);
+    assert!(request(&leader.state(), 1, last + Duration::from_secs(1)).is_none());
 }
 
 /// The answer to a user was on its way when the peer answered: it is confirmed later than
@@ -132,18 +133,18 @@
     let [leader, other, third] = three();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
-    leader.core().fresh_at = Some(start);
+    leader.state().records.fresh_at = Some(start);
     let asked = start + Duration::from_secs(3);
     assert!(exchange(&leader, &other, asked) && exchange(&leader, &third, asked + Duration::from_secs(9)));
     confirm(&other, "j-1", 4);
-    assert!(!leader.may_renew(&leader.core(), asked + bound), "the earliest counts");
-    let phase = || leader.core().world.jobs["j-1"].value.phase;
+    assert!(!leader.may_renew_leases(&leader.state(), asked + bound), "the earliest counts");
+    let phase = || leader.state().records.replica.jobs["j-1"].value.phase;
     assert_eq!(phase(), Phase::Active);
     assert!(exchange(&leader, &other, asked + bound));
     assert_eq!(phase(), Phase::Cancelled);
     // Learnt by the third from the leader, not read: it passes that on as well.
     assert!(exchange(&third, &leader, asked + bound));
-    assert_eq!(third.core().world.jobs["j-1"].value.phase, Phase::Cancelled);
+    assert_eq!(third.state().records.replica.jobs["j-1"].value.phase, Phase::Cancelled);
 }
 
 /// A process that came back has forgotten what its predecessor confirmed.
@@ -152,19 +153,19 @@
     let [leader, _, third] = three();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
-    leader.core().fresh_at = Some(start);
+    leader.state().records.fresh_at = Some(start);
     let late = start + bound;
     assert!(exchange(&leader, &third, late));
     // Back after this controller's last reading: its predecessor may have confirmed more.
     let back = controller(1, 9);
-    assert!(!exchange(&leader, &back, late) && !leader.may_renew(&leader.core(), late));
+    assert!(!exchange(&leader, &back, late) && !leader.may_renew_leases(&leader.state(), late));
     // The same process, heard of before the last reading: whatever was confirmed before it
     // began was read, and it has confirmed nothing.
     let at = late + Duration::from_secs(1);
-    leader.core().fresh_at = Some(at);
+    leader.state().records.fresh_at = Some(at);
     let later = at + bound;
     assert!(exchange(&leader, &third, later));
-    assert!(exchange(&leader, &back, later) && leader.may_renew(&leader.core(), later));
+    assert!(exchange(&leader, &back, later) && leader.may_renew_leases(&leader.state(), later));
     // It has read the records: it knows all that its predecessors confirmed.
     let [.., read] = [controller(1, 10), controller(1, 11)];
     super::tests::read(&read);
@@ -176,13 +177,13 @@
 fn late_copies_other_processes_newer_maps_and_halves_do_not_count() {
     let [leader, other, third] = three();
     let start = Instant::now();
-    leader.core().fresh_at = Some(start);
+    leader.state().records.fresh_at = Some(start);
     let late = start + leader.settings.renewal_bound();
     assert!(exchange(&leader, &third, late));
     confirm(&other, "j-1", 4);
-    let mut core = leader.core();
-    let asked = request(&core, 5, late).expect("there is need");
-    let whole = answer(&other, &other.core(), &asked);
+    let mut state = leader.state();
+    let asked = request(&state, 5, late).expect("there is need");
+    let whole = answer(&other, &other.state(), &asked);
     let broken = CancelledJob { record: vec![0xc1], ..whole.cancelled[0].clone() };
     let cases = [
         ReadIndex { nonce: 4, ..whole.clone() },
@@ -193,28 +194,28 @@
         ReadIndex { cancelled: vec![broken], ..whole.clone() },
     ];
     for (n, index) in cases.into_iter().enumerate() {
-        let word = take(&mut core, "n-1", &asked, index, late, late);
-        assert_ne!(word, Word::Counts, "case {n}");
-        assert!(!leader.may_renew(&core, late), "case {n}");
+        let word = take(&mut state, "n-1", &asked, index, late, late);
+        assert_ne!(word, Word::LoadCounters, "case {n}");
+        assert!(!leader.may_renew_leases(&state, late), "case {n}");
     }
-    assert_eq!(take(&mut core, "n-1", &asked, whole, late, late), Word::Counts);
-    assert!(leader.may_renew(&core, late));
+    assert_eq!(take(&mut state, "n-1", &asked, whole, late, late), Word::LoadCounters);
+    assert!(leader.may_renew_leases(&state, late));
     // An older reading of its own does not bring back what was learnt.
     let old = JobRecord::new(spec("j-1", JobKind::Service), None, 0);
-    core.world.apply(RecordChange::Job("j-1".into(), Some(Box::new(old))), 3);
-    assert_eq!(core.world.jobs["j-1"].value.phase, Phase::Cancelled);
+    state.records.replica.apply(RecordChange::Job("j-1".into(), Some(Box::new(old))), 3);
+    assert_eq!(state.records.replica.jobs["j-1"].value.phase, Phase::Cancelled);
 }
 
 /// Adds cancelled jobs that still have a task on a machine: two for each revision from 10 on.
-fn cancel_many(controller: &Controller, jobs: u64) {
-    let mut core = controller.core();
+fn cancel_many(controller: &Arc<Controller>, jobs: u64) {
+    let mut state = controller.state();
     for n in 0..jobs {
         let id = format!("j-{}", 1000 + (n * 7919) % jobs);
         let mut job = JobRecord::new(spec(&id, JobKind::Array), None, 0);
         job.phase = Phase::Cancelled;
         job.assignments =
             vec![Assignment { task: 0, attempt: 1, machine: MACHINE.into(), desired: DesiredState::Running }];
-        core.world.apply(RecordChange::Job(id, Some(Box::new(job))), 10 + n / 2);
+        state.records.replica.apply(RecordChange::Job(id, Some(Box::new(job))), 10 + n / 2);
     }
 }
 
@@ -225,34 +226,34 @@
     const JOBS: u64 = 4000;
     let [leader, other, third] = three();
     let start = Instant::now();
-    leader.core().fresh_at = Some(start);
+    leader.state().records.fresh_at = Some(start);
     cancel_many(&other, JOBS);
     let late = start + leader.settings.renewal_bound();
     assert!(exchange(&leader, &third, late));
-    let mut core = leader.core();
-    let mut asked = request(&core, 1, late).expect("there is need");
+    let mut state = leader.state();
+    let mut asked = request(&state, 1, late).expect("there is need");
     let mut parts = 0;
     loop {
         parts += 1;
-        let index = answer(&other, &other.core(), &asked);
+        let index = answer(&other, &other.state(), &asked);
         assert!(peer::encode_index(&index).len() < LARGE / 2, "part {parts}");
-        match take(&mut core, "n-1", &asked, index, late, late + Duration::from_secs(parts)) {
+        match take(&mut state, "n-1", &asked, index, late, late + Duration::from_secs(parts)) {
             Word::Continues(after) => {
-                assert!(!leader.may_renew(&core, late), "part {parts} is not all");
+                assert!(!leader.may_renew_leases(&state, late), "part {parts} is not all");
                 asked = ReadIndexRequest { nonce: parts, after };
             }
             word => {
-                assert_eq!(word, Word::Counts);
+                assert_eq!(word, Word::LoadCounters);
                 break;
             }
         }
     }
     assert!((2..20).contains(&parts), "{parts}");
-    let known = core.world.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
+    let known = state.records.replica.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
     assert_eq!(known as u64, JOBS);
-    assert!(leader.may_renew(&core, late));
-    assert_eq!(core.read_indexes.vouched_at("n-1"), Some(late), "from the first question on");
-    let none = answer(&other, &other.core(), &ReadIndexRequest { nonce: 1, after: 10 + JOBS / 2 });
+    assert!(leader.may_renew_leases(&state, late));
+    assert_eq!(state.peers.read_indexes.vouched_at("n-1"), Some(late), "from the first question on");
+    let none = answer(&other, &other.state(), &ReadIndexRequest { nonce: 1, after: 10 + JOBS / 2 });
     assert!(!none.truncated && none.cancelled.is_empty());
 }
 
@@ -261,17 +262,17 @@
 fn parts_that_get_no_further_do_not_count() {
     let [leader, other, _] = three();
     let start = Instant::now();
-    leader.core().fresh_at = Some(start);
+    leader.state().records.fresh_at = Some(start);
     cancel_many(&other, 10);
     let late = start + leader.settings.renewal_bound();
-    let mut core = leader.core();
-    let asked = request(&core, 5, late).expect("there is need");
-    let whole = answer(&other, &other.core(), &asked);
+    let mut state = leader.state();
+    let asked = request(&state, 5, late).expect("there is need");
+    let whole = answer(&other, &other.state(), &asked);
     let empty = ReadIndex { cancelled: Vec::new(), truncated: true, ..whole.clone() };
-    assert_eq!(take(&mut core, "n-1", &asked, empty, late, late), Word::Void);
+    assert_eq!(take(&mut state, "n-1", &asked, empty, late, late), Word::Void);
     let again = ReadIndexRequest { nonce: 5, after: 14 };
     let stuck = ReadIndex { truncated: true, ..whole };
-    assert_eq!(take(&mut core, "n-1", &again, stuck, late, late), Word::Void);
+    assert_eq!(take(&mut state, "n-1", &again, stuck, late, late), Word::Void);
 }
 
 /// Over HTTP; a controller of the version in production answers 404.
--- a/crates/daemon/tests/unit/round.rs
+++ b/crates/daemon/tests/unit/round.rs
@@ -5,15 +5,16 @@
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
 use sched::replica::RecordChange;
+use std::sync::Arc;
 use wire::JobKind;
 
 /// As large as placement makes an array's record: as many tasks as it admits,
 /// scattered over many machines and over the whole window.
-fn largest(controller: &Controller, id: &str) -> JobRecord {
+fn largest(controller: &Arc<Controller>, id: &str) -> JobRecord {
     let mut s = spec(id, JobKind::Array);
     s.tasks = 100_000;
     let mut job = JobRecord::new(s, None, 1_764_547_200_000);
-    let (most, window) = (controller.run_max() as u32, controller.window());
+    let (most, window) = (controller.max_assignments_per_record() as u32, controller.task_window());
     let first = 50_000;
     (0..first).chain((first + 1..first + window).step_by(2)).for_each(|t| job.done.insert(t));
     let step = (window / most / 2 * 2).max(2);
@@ -40,23 +41,23 @@
         let id = format!("j-{n:06}");
         let job = Box::new(largest(&controller, &id));
         let json = serde_json::to_string(&*job).expect("encodes").len() as f64;
-        assert!(json < controller.plan().value_bytes, "{json}");
+        assert!(json < controller.state_limits().value_bytes, "{json}");
         let put = KeyWrite::new(key::job(&id), &job);
         assert!(put.json_len() as f64 >= json, "the estimate is no less than what it is");
         world.apply(RecordChange::Job(id.clone(), Some(job.clone())), 3);
         round.jobs.insert(id, job);
     }
-    let plan = controller.plan();
+    let plan = controller.state_limits();
     let Assembled { conditions, puts, left_out, .. } = assemble(&world, &round, &plan, usize::MAX);
     let bytes: usize = puts.iter().map(KeyWrite::json_len).sum();
     assert!(puts.len() >= 4 && bytes + conditions.len() * 60 < 64 * 1024, "{bytes}");
     assert_eq!(left_out.len(), 30 - puts.len(), "the rest has its turn later");
-    let small = assemble(&world, &round, &Plan { txn_ops: 3, ..plan }, usize::MAX);
+    let small = assemble(&world, &round, &StateLimits { txn_ops: 3, ..plan }, usize::MAX);
     assert_eq!(small.puts.len(), 3);
-    let small = Plan { value_bytes: 1000.0, ..plan };
+    let small = StateLimits { value_bytes: 1000.0, ..plan };
     let none = assemble(&world, &round, &small, usize::MAX);
     assert!(none.puts.is_empty(), "what a value cannot hold is not sent");
-    let one = assemble(&world, &round, &Plan { chunked: true, ..small }, usize::MAX);
+    let one = assemble(&world, &round, &StateLimits { chunked: true, ..small }, usize::MAX);
     assert!(one.puts.len() == 1 && one.chunked.is_some(), "but in parts, one at a time");
     assert_eq!(assemble(&world, &round, &plan, 1).puts.len(), 1);
 }
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -1,6 +1,7 @@
 //! Two thousand machines and ten thousand tasks, of which a controller owns its
 //! part or, left alone, all. What a round costs is counted, not timed.
 
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use sched::placement::{Inventory, Limits, place};
@@ -14,7 +15,7 @@
 use crate::round;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
-use crate::state::Core;
+use crate::state::ControllerState;
 use crate::worker::tests::spec;
 use crate::worker::{Worker, first_token};
 
@@ -44,21 +45,21 @@
 }
 
 /// The leader of `live` controllers, with so many empty machines of five kinds.
-pub fn controller(machines: usize, live: usize) -> Controller {
+pub fn controller(machines: usize, live: usize) -> Arc<Controller> {
     let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
     (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e6, 1e6);
     let controller = Controller::new(settings, Operators::default(), 1);
     let kinds = [kind("s", 4.0, 0.0), kind("m", 8.0, 0.0), kind("l", 16.0, 0.0), kind("g", 16.0, 2.0)];
-    let mut core = controller.core();
-    let w = &mut core.world;
+    let mut core = controller.state();
+    let w = &mut core.records.replica;
     apply(w, RecordChange::Types(Some(MachineTypesRecord { types: kinds.to_vec() })));
-    let mut members = vec![controller.me.clone()];
+    let mut members = vec![controller.identity.clone()];
     members.extend((1..live).map(|n| Member {
         name: format!("n-{n}"),
         zone: ZONES[n % 4].into(),
         incarnation: 1 + n as u64,
     }));
-    apply(w, RecordChange::Leader(Some(controller.me.clone())));
+    apply(w, RecordChange::Leader(Some(controller.identity.clone())));
     apply(w, RecordChange::Map(Some(ClusterMap { epoch: EPOCH, live: members })));
     for n in 0..machines {
         let record = MachineRecord {
@@ -70,13 +71,13 @@
         };
         apply(w, RecordChange::Machine(format!("host-{n:06}"), Some(record)));
     }
-    core.ready = true;
+    core.records.is_loaded = true;
     drop(core);
     controller
 }
 
 /// Adds a job; it is placed as far as there is room.
-fn add(controller: &Controller, inventory: &mut Inventory, core: &mut Core, spec: JobSpec) {
+fn add(controller: &Arc<Controller>, inventory: &mut Inventory, core: &mut ControllerState, spec: JobSpec) {
     let id = spec.id.clone();
     let mut job = JobRecord::new(spec, None, 1000);
     let limits = Limits {
@@ -86,15 +87,15 @@
         gang_wait_s: 30.0,
         now_ms: NOW_MS,
     };
-    place(&core.world, inventory, &mut job, &controller.teams[0], |_| true, limits);
-    apply(&mut core.world, RecordChange::Job(id, Some(Box::new(job))));
+    place(&core.records.replica, inventory, &mut job, &controller.teams[0], |_| true, limits);
+    apply(&mut core.records.replica, RecordChange::Job(id, Some(Box::new(job))));
 }
 
 /// Fills the machines with services, gangs and arrays; their workers report what
 /// the records say.
-pub fn fill(controller: &Controller, now: Instant) {
-    let mut core = controller.core();
-    let mut inventory = Inventory::new(&core.world, |_| true);
+pub fn fill(controller: &Arc<Controller>, now: Instant) {
+    let mut core = controller.state();
+    let mut inventory = Inventory::new(&core.records.replica, |_| true);
     for n in 0..600 {
         let mut s = spec(&format!("j-{n:06}"), [JobKind::Service, JobKind::Gang, JobKind::Array][n / 200]);
         s.image = format!("i-{}", n % 40);
@@ -108,7 +109,7 @@
         }
         add(controller, &mut inventory, &mut core, s);
     }
-    let ids: Vec<Name> = core.world.owned_by(&controller.me).cloned().collect();
+    let ids: Vec<Name> = core.records.replica.owned_by(&controller.identity).cloned().collect();
     for id in ids {
         let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskStatus {
             task: format!("{job}/{}", a.task),
@@ -127,18 +128,18 @@
             sequence: 1,
             fencing_token: first_token(EPOCH),
             spot_notice_s: None,
-            tasks: core.world.assignments(&id).map(running).collect(),
+            tasks: core.records.replica.assignments(&id).map(running).collect(),
         };
         let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
         worker.ingest(report, true, now);
         worker.renew(now);
-        core.workers.insert(id, worker);
+        core.machines.workers.insert(id, worker);
     }
-    core.fresh_at = Some(now);
+    core.records.fresh_at = Some(now);
 }
 
-fn due(core: &Core, now: Instant) -> usize {
-    core.workers.values().filter(|w| w.due(now)).count()
+fn due(core: &ControllerState, now: Instant) -> usize {
+    core.machines.workers.values().filter(|w| w.due(now)).count()
 }
 
 #[test]
@@ -146,18 +147,22 @@
     let controller = controller(2000, 1);
     let now = Instant::now();
     fill(&controller, now);
-    let mut core = controller.core();
-    let tasks: usize = core.world.jobs_by_machine.values().flatten().map(|(_, t)| t.len()).sum();
-    assert!(core.workers.len() == 2000 && tasks > 10_000, "{} machines, {tasks} tasks", core.workers.len());
+    let mut core = controller.state();
+    let tasks: usize = core.records.replica.jobs_by_machine.values().flatten().map(|(_, t)| t.len()).sum();
+    assert!(
+        core.machines.workers.len() == 2000 && tasks > 10_000,
+        "{} machines, {tasks} tasks",
+        core.machines.workers.len()
+    );
     let round = reconcile::decide(&controller, &mut core, false, 0, now, NOW_MS).expect("entitled");
     assert!(round.sends.is_empty(), "what runs is left alone");
     assert_eq!(due(&core, now + Duration::from_millis(100)), 0, "nothing is open");
     // One job is cancelled: only its machines are looked at.
-    let id = core.world.open_job_ids.iter().next().expect("some").clone();
-    let mut job = core.world.jobs[&id].value.clone();
+    let id = core.records.replica.open_job_ids.iter().next().expect("some").clone();
+    let mut job = core.records.replica.jobs[&id].value.clone();
     job.phase = Phase::Cancelled;
     let machines: std::collections::BTreeSet<_> = job.assignments.iter().map(|a| a.machine.clone()).collect();
-    apply(&mut core.world, RecordChange::Job(id, Some(job)));
+    apply(&mut core.records.replica, RecordChange::Job(id, Some(job)));
     let later = now + Duration::from_millis(200);
     let round = reconcile::decide(&controller, &mut core, false, 0, later, NOW_MS).expect("entitled");
     let sent: std::collections::BTreeSet<_> = round.sends.iter().map(|s| s.0.clone()).collect();
@@ -172,14 +177,22 @@
     let controller = controller(2000, 1);
     let now = Instant::now();
     fill(&controller, now);
-    let mut core = controller.core();
-    let lost: Vec<Name> =
-        core.world.machines.iter().filter(|(_, m)| *m.value.zone == *"d").map(|(id, _)| id.clone()).collect();
+    let mut core = controller.state();
+    let lost: Vec<Name> = core
+        .records
+        .replica
+        .machines
+        .iter()
+        .filter(|(_, m)| *m.value.zone == *"d")
+        .map(|(id, _)| id.clone())
+        .collect();
     assert_eq!(lost.len(), 500);
-    let hit: std::collections::BTreeSet<String> =
-        lost.iter().flat_map(|id| core.world.assignments(id).map(|(job, ..)| job.to_owned())).collect();
+    let hit: std::collections::BTreeSet<String> = lost
+        .iter()
+        .flat_map(|id| core.records.replica.assignments(id).map(|(job, ..)| job.to_owned()))
+        .collect();
     apply(
-        &mut core.world,
+        &mut core.records.replica,
         RecordChange::Fleet(Some(FleetRecord {
             scale_outs: Vec::new(),
             removed_machines: Some(lost.clone()),
@@ -187,21 +200,21 @@
     );
     let mut changes = 0;
     let mut rounds = 0;
-    while !core.world.machines_without_record.is_empty() {
+    while !core.records.replica.machines_without_record.is_empty() {
         rounds += 1;
-        assert!(rounds < 200, "{} left", core.world.machines_without_record.len());
+        assert!(rounds < 200, "{} left", core.records.replica.machines_without_record.len());
         let at = now + Duration::from_millis(100 * rounds);
         let mut round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
         let round::Assembled { puts, left_out, teams, .. } =
-            round::assemble(&core.world, &round, &controller.plan(), usize::MAX);
+            round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
         changes += puts.len();
         for (id, record) in std::mem::take(&mut round.jobs) {
             if !left_out.contains(&id) {
-                apply(&mut core.world, RecordChange::Job(id, Some(record)));
+                apply(&mut core.records.replica, RecordChange::Job(id, Some(record)));
             }
         }
         for (team, record) in teams {
-            apply(&mut core.world, RecordChange::Team(team, Some(record)));
+            apply(&mut core.records.replica, RecordChange::Team(team, Some(record)));
         }
     }
     assert!(hit.len() > 100, "{}", hit.len());
@@ -215,21 +228,28 @@
     let controller = controller(2000, 1);
     let now = Instant::now();
     fill(&controller, now);
-    let mut core = controller.core();
-    let kind = |core: &Core, id: &str| core.world.jobs[id].value.spec.as_ref().map(|s| s.kind);
-    let service =
-        core.world.open_job_ids.iter().find(|id| kind(&core, id) == Some(JobKind::Service)).cloned();
+    let mut core = controller.state();
+    let kind =
+        |core: &ControllerState, id: &str| core.records.replica.jobs[id].value.spec.as_ref().map(|s| s.kind);
+    let service = core
+        .records
+        .replica
+        .open_job_ids
+        .iter()
+        .find(|id| kind(&core, id) == Some(JobKind::Service))
+        .cloned();
     let service = service.expect("some");
-    let lost = core.world.jobs[&service].value.assignments[0].machine.clone();
+    let lost = core.records.replica.jobs[&service].value.assignments[0].machine.clone();
     let arrays: Vec<String> = core
-        .world
+        .records
+        .replica
         .open_job_ids
         .iter()
         .filter(|id| kind(&core, id) == Some(JobKind::Array))
         .cloned()
         .collect();
     let proofs = arrays.iter().filter_map(|id| {
-        let a = core.world.jobs[id].value.assignments.first()?;
+        let a = core.records.replica.jobs[id].value.assignments.first()?;
         let machine = a.machine.to_string();
         Some(peer::TerminationProof {
             job: id.clone(),
@@ -243,9 +263,9 @@
     assert!(proofs.len() > 16, "more than a round holds");
     drop(core);
     reconcile::take_proofs(&controller, EPOCH, proofs, now);
-    core = controller.core();
+    core = controller.state();
     apply(
-        &mut core.world,
+        &mut core.records.replica,
         RecordChange::Fleet(Some(FleetRecord {
             scale_outs: Vec::new(),
             removed_machines: Some(vec![lost.clone()]),
--- a/crates/daemon/tests/unit/sim/checker.rs
+++ b/crates/daemon/tests/unit/sim/checker.rs
@@ -85,7 +85,7 @@
     pub(super) fn check_served(&mut self) {
         self.calm = true;
         self.frozen.fill(0);
-        let live: Vec<Member> = self.nodes.iter().map(|n| n.me.clone()).collect();
+        let live: Vec<Member> = self.nodes.iter().map(|n| n.identity.clone()).collect();
         let leader = live[0].clone();
         let puts = vec![
             KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: self.step + 1, live }),
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -1,9 +1,15 @@
 //! Controllers: their rounds, what they send, and how they end and come back.
 
 use super::*;
+use std::sync::Arc;
 
 impl Sim {
-    pub(super) fn new_controller(n: usize, incarnation: u64, sabotage: Sabotage, old: bool) -> Controller {
+    pub(super) fn new_controller(
+        n: usize,
+        incarnation: u64,
+        sabotage: Sabotage,
+        old: bool,
+    ) -> Arc<Controller> {
         let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
         settings.node_name = format!("n-{n}");
         // The others: their word is never asked for here, so that leases are renewed within
@@ -27,7 +33,7 @@
         self.old[n] = false;
         self.back(n);
         let put = KeyWrite::new(
-            key::upgraded(&self.nodes[n].me.name),
+            key::upgraded(&self.nodes[n].identity.name),
             &SchemaMarker { schema_version: SCHEMA_VERSION },
         );
         assert!(self.state.txn(&[], vec![put]) == Outcome::Committed);
@@ -39,10 +45,10 @@
     /// A random set of live controllers, under the next epoch.
     pub(super) fn new_map(&mut self) {
         let few = self.rng.random_bool(0.5);
-        let mut live: Vec<Member> = self.nodes.iter().map(|n| n.me.clone()).collect();
+        let mut live: Vec<Member> = self.nodes.iter().map(|n| n.identity.clone()).collect();
         live.retain(|_| !few || self.rng.random_bool(0.4));
         if live.is_empty() {
-            live.push(self.nodes[0].me.clone());
+            live.push(self.nodes[0].identity.clone());
         }
         let epoch = self.step + 1;
         let leader = live[0].clone();
@@ -60,44 +66,44 @@
         let now = self.now();
         // The mirror lags by whole revisions.
         if self.rng.random_range(0..4) > 0 {
-            let mut core = self.nodes[n].core();
-            let core = &mut *core;
+            let mut state = self.nodes[n].state();
+            let state = &mut *state;
             while let Some((revision, put)) = self.state.log.get(self.seen[n]) {
                 let (change, bad, version) = if self.old[n] {
                     let (change, bad) = by_production(put);
                     (change, bad, *revision)
                 } else {
-                    core.reader.apply(&put.key, put.value.clone(), *revision)
+                    state.records.reader.apply(&put.key, put.value.clone(), *revision)
                 };
                 if bad {
-                    core.world.mark_unreadable(change)
+                    state.records.replica.mark_unreadable(change)
                 } else {
-                    core.world.apply(change, version)
+                    state.records.replica.apply(change, version)
                 }
-                core.world.revision = *revision;
+                state.records.replica.revision = *revision;
                 self.seen[n] += 1;
             }
-            core.ready = true;
-            core.fresh_at = Some(now);
-            if core.world.schema_versions.len() == CONTROLLERS {
-                self.nodes[n].seen.all_new.store(true, Ordering::Relaxed);
+            state.records.is_loaded = true;
+            state.records.fresh_at = Some(now);
+            if state.records.replica.schema_versions.len() == CONTROLLERS {
+                self.nodes[n].limit_changes.all_upgraded.store(true, Ordering::Relaxed);
             }
         }
-        let plan = self.nodes[n].plan();
+        let plan = self.nodes[n].state_limits();
         let decided = {
             let controller = &self.nodes[n];
-            let mut core = controller.core();
+            let mut state = controller.state();
             let scan = self.step.is_multiple_of(50);
-            reconcile::decide(controller, &mut core, scan, plan.txn_ops, now, self.step * 100).map(|r| {
+            reconcile::decide(controller, &mut state, scan, plan.txn_ops, now, self.step * 100).map(|r| {
                 let round::Assembled { conditions, puts, .. } =
-                    round::assemble(&core.world, &r, &controller.plan(), usize::MAX);
-                let epoch = core.map().map_or(0, |m| m.epoch);
+                    round::assemble(&state.records.replica, &r, &controller.state_limits(), usize::MAX);
+                let epoch = state.cluster_map().map_or(0, |m| m.epoch);
                 (r.sends, conditions, puts, r.proofs, epoch)
             })
         };
         let Some((sends, conditions, puts, proofs, epoch)) = decided else { return };
         for (to, list) in proofs {
-            let to = self.nodes.iter().position(|n| n.me.name == to).expect("a known controller");
+            let to = self.nodes.iter().position(|n| n.identity.name == to).expect("a known controller");
             self.post(Message::TerminationProofs { to, epoch, list });
         }
         for (machine, _, commands) in sends {
--- a/crates/daemon/tests/unit/sim/machines.rs
+++ b/crates/daemon/tests/unit/sim/machines.rs
@@ -136,17 +136,18 @@
         }
         let now = self.now();
         let controller = &self.nodes[n];
-        let mut core = controller.core();
+        let mut core = controller.state();
         let core = &mut *core;
-        let mine = core.world.owner_of(&id(m)).is_some_and(|o| *o == controller.me);
-        if !mine || !controller.may_renew(core, now) {
+        let mine = core.records.replica.owner_of(&id(m)).is_some_and(|o| *o == controller.identity);
+        if !mine || !controller.may_renew_leases(core, now) {
             return None;
         }
-        let worker = core.workers.get_mut(id(m).as_str()).filter(|w| !w.overtaken_by(&report))?;
+        let worker = core.machines.workers.get_mut(id(m).as_str()).filter(|w| !w.overtaken_by(&report))?;
         let news = worker.ingest(report, true, now);
         worker.renew(now);
-        let limits = controller.worker_limits(core.fresh_at);
-        let orders = if news { worker.answer(&id(m), &core.world, &limits, now) } else { Vec::new() };
+        let limits = controller.worker_limits(core.records.fresh_at);
+        let orders =
+            if news { worker.answer(&id(m), &core.records.replica, &limits, now) } else { Vec::new() };
         Some((worker.token(), orders))
     }
 
--- a/crates/daemon/tests/unit/sim/mail.rs
+++ b/crates/daemon/tests/unit/sim/mail.rs
@@ -75,7 +75,10 @@
                 }
                 Message::Txn { from, conditions, puts, sized } => {
                     if self.state.txn(&conditions, puts) == Outcome::Refused {
-                        self.nodes[from].seen.fallen.store(!self.old[from], Ordering::Relaxed);
+                        self.nodes[from]
+                            .limit_changes
+                            .sizes_reduced
+                            .store(!self.old[from], Ordering::Relaxed);
                         if sized {
                             self.broken.insert("refused");
                         }
@@ -122,7 +125,7 @@
 
     pub(super) fn answered(&mut self, n: usize, machine: usize, token: u64, report: Option<Heartbeat>) {
         let now = self.now();
-        if let Some(w) = self.nodes[n].core().workers.get_mut(id(machine).as_str()) {
+        if let Some(w) = self.nodes[n].state().machines.workers.get_mut(id(machine).as_str()) {
             w.finish(token, report.is_some(), now);
             if let Some(report) = report {
                 w.ingest(report, false, now);
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -12,6 +12,7 @@
 //! which nearly every job's record lies in parts.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
+use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -87,7 +88,7 @@
     start: Instant,
     step: u64,
     state: State,
-    nodes: Vec<Controller>,
+    nodes: Vec<Arc<Controller>>,
     /// Controllers that have the version in production.
     old: Vec<bool>,
     /// When the smaller limits come.
@@ -116,7 +117,7 @@
 
 impl Sim {
     fn new(seed: u64, sabotage: Sabotage) -> Self {
-        let nodes: Vec<Controller> =
+        let nodes: Vec<Arc<Controller>> =
             (0..CONTROLLERS).map(|n| Self::new_controller(n, n as u64 + 1, sabotage, true)).collect();
         let machine = || Machine {
             up: true,
@@ -154,7 +155,7 @@
         let kind = crate::worker::tests::kind(4.0, 64.0, &["z", "y"]);
         let mut puts = vec![
             KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }),
-            KeyWrite::new(key::LEADER.into(), &sim.nodes[0].me),
+            KeyWrite::new(key::LEADER.into(), &sim.nodes[0].identity),
         ];
         for m in 0..MACHINES {
             let record = MachineRecord {
--- a/crates/daemon/tests/unit/sim/users.rs
+++ b/crates/daemon/tests/unit/sim/users.rs
@@ -34,7 +34,7 @@
             _ => needs.iter().map(|n| n.as_str().into()).collect(),
         };
         // What it knows of them is not old.
-        if !known.iter().all(|n| self.nodes[via].core().world.jobs.contains_key(&**n)) {
+        if !known.iter().all(|n| self.nodes[via].state().records.replica.jobs.contains_key(&**n)) {
             return;
         }
         let mut record = api::new_record(&self.nodes[via], s.clone(), None, known);
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -22,7 +22,7 @@
 use crate::operators::Operators;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
-use crate::{api, reconcile, state_duty};
+use crate::{api, change_feed, read_barrier, reconcile};
 
 /// What a controller meets at the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -257,7 +257,7 @@
     }
 
     /// One of `size` controllers, without any duty yet.
-    pub async fn controller(&self, n: usize, size: usize, incarnation: u64) -> (Controller, Arc<Door>) {
+    pub async fn controller(&self, n: usize, size: usize, incarnation: u64) -> (Arc<Controller>, Arc<Door>) {
         let (door, addr) = self.door().await;
         let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
         settings.node_name = format!("n-{n}");
@@ -272,23 +272,23 @@
     }
 
     /// One that follows the records, and knows them.
-    pub async fn follower(&self, n: usize, size: usize) -> (Controller, Arc<Door>) {
+    pub async fn follower(&self, n: usize, size: usize) -> (Arc<Controller>, Arc<Door>) {
         let (controller, door) = self.controller(n, size, 1 + n as u64).await;
         follow(&controller);
-        assert!(soon(20, || controller.core().ready).await);
+        assert!(soon(20, || controller.state().records.is_loaded).await);
         (controller, door)
     }
 
     /// These controllers are live, the first of them leads.
-    pub fn elect(&self, nodes: &[&Controller], epoch: u64) {
+    pub fn elect(&self, nodes: &[&Arc<Controller>], epoch: u64) {
         let mut store = self.store();
-        let live = nodes.iter().map(|n| n.me.clone()).collect();
+        let live = nodes.iter().map(|n| n.identity.clone()).collect();
         store.put(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch, live }));
-        store.put(KeyWrite::new(key::LEADER.into(), &nodes[0].me));
+        store.put(KeyWrite::new(key::LEADER.into(), &nodes[0].identity));
         for controller in nodes {
-            store.put(KeyWrite::new(key::member(&controller.me.name), &controller.me));
+            store.put(KeyWrite::new(key::member(&controller.identity.name), &controller.identity));
             store.put(KeyWrite::new(
-                key::upgraded(&controller.me.name),
+                key::upgraded(&controller.identity.name),
                 &SchemaMarker { schema_version: SCHEMA_VERSION },
             ));
         }
@@ -303,9 +303,9 @@
 }
 
 /// Starts the duties that keep the mirror.
-pub fn follow(controller: &Controller) {
-    controller.spawn_duty(state_duty::mirror(controller.clone()));
-    controller.spawn_duty(state_duty::verifier(controller.clone()));
+pub fn follow(controller: &Arc<Controller>) {
+    controller.spawn_task(change_feed::follow_records(controller.clone()));
+    controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
 }
 
 /// Whether something comes about within so many seconds.
@@ -320,13 +320,13 @@
 }
 
 /// The mirror has all that there is, and by itself.
-pub async fn caught_up(service: &Service, controller: &Controller) {
+pub async fn caught_up(service: &Service, controller: &Arc<Controller>) {
     let revision = service.store().revision;
-    assert!(controller.reach(revision, Duration::from_secs(20)).await);
+    assert!(controller.wait_for_revision(revision, Duration::from_secs(20)).await);
 }
 
 pub async fn ask(
-    controller: &Controller,
+    controller: &Arc<Controller>,
     method: &str,
     path: &str,
     body: Vec<u8>,
@@ -336,17 +336,17 @@
     (reply.status, wire::decode(&reply.body).ok())
 }
 
-pub async fn submit_once(controller: &Controller, spec: &JobSpec) -> (u16, Option<JobState>) {
+pub async fn submit_once(controller: &Arc<Controller>, spec: &JobSpec) -> (u16, Option<JobState>) {
     let (status, job) = ask(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
     (status, job.map(|j| j.state))
 }
 
-pub async fn state_once(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+pub async fn state_once(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
     let (status, job) = ask(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await;
     (status, job.map(|j| j.state))
 }
 
-pub async fn cancel_once(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+pub async fn cancel_once(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
     let (status, job) = ask(controller, "POST", &format!("/v1/jobs/{id}/withdraw"), Vec::new()).await;
     (status, job.map(|j| j.state))
 }
@@ -364,23 +364,23 @@
     }
 }
 
-pub async fn submit(controller: &Controller, spec: &JobSpec) -> (u16, Option<JobState>) {
+pub async fn submit(controller: &Arc<Controller>, spec: &JobSpec) -> (u16, Option<JobState>) {
     again(async || submit_once(controller, spec).await).await
 }
 
-pub async fn state(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+pub async fn state(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
     again(async || state_once(controller, id).await).await
 }
 
-pub async fn cancel(controller: &Controller, id: &str) -> (u16, Option<JobState>) {
+pub async fn cancel(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
     again(async || cancel_once(controller, id).await).await
 }
 
 /// One round of a controller, committed.
-pub async fn round(controller: &Controller) {
+pub async fn round(controller: &Arc<Controller>) {
     let decided = {
-        let mut core = controller.core();
-        let ops = controller.plan().txn_ops;
+        let mut core = controller.state();
+        let ops = controller.state_limits().txn_ops;
         reconcile::decide(controller, &mut core, false, ops, Instant::now(), crate::controller::wall_ms())
     };
     if let Some(round) = decided {
