--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -18,6 +18,7 @@
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 use crate::placer;
+use crate::public_connections::HEARTBEAT_PATH;
 use crate::state::{ControllerState, RecentAssignments, SchedulingState};
 pub(crate) use reports::{arrivals, report};
 
@@ -27,10 +28,10 @@
     let get = request.method == "GET";
     let wrong = || Reply::error(405, "method not allowed");
     match path {
-        "/hello" if post => report(&controller, &request.body, false).await,
+        HEARTBEAT_PATH if post => report(&controller, &request.body, false).await,
         "/healthz" if get => healthz(&controller),
         "/v1/jobs" if post => in_time(submit(&controller, &request.body)).await,
-        "/hello" | "/healthz" | "/v1/jobs" => wrong(),
+        HEARTBEAT_PATH | "/healthz" | "/v1/jobs" => wrong(),
         _ => match path
             .strip_prefix("/v1/jobs/")
             .map(|rest| rest.split_once('/').map_or((rest, None), |(a, b)| (a, Some(b))))
@@ -53,14 +54,6 @@
     timeout(IN_TIME, answer).await.unwrap_or_else(|_| Reply::busy("the state service takes too long", 1))
 }
 
-/// The kinds of connections that share the front's sockets: their names, and of
-/// which kind a request is.
-pub const SHARES: [&str; 2] = ["workers", "users"];
-
-pub fn share_of(path: &str) -> usize {
-    usize::from(path != "/hello")
-}
-
 fn healthz(controller: &Controller) -> Reply {
     let state = controller.state();
     if state.records.is_loaded && !state.alone_lost_store(clock::now()) {
--- a/crates/daemon/src/api/reports.rs
+++ b/crates/daemon/src/api/reports.rs
@@ -40,10 +40,10 @@
     if !report.is_named() {
         return Reply::error(400, "frame: not a machine's name");
     }
-    LoadCounters::add(&controller.load.reports, 1);
+    LoadCounters::add(&controller.load.heartbeats, 1);
     match take_report(controller, &report, relayed, clock::now()) {
         Disposal::Answer(reply) => {
-            LoadCounters::add(&controller.load.turned_away, u64::from(reply.status != 200));
+            LoadCounters::add(&controller.load.heartbeats_not_renewed, u64::from(reply.status != 200));
             reply
         }
         Disposal::Relay(owner) => {
--- a/crates/daemon/src/change_feed.rs
+++ b/crates/daemon/src/change_feed.rs
@@ -148,7 +148,7 @@
         controller.limit_changes.all_upgraded.store(true, Ordering::Relaxed);
         let plan = controller.state_limits();
         info!(value_bytes = plan.value_bytes, txn_ops = plan.txn_ops, "chunked records enabled");
-    } else if controller.limit_changes.waits_for(&missing) {
+    } else if controller.limit_changes.missing_has_changed(missing.len()) {
         info!(controllers = sample_names(&missing), "chunked records wait for upgrades");
     }
 }
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -1,4 +1,4 @@
-//! The user's side: `sageloom job`.
+//! The users' command: `sageloom job`.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,6 +6,7 @@
 use net::{Answer, Client, NetError};
 use wire::{ErrorBody, JobSpec, JobStatus};
 
+/// Arguments of `sageloom job`.
 #[derive(clap::Args)]
 pub struct JobArgs {
     /// A controller, or the load balancer before them.
@@ -18,11 +19,11 @@
     )]
     controller: String,
     #[command(subcommand)]
-    verb: JobVerb,
+    command: JobCommand,
 }
 
 #[derive(clap::Subcommand)]
-enum JobVerb {
+enum JobCommand {
     /// Submit the job that a TOML file describes, in the fields of the protocol.
     Submit {
         #[arg(value_name = "FILE")]
@@ -34,40 +35,60 @@
     Withdraw { id: String },
 }
 
+/// Why the command failed: one line for its user.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
+    /// The job's file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
+    /// The job's file describes no valid job.
     #[error("{file}: {why}")]
-    Job { file: String, why: String },
+    Job {
+        /// The file.
+        file: String,
+        /// What is wrong with it.
+        why: String,
+    },
+    /// The controller's address is malformed.
     #[error("--controller: \"{0}\" is not an IP address and a port")]
     Address(String),
+    /// The job id is malformed.
     #[error("\"{0}\" is not a job id (j- and digits)")]
     Id(String),
+    /// The controller did not answer.
     #[error(transparent)]
     Net(#[from] NetError),
+    /// The controller refused the request.
     #[error("the controller answered {status}: {why}")]
-    Refused { status: u16, why: String },
+    Refused {
+        /// The HTTP status.
+        status: u16,
+        /// What the controller says.
+        why: String,
+    },
 }
 
-const DEADLINE: Duration = Duration::from_secs(5);
+/// How long an answer is waited for.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Carries out the command and prints the job's state.
 pub async fn run(args: JobArgs) -> Result<(), ClientError> {
     if args.controller.parse::<std::net::SocketAddr>().is_err() {
         return Err(ClientError::Address(args.controller));
     }
-    let (method, path, body) = match args.verb {
-        JobVerb::Submit { file } => ("POST", "/v1/jobs".to_owned(), wire::encode(&read_job(&file)?)),
-        JobVerb::Status { id } => ("GET", format!("/v1/jobs/{}", checked(id)?), Vec::new()),
-        JobVerb::Withdraw { id } => ("POST", format!("/v1/jobs/{}/withdraw", checked(id)?), Vec::new()),
+    let (method, path, body) = match args.command {
+        JobCommand::Submit { file } => ("POST", "/v1/jobs".to_owned(), wire::encode(&read_job(&file)?)),
+        JobCommand::Status { id } => ("GET", format!("/v1/jobs/{}", validated(id)?), Vec::new()),
+        JobCommand::Withdraw { id } => ("POST", format!("/v1/jobs/{}/withdraw", validated(id)?), Vec::new()),
     };
-    let answer =
-        Client::new(1).request(&args.controller, method, &path, body, wire::BODY_LIMIT, DEADLINE).await?;
+    let answer = Client::new(1)
+        .request(&args.controller, method, &path, body, wire::BODY_LIMIT, REQUEST_TIMEOUT)
+        .await?;
     println!("{}", describe(&answer)?);
     Ok(())
 }
 
-fn checked(id: String) -> Result<String, ClientError> {
+fn validated(id: String) -> Result<String, ClientError> {
     if wire::is_job_id(&id) { Ok(id) } else { Err(ClientError::Id(id)) }
 }
 
@@ -92,9 +113,10 @@
             wire::JobState::Done => "done",
             wire::JobState::Cancelled => "withdrawn",
         };
-        let waits = match status.waits_for.is_empty() {
-            true => String::new(),
-            false => format!(", waits for {}", status.waits_for.join(" ")),
+        let waits = if status.waits_for.is_empty() {
+            String::new()
+        } else {
+            format!(", waits for {}", status.waits_for.join(" "))
         };
         let JobStatus { id, done, running, .. } = status;
         return Ok(format!("{id} {state}, {done} tasks done, {running} running{waits}"));
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The time by the steady clock.
+/// The time by the monotonic clock.
 pub fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
@@ -14,10 +14,11 @@
 
 /// The time of day, in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
-    let (runtime, machine) = (now(), Instant::now());
+    let runtime = now();
+    let machine = Instant::now();
     let ahead = runtime.saturating_duration_since(machine);
     let behind = machine.saturating_duration_since(runtime);
-    // Where nobody plays with the clock, both are next to nothing.
+    // Unless the runtime's clock is paused by a test, both are next to nothing.
     let wall = SystemTime::now() + ahead - behind;
-    wall.duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    wall.duration_since(UNIX_EPOCH).map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -1,184 +1,158 @@
-//! Transactions within the limits of the state service, whichever it has by now.
+//! Transactions within the limits of the key-value store, whichever it has by now.
 
 use std::sync::atomic::Ordering;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use rand::RngExt;
-use store::{KeyWrite, OrphanedChunks, StoreError, TxnOutcome, key, split_record};
+use store::{KeyWrite, StoreError, TxnOutcome, split_record};
 use tokio::time::sleep;
 use tracing::{info, warn};
 use wire::Condition;
 
 use crate::clock;
 use crate::controller::Controller;
+use crate::limits::StateLimits;
 use crate::load::Purpose;
 
 /// Most bytes of a transaction, which may have 64 KiB, that records take.
-pub const TXN_BYTES: usize = 52 * 1024;
-/// Most parts of a record.
-const PARTS_MOST: usize = 120;
-/// How often parts are tried again that come too fast, and after what pause.
-const RETRIES: usize = 8;
-const PAUSE: Duration = Duration::from_millis(250);
-/// How long parts lie that no head names before they are deleted.
-const ORPHANED_FOR: Duration = Duration::from_secs(60);
+pub const MAX_TXN_BYTES: usize = 52 * 1024;
+/// Most chunks of a record.
+const MAX_CHUNKS: usize = 120;
+/// What a chunk takes of a transaction beside its text, in bytes.
+const CHUNK_OVERHEAD_BYTES: usize = 300;
+/// How often chunks are tried again that come too fast, and after what pause.
+const MAX_CHUNK_RETRIES: usize = 8;
+const CHUNK_RETRY_BACKOFF: Duration = Duration::from_millis(250);
+/// The status of a transaction that was refused as it was.
+const BAD_REQUEST: u16 = 400;
+
+/// A key that a transaction wrote, and how many bytes its value has.
+struct WrittenValue {
+    key: String,
+    bytes: usize,
+}
+
+/// A record whose chunks are written.
+struct StoredChunks {
+    /// The head that names them.
+    head: KeyWrite,
+    /// That the first of them is there.
+    first_chunk_exists: Condition,
+}
 
 impl Controller {
-    /// Commits a transaction. What is larger than a value is written in parts before.
+    /// Commits a transaction. What is larger than a value is written in chunks before.
     pub async fn commit(
         &self,
         mut conditions: Vec<Condition>,
-        mut puts: Vec<KeyWrite>,
+        mut writes: Vec<KeyWrite>,
     ) -> Result<TxnOutcome, StoreError> {
-        let plan = self.state_limits();
-        let mut sizes = Vec::with_capacity(puts.len());
-        for put in &mut puts {
-            let size = put.value_len();
-            if size as f64 > plan.value_bytes {
-                if !plan.chunked {
-                    return Err(StoreError::ValueTooLarge(put.key.clone()));
+        let limits = self.state_limits();
+        let mut written = Vec::with_capacity(writes.len());
+        for write in &mut writes {
+            if write.value_len() as f64 > limits.value_bytes {
+                if !limits.chunked {
+                    return Err(StoreError::ValueTooLarge(write.key.clone()));
                 }
-                let (head, first) = self.write_parts(put, plan.value_bytes as usize, plan.txn_ops).await?;
-                conditions.push(first);
-                *put = head;
+                let stored = self.write_chunks(write, &limits).await?;
+                conditions.push(stored.first_chunk_exists);
+                *write = stored.head;
             }
-            sizes.push((put.key.clone(), put.value_len()));
+            written.push(WrittenValue { key: write.key.clone(), bytes: write.value_len() });
         }
-        let result = self.kv_client.txn(conditions, puts).await;
-        if let Err(StoreError::Refused(400)) = &result {
-            self.note_400(&sizes);
+        let result = self.kv_client.txn(conditions, writes).await;
+        if let Err(StoreError::Refused(BAD_REQUEST)) = &result {
+            self.note_bad_request(&written);
         }
         result
     }
 
-    /// Writes a record's parts, and gives back its head and the condition that the
-    /// first part is there.
-    async fn write_parts(
+    /// Writes a record's chunks.
+    async fn write_chunks(&self, write: &KeyWrite, limits: &StateLimits) -> Result<StoredChunks, StoreError> {
+        let too_large = || StoreError::ValueTooLarge(write.key.clone());
+        let value_bytes = limits.value_bytes as usize;
+        let chunked = split_record(write, rand::rng().random(), value_bytes).ok_or_else(too_large)?;
+        if chunked.parts.len() > MAX_CHUNKS {
+            return Err(too_large());
+        }
+        let first_key = chunked.parts.last().map(|chunk| chunk.key.clone()).ok_or_else(too_large)?;
+        let chunks_per_txn = limits.txn_ops.min(MAX_TXN_BYTES / (value_bytes + CHUNK_OVERHEAD_BYTES)).max(1);
+        let mut revision = 0;
+        for chunks in chunked.parts.chunks(chunks_per_txn) {
+            revision = self.write_chunks_with_retries(&write.key, chunks, value_bytes).await?;
+        }
+        let first_chunk_exists = Condition { key: first_key, version: revision };
+        Ok(StoredChunks { head: chunked.head, first_chunk_exists })
+    }
+
+    /// Writes some chunks of a record in one transaction, and tells its revision.
+    async fn write_chunks_with_retries(
         &self,
-        put: &KeyWrite,
+        record_key: &str,
+        chunks: &[KeyWrite],
         value_bytes: usize,
-        txn_ops: usize,
-    ) -> Result<(KeyWrite, Condition), StoreError> {
-        let large = || StoreError::ValueTooLarge(put.key.clone());
-        let chunked = split_record(put, rand::rng().random(), value_bytes).ok_or_else(large)?;
-        if chunked.parts.len() > PARTS_MOST {
-            return Err(large());
-        }
-        let first = chunked.parts.last().map(|p| p.key.clone()).ok_or_else(large)?;
-        let at_once = txn_ops.min(TXN_BYTES / (value_bytes + 300)).max(1);
-        let mut written = 0;
-        for some in chunked.parts.chunks(at_once) {
-            let mut tries = 0;
-            written = loop {
-                self.state().writes.limiter.acquire(some.len() as f64, 0.0, clock::now());
-                self.load.spend(Purpose::Parts, some.len());
-                match self.kv_client.txn(Vec::new(), some.to_vec()).await {
-                    Ok(TxnOutcome::Committed { revision } | TxnOutcome::Conflict { revision, .. }) => {
-                        break revision;
-                    }
-                    Err(StoreError::RateLimited) if tries < RETRIES => {
-                        tries += 1;
-                        self.note_refusal(&StoreError::RateLimited);
-                        sleep(PAUSE).await;
-                    }
-                    Err(e) => {
-                        if let StoreError::Refused(400) = &e {
-                            self.note_400(&[(put.key.clone(), value_bytes)]);
-                        }
-                        return Err(e);
+    ) -> Result<u64, StoreError> {
+        let mut retries = 0;
+        loop {
+            self.state().writes.limiter.acquire(chunks.len() as f64, 0.0, clock::now());
+            self.load.spend(Purpose::Chunks, chunks.len());
+            match self.kv_client.txn(Vec::new(), chunks.to_vec()).await {
+                Ok(TxnOutcome::Committed { revision } | TxnOutcome::Conflict { revision, .. }) => {
+                    return Ok(revision);
+                }
+                Err(StoreError::RateLimited) if retries < MAX_CHUNK_RETRIES => {
+                    retries += 1;
+                    self.note_refusal(&StoreError::RateLimited);
+                    sleep(CHUNK_RETRY_BACKOFF).await;
+                }
+                Err(error) => {
+                    if let StoreError::Refused(BAD_REQUEST) = &error {
+                        self.note_bad_request(&[WrittenValue {
+                            key: record_key.to_owned(),
+                            bytes: value_bytes,
+                        }]);
                     }
+                    return Err(error);
                 }
-            };
+            }
         }
-        Ok((chunked.head, Condition { key: first, version: written }))
     }
 
-    /// A transaction was refused as it was. It is never sent again unchanged: either the
-    /// limits have become smaller, or its records are told apart.
-    fn note_400(&self, puts: &[(String, usize)]) {
-        let before = self.state_limits();
+    /// A transaction was refused as it was. It is never sent again unchanged: either the limits
+    /// have become smaller, or its records are written one by one.
+    fn note_bad_request(&self, written: &[WrittenValue]) {
+        let already_chunked = self.state_limits().chunked;
         let next = self.settings.facts.state.next.clone().unwrap_or_default();
-        let largest = puts.iter().max_by_key(|p| p.1);
-        let (key, bytes) = largest.map_or(("", 0), |p| (p.0.as_str(), p.1));
-        warn!(key, bytes, changes = puts.len(), "the state service refused a transaction");
-        let beyond = next.value_kb.is_some_and(|kb| bytes as f64 > kb * 1024.0)
-            || next.txn_ops.is_some_and(|ops| puts.len() > ops);
-        if beyond && !before.chunked {
+        let largest = written.iter().max_by_key(|value| value.bytes);
+        let (key, bytes) = largest.map_or(("", 0), |value| (value.key.as_str(), value.bytes));
+        warn!(key, bytes, changes = written.len(), "transaction refused as malformed or too large");
+        let exceeds_next = next.value_kb.is_some_and(|kb| bytes as f64 > kb * 1024.0)
+            || next.txn_ops.is_some_and(|ops| written.len() > ops);
+        if exceeds_next && !already_chunked {
             self.limit_changes.sizes_reduced.store(true, Ordering::Relaxed);
-            let plan = self.state_limits();
-            info!(
-                value_bytes = plan.value_bytes,
-                txn_ops = plan.txn_ops,
-                "the state service has its next limits"
-            );
+            let StateLimits { value_bytes, txn_ops, .. } = self.state_limits();
+            info!(value_bytes, txn_ops, "key-value store has reduced its size limits");
         }
     }
 
-    /// Takes note of why a transaction was not carried out. Above the rate: the rate to
-    /// come is there, and is kept from now on.
-    pub fn note_refusal(&self, e: &StoreError) {
-        if !matches!(e, StoreError::RateLimited) {
+    /// Takes note of why a transaction was not carried out. Above the rate: the rate to come is
+    /// there, and is kept from now on.
+    pub fn note_refusal(&self, error: &StoreError) {
+        if !matches!(error, StoreError::RateLimited) {
             return;
         }
-        let (now, seen) = (clock::now(), self.limit_changes.get());
+        let now = clock::now();
+        let changes = self.limit_changes.get();
         let mut state = self.state();
         state.writes.limiter.note_refusal(now);
         let next = self.settings.facts.state.next.clone().unwrap_or_default();
-        let slower = next.write_rps.is_some() || next.rps.is_some();
-        if slower && !seen.rates_reduced && (seen.all_upgraded || seen.sizes_reduced) {
+        let has_next_rates = next.write_rps.is_some() || next.rps.is_some();
+        let change_may_have_come = changes.all_upgraded || changes.sizes_reduced;
+        if has_next_rates && !changes.rates_reduced && change_may_have_come {
             self.limit_changes.rates_reduced.store(true, Ordering::Relaxed);
-            let plan = self.state_limits();
-            info!(write_rps = plan.write_rps, rps = plan.rps, "the state service takes less a second");
+            let StateLimits { write_rps, rps, .. } = self.state_limits();
+            info!(write_rps, rps, "key-value store has reduced its rate limits");
             self.update_write_share(&mut state, now);
         }
     }
 }
-
-/// Deletes parts that no record names any more, or never did. Conditional on the
-/// record that does not name them, and the first part first: a head that was put off
-/// asks for that one.
-#[derive(Default)]
-pub struct Sweeper {
-    seen: std::collections::HashMap<(String, String), Instant>,
-    looked: Option<Instant>,
-}
-
-const LOOK: Duration = Duration::from_secs(2);
-
-impl Sweeper {
-    /// What to delete now: a transaction's conditions and keys.
-    pub fn next(&mut self, controller: &Controller, now: Instant) -> Option<(Vec<Condition>, Vec<KeyWrite>)> {
-        if self.looked.is_some_and(|t| now.saturating_duration_since(t) < LOOK) {
-            return None;
-        }
-        self.looked = Some(now);
-        let mut state = controller.state();
-        // While changes are short, they only cost memory.
-        if state.writes.limiter.available(now) < 0.0 {
-            return None;
-        }
-        let orphans = state.records.reader.orphans();
-        let id = |o: &OrphanedChunks| (o.of.clone(), o.nonce.clone());
-        self.seen.retain(|k, _| orphans.iter().any(|o| id(o) == *k));
-        let ops = controller.state_limits().txn_ops;
-        let due = orphans.into_iter().find(|o| {
-            let since = *self.seen.entry(id(o)).or_insert(now);
-            now.saturating_duration_since(since) >= ORPHANED_FOR
-        })?;
-        let version = version_of(&state.records.replica, &due.of)?;
-        let puts = due.keys.iter().take(ops).map(|k| KeyWrite::delete(k.clone())).collect();
-        Some((vec![Condition { key: due.of, version }], puts))
-    }
-}
-
-/// The version of a record that may lie in parts; 0 if there is none.
-fn version_of(world: &sched::replica::Replica, of: &str) -> Option<u64> {
-    let rest = of.strip_prefix(key::PREFIX)?;
-    match rest.split_once('/') {
-        Some(("jobs", id)) if world.unreadable.contains(id) => None,
-        Some(("jobs", id)) => Some(world.jobs.get(id).map_or(0, |j| j.version)),
-        None if of == key::FLEET => Some(world.fleet.as_ref().map_or(0, |f| f.version)),
-        None if of == key::TYPES => Some(world.machine_types_version),
-        _ => None,
-    }
-}
--- a/crates/daemon/src/drains/transactions.rs
+++ b/crates/daemon/src/drains/transactions.rs
@@ -20,7 +20,7 @@
 
 use super::{after, observe};
 use crate::clock;
-use crate::commit::TXN_BYTES;
+use crate::commit::MAX_TXN_BYTES;
 use crate::controller::{Controller, wall_ms};
 use crate::load::Purpose;
 use crate::round::disruption_condition;
@@ -253,7 +253,7 @@
         let mut job = job.clone();
         mark_stop(controller, &mut job, m, now_ms);
         let size = KeyWrite::new(key::job(&id.job), &job).json_len() + RECORDS_BYTES;
-        if puts > ops || taken > 0 && bytes + size > TXN_BYTES {
+        if puts > ops || taken > 0 && bytes + size > MAX_TXN_BYTES {
             break;
         }
         bytes += size;
--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -9,9 +9,10 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
+use crate::logging;
 use crate::operators::Operators;
-use crate::settings::Settings;
-use crate::{Failure, log_level, run, runtime, stopped_by_signal};
+use crate::process::{ProcessError, run, runtime, termination_signal};
+use crate::settings::{Settings, SettingsError};
 
 /// What `sageloom try` runs without a file.
 const SITE: (&str, &str) = ("examples/site.hcl", include_str!("../../../examples/site.hcl"));
@@ -40,8 +41,13 @@
     settings: PathBuf,
 }
 
+/// Why an emulated site could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatedError {
+    #[error(transparent)]
+    Process(#[from] ProcessError),
+    #[error(transparent)]
+    OperatorSettings(#[from] SettingsError),
     #[error(transparent)]
     Site(#[from] emulator::SiteError),
     #[error(transparent)]
@@ -60,15 +66,15 @@
 }
 
 /// Three controllers, or as many as the file has, on an emulated site in one process.
-pub fn try_out(args: &TryArgs) -> Result<(), Failure> {
+pub fn try_out(args: &TryArgs) -> Result<(), EmulatedError> {
     let begun = Instant::now();
     let site = match &args.site {
-        Some(file) => SiteFile::load(file).map_err(EmulatedError::from)?,
-        None => SiteFile::parse(SITE.0, SITE.1).map_err(EmulatedError::from)?,
+        Some(file) => SiteFile::load(file)?,
+        None => SiteFile::parse(SITE.0, SITE.1)?,
     };
     let level = match std::env::var("LOG_LEVEL") {
         Err(_) if args.logs.is_none() => tracing::Level::ERROR,
-        _ => log_level()?,
+        _ => logging::level_from_environment().map_err(ProcessError::from)?,
     };
     let operators = args.operators.as_deref().map(Operators::load).transpose()?.unwrap_or_default();
     if let Some(folder) = &args.logs {
@@ -76,24 +82,24 @@
     }
     let _quiet = tracing::dispatcher::set_default(&subscriber(level, None));
     runtime()?.block_on(async {
-        let emulation = Emulation::start(&site).await.map_err(EmulatedError::from)?;
+        let emulation = Emulation::start(&site).await?;
         let stop = CancellationToken::new();
         let (ends, mut ended) = mpsc::unbounded_channel();
         let mut threads = Vec::new();
-        for (name, text) in site.settings(&emulation).map_err(EmulatedError::from)? {
+        for (name, text) in site.settings(&emulation)? {
             let settings = Settings::parse(&name, &text)?;
             let log = args.logs.as_ref().map(|folder| folder.join(format!("{name}.log")));
             let settings = (settings, operators.clone());
             threads.push(controller(settings, level, log, stop.clone(), ends.clone())?);
         }
         let outcome = tokio::select! {
-            () = stopped_by_signal() => Ok(()),
+            () = termination_signal() => Ok(()),
             () = async {
                 emulation.all_healthy().await;
                 tell(&emulation, begun);
                 std::future::pending().await
             } => Ok(()),
-            end = ended.recv() => end.unwrap_or(Err(EmulatedError::Ended.into())),
+            end = ended.recv() => end.unwrap_or(Err(EmulatedError::Ended)),
         };
         stop.cancel();
         // They leave the state service on their own; it has to be there for that.
@@ -112,8 +118,8 @@
     level: tracing::Level,
     log: Option<PathBuf>,
     stop: CancellationToken,
-    ends: mpsc::UnboundedSender<Result<(), Failure>>,
-) -> Result<JoinHandle<()>, Failure> {
+    ends: mpsc::UnboundedSender<Result<(), EmulatedError>>,
+) -> Result<JoinHandle<()>, EmulatedError> {
     let file = match &log {
         Some(path) => Some(std::fs::File::create(path).map_err(failed(path))?),
         None => None,
@@ -123,9 +129,9 @@
         let _log = tracing::dispatcher::set_default(&subscriber(level, file));
         let stopped = async move { stop.cancelled().await };
         let end = runtime().and_then(|r| r.block_on(run(settings, operators, stopped)));
-        let _ = ends.send(end);
+        let _ = ends.send(end.map_err(EmulatedError::from));
     };
-    std::thread::Builder::new().name(name).spawn(body).map_err(Failure::Runtime)
+    std::thread::Builder::new().name(name).spawn(body).map_err(|e| ProcessError::Runtime(e).into())
 }
 
 fn subscriber(level: tracing::Level, file: Option<std::fs::File>) -> tracing::Dispatch {
@@ -172,16 +178,16 @@
 }
 
 /// The stand-ins alone, for controllers that are started by hand.
-pub fn emulate(args: &EmulateArgs) -> Result<(), Failure> {
-    let site = SiteFile::load(&args.site).map_err(EmulatedError::from)?;
-    crate::init_log()?;
+pub fn emulate(args: &EmulateArgs) -> Result<(), EmulatedError> {
+    let site = SiteFile::load(&args.site)?;
+    logging::init().map_err(ProcessError::from)?;
     runtime()?.block_on(async {
-        let emulation = Emulation::start(&site).await.map_err(EmulatedError::from)?;
+        let emulation = Emulation::start(&site).await?;
         let folder = &args.settings;
         std::fs::create_dir_all(folder).map_err(failed(folder))?;
         println!("users (load balancer)  {}", emulation.users);
         println!("cloud                  {}", emulation.cloud);
-        for (name, text) in site.settings(&emulation).map_err(EmulatedError::from)? {
+        for (name, text) in site.settings(&emulation)? {
             let path = folder.join(format!("{name}.toml"));
             std::fs::write(&path, text).map_err(failed(&path))?;
             println!("sageloom serve --config {}", path.display());
@@ -189,7 +195,7 @@
         for c in &emulation.controllers {
             println!("users reach {} at {}", c.name, c.door);
         }
-        stopped_by_signal().await;
+        termination_signal().await;
         tell_end(&emulation);
         emulation.stop().await;
         Ok(())
--- a/crates/daemon/src/fleet_duty.rs
+++ b/crates/daemon/src/fleet_duty.rs
@@ -13,8 +13,8 @@
 use tracing::{debug, info, warn};
 use wire::{Condition, JobKind, JobSpec, ListedMachine};
 
+use crate::chunk_collector::{ChunkCollector, ChunkDeletion};
 use crate::clock;
-use crate::commit::Sweeper;
 use crate::controller::{Controller, wall_ms};
 use crate::load::Purpose;
 use crate::state::ControllerState;
@@ -43,7 +43,7 @@
     first_seen: HashMap<Name, Instant>,
     /// Machines that are to be released for their silence.
     silent: HashMap<Name, Silent>,
-    sweeper: Sweeper,
+    sweeper: ChunkCollector,
 }
 
 /// A listing of the cloud's machines that is not complete yet.
@@ -106,8 +106,8 @@
             self.logged_at = Some(clock::now());
             log_cluster(&controller.state());
         }
-        if let Some((conditions, puts)) = self.sweeper.next(controller, clock::now()) {
-            write(controller, conditions, puts).await;
+        if let Some(ChunkDeletion { condition, deletions }) = self.sweeper.next(controller, clock::now()) {
+            write(controller, vec![condition], deletions).await;
         }
         self.give_back(controller).await;
         self.bury(controller).await;
@@ -292,7 +292,7 @@
     // Machines take long to boot; a request for some does not wait behind rounds
     // that are in debt.
     controller.state().writes.limiter.acquire(puts.len() as f64, 0.0, clock::now());
-    controller.load.spend(Purpose::Fleet, puts.len());
+    controller.load.spend(Purpose::Autoscaler, puts.len());
     match controller.commit(conditions, puts).await {
         Ok(TxnOutcome::Committed { revision }) => {
             controller.wait_for_revision(revision, Duration::from_secs(2)).await
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -1,4 +1,4 @@
-//! What a controller's own work amounts to, told in the log every ten seconds.
+//! What a controller's own work amounts to, logged every ten seconds.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,101 +9,131 @@
 
 use crate::controller::Controller;
 
-/// What changes of the state service are spent on.
+/// How often the load is logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Most names in one line of the log, as hundreds make no readable line.
+const MAX_SAMPLE_NAMES: usize = 5;
+
+/// What changes of the key-value store are spent on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    Rounds,
+    /// Transactions of the scheduling loop.
+    Scheduling,
+    /// Submissions and cancellations.
     Users,
+    /// Membership and leadership.
     Members,
+    /// Records of new machines.
     Machines,
-    Fleet,
-    /// Parts of records that are larger than a value.
-    Parts,
+    /// Scale-outs and scale-ins.
+    Autoscaler,
+    /// Chunks of records that are larger than a value.
+    Chunks,
+    /// Graceful evictions.
     Drains,
 }
 
+/// All purposes, in the order in which they are logged, with their names in the log.
 const PURPOSES: [(Purpose, &str); 7] = [
-    (Purpose::Rounds, "rounds"),
+    (Purpose::Scheduling, "scheduling"),
     (Purpose::Users, "users"),
     (Purpose::Members, "members"),
     (Purpose::Machines, "machines"),
-    (Purpose::Fleet, "fleet"),
-    (Purpose::Parts, "parts"),
+    (Purpose::Autoscaler, "autoscaler"),
+    (Purpose::Chunks, "chunks"),
     (Purpose::Drains, "drains"),
 ];
 
-/// Counted since the last line.
+/// Counts since they were last logged, unless said otherwise.
 #[derive(Debug, Default)]
 pub struct LoadCounters {
     changes: [AtomicU64; PURPOSES.len()],
+    /// Scheduling transactions that met newer records.
     pub conflicts: AtomicU64,
-    pub rounds: AtomicU64,
-    pub round_us: AtomicU64,
-    pub reports: AtomicU64,
-    /// Summaries sent since the start.
-    pub summaries: AtomicU64,
-    /// Reports that were sent elsewhere or answered without renewing a lease.
-    pub turned_away: AtomicU64,
+    /// Scheduling cycles.
+    pub cycles: AtomicU64,
+    /// Processor time of scheduling cycles, in microseconds.
+    pub cycle_us: AtomicU64,
+    /// Heartbeats of workers.
+    pub heartbeats: AtomicU64,
+    /// Statuses sent to peers, since the process started.
+    pub peer_statuses: AtomicU64,
+    /// Heartbeats that were redirected or answered without renewing a lease.
+    pub heartbeats_not_renewed: AtomicU64,
 }
 
 impl LoadCounters {
+    /// Counts changes that are sent to the key-value store.
     pub fn spend(&self, purpose: Purpose, changes: usize) {
-        if let Some(i) = PURPOSES.iter().position(|(p, _)| *p == purpose) {
-            self.changes[i].fetch_add(changes as u64, Ordering::Relaxed);
+        if let Some(index) = PURPOSES.iter().position(|(known, _)| *known == purpose) {
+            self.changes[index].fetch_add(changes as u64, Ordering::Relaxed);
         }
     }
 
+    /// Adds to a counter.
     pub fn add(counter: &AtomicU64, n: u64) {
         counter.fetch_add(n, Ordering::Relaxed);
     }
 
+    /// The changes by purpose since the last call, as text.
     fn take_changes(&self) -> String {
-        let of = |(i, (_, name)): (usize, &(Purpose, &str))| {
-            format!("{name} {}", self.changes[i].swap(0, Ordering::Relaxed))
-        };
-        PURPOSES.iter().enumerate().map(of).collect::<Vec<_>>().join(", ")
+        let counted = PURPOSES.iter().zip(&self.changes);
+        let texts = counted.map(|((_, name), count)| format!("{name} {}", take(count)));
+        texts.collect::<Vec<_>>().join(", ")
     }
 }
 
-/// A few names, as hundreds at a time make no readable line.
-pub fn sample_names<T: AsRef<str>>(names: &[T]) -> String {
-    let some: Vec<&str> = names.iter().take(5).map(AsRef::as_ref).collect();
-    some.join(" ") + if names.len() > some.len() { " …" } else { "" }
+/// Reads a counter and sets it back to 0.
+fn take(counter: &AtomicU64) -> u64 {
+    counter.swap(0, Ordering::Relaxed)
 }
 
-const EVERY: Duration = Duration::from_secs(10);
+/// A few of the names, as text for one line of the log.
+pub fn sample_names<T: AsRef<str>>(names: &[T]) -> String {
+    let sample: Vec<&str> = names.iter().take(MAX_SAMPLE_NAMES).map(AsRef::as_ref).collect();
+    sample.join(" ") + if names.len() > sample.len() { " …" } else { "" }
+}
 
+/// Logs the load regularly until the controller stops.
 pub async fn log_regularly(controller: Arc<Controller>) {
     loop {
-        sleep(EVERY).await;
-        let take = |c: &AtomicU64| c.swap(0, Ordering::Relaxed);
-        let c = &controller.load;
-        let front: Vec<String> =
-            controller.public_connections.by_share().map(|(name, n)| format!("{name} {n}")).collect();
-        let rounds = take(&c.rounds);
-        let round_us = take(&c.round_us);
-        info!(
-            connections = format!(
-                "{}, peers {}, to workers {}, to the state service {}, to others {}",
-                front.join(", "),
-                controller.peer_connections.open(),
-                controller.worker_http.open(),
-                controller.kv_http.open(),
-                controller.peer_and_cloud_http.open()
-            ),
-            closed_for_want =
-                controller.public_connections.take_closed() + controller.peer_connections.take_closed(),
-            changes = c.take_changes(),
-            conflicts = take(&c.conflicts),
-            rounds,
-            round_us = round_us / rounds.max(1),
-            reports = take(&c.reports),
-            turned_away = take(&c.turned_away),
-            "load"
-        );
+        sleep(LOG_INTERVAL).await;
+        log_load(&controller);
     }
 }
 
+fn log_load(controller: &Controller) {
+    let counters = &controller.load;
+    let cycles = take(&counters.cycles);
+    let cycle_us = take(&counters.cycle_us);
+    info!(
+        connections = open_connections(controller),
+        closed_for_want =
+            controller.public_connections.take_closed() + controller.peer_connections.take_closed(),
+        changes = counters.take_changes(),
+        conflicts = take(&counters.conflicts),
+        cycles,
+        cycle_us = cycle_us / cycles.max(1),
+        heartbeats = take(&counters.heartbeats),
+        not_renewed = take(&counters.heartbeats_not_renewed),
+        "load"
+    );
+}
+
+/// How many connections are open, by whom they are with.
+fn open_connections(controller: &Controller) -> String {
+    let public = controller.public_connections.by_share();
+    let public: Vec<String> = public.map(|(name, n)| format!("{name} {n}")).collect();
+    format!(
+        "{}, peers {}, to workers {}, to the key-value store {}, to peers and the cloud {}",
+        public.join(", "),
+        controller.peer_connections.open(),
+        controller.worker_http.open(),
+        controller.kv_http.open(),
+        controller.peer_and_cloud_http.open()
+    )
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/load.rs"]
 mod tests;
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -12,8 +12,9 @@
 use wire::Condition;
 
 use crate::clock;
-use crate::controller::{Controller, MEMBER_TTL};
+use crate::controller::Controller;
 use crate::load::Purpose;
+use crate::timeouts::MEMBER_TTL;
 use crate::worker::Worker;
 
 /// How often a lease is renewed within its time to live.
--- /dev/null
+++ b/crates/daemon/src/operators/hcl_file.rs
@@ -0,0 +1,186 @@
+//! The operators' file (HCL): its form, its defaults, and the checks of its values.
+
+use std::collections::BTreeMap;
+
+use drain::budget::{Budgets, TeamBudget};
+use sched::rescheduler::Policy;
+use serde::Deserialize;
+
+use super::{DrainSettings, Operators};
+use crate::settings::{SettingsError, one_line};
+
+/// Largest number of seconds, or threshold, that may be set.
+const MAX_NUMBER: f64 = 1e7;
+/// What `silent_s` is checked as if it is absent.
+const UNSET_SILENT_S: f64 = 10.0;
+
+/// An attribute that must not have its value, and why.
+struct Mistake {
+    field: &'static str,
+    why: &'static str,
+}
+
+impl Mistake {
+    fn new(field: &'static str, why: &'static str) -> Self {
+        Self { field, why }
+    }
+}
+
+/// The file. Every attribute has a default.
+#[derive(Debug, Clone, PartialEq, Deserialize, Default)]
+#[serde(deny_unknown_fields, default)]
+pub(super) struct HclFile {
+    rescheduler: HclRescheduler,
+    fleet: HclFleet,
+    drains: HclDrains,
+}
+
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+struct HclDrains {
+    enabled: bool,
+    replicas_per_service: f64,
+    team: BTreeMap<String, HclTeamBudget>,
+}
+
+impl Default for HclDrains {
+    fn default() -> Self {
+        let replicas_per_service = f64::from(Budgets::default().per_service);
+        Self { enabled: false, replicas_per_service, team: BTreeMap::new() }
+    }
+}
+
+#[derive(Debug, Clone, PartialEq, Default, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+struct HclTeamBudget {
+    count: Option<f64>,
+    share: Option<f64>,
+}
+
+impl HclTeamBudget {
+    /// The budget, if its attributes are valid.
+    fn checked(&self) -> Result<TeamBudget, Mistake> {
+        match (self.count, self.share) {
+            (Some(_), Some(_)) => Err(Mistake::new("share", "does not go with count")),
+            (None, None) => Err(Mistake::new("count", "count or share must be given")),
+            (Some(count), None) => {
+                checked_count(count).map(TeamBudget::Count).ok_or(Mistake::new("count", COUNT_RULE))
+            }
+            (None, Some(share)) if !(0.0..=1.0).contains(&share) => {
+                Err(Mistake::new("share", "must be a number from 0 to 1"))
+            }
+            (None, Some(share)) => Ok(TeamBudget::Share(share)),
+        }
+    }
+}
+
+/// Largest count that a budget may have.
+const MAX_COUNT: f64 = 1e6;
+const COUNT_RULE: &str = "must be a whole number from 0 to 1000000";
+
+fn checked_count(count: f64) -> Option<u32> {
+    ((0.0..=MAX_COUNT).contains(&count) && count.fract() == 0.0).then_some(count as u32)
+}
+
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+struct HclRescheduler {
+    scan_s: f64,
+    threshold: f64,
+    budget_s: f64,
+    avoid_s: f64,
+}
+
+impl Default for HclRescheduler {
+    fn default() -> Self {
+        Self { scan_s: 10.0, threshold: 0.3, budget_s: 60.0, avoid_s: 300.0 }
+    }
+}
+
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+struct HclFleet {
+    idle_s: f64,
+    silent_s: Option<f64>,
+    spare_gpu_tasks: u32,
+}
+
+impl Default for HclFleet {
+    fn default() -> Self {
+        Self { idle_s: 20.0, silent_s: None, spare_gpu_tasks: 1 }
+    }
+}
+
+impl Default for Operators {
+    fn default() -> Self {
+        let fleet = HclFleet::default();
+        Self {
+            rescheduler: Policy::default(),
+            idle: wire::seconds(fleet.idle_s),
+            silent: fleet.silent_s.map(wire::seconds),
+            spare_gpu_tasks: fleet.spare_gpu_tasks,
+            drains: DrainSettings::default(),
+        }
+    }
+}
+
+/// Parses and checks a file. `file` names it in errors.
+pub(super) fn parse(file: &str, text: &str) -> Result<Operators, SettingsError> {
+    let parsed: HclFile = hcl::from_str(text)
+        .map_err(|e| SettingsError::Parse { file: file.to_owned(), why: one_line(&e.to_string()) })?;
+    parsed.check_numbers(file)?;
+    let seconds = wire::seconds;
+    let HclFile { rescheduler, fleet, drains } = parsed;
+    Ok(Operators {
+        drains: drain_settings(file, &drains)?,
+        rescheduler: Policy {
+            scan: seconds(rescheduler.scan_s),
+            threshold: rescheduler.threshold,
+            budget: seconds(rescheduler.budget_s),
+            avoid: seconds(rescheduler.avoid_s),
+        },
+        idle: seconds(fleet.idle_s),
+        silent: fleet.silent_s.map(seconds),
+        spare_gpu_tasks: fleet.spare_gpu_tasks,
+    })
+}
+
+impl HclFile {
+    fn check_numbers(&self, file: &str) -> Result<(), SettingsError> {
+        let Self { rescheduler, fleet, .. } = self;
+        let fields = [
+            ("rescheduler.scan_s", rescheduler.scan_s, 1.0),
+            ("rescheduler.threshold", rescheduler.threshold, 0.0),
+            ("rescheduler.budget_s", rescheduler.budget_s, 1.0),
+            ("rescheduler.avoid_s", rescheduler.avoid_s, 0.0),
+            ("fleet.idle_s", fleet.idle_s, 0.0),
+            ("fleet.silent_s", fleet.silent_s.unwrap_or(UNSET_SILENT_S), 1.0),
+        ];
+        let is_valid = |value: f64, min: f64| value.is_finite() && (min..=MAX_NUMBER).contains(&value);
+        match fields.into_iter().find(|(_, value, min)| !is_valid(*value, *min)) {
+            None => Ok(()),
+            Some((field, _, min)) => Err(SettingsError::Field {
+                file: file.to_owned(),
+                field: field.to_owned(),
+                why: format!("must be a number of {min} or more"),
+            }),
+        }
+    }
+}
+
+fn drain_settings(file: &str, drains: &HclDrains) -> Result<DrainSettings, SettingsError> {
+    let error = |field: String, why: &str| SettingsError::Field {
+        file: file.to_owned(),
+        field: format!("drains.{field}"),
+        why: why.to_owned(),
+    };
+    let mut teams = BTreeMap::new();
+    for (team, budget) in &drains.team {
+        let checked = budget.checked();
+        let budget = checked.map_err(|m| error(format!("team.{team}.{}", m.field), m.why))?;
+        teams.insert(team.clone(), budget);
+    }
+    let per_service = checked_count(drains.replicas_per_service)
+        .ok_or_else(|| error("replicas_per_service".into(), COUNT_RULE))?;
+    Ok(DrainSettings { enabled: drains.enabled, budgets: Budgets { per_service, teams } })
+}
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -48,7 +48,7 @@
     PeerStatus {
         name: controller.identity.name.clone(),
         incarnation: controller.identity.incarnation,
-        sequence: controller.load.summaries.fetch_add(1, Ordering::Relaxed) + 1,
+        sequence: controller.load.peer_statuses.fetch_add(1, Ordering::Relaxed) + 1,
         epoch: state.cluster_map().map_or(0, |m| m.epoch),
         state_silent_ms: state
             .records
--- /dev/null
+++ b/crates/daemon/src/process.rs
@@ -0,0 +1,166 @@
+//! Composition of a controller: its servers and tasks, from the start to an orderly stop.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use rand::RngExt;
+use tokio::net::TcpListener;
+use tokio::runtime::Runtime;
+use tracing::info;
+
+use crate::controller::Controller;
+use crate::logging::LogLevelError;
+use crate::operators::Operators;
+use crate::settings::{Settings, SettingsError};
+use crate::{api, change_feed, drains, fleet_duty, load, membership, peers, prober, read_barrier, reconcile};
+
+/// Largest body of a request from a peer, in bytes.
+const MAX_PEER_REQUEST_BYTES: usize = 1 << 20;
+/// How long tasks that are under way may take to finish when the process stops.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+/// How many random bits an incarnation has.
+const INCARNATION_BITS: u32 = 52;
+
+/// Why a controller could not run: one line that names what is to be changed.
+#[derive(Debug, thiserror::Error)]
+pub enum ProcessError {
+    /// A settings file is missing or has a mistake.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The environment names an unknown log level.
+    #[error(transparent)]
+    LogLevel(#[from] LogLevelError),
+    /// An address that the settings name cannot be listened on.
+    #[error("{field}: cannot listen on {addr}: {source}")]
+    Listen {
+        /// The field of the settings.
+        field: &'static str,
+        /// The address.
+        addr: String,
+        /// What the operating system says.
+        source: std::io::Error,
+    },
+    /// The runtime could not be started.
+    #[error("the runtime cannot start: {0}")]
+    Runtime(std::io::Error),
+}
+
+/// A runtime on the calling thread.
+pub fn runtime() -> Result<Runtime, ProcessError> {
+    let mut builder = tokio::runtime::Builder::new_current_thread();
+    builder.enable_io().enable_time().build().map_err(ProcessError::Runtime)
+}
+
+/// Runs a controller until `stop` completes. `file` names the settings (TOML) in errors. Of the
+/// tokio runtime it needs time and I/O.
+pub async fn run_controller(
+    file: &str,
+    settings: &str,
+    stop: impl Future<Output = ()>,
+) -> Result<(), ProcessError> {
+    run(Settings::parse(file, settings)?, Operators::default(), stop).await
+}
+
+/// Runs a controller until `stop` completes, and has it leave the cluster in good order.
+pub(crate) async fn run(
+    settings: Settings,
+    operators: Operators,
+    stop: impl Future<Output = ()>,
+) -> Result<(), ProcessError> {
+    let public_listener = listen("front", &settings.front).await?;
+    let peer_listener = listen("internal_addr", &settings.internal_addr).await?;
+    // Also part of names that must never be used again, hence drawn anew.
+    let incarnation = rand::rng().random::<u64>() >> (u64::BITS - INCARNATION_BITS);
+    info!(name = settings.node_name, zone = settings.zone, incarnation, "starting");
+    let controller = Controller::new(settings, operators, incarnation);
+    spawn_tasks(&controller);
+    serve_peers(&controller, peer_listener);
+    serve_public(&controller, public_listener);
+    stop.await;
+    info!("stopping");
+    controller.shutdown.cancel();
+    controller.task_tracker.close();
+    let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, controller.task_tracker.wait()).await;
+    leave_cluster(&controller).await;
+    Ok(())
+}
+
+async fn listen(field: &'static str, addr: &str) -> Result<TcpListener, ProcessError> {
+    let error = |source| ProcessError::Listen { field, addr: addr.to_owned(), source };
+    TcpListener::bind(addr).await.map_err(error)
+}
+
+/// Starts all tasks but the servers.
+pub(crate) fn spawn_tasks(controller: &Arc<Controller>) {
+    controller.spawn_task(change_feed::follow_records(controller.clone()));
+    controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
+    controller.spawn_task(membership::keep_membership(controller.clone()));
+    controller.spawn_task(reconcile::heartbeat(controller.clone()));
+    controller.spawn_task(reconcile::rounds(controller.clone()));
+    controller.spawn_task(prober::prober(controller.clone()));
+    controller.spawn_task(api::arrivals(controller.clone()));
+    controller.spawn_task(fleet_duty::fleet(controller.clone()));
+    controller.spawn_task(load::log_regularly(controller.clone()));
+    let drains_enabled = controller.operators.drains.enabled;
+    if drains_enabled {
+        controller.spawn_task(drains::duty(controller.clone()));
+    }
+    for peer in &controller.settings.peers {
+        if drains_enabled {
+            let (name, address) = (peer.node_name.clone(), peer.address.clone());
+            controller.spawn_task(drains::observe::ask_peer(controller.clone(), name, address));
+        }
+        controller.spawn_task(peers::exchange_summaries(controller.clone(), peer.address.clone()));
+    }
+}
+
+/// Serves the other controllers.
+fn serve_peers(controller: &Arc<Controller>, listener: TcpListener) {
+    let context = controller.clone();
+    let handler = move |request| peers::serve(context.clone(), request);
+    controller.spawn_task(net::serve(
+        listener,
+        controller.peer_connections.clone(),
+        MAX_PEER_REQUEST_BYTES,
+        handler,
+        controller.shutdown.clone(),
+        controller.task_tracker.clone(),
+    ));
+}
+
+/// Serves users and workers.
+fn serve_public(controller: &Arc<Controller>, listener: TcpListener) {
+    let context = controller.clone();
+    let handler = move |request| api::serve(context.clone(), request);
+    controller.spawn_task(net::serve(
+        listener,
+        controller.public_connections.clone(),
+        wire::BODY_LIMIT,
+        handler,
+        controller.shutdown.clone(),
+        controller.task_tracker.clone(),
+    ));
+}
+
+/// Revokes the lease, which saves the others the wait for its expiry.
+pub(crate) async fn leave_cluster(controller: &Controller) {
+    let lease = controller.state().membership.lease;
+    if let Some(lease) = lease {
+        let _ = controller.kv_client.revoke_lease(lease).await;
+    }
+}
+
+/// Waits for a termination signal.
+pub(crate) async fn termination_signal() {
+    use tokio::signal::unix::{SignalKind, signal};
+    let wait = async |kind| match signal(kind) {
+        Ok(mut signals) => {
+            signals.recv().await;
+        }
+        Err(_) => std::future::pending().await,
+    };
+    tokio::select! {
+        () = wait(SignalKind::terminate()) => {}
+        () = wait(SignalKind::interrupt()) => {}
+    }
+}
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -56,8 +56,8 @@
             decide(&controller, &mut state, scan, ops, now, wall_ms())
         };
         let cost = clock::since(now);
-        LoadCounters::add(&controller.load.rounds, 1);
-        LoadCounters::add(&controller.load.round_us, cost.as_micros() as u64);
+        LoadCounters::add(&controller.load.cycles, 1);
+        LoadCounters::add(&controller.load.cycle_us, cost.as_micros() as u64);
         let Some(mut round) = round else {
             sleep(GAP).await;
             continue;
@@ -404,7 +404,7 @@
         let most_jobs = if state.scheduling.writes_single_jobs(clock::now()) { 1 } else { usize::MAX };
         let assembled = assemble(&state.records.replica, &round, &controller.state_limits(), most_jobs);
         state.writes.limiter.acquire(assembled.puts.len() as f64, 0.0, clock::now());
-        controller.load.spend(Purpose::Rounds, assembled.puts.len());
+        controller.load.spend(Purpose::Scheduling, assembled.puts.len());
         assembled
     };
     if puts.is_empty() {
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -12,7 +12,7 @@
 use tracing::{debug, info};
 use wire::{Commands, Condition};
 
-use crate::commit::TXN_BYTES;
+use crate::commit::MAX_TXN_BYTES;
 use crate::limits::StateLimits;
 
 /// What one round wants to have done.
@@ -110,7 +110,7 @@
         let fences = usize::from(new_team.is_some()) + usize::from(newly_disrupted);
         if puts.len() + disruptions.len() + 1 + fences > plan.txn_ops
             || jobs >= most_jobs
-            || (bytes + size > TXN_BYTES && bytes > 0)
+            || (bytes + size > MAX_TXN_BYTES && bytes > 0)
             || (large && (!plan.chunked || chunked.is_some()))
         {
             left_out.insert(id.clone());
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,7 @@
-//! The platform's settings (TOML).
+//! The platform's settings (TOML). Field names are the file's.
+
+mod check;
+mod sockets;
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,126 +9,196 @@
 use sched::replica::Team;
 use serde::Deserialize;
 
+pub use sockets::Sockets;
+
+/// Why settings cannot be used: one line that names the file and the field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
+    /// The file is malformed.
     #[error("{file}: {why}")]
-    Parse { file: String, why: String },
+    Parse {
+        /// The file.
+        file: String,
+        /// Where and what the mistake is.
+        why: String,
+    },
+    /// A field has a value that it must not have.
     #[error("{file}: {field}: {why}")]
-    Field { file: String, field: String, why: String },
+    Field {
+        /// The file.
+        file: String,
+        /// The field.
+        field: String,
+        /// What the value must be.
+        why: String,
+    },
 }
 
+/// The settings of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
+    /// The controller's name.
     pub node_name: String,
+    /// The zone that it runs in.
     pub zone: String,
+    /// The address that users and workers reach it at.
     pub front: String,
+    /// The address that peers reach it at.
     pub internal_addr: String,
+    /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
+    /// The services that it depends on.
     pub external: External,
+    /// What the site is like.
     pub facts: Facts,
 }
 
+/// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
+    /// Its name.
     pub node_name: String,
+    /// The address that it serves its peers at.
     pub address: String,
 }
 
+/// The services that a controller depends on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
+    /// The address of the cloud's interface.
     pub cloud: String,
+    /// The address of the key-value store.
     pub state: String,
 }
 
+/// What the site is like.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Facts {
+    /// Only checked.
     #[serde(default)]
     pub time_bound_ms: f64,
+    /// The teams and their quotas.
     #[serde(default)]
     pub teams: Vec<TeamSettings>,
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// How workers behave.
     pub workers: Workers,
+    /// The key-value store's limits.
     pub state: State,
+    /// The cloud's limits.
     pub cloud: Cloud,
+    /// What the process may use.
     pub limits: Limits,
 }
 
+/// A team and its quotas.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamSettings {
+    /// The team's name, free text.
     pub name: String,
+    /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
+    /// Most CPUs; 0: without limit.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
+    /// Most GPUs; 0: without limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
+/// A service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
+    /// What it is about; `wait` is the time to a task's start.
     pub kind: String,
+    /// The class of jobs.
     #[serde(default)]
     pub class: Option<String>,
+    /// The time in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
+/// How workers behave.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Time between two heartbeats, in seconds.
     pub report_s: f64,
+    /// How long a worker's lease lasts, in seconds.
     pub lease_s: f64,
+    /// How long a gang's tasks wait for each other, in seconds; 0: without end.
     #[serde(default)]
     pub gang_wait_s: f64,
+    /// How soon a gang's tasks end after one of them has, in seconds.
     pub gang_peer_s: f64,
+    /// Within what time a cancellation takes effect, in seconds.
     pub cancel_s: f64,
 }
 
+/// The key-value store's limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct State {
+    /// Requests a second.
     pub rps: f64,
+    /// Changes a second.
     pub write_rps: f64,
+    /// Largest value, in KiB of JSON.
     pub value_kb: f64,
+    /// Most changes of a transaction.
     pub txn_ops: usize,
     /// The limits that it will have from some moment on.
     #[serde(default)]
     pub next: Option<NextState>,
 }
 
+/// Limits that the key-value store will have; absent: as now.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextState {
+    /// Requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
+    /// Changes a second.
     #[serde(default)]
     pub write_rps: Option<f64>,
+    /// Largest value, in KiB of JSON.
     #[serde(default)]
     pub value_kb: Option<f64>,
+    /// Most changes of a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
+/// The cloud's limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cloud {
+    /// Requests a second.
     pub rps: f64,
+    /// How late its lists are, in seconds.
     pub list_lag_s: f64,
 }
 
+/// What the process may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
+    /// Processor cores.
     pub cores: f64,
+    /// Memory, in MiB.
     pub memory_mb: f64,
+    /// Open sockets.
     pub max_connections: usize,
 }
 
-const TEAM_NAME_MOST: usize = 150;
-/// A job's description has to fit beside a few assignments.
-const VALUE_KB_LEAST: f64 = 2.0;
-
+/// Reads a file. Returns its name for errors, and its text.
 pub(crate) fn read(path: &Path) -> Result<(String, String), SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| SettingsError::Read(file.clone(), e))?;
@@ -138,11 +211,13 @@
 }
 
 impl Settings {
+    /// Loads and checks a file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let (file, text) = read(path)?;
         Self::parse(&file, &text)
     }
 
+    /// Parses and checks settings. `file` names them in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|e| SettingsError::Parse {
             file: file.to_owned(),
@@ -159,84 +234,7 @@
         Ok(settings)
     }
 
-    fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let bad = |field: &str, why: &str| {
-            Err(SettingsError::Field { file: file.to_owned(), field: field.to_owned(), why: why.to_owned() })
-        };
-        let addresses = [
-            ("front", &self.front),
-            ("internal_addr", &self.internal_addr),
-            ("external.cloud", &self.external.cloud),
-            ("external.state", &self.external.state),
-        ];
-        for (field, addr) in
-            addresses.into_iter().chain(self.peers.iter().map(|p| ("peers.address", &p.address)))
-        {
-            if addr.parse::<std::net::SocketAddr>().is_err() {
-                return bad(field, "must be an IP address and a port");
-            }
-        }
-        if self.node_name.is_empty() || self.node_name.contains(char::is_whitespace) {
-            return bad("node_name", "must be a name without spaces");
-        }
-        let f = &self.facts;
-        let positive = [
-            ("facts.workers.report_s", f.workers.report_s),
-            ("facts.workers.lease_s", f.workers.lease_s),
-            ("facts.workers.cancel_s", f.workers.cancel_s),
-            ("facts.state.rps", f.state.rps),
-            ("facts.state.write_rps", f.state.write_rps),
-            ("facts.state.value_kb", f.state.value_kb),
-            ("facts.cloud.rps", f.cloud.rps),
-            ("facts.limits.cores", f.limits.cores),
-            ("facts.limits.memory_mb", f.limits.memory_mb),
-        ];
-        let next = f.state.next.clone().unwrap_or_default();
-        let to_come = [
-            ("facts.state.next.rps", next.rps),
-            ("facts.state.next.write_rps", next.write_rps),
-            ("facts.state.next.value_kb", next.value_kb),
-        ];
-        let to_come = to_come.into_iter().filter_map(|(field, v)| Some((field, v?)));
-        for (field, value) in positive.into_iter().chain(to_come) {
-            if !value.is_finite() || value <= 0.0 || value > 1e9 {
-                return bad(field, "must be a number above 0");
-            }
-        }
-        let not_negative = [
-            ("facts.workers.gang_wait_s", f.workers.gang_wait_s),
-            ("facts.workers.gang_peer_s", f.workers.gang_peer_s),
-            ("facts.cloud.list_lag_s", f.cloud.list_lag_s),
-            ("facts.time_bound_ms", f.time_bound_ms),
-        ];
-        let teams = f.teams.iter().flat_map(|t| [t.cpus, t.cpus_max, t.gpus, t.gpus_max]);
-        for (field, value) in not_negative.into_iter().chain(teams.map(|v| ("facts.teams", v))) {
-            if !value.is_finite() || !(0.0..=1e9).contains(&value) {
-                return bad(field, "must be a number of 0 or more");
-            }
-        }
-        // The name is part of a key of the state service, which has 200 bytes at most.
-        if f.teams.iter().any(|t| t.name.len() > TEAM_NAME_MOST) {
-            return bad("facts.teams.name", "must have at most 150 bytes");
-        }
-        if f.state.txn_ops < 2 {
-            return bad("facts.state.txn_ops", "must be at least 2");
-        }
-        if f.state.value_kb < VALUE_KB_LEAST {
-            return bad("facts.state.value_kb", "must be at least 2");
-        }
-        if next.txn_ops.is_some_and(|n| n < 2) {
-            return bad("facts.state.next.txn_ops", "must be at least 2");
-        }
-        if next.value_kb.is_some_and(|kb| kb < VALUE_KB_LEAST) {
-            return bad("facts.state.next.value_kb", "must be at least 2");
-        }
-        if f.limits.max_connections < 64 {
-            return bad("facts.limits.max_connections", "must be at least 64");
-        }
-        Ok(())
-    }
-
+    /// The teams and their quotas.
     pub fn teams(&self) -> Vec<Team> {
         // A limit of 0 means that there is none.
         let limit = |max: f64| if max > 0.0 { max } else { f64::INFINITY };
@@ -266,23 +264,8 @@
         Some((least, times.into_iter().fold(least, f64::max)))
     }
 
-    pub fn sockets(&self) -> Sockets {
-        let all = self.facts.limits.max_connections;
-        let sixteenth = (all / 16).max(1);
-        Sockets {
-            front: sixteenth * 9,
-            workers_kept: sixteenth * 6,
-            users_kept: sixteenth * 2,
-            peers: sixteenth,
-            to_workers: sixteenth * 4,
-            // What is left is for listeners, files and what is being closed.
-            state: (sixteenth / 2).max(STATE_LEAST),
-            others: (sixteenth / 2).max(1),
-        }
-    }
-
     /// How long a controller that cannot confirm its authority still answers
-    /// reports. Everything it renews until then is over before a cancellation
+    /// heartbeats. Everything it renews until then is over before a cancellation
     /// that it cannot know of must have taken effect.
     pub fn renewal_bound(&self) -> Duration {
         let w = &self.facts.workers;
@@ -290,32 +273,8 @@
     }
 }
 
-/// How the sockets that a process may have are shared. None of the purposes can
-/// use up those of another.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sockets {
-    /// Connections from workers and users together, and how many of each kind stay
-    /// open between requests. The rest is for those that are closed after an answer.
-    pub front: usize,
-    pub workers_kept: usize,
-    pub users_kept: usize,
-    /// Connections from peers.
-    pub peers: usize,
-    /// Connections to workers.
-    pub to_workers: usize,
-    /// Connections to the state service. While reports were passed on to a controller that
-    /// could not be reached, those to the peers took its turns, too: users had no answers,
-    /// and the membership of one that was well ran out.
-    pub state: usize,
-    /// Connections to the cloud and peers.
-    pub others: usize,
-}
-
-/// A watch, a check, and two for what is written and the lease.
-const STATE_LEAST: usize = 4;
-
 /// What lies between the last lease's end and the time by which a cancellation must
-/// have taken effect. A lease counts from when its report was sent, so that only
+/// have taken effect. A lease counts from when its heartbeat was sent, so that only
 /// the clocks' drift, timers that fire late and the worker's own stop take of it.
 const RENEWAL_MARGIN_S: f64 = 2.0;
 
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -28,7 +28,7 @@
 pub use record_cache::RecordCache;
 pub use scheduling::{RecentAssignments, Reservation, SchedulingState};
 pub use termination_proofs::{FORWARDED_PROOF_TIMEOUT, PendingProof, PendingProofs};
-pub use write_share::{ShareBasis, WriteShare};
+pub use write_share::WriteShare;
 
 /// How long the key-value store may have been out of contact before users are sent to a peer
 /// that has it.
--- a/crates/daemon/src/state/write_share.rs
+++ b/crates/daemon/src/state/write_share.rs
@@ -1,11 +1,36 @@
 //! This controller's share of the changes that the key-value store takes a second.
+//!
+//! The leader, who scales out and places what is large, has most; all may go somewhat beyond
+//! theirs, as not all need them. With fixed shares, a controller whose shard held most of the
+//! waiting jobs had a ninth of the changes, while others had nothing to write: once all
+//! controllers are upgraded, the shares follow the jobs that each schedules, by the records,
+//! without a message to each other.
 
+use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
+use sched::placement::pending_task_count;
+use sched::records::{JobRecord, Member};
 use store::RateLimiter;
+use wire::{JobKind, JobSpec};
+
+use super::ControllerState;
 
 /// How often the share is computed anew.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+/// The leader's fixed share, and that of all the others together.
+const FIXED_LEADER_SHARE: f64 = 0.65;
+const FIXED_OTHERS_SHARE: f64 = 0.45;
+/// All shares together when they follow the jobs. With 1.1, as with fixed shares, users met
+/// refusals for the rate in 3% of submissions: the shares are used up then.
+const TOTAL_SHARE: f64 = 0.95;
+/// The least share of the leader and of each other controller: for machines, scale-outs and
+/// ends of jobs that others schedule.
+const MIN_LEADER_SHARE: f64 = 0.3;
+const MIN_OTHER_SHARE: f64 = 0.04;
+/// How much is to be written of a service or gang that runs whole, compared with a job whose
+/// tasks start and end all the time.
+const STABLE_JOB_WEIGHT: f64 = 0.1;
 
 /// What the share was last computed from.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -46,3 +71,52 @@
         true
     }
 }
+
+impl ControllerState {
+    /// Computes this controller's share anew, if that is due. `total_rate`: the changes a second
+    /// of all controllers together. `may_follow_jobs`: whether all are upgraded, as far as is
+    /// known.
+    pub fn update_write_share(&mut self, me: &Member, total_rate: f64, may_follow_jobs: bool, now: Instant) {
+        let live_controllers = self.cluster_map().map_or(1, |map| map.live.len()).max(1);
+        let is_leader = self.is_leader(me);
+        let basis = ShareBasis { live_controllers, is_leader, total_rate_bits: total_rate.to_bits() };
+        let follows_jobs = may_follow_jobs && !self.old_version_is_live();
+        if !self.writes.begin_update(basis, follows_jobs, now) {
+            return;
+        }
+        let others = live_controllers as f64 - 1.0;
+        let fixed = if is_leader { FIXED_LEADER_SHARE } else { FIXED_OTHERS_SHARE / others.max(1.0) };
+        let by_jobs = if follows_jobs { share_by_jobs(self, &me.name) } else { None };
+        self.writes.limiter.set_rate(total_rate * by_jobs.unwrap_or(fixed), now);
+    }
+}
+
+/// A controller's share of the changes, by how much there is to write of the jobs that each of
+/// them schedules; `None` if it is not live, or nobody leads.
+fn share_by_jobs(state: &ControllerState, me: &str) -> Option<f64> {
+    let replica = &state.records.replica;
+    let leader = replica.leader.as_ref()?.value.name.as_str();
+    let live: Vec<&str> = state.cluster_map()?.live.iter().map(|member| member.name.as_str()).collect();
+    let mut weights: HashMap<&str, f64> = HashMap::new();
+    for (_, job) in replica.open_jobs() {
+        let Some(spec) = job.spec.as_deref() else { continue };
+        if let Some(scheduler) = replica.scheduler_of(job) {
+            *weights.entry(scheduler).or_default() += write_weight(job, spec);
+        }
+    }
+    let weight_of = |name: &str| weights.get(name).copied().unwrap_or(0.0) + 1.0;
+    let total_weight: f64 = live.iter().map(|name| weight_of(name)).sum();
+    let min_share = |name: &str| if name == leader { MIN_LEADER_SHARE } else { MIN_OTHER_SHARE };
+    let free = TOTAL_SHARE - live.iter().map(|name| min_share(name)).sum::<f64>();
+    live.contains(&me).then(|| min_share(me) + free.max(0.0) * weight_of(me) / total_weight)
+}
+
+/// How much is to be written of a job. Replicas that run are hardly ever written.
+fn write_weight(job: &JobRecord, spec: &JobSpec) -> f64 {
+    let is_waiting = pending_task_count(job) > 0;
+    if is_waiting || spec.kind == JobKind::Array { 1.0 } else { STABLE_JOB_WEIGHT }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/write_share.rs"]
+mod tests;
