--- a/crates/sched/src/drains.rs
+++ b/crates/sched/src/drains.rs
@@ -5,7 +5,7 @@
 use crate::drain_records::{CordonRecord, DisruptionRecord, DrainRecord};
 use crate::hash::HashSet;
 use crate::records::Name;
-use crate::replica::Versioned;
+use crate::versioned::Versioned;
 
 /// A cordon's key: the drain, and which of its records it is.
 pub type CordonId = (String, u32);
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions of sageloom, without any input or output: callers pass in what
-//! is known and what time it is.
+//! The decisions of the cluster scheduler, without any input or output: callers pass in what is
+//! known and what time it is.
 
+mod assignment;
 pub mod autoscaling;
 mod compact;
 pub mod drain_records;
@@ -15,3 +16,4 @@
 pub mod replica;
 pub mod rescheduler;
 pub mod spot_notice;
+mod versioned;
--- a/crates/sched/src/records/ranges.rs
+++ b/crates/sched/src/records/ranges.rs
@@ -2,24 +2,25 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::compact;
+use crate::compact::bitmap;
 
 /// A set of task numbers as sorted, disjoint, half-open ranges.
-/// Written as the number of leading members and a bitmap of what follows.
+///
+/// It is encoded as the number of leading members and a bitmap of what follows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, String)", into = "(u32, String)")]
 pub struct Ranges(pub(crate) Vec<(u32, u32)>);
 
 impl From<(u32, String)> for Ranges {
     fn from((prefix, bits): (u32, String)) -> Self {
-        let mut out = Self(if prefix > 0 { vec![(0, prefix)] } else { Vec::new() });
-        compact::each_bit(&bits, |i| {
-            // A range ends before a number that has to be one, too.
-            if let Some(n) = prefix.checked_add(i).filter(|n| *n < u32::MAX) {
-                out.insert(n);
+        let mut ranges = Self(if prefix > 0 { vec![(0, prefix)] } else { Vec::new() });
+        bitmap::for_each_number(&bits, |offset| {
+            // The end of a range is a number, too: the largest one cannot be a member.
+            if let Some(number) = prefix.checked_add(offset).filter(|number| *number < u32::MAX) {
+                ranges.insert(number);
             }
         });
-        out
+        ranges
     }
 }
 
@@ -27,18 +28,19 @@
     fn from(ranges: Ranges) -> Self {
         let prefix = ranges.first_missing();
         let rest = ranges.0.into_iter().filter(|r| r.0 >= prefix).map(|r| (r.0 - prefix, r.1 - prefix));
-        (prefix, compact::bitmap(rest))
+        (prefix, bitmap::encode(rest))
     }
 }
 
 impl Ranges {
-    pub fn insert(&mut self, n: u32) {
-        let i = self.0.partition_point(|r| r.1 < n);
+    /// Adds a number to the set, unless it is a member already.
+    pub fn insert(&mut self, number: u32) {
+        let i = self.0.partition_point(|range| range.1 < number);
         match self.0.get_mut(i) {
-            Some(r) if r.0 <= n && n < r.1 => return,
-            Some(r) if r.1 == n => r.1 += 1,
-            Some(r) if r.0 == n + 1 => r.0 = n,
-            _ => self.0.insert(i, (n, n + 1)),
+            Some(range) if range.0 <= number && number < range.1 => return,
+            Some(range) if range.1 == number => range.1 += 1,
+            Some(range) if range.0 == number + 1 => range.0 = number,
+            _ => self.0.insert(i, (number, number + 1)),
         }
         if i + 1 < self.0.len() && self.0[i].1 == self.0[i + 1].0 {
             self.0[i].1 = self.0[i + 1].1;
@@ -46,30 +48,34 @@
         }
     }
 
-    pub fn contains(&self, n: u32) -> bool {
-        let i = self.0.partition_point(|r| r.1 <= n);
-        self.0.get(i).is_some_and(|r| r.0 <= n)
+    /// Whether a number is a member.
+    pub fn contains(&self, number: u32) -> bool {
+        let i = self.0.partition_point(|range| range.1 <= number);
+        self.0.get(i).is_some_and(|range| range.0 <= number)
     }
 
+    /// How many members the set has.
     pub fn len(&self) -> u32 {
-        self.0.iter().map(|r| r.1 - r.0).sum()
+        self.0.iter().map(|range| range.1 - range.0).sum()
     }
 
-    /// The lowest number that is not in the set.
+    /// The lowest number that is not a member.
     pub fn first_missing(&self) -> u32 {
-        self.0.first().filter(|r| r.0 == 0).map_or(0, |r| r.1)
+        self.0.first().filter(|range| range.0 == 0).map_or(0, |range| range.1)
     }
 
+    /// Whether the set has no members.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// The set of all numbers below `count`.
     pub fn all(count: u32) -> Self {
         Self(vec![(0, count)])
     }
 
-    /// How many ranges the record holds.
-    pub fn pieces(&self) -> usize {
+    /// How many ranges the set consists of.
+    pub fn range_count(&self) -> usize {
         self.0.len()
     }
 }
--- a/crates/sched/src/replica/mod.rs
+++ b/crates/sched/src/replica/mod.rs
@@ -13,16 +13,14 @@
 use crate::drains::{CordonId, Drains};
 use crate::hash::{HashMap, HashSet};
 use crate::pipeline::Pipelines;
-use crate::records::*;
+use crate::records::{
+    Assignment, ClusterMap, FleetRecord, JobRecord, MachineRecord, MachineTypesRecord, Member, Name, Phase,
+    TeamRecord,
+};
+pub use crate::versioned::Versioned;
 pub use resources::{Resources, Team};
 pub use sorted_lookup::SortedLookup;
 
-#[derive(Debug, Clone)]
-pub struct Versioned<T> {
-    pub value: T,
-    pub version: u64,
-}
-
 /// One change of a record.
 #[derive(Debug, Clone)]
 pub enum RecordChange {
--- a/crates/sched/src/replica/pipelines.rs
+++ b/crates/sched/src/replica/pipelines.rs
@@ -4,7 +4,7 @@
 use wire::JobState;
 
 use super::Replica;
-use crate::records::*;
+use crate::records::{JobRecord, Name, Phase, Urgency};
 
 impl Replica {
     /// A job's record as it counts now: one that waits and all of whose needs are
--- a/crates/sched/tests/unit/compact.rs
+++ b/crates/sched/tests/unit/compact.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::records::{JobRecord, Ranges};
+use crate::records::{Assignment, DesiredState, JobRecord, Ranges};
 use wire::JobKind;
 
 /// Names of any form, and records of the largest arrays, survive.
--- a/crates/sched/tests/unit/pipeline.rs
+++ b/crates/sched/tests/unit/pipeline.rs
@@ -2,7 +2,6 @@
 
 use wire::{JobKind, JobSpec, JobState, Priority};
 
-use super::*;
 use crate::placement::tests::spec;
 use crate::records::*;
 use crate::replica::{RecordChange, Replica};
