--- a/crates/sched/src/drains.rs
+++ b/crates/sched/src/drains.rs
@@ -1,16 +1,18 @@
-//! The drains as the records have them.
+//! The replica of the records of drains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::drain_records::{CordonRecord, DisruptionRecord, DrainRecord};
+use crate::drain_records::{
+    CordonFence, CordonRecord, Disruption, DisruptionRecord, DrainPhase, DrainRecord,
+};
 use crate::hash::HashSet;
 use crate::records::Name;
-use crate::versioned::Versioned;
+use crate::versioned::{Versioned, is_newer};
 
-/// A cordon's key: the drain, and which of its records it is.
+/// The key of a cordon: the name of its drain, and its number among the drain's cordons.
 pub type CordonId = (String, u32);
 
-/// The mirror of all records of drains.
+/// All records of drains, and the cordoned machines.
 #[derive(Debug, Default)]
 pub struct Drains {
     /// The version of the cordon fence; 0 if there has never been a cordon.
@@ -19,9 +21,9 @@
     pub generation: u64,
     /// Drains by their names.
     pub records: BTreeMap<String, Versioned<DrainRecord>>,
-    /// The cordons.
+    /// Cordons by their keys.
     pub cordons: BTreeMap<CordonId, Versioned<CordonRecord>>,
-    /// What is down by choice, by the team as its key has it.
+    /// Voluntary disruptions, by the team's name as its key has it.
     pub disruptions: BTreeMap<String, Versioned<DisruptionRecord>>,
     /// Drains whose records cannot be read.
     pub unreadable: BTreeSet<String>,
@@ -29,14 +31,16 @@
     cordoned: HashSet<Name>,
 }
 
-fn is_older<T>(known: Option<&Versioned<T>>, version: u64) -> bool {
-    known.is_some_and(|k| k.version > version)
-}
-
 impl Drains {
-    /// Takes in a drain's record, or that it is gone.
+    /// Applies a change of the cordon fence.
+    pub fn apply_fence(&mut self, record: Option<CordonFence>, version: u64) {
+        self.fence = if record.is_some() { version } else { 0 };
+        self.generation = record.map_or(0, |fence| fence.generation);
+    }
+
+    /// Applies a change of a drain's record, `None` being its deletion.
     pub fn apply_drain(&mut self, name: String, record: Option<DrainRecord>, version: u64) {
-        if is_older(self.records.get(&name), version) {
+        if is_newer(self.records.get(&name), version) {
             return;
         }
         self.unreadable.remove(&name);
@@ -46,9 +50,10 @@
         }
     }
 
-    /// Takes in a cordon, or that it is gone. True if other machines are cordoned now.
+    /// Applies a change of a cordon, `None` being its deletion. True if the set of cordoned machines
+    /// is a different one now.
     pub fn apply_cordon(&mut self, id: CordonId, record: Option<CordonRecord>, version: u64) -> bool {
-        if is_older(self.cordons.get(&id), version) {
+        if is_newer(self.cordons.get(&id), version) {
             return false;
         }
         match record {
@@ -62,9 +67,9 @@
         changed
     }
 
-    /// Takes in what of a team's work is down by choice.
+    /// Applies a change of a team's voluntary disruptions, `None` being their deletion.
     pub fn apply_disruptions(&mut self, team: String, record: Option<DisruptionRecord>, version: u64) {
-        if is_older(self.disruptions.get(&team), version) {
+        if is_newer(self.disruptions.get(&team), version) {
             return;
         }
         match record {
@@ -86,26 +91,26 @@
         self.cordons.iter().filter(move |((name, _), _)| name == drain)
     }
 
-    /// Whether any drain is not over, any machine is cordoned, or anything is down by choice.
+    /// Whether any drain is not closed, any machine is cordoned, or any voluntary disruption is open.
     pub fn is_busy(&self) -> bool {
         if !self.cordoned.is_empty() {
             return true;
         }
-        let open = self.disruptions.values().any(|d| !d.value.open.is_empty());
-        let closed = |d: &DrainRecord| matches!(d.phase, crate::drain_records::DrainPhase::Closed(_));
-        open || self.records.values().any(|d| !closed(&d.value))
+        let has_disruptions = self.disruptions.values().any(|d| !d.value.open.is_empty());
+        let is_closed = |drain: &DrainRecord| matches!(drain.phase, DrainPhase::Closed(_));
+        has_disruptions || self.records.values().any(|drain| !is_closed(&drain.value))
     }
 
-    /// The machines that an active drain is to give back, as nothing is left on them. That is
-    /// written down first: the record tells these from machines that were lost.
+    /// The machines that an active drain is to scale in, as nothing is left on them. That is
+    /// recorded first: the record tells these from machines that were lost.
     pub fn machines_to_give_back(&self) -> HashSet<&Name> {
-        let active = |(name, _): &CordonId| self.records.get(name).is_some_and(|d| d.value.is_active());
-        let of_active = self.cordons.iter().filter(|(id, c)| c.value.active && active(id));
-        of_active.flat_map(|(_, c)| c.value.emptied()).collect()
+        let is_active = |(name, _): &CordonId| self.records.get(name).is_some_and(|d| d.value.is_active());
+        let active = self.cordons.iter().filter(|(id, cordon)| cordon.value.active && is_active(id));
+        active.flat_map(|(_, cordon)| cordon.value.emptied()).collect()
     }
 
-    /// What of a team's work is down by choice.
-    pub fn open(&self, team_id: &str) -> &[crate::drain_records::Disruption] {
+    /// The open voluntary disruptions of a team, by its name as its key has it.
+    pub fn open(&self, team_id: &str) -> &[Disruption] {
         self.disruptions.get(team_id).map_or(&[], |d| &d.value.open)
     }
 }
--- a/crates/sched/tests/unit/replica.rs
+++ b/crates/sched/tests/unit/replica.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::placement::tests::{add, spec, world};
+use crate::records::Phase;
 use wire::JobKind;
 
 fn fleet(gone: &[&str]) -> RecordChange {
