--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/fleet_duty/rentals.rs
@@ -193,7 +193,7 @@
         // What is to start within a time of its own comes before what is not.
         let in_time = |j: &JobRecord| {
             let starts = j.spec.as_ref().is_some_and(|s| controller.settings.starts_in_time(&s.class));
-            (!starts, false, 0)
+            placement::QueueRank { is_deferred: !starts, ..Default::default() }
         };
         demands.sort_by(|a, b| placement::queue_order((a.0, in_time(a.0)), (b.0, in_time(b.0))));
         // The next steps of pipelines, before they are ready; last, as they may be late.
--- a/crates/daemon/src/placer/queue.rs
+++ b/crates/daemon/src/placer/queue.rs
@@ -88,5 +88,6 @@
     now_ms: u64,
 ) -> placement::QueueRank {
     let times = job.spec.as_ref().and_then(|s| controller.settings.start_times(&s.class));
-    placement::queue_rank(job, guaranteed, longest, times, now_ms)
+    let standing = placement::QueueStanding { within_guarantee: guaranteed, is_longest_waiting: longest };
+    placement::queue_rank(job, standing, times, now_ms)
 }
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -333,7 +333,7 @@
     pub fn refresh_inventory(&mut self, me: &Member, report: Duration, now: Instant) {
         let Self { workers, rows, world, inventory, usable_at, .. } = self;
         let recent = usable_at.is_some_and(|t| now.saturating_duration_since(t) < USABLE_EVERY);
-        if recent && inventory.refresh_use(world) {
+        if recent && inventory.refresh_usage(world) {
             return;
         }
         *usable_at = Some(now);
--- /dev/null
+++ b/crates/sched/src/placement/choice.rs
@@ -0,0 +1,260 @@
+//! The choice of a machine for each task, by rank.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+
+use wire::JobSpec;
+
+use super::eligibility::{is_allowed_on, zone_limit};
+use super::gpu_capacity::gpu_slots_lost_at;
+use super::image_fetch::fetch_class;
+use super::place::Limits;
+use crate::hash::HashMap;
+use crate::inventory::{Candidates, Inventory, Slot};
+use crate::records::{JobRecord, Name};
+use crate::replica::{Replica, Resources};
+
+/// The tasks of a job for which machines are to be chosen.
+#[derive(Clone, Copy)]
+pub(super) struct Request<'a> {
+    pub(super) replica: &'a Replica,
+    pub(super) inventory: &'a Inventory,
+    pub(super) job: &'a JobRecord,
+    pub(super) spec: &'a JobSpec,
+    /// The numbers of the tasks, in the order in which they are served.
+    pub(super) tasks: &'a [u32],
+    pub(super) limits: Limits,
+}
+
+/// The machine that is chosen for a task.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Choice {
+    pub(super) task: u32,
+    /// The machine's position in the inventory.
+    pub(super) slot: usize,
+}
+
+/// Ranks by all that precedes how many tasks of the job the zone has: the least is best.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RankBeforeSpread {
+    is_avoided: bool,
+    loses_gpu_slots: bool,
+    /// The price, if GPU slots are lost.
+    price_of_loss: u64,
+    has_unneeded_gpus: bool,
+    is_on_demand: bool,
+}
+
+/// Ranks by all that follows how many tasks of the job the zone has: the least is best.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RankAfterSpread {
+    fetch_class: u64,
+    usage: u64,
+    price: u64,
+    slot: usize,
+}
+
+/// What makes one machine better than another of the same zone.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    before_spread: RankBeforeSpread,
+    after_spread: RankAfterSpread,
+}
+
+/// A machine by its rank. Machines that are alike have the same rank but for their position, and
+/// follow one by one.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Ranked {
+    rank: Rank,
+    /// The group of machines that are alike of which this is the next one, if any.
+    group: Option<usize>,
+}
+
+/// The best machine of a zone, compared with those of others.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ZoneRank<'a> {
+    before_spread: RankBeforeSpread,
+    /// How many tasks of the job the zone has, if these are to be spread.
+    tasks_in_zone: u32,
+    after_spread: RankAfterSpread,
+    zone: &'a str,
+}
+
+/// Non-negative numbers as integers in the same order.
+fn ordered_bits(value: f64) -> u64 {
+    value.max(0.0).to_bits()
+}
+
+/// Chooses a machine for each task in turn, without changing the inventory. Ends with the first
+/// task for which there is none.
+pub(super) fn choose<'a>(request: Request<'a>, candidates: Candidates<'a>) -> Vec<Choice> {
+    let Some(tasks_by_zone) = tasks_by_zone(&request) else { return Vec::new() };
+    let size = Resources::of_task(request.spec);
+    let ranker = Ranker { request, size, used_by_choices: HashMap::default() };
+    let mut chooser = Chooser { ranker, tasks_by_zone, best_by_zone: BTreeMap::new(), candidates };
+    chooser.rank_candidates();
+    let mut choices = Vec::new();
+    for &task in request.tasks {
+        let Some(slot) = chooser.choose_next() else { break };
+        choices.push(Choice { task, slot });
+    }
+    choices
+}
+
+/// How many tasks of the job each zone has. `None` if nothing can be placed before that is known.
+fn tasks_by_zone<'a>(request: &Request<'a>) -> Option<HashMap<&'a str, u32>> {
+    let spec = request.spec;
+    let mut tasks_by_zone: HashMap<&str, u32> = HashMap::default();
+    for assignment in &request.job.assignments {
+        match request.replica.machines.get(&assignment.machine) {
+            Some(machine) => *tasks_by_zone.entry(&*machine.value.zone).or_default() += 1,
+            // A machine without a record may be in any zone.
+            None if spec.spread || spec.one_zone => return None,
+            None => {}
+        }
+    }
+    Some(tasks_by_zone)
+}
+
+/// Chooses machines for one task after the other.
+struct Chooser<'a> {
+    ranker: Ranker<'a>,
+    /// How many tasks of the job each zone has, with those that are chosen.
+    tasks_by_zone: HashMap<&'a str, u32>,
+    /// The best machines of each zone. How many tasks of the job the zones have is not part of
+    /// these ranks, as it changes for all machines of a zone at once.
+    best_by_zone: BTreeMap<&'a str, BinaryHeap<Reverse<Ranked>>>,
+    candidates: Candidates<'a>,
+}
+
+impl<'a> Chooser<'a> {
+    /// Ranks the first of each group of machines that are alike, and those that are like no others.
+    fn rank_candidates(&mut self) {
+        let individual = std::mem::take(&mut self.candidates.individual);
+        let groups = 0..self.candidates.groups.len();
+        let first_of_groups: Vec<(usize, Option<usize>)> = groups
+            .filter_map(|group| Some((self.candidates.next_in_group(group)?, Some(group))))
+            .chain(individual.into_iter().map(|slot| (slot, None)))
+            .collect();
+        let slots: &'a [Slot] = &self.ranker.request.inventory.slots;
+        for (slot, group) in first_of_groups {
+            if let Some(rank) = self.ranker.rank(slot) {
+                let best = self.best_by_zone.entry(&*slots[slot].zone).or_default();
+                best.push(Reverse(Ranked { rank, group }));
+            }
+        }
+    }
+
+    /// Chooses the machine for the next task.
+    fn choose_next(&mut self) -> Option<usize> {
+        let zone = self.best_zone()?;
+        let best = self.best_by_zone.get_mut(zone)?;
+        let Reverse(Ranked { rank, group }) = best.pop()?;
+        let slot = rank.after_spread.slot;
+        if let Some(next) = group.and_then(|group| self.candidates.next_in_group(group)) {
+            let after_spread = RankAfterSpread { slot: next, ..rank.after_spread };
+            best.push(Reverse(Ranked { rank: Rank { after_spread, ..rank }, group }));
+        }
+        self.ranker.note_choice(slot);
+        if let Some(rank) = self.ranker.rank(slot) {
+            best.push(Reverse(Ranked { rank, group: None }));
+        }
+        *self.tasks_by_zone.entry(zone).or_default() += 1;
+        Some(slot)
+    }
+
+    /// The zone with the best machine, among those that may hold more tasks of the job.
+    fn best_zone(&self) -> Option<&'a str> {
+        let spec = self.ranker.request.spec;
+        let limit = zone_limit(spec);
+        let tasks_in = |zone: &str| self.tasks_by_zone.get(zone).copied().unwrap_or(0);
+        let ranks =
+            self.best_by_zone.iter().filter(|(zone, _)| tasks_in(zone) < limit).filter_map(|(zone, best)| {
+                let Reverse(Ranked { rank, .. }) = best.peek()?;
+                Some(ZoneRank {
+                    before_spread: rank.before_spread,
+                    tasks_in_zone: if spec.spread { tasks_in(zone) } else { 0 },
+                    after_spread: rank.after_spread,
+                    zone,
+                })
+            });
+        ranks.min().map(|best| best.zone)
+    }
+}
+
+/// Ranks machines by what is used of them with the choices made so far.
+struct Ranker<'a> {
+    request: Request<'a>,
+    size: Resources,
+    /// What is used of the machines that are chosen, with the tasks that they are chosen for.
+    used_by_choices: HashMap<usize, Resources>,
+}
+
+impl Ranker<'_> {
+    fn note_choice(&mut self, slot: usize) {
+        let used = self.used_by_choices.get(&slot).copied();
+        let used = used.unwrap_or(self.request.inventory.slots[slot].used);
+        self.used_by_choices.insert(slot, used.plus_scaled(self.size, 1.0));
+    }
+
+    /// The rank of a machine; `None` if no further task may be placed there.
+    fn rank(&self, slot: usize) -> Option<Rank> {
+        let Request { replica, inventory, job, spec, limits, .. } = self.request;
+        let machine = &inventory.slots[slot];
+        let chosen = self.used_by_choices.get(&slot).copied();
+        let used = chosen.unwrap_or(machine.used);
+        if !self.size.fits(machine.capacity.plus_scaled(used, -1.0)) {
+            return None;
+        }
+        let has_gpus = machine.capacity.gpus > 0.0;
+        let loses_gpu_slots = has_gpus && gpu_slots_lost_at(replica, spec, machine, used) > 0;
+        if loses_gpu_slots && !limits.may_strand_gpus {
+            return None;
+        }
+        let price = ordered_bits(machine.price / machine.capacity.cpus.max(1.0));
+        let usage = ordered_bits(used.share_of(machine.capacity));
+        let is_avoided =
+            |(avoided, until_ms): &(String, u64)| **avoided == *machine.id && *until_ms > limits.now_ms;
+        let has_image = || chosen.is_some() || replica.has_image(&machine.id, &spec.image);
+        Some(Rank {
+            before_spread: RankBeforeSpread {
+                is_avoided: job.avoided_machines.iter().any(is_avoided),
+                loses_gpu_slots,
+                price_of_loss: if loses_gpu_slots { price } else { 0 },
+                has_unneeded_gpus: spec.gpus == 0.0 && has_gpus,
+                is_on_demand: !machine.spot,
+            },
+            after_spread: RankAfterSpread {
+                fetch_class: if has_image() { 0 } else { fetch_class(spec, machine.gb_per_s) },
+                // Machines with GPUs are filled one by one, so that the others stay whole for jobs
+                // that need the GPUs.
+                usage: if has_gpus { !usage } else { usage },
+                price,
+                slot,
+            },
+        })
+    }
+}
+
+/// The machines that would be chosen for this many tasks of a job that is yet to be submitted.
+pub fn capacity_for(
+    replica: &Replica,
+    inventory: &Inventory,
+    spec: &JobSpec,
+    tasks: u32,
+    now_ms: u64,
+) -> Vec<Name> {
+    let job = JobRecord::new(spec.clone(), None, 0);
+    let candidates = inventory.candidates(replica, &job, spec, |slot| is_allowed_on(spec, slot));
+    let tasks: Vec<u32> = (0..tasks).collect();
+    let limits = Limits {
+        max_tasks: tasks.len(),
+        task_window: tasks.len() as u32,
+        may_strand_gpus: true,
+        gang_wait_s: 0.0,
+        now_ms,
+    };
+    let request = Request { replica, inventory, job: &job, spec, tasks: &tasks, limits };
+    let choices = choose(request, candidates);
+    choices.into_iter().map(|choice| inventory.slots[choice.slot].id.clone()).collect()
+}
--- /dev/null
+++ b/crates/sched/src/placement/mod.rs
@@ -0,0 +1,28 @@
+//! Which machine a task is assigned to, and in which order jobs are served.
+
+mod choice;
+mod eligibility;
+mod gang;
+mod gpu_capacity;
+mod image_fetch;
+mod place;
+mod queue;
+
+pub use crate::inventory::{Inventory, Slot};
+pub use choice::capacity_for;
+pub use eligibility::{
+    fits_entire_job, is_allowed, pending_task_count, pending_tasks, retry_at_ms, zone_limit,
+};
+pub use gang::{collectable_capacity, competes_for_capacity, longest_waiting};
+pub use gpu_capacity::{gpu_slots_lost, gpu_slots_lost_at};
+pub use image_fetch::image_fetch_too_slow;
+pub use place::{Limits, place, place_at};
+pub use queue::{QueueRank, QueueStanding, is_deadline_pressing, queue_order, queue_rank};
+
+#[cfg(test)]
+#[path = "../../tests/unit/alike.rs"]
+pub(crate) mod alike;
+
+#[cfg(test)]
+#[path = "../../tests/unit/placement.rs"]
+pub(crate) mod tests;
--- a/crates/sched/tests/unit/alike.rs
+++ b/crates/sched/tests/unit/alike.rs
@@ -3,9 +3,11 @@
 
 use super::tests::{add, spec, team};
 use super::*;
-use crate::records::{ClusterMap, MachineRecord, MachineTypesRecord, Member};
-use crate::replica::RecordChange;
-use wire::MachineType;
+use std::collections::BTreeSet;
+
+use crate::records::{ClusterMap, JobRecord, MachineRecord, MachineTypesRecord, Member, Name};
+use crate::replica::{RecordChange, Replica};
+use wire::{JobKind, MachineType};
 
 /// Numbers that are the same on every run.
 pub(crate) struct Draw(pub(crate) u64);
@@ -106,10 +108,13 @@
             let used = |b: &Inventory| b.slots.iter().map(|s| s.used).collect::<Vec<_>>();
             assert_eq!(used(&inventory), used(&other));
             // Who is alike is the same as if the inventory were made of what is used now.
-            for (alike, set) in &inventory.alike {
-                assert!(!set.is_empty() && set.iter().all(|i| inventory.slots[*i].alike() == *alike));
+            for (alike, set) in &inventory.slots_by_class {
+                assert!(!set.is_empty() && set.iter().all(|i| inventory.slots[*i].class() == *alike));
             }
-            assert_eq!(inventory.alike.values().map(BTreeSet::len).sum::<usize>(), inventory.slots.len());
+            assert_eq!(
+                inventory.slots_by_class.values().map(BTreeSet::len).sum::<usize>(),
+                inventory.slots.len()
+            );
             let id = by_kind.spec.as_ref().map(|s| s.id.clone()).expect("open");
             w.apply(RecordChange::Job(id, Some(Box::new(by_kind))), 2);
         }
--- a/crates/sched/tests/unit/inventory.rs
+++ b/crates/sched/tests/unit/inventory.rs
@@ -17,7 +17,7 @@
     };
     assert_eq!(of(kept), of(new));
     // The numbers of kinds may differ, who is alike may not.
-    let alike = |b: &Inventory| b.alike.values().cloned().collect::<BTreeSet<_>>();
+    let alike = |b: &Inventory| b.slots_by_class.values().cloned().collect::<BTreeSet<_>>();
     assert_eq!(alike(kept), alike(new));
     assert_eq!(kept.team_usage, new.team_usage);
 }
@@ -68,11 +68,11 @@
             }
             _ => {}
         }
-        let before = inventory.layout;
+        let before = inventory.topology_generation;
         inventory.refresh(&mut world, |id, _| !unusable.borrow().contains(&**id));
         let new = Inventory::new(&world, |id| !unusable.borrow().contains(id));
         assert_same(&inventory, &new);
-        *(if inventory.layout == before { &mut kept } else { &mut made }) += 1;
+        *(if inventory.topology_generation == before { &mut kept } else { &mut made }) += 1;
         // What a round gives away is gone after it.
         inventory.begin();
         for _ in 0..draw.below(6) {
--- a/crates/sched/tests/unit/placement.rs
+++ b/crates/sched/tests/unit/placement.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::records::*;
-use crate::replica::RecordChange;
-use wire::{MachineType, Priority};
+use crate::replica::{RecordChange, Replica, Resources, Team};
+use wire::{JobKind, JobSpec, MachineType, Priority};
 
 pub fn spec(id: &str, kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
@@ -243,7 +243,9 @@
     fresh.submitted_ms = 75_000;
     let times = Some((60.0, 150.0));
     let first = |longest, now_ms| {
-        let of = |j, l| queue_rank(j, true, l, times, now_ms);
+        let of = |j, is_longest_waiting| {
+            queue_rank(j, QueueStanding { within_guarantee: true, is_longest_waiting }, times, now_ms)
+        };
         queue_order((&job, of(&job, longest)), (&fresh, of(&fresh, false))).is_lt()
     };
     assert!(first(false, 59_000), "both may still be in time: by age");
