--- /dev/null
+++ b/crates/sched/src/autoscaling/planner.rs
@@ -0,0 +1,273 @@
+//! Planning a scale-out: each demand first uses up the capacity that is up or expected, then the
+//! offers that cost least for what the job can use of them.
+
+use std::cmp::Ordering;
+
+use wire::{JobKind, JobSpec, MachineType};
+
+use super::zone_choice::best_zone;
+use super::{Demand, ExpectedCapacity, MachineOffer, TypedOffer};
+use crate::hash::HashMap;
+use crate::placement::{is_allowed, zone_limit};
+use crate::records::Name;
+use crate::replica::Resources;
+
+/// Decides which machines to request for these demands, which are served in this order. `expected`
+/// is the capacity that is up or will be; capacity that `gpu_spec` could use is kept for GPU jobs;
+/// offers that are blocked are left out. At most `max_per_offer` machines of one offer are planned.
+pub fn plan_scale_out(
+    demands: &[Demand],
+    expected: &[ExpectedCapacity],
+    machine_types: &HashMap<String, MachineType>,
+    gpu_spec: Option<&JobSpec>,
+    is_blocked: impl Fn(&MachineOffer) -> bool,
+    max_per_offer: usize,
+) -> Vec<MachineOffer> {
+    let mut planner = Planner {
+        offers: TypedOffer::all(machine_types).collect(),
+        gpu_spec,
+        is_blocked,
+        max_per_offer,
+        pool: expected.to_vec(),
+        planned_per_offer: HashMap::default(),
+        plan: Vec::new(),
+    };
+    for demand in demands {
+        planner.plan_demand(demand);
+    }
+    planner.plan
+}
+
+/// What is planned so far.
+struct Planner<'a, F> {
+    offers: Vec<TypedOffer<'a>>,
+    gpu_spec: Option<&'a JobSpec>,
+    is_blocked: F,
+    /// How many machines of an offer there are is not known. One request's worth of each is planned
+    /// at a time, so that a large array does not plan without end with what is cheapest and leave
+    /// nothing to those behind it.
+    max_per_offer: usize,
+    /// The capacity that is up or expected, and after it that of the planned machines.
+    pool: Vec<ExpectedCapacity>,
+    planned_per_offer: HashMap<MachineOffer, usize>,
+    plan: Vec<MachineOffer>,
+}
+
+/// A demand of which some tasks are still to be planned for.
+struct OpenDemand<'a> {
+    demand: &'a Demand<'a>,
+    spec: &'a JobSpec,
+    size: Resources,
+    zone_limit: u32,
+    tasks_by_zone: HashMap<Name, u32>,
+    /// How many tasks are still to be planned for.
+    remaining: u32,
+    /// The only zone that the job may use, if any: the first choice determines it for a job that
+    /// needs all its tasks in one.
+    fixed_zone: Option<Name>,
+    /// Up to where in the pool there is no well suited capacity any more. Capacity only shrinks
+    /// while one demand is planned for, so that what was passed over once need not be looked at
+    /// again; planned machines are added at the end.
+    next_well_suited: usize,
+    /// The same for any capacity.
+    next_suited: usize,
+}
+
+impl<'a> OpenDemand<'a> {
+    fn new(demand: &'a Demand<'a>) -> Self {
+        Self {
+            demand,
+            spec: demand.spec,
+            size: Resources::of_task(demand.spec),
+            zone_limit: zone_limit(demand.spec),
+            tasks_by_zone: demand.in_zone.clone(),
+            remaining: demand.tasks,
+            fixed_zone: None,
+            next_well_suited: 0,
+            next_suited: 0,
+        }
+    }
+
+    fn tasks_in(&self, zone: &str) -> u32 {
+        self.tasks_by_zone.get(zone).copied().unwrap_or(0)
+    }
+
+    fn may_use_zone(&self, zone: &str) -> bool {
+        self.fixed_zone.as_ref().is_none_or(|fixed| **fixed == *zone) && self.tasks_in(zone) < self.zone_limit
+    }
+
+    /// Whether machines with this many GPUs suit the job well: a job that needs no GPU is placed on
+    /// a machine with GPUs only as a last resort, as another machine costs far less.
+    fn is_well_suited(&self, gpus: f64) -> bool {
+        self.spec.gpus > 0.0 || gpus == 0.0
+    }
+}
+
+/// Machines of a type and purchase in a zone.
+struct MachineKind<'a> {
+    machine_type: &'a str,
+    zone: &'a str,
+    spot: bool,
+}
+
+impl<F: Fn(&MachineOffer) -> bool> Planner<'_, F> {
+    fn plan_demand(&mut self, demand: &Demand) {
+        let mut open = OpenDemand::new(demand);
+        if open.spec.one_zone {
+            let zone_in_use = open.tasks_by_zone.keys().next().cloned();
+            open.fixed_zone =
+                zone_in_use.or_else(|| best_zone(demand, &self.pool, &self.offers, &self.is_blocked));
+        }
+        while open.remaining > 0 {
+            let found = self.find_capacity(&mut open).or_else(|| self.plan_machine(&open));
+            let Some(position) = found else { break };
+            self.use_capacity(position, &mut open);
+        }
+    }
+
+    /// The position of capacity in the pool that the demand uses next; `None` if a machine should be
+    /// requested, or nothing is left.
+    fn find_capacity(&self, open: &mut OpenDemand) -> Option<usize> {
+        let mut position = open.next_well_suited;
+        while position < self.pool.len() && !self.is_well_suited_capacity(&self.pool[position], open) {
+            position += 1;
+        }
+        open.next_well_suited = position;
+        if position < self.pool.len() {
+            return Some(position);
+        }
+        let is_well_suited_offer = |offer: &TypedOffer| {
+            open.is_well_suited(offer.machine_type.gpus) && self.suits_offer(offer, open)
+        };
+        if self.offers.iter().any(is_well_suited_offer) {
+            return None;
+        }
+        let mut position = open.next_suited;
+        while position < self.pool.len() && !self.suits_capacity(&self.pool[position], open) {
+            position += 1;
+        }
+        open.next_suited = position;
+        (position < self.pool.len()).then_some(position)
+    }
+
+    fn is_well_suited_capacity(&self, capacity: &ExpectedCapacity, open: &OpenDemand) -> bool {
+        open.is_well_suited(capacity.gpus) && self.suits_capacity(capacity, open)
+    }
+
+    /// Whether capacity with this many GPUs is kept from a job, as GPU jobs could use it. Services
+    /// may take it nevertheless.
+    fn is_kept_from(&self, spec: &JobSpec, gpus: f64, kind: MachineKind) -> bool {
+        let MachineKind { machine_type, zone, spot } = kind;
+        spec.gpus == 0.0
+            && gpus > 0.0
+            && spec.kind != JobKind::Service
+            && self.gpu_spec.is_none_or(|gpu_spec| is_allowed(gpu_spec, machine_type, zone, spot))
+    }
+
+    fn suits_capacity(&self, capacity: &ExpectedCapacity, open: &OpenDemand) -> bool {
+        let ExpectedCapacity { machine_type, zone, spot, free, .. } = capacity;
+        open.size.fits(*free)
+            && !open.demand.unsuitable_types.contains(machine_type)
+            && is_allowed(open.spec, machine_type, zone, *spot)
+            && !self.is_kept_from(open.spec, free.gpus, MachineKind { machine_type, zone, spot: *spot })
+            && open.may_use_zone(zone)
+    }
+
+    fn suits_offer(&self, TypedOffer { offer, machine_type: t }: &TypedOffer, open: &OpenDemand) -> bool {
+        let MachineOffer { machine_type, zone, spot } = offer;
+        is_allowed(open.spec, machine_type, zone, *spot)
+            && open.size.fits(Resources::of_type(t))
+            && !open.demand.unsuitable_types.contains(machine_type)
+            && !self.is_kept_from(open.spec, t.gpus, MachineKind { machine_type, zone, spot: *spot })
+            && open.may_use_zone(zone)
+            && self.planned_per_offer.get(offer).is_none_or(|planned| *planned < self.max_per_offer)
+            && !(self.is_blocked)(offer)
+    }
+
+    /// Plans a machine of the best offer and returns its position in the pool; `None` if no offer
+    /// suits.
+    fn plan_machine(&mut self, open: &OpenDemand) -> Option<usize> {
+        let suiting = self.offers.iter().filter(|offer| self.suits_offer(offer, open));
+        let best = suiting.min_by(|a, b| OfferRank::new(a, open).cmp(&OfferRank::new(b, open)))?;
+        let TypedOffer { offer, machine_type } = best;
+        self.pool.push(ExpectedCapacity {
+            machine_type: offer.machine_type.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+            free: Resources::of_type(machine_type),
+            gpus: machine_type.gpus,
+            is_up: false,
+        });
+        *self.planned_per_offer.entry(offer.clone()).or_default() += 1;
+        self.plan.push(offer.clone());
+        Some(self.pool.len() - 1)
+    }
+
+    /// Uses capacity for as many tasks of the demand as it takes.
+    fn use_capacity(&mut self, position: usize, open: &mut OpenDemand) {
+        let capacity = &mut self.pool[position];
+        let zone = capacity.zone.clone();
+        let tasks = open
+            .size
+            .count_fitting_in(capacity.free)
+            .min(open.remaining)
+            .min(open.zone_limit - open.tasks_in(&zone))
+            .max(1);
+        capacity.free = capacity.free.plus_scaled(open.size, -f64::from(tasks));
+        let served = tasks.min(open.remaining);
+        if !capacity.is_up && open.spec.kind == JobKind::Service && open.spec.gpus == 0.0 {
+            // Services do not wait for a machine to boot: they take capacity of GPU machines that
+            // is free now, which GPU jobs cannot use any more.
+            take_from_gpu_machines(&mut self.pool, open.spec, served);
+        }
+        *open.tasks_by_zone.entry(zone.clone()).or_default() += tasks;
+        if open.spec.one_zone {
+            open.fixed_zone = Some(zone);
+        }
+        open.remaining -= served;
+    }
+}
+
+/// What makes one offer better than another: the least is best.
+struct OfferRank {
+    /// How many tasks of the job the zone has, if these are to be spread.
+    tasks_in_zone: u32,
+    has_unneeded_gpus: bool,
+    cost_per_task: f64,
+}
+
+impl OfferRank {
+    fn new(offer: &TypedOffer, open: &OpenDemand) -> Self {
+        let spec = open.spec;
+        let capacity = Resources::of_type(offer.machine_type);
+        let tasks = open.size.count_fitting_in(capacity).min(open.remaining).max(1);
+        Self {
+            tasks_in_zone: if spec.spread { open.tasks_in(&offer.offer.zone) } else { 0 },
+            has_unneeded_gpus: spec.gpus == 0.0 && offer.machine_type.gpus > 0.0,
+            cost_per_task: offer.price() / f64::from(tasks),
+        }
+    }
+
+    fn cmp(&self, other: &Self) -> Ordering {
+        (self.tasks_in_zone.cmp(&other.tasks_in_zone))
+            .then(self.has_unneeded_gpus.cmp(&other.has_unneeded_gpus))
+            .then(self.cost_per_task.total_cmp(&other.cost_per_task))
+    }
+}
+
+/// Takes capacity for this many tasks off machines with GPUs that are up.
+fn take_from_gpu_machines(pool: &mut [ExpectedCapacity], spec: &JobSpec, tasks: u32) {
+    let size = Resources::of_task(spec);
+    let mut remaining = tasks;
+    for capacity in pool.iter_mut().filter(|capacity| capacity.is_up && capacity.gpus > 0.0) {
+        if remaining == 0 {
+            return;
+        }
+        let ExpectedCapacity { machine_type, zone, spot, .. } = &*capacity;
+        if size.fits(capacity.free) && is_allowed(spec, machine_type, zone, *spot) {
+            let tasks = size.count_fitting_in(capacity.free).min(remaining);
+            capacity.free = capacity.free.plus_scaled(size, -f64::from(tasks));
+            remaining -= tasks;
+        }
+    }
+}
--- /dev/null
+++ b/crates/sched/src/autoscaling/zone_choice.rs
@@ -0,0 +1,74 @@
+//! The choice of the zone for a job that needs all its tasks in one.
+
+use std::collections::BTreeMap;
+
+use super::{Demand, ExpectedCapacity, MachineOffer, TypedOffer};
+use crate::placement::is_allowed;
+use crate::records::Name;
+use crate::replica::Resources;
+
+/// What a zone has for a job.
+#[derive(Default)]
+struct ZoneCapacity {
+    /// Whether all the tasks that wait fit into the capacity.
+    fits_all: bool,
+    /// Whether more machines can be requested.
+    is_open: bool,
+    /// How many tasks fit into the capacity.
+    tasks: u32,
+}
+
+/// The zone for a job that needs all its tasks in one: a zone where all of them fit, or else one
+/// where more machines can be requested, or else the one with most capacity.
+pub(super) fn best_zone(
+    demand: &Demand,
+    pool: &[ExpectedCapacity],
+    offers: &[TypedOffer],
+    is_blocked: &impl Fn(&MachineOffer) -> bool,
+) -> Option<Name> {
+    let zones = capacity_by_zone(demand, pool, offers, is_blocked);
+    let (largest, capacity) = zones.iter().max_by_key(|(_, capacity)| (capacity.fits_all, capacity.tasks))?;
+    let open: Vec<&Name> =
+        zones.iter().filter(|(_, capacity)| capacity.is_open).map(|(zone, _)| zone).collect();
+    if capacity.fits_all || open.is_empty() {
+        return Some(largest.clone());
+    }
+    // Jobs that fit nowhere are spread over the zones that still have machines to request: each has
+    // its own limit.
+    let id_hash = demand
+        .spec
+        .id
+        .bytes()
+        .fold(0usize, |hash, byte| hash.wrapping_mul(31).wrapping_add(usize::from(byte)));
+    Some(open[id_hash % open.len()].clone())
+}
+
+fn capacity_by_zone(
+    demand: &Demand,
+    pool: &[ExpectedCapacity],
+    offers: &[TypedOffer],
+    is_blocked: &impl Fn(&MachineOffer) -> bool,
+) -> BTreeMap<Name, ZoneCapacity> {
+    let spec = demand.spec;
+    let size = Resources::of_task(spec);
+    let mut zones: BTreeMap<Name, ZoneCapacity> = BTreeMap::new();
+    for TypedOffer { offer, machine_type } in offers {
+        if !demand.unsuitable_types.contains(&offer.machine_type)
+            && is_allowed(spec, &offer.machine_type, &offer.zone, offer.spot)
+            && size.fits(Resources::of_type(machine_type))
+        {
+            zones.entry(offer.zone.clone()).or_default().is_open |= !is_blocked(offer);
+        }
+    }
+    let suits = |capacity: &&ExpectedCapacity| {
+        is_allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+            && !demand.unsuitable_types.contains(&capacity.machine_type)
+    };
+    for capacity in pool.iter().filter(suits) {
+        if let Some(zone) = zones.get_mut(&capacity.zone) {
+            zone.tasks = zone.tasks.saturating_add(size.count_fitting_in(capacity.free));
+            zone.fits_all = zone.tasks >= demand.tasks;
+        }
+    }
+    zones
+}
--- a/crates/sched/src/placement/mod.rs
+++ b/crates/sched/src/placement/mod.rs
@@ -10,6 +10,7 @@
 
 pub use crate::inventory::{Inventory, Slot};
 pub use choice::capacity_for;
+pub(crate) use eligibility::is_allowed_on;
 pub use eligibility::{
     fits_entire_job, is_allowed, pending_task_count, pending_tasks, retry_at_ms, zone_limit,
 };
--- a/crates/sched/tests/unit/autoscaling.rs
+++ b/crates/sched/tests/unit/autoscaling.rs
@@ -1,4 +1,6 @@
 use super::*;
+use wire::JobKind;
+
 use crate::placement::tests::{spec, team, world};
 
 fn demand(spec: &JobSpec, tasks: u32) -> Demand<'_> {
