--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -172,10 +172,10 @@
         Ok(Self {
             drains,
             rescheduler: Policy {
-                scan: seconds(f.rescheduler.scan_s),
-                threshold: f.rescheduler.threshold,
-                budget: seconds(f.rescheduler.budget_s),
-                avoid: seconds(f.rescheduler.avoid_s),
+                scan_interval: seconds(f.rescheduler.scan_s),
+                usage_threshold: f.rescheduler.threshold,
+                eviction_interval: seconds(f.rescheduler.budget_s),
+                avoid_duration: seconds(f.rescheduler.avoid_s),
             },
             idle: seconds(f.fleet.idle_s),
             silent: f.fleet.silent_s.map(seconds),
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -53,7 +53,7 @@
     loop {
         let _ = timeout(Duration::from_millis(250), controller.kick.notified()).await;
         let now = clock::now();
-        let scan = now.saturating_duration_since(scanned) >= controller.operators.rescheduler.scan;
+        let scan = now.saturating_duration_since(scanned) >= controller.operators.rescheduler.scan_interval;
         if scan {
             scanned = now;
         }
--- a/crates/daemon/tests/unit/operators.rs
+++ b/crates/daemon/tests/unit/operators.rs
@@ -6,7 +6,7 @@
     assert_eq!(Operators::parse("o.hcl", "").expect("empty is fine"), Operators::default());
     let some = Operators::parse("o.hcl", "rescheduler {\n threshold = 0.4\n}\nfleet {\n idle_s = 5\n}\n")
         .expect("valid");
-    assert_eq!((some.rescheduler.threshold, some.idle), (0.4, Duration::from_secs(5)));
+    assert_eq!((some.rescheduler.usage_threshold, some.idle), (0.4, Duration::from_secs(5)));
     let drains = "drains {\n enabled = true\n team \"a team\" {\n share = 0.25\n }\n}\n";
     let some = Operators::parse("o.hcl", drains).expect("valid").drains;
     assert_eq!((some.enabled, some.budgets.of_team("a team", 8)), (true, Some(2)));
--- a/crates/sched/src/drain_records.rs
+++ b/crates/sched/src/drain_records.rs
@@ -1,22 +1,22 @@
-//! Records of drains in the state service: which machines are cordoned, how far each drain
-//! is, and which tasks are down by choice.
+//! Records of drains: which machines are cordoned, how far each drain is, and which voluntary
+//! disruptions are open.
 //!
-//! The machines of a drain stand apart from its progress, in records of their own that are
-//! kept simple: if the progress cannot be read, the machines stay cordoned.
+//! The machines of a drain are kept apart from its progress, in simple records of their own: if the
+//! progress cannot be read, the machines stay cordoned.
 
 use serde::{Deserialize, Serialize};
 
 use crate::compact;
 use crate::records::Name;
 
-/// The form of [`DrainRecord`] that this version writes and reads.
+/// The schema of [`DrainRecord`] that this version writes and reads.
 pub const DRAIN_SCHEMA: u32 = 1;
 
-/// Changes with every change of what is cordoned. Placements are conditional on its version,
-/// so that none that was decided before a cordon is committed after it.
+/// Changes with every change of the cordons. Placements are conditional on its version, so that none
+/// that was decided before a cordon is committed after it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CordonFence {
-    /// Counts the changes.
+    /// Counts the changes of the cordons.
     pub generation: u64,
 }
 
@@ -28,10 +28,10 @@
     /// The machines.
     #[serde(with = "compact::names")]
     pub machines: Option<Vec<Name>>,
-    /// Those on which nothing was left, before they were given back.
+    /// Those on which nothing was left, before they are scaled in.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "compact::names")]
     pub emptied: Option<Vec<Name>>,
-    /// Those that are no longer there.
+    /// Those that are gone.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "compact::names")]
     pub gone: Option<Vec<Name>>,
 }
@@ -52,28 +52,29 @@
         self.emptied.as_deref().unwrap_or_default()
     }
 
-    /// The machines that are no longer there.
+    /// The machines that are gone.
     pub fn gone(&self) -> &[Name] {
         self.gone.as_deref().unwrap_or_default()
     }
 
-    /// The machines that the drain has still to do with.
+    /// The machines that are not gone.
     pub fn left(&self) -> impl Iterator<Item = &Name> {
         self.machines().iter().filter(|m| !self.gone().contains(m))
     }
 
     /// Notes that nothing is left on a machine. True if that is new.
     pub fn note_emptied(&mut self, machine: &Name) -> bool {
-        note(&mut self.emptied, machine)
+        add_once(&mut self.emptied, machine)
     }
 
-    /// Notes that a machine is no longer there. True if that is new.
+    /// Notes that a machine is gone. True if that is new.
     pub fn note_gone(&mut self, machine: &Name) -> bool {
-        note(&mut self.gone, machine)
+        add_once(&mut self.gone, machine)
     }
 }
 
-fn note(list: &mut Option<Vec<Name>>, machine: &Name) -> bool {
+/// Adds a machine to a list unless it is there already. True if it is new.
+fn add_once(list: &mut Option<Vec<Name>>, machine: &Name) -> bool {
     let list = list.get_or_insert_default();
     let is_new = !list.contains(machine);
     if is_new {
@@ -82,34 +83,34 @@
     is_new
 }
 
-/// What becomes of work that cannot save its progress, once the drain's patience is over.
+/// What becomes of tasks that cannot save a checkpoint, once the drain's patience is over.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnsavedWork {
-    /// It runs on, and its machine is kept.
+    /// They run on, and their machines are kept.
     #[default]
     #[serde(rename = "leave")]
     Leave,
-    /// It is stopped and starts anew elsewhere.
+    /// They are stopped and restarted elsewhere.
     #[serde(rename = "stop")]
     Stop,
 }
 
-/// How a drain ends.
+/// How a drain ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainEnd {
     /// All its machines are gone.
     #[serde(rename = "finished")]
     Finished,
-    /// Its operator stopped it.
+    /// An operator stopped it.
     #[serde(rename = "operator")]
     ByOperator,
-    /// No room was found for what is to be moved, however often it was tried.
+    /// No capacity was found for what is to be moved, after all retries.
     #[serde(rename = "no-room")]
     NoRoom,
-    /// What is left cannot save its progress and was to be left running.
+    /// What is left cannot save a checkpoint and was to be left running.
     #[serde(rename = "work-left")]
     WorkLeft,
-    /// An obstacle stood for longer than the operator allowed.
+    /// An obstacle persisted for longer than the operator allows.
     #[serde(rename = "gave-up")]
     GaveUp,
 }
@@ -117,7 +118,7 @@
 /// How far a drain is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainPhase {
-    /// It moves work and gives machines back.
+    /// It moves tasks and scales in machines.
     #[serde(rename = "active")]
     Active,
     /// Nothing is stopped for it any more; its cordons are being lifted.
@@ -131,25 +132,25 @@
 /// What a drain waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObstacleKind {
-    /// The service has as many replicas down as it may.
+    /// As many replicas of the service are down as may be.
     #[serde(rename = "service-budget")]
     ServiceBudget,
-    /// The team has as much down as it may.
+    /// As many voluntary disruptions of the team are open as may be.
     #[serde(rename = "team-budget")]
     TeamBudget,
-    /// There is no room for it elsewhere.
+    /// There is no capacity for it elsewhere.
     #[serde(rename = "no-room")]
     NoRoom,
-    /// It cannot save its progress, and the drain's patience is not over.
+    /// It cannot save a checkpoint, and the drain's patience is not over.
     #[serde(rename = "cannot-save")]
     CannotSave,
     /// It was told to stop and has not ended yet.
     #[serde(rename = "stopping")]
     Stopping,
-    /// A controller knows no drains, or has them switched off.
+    /// A controller does not know drains, or has them disabled.
     #[serde(rename = "old-controller")]
     OldController,
-    /// Nothing is left on the machine; it is about to be given back.
+    /// Nothing is left on the machine; it is about to be scaled in.
     #[serde(rename = "giving-back")]
     GivingBack,
 }
@@ -157,9 +158,9 @@
 /// The first thing that a drain waits for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Obstacle {
-    /// What kind of thing it is.
+    /// What kind of obstacle it is.
     pub kind: ObstacleKind,
-    /// The team whose work it is; empty if it is nobody's.
+    /// The team of the job; empty if there is none.
     #[serde(default)]
     pub team: String,
     /// The job, or the controller in the case of an old one; empty if there is none.
@@ -168,31 +169,31 @@
     /// The machine that it is on.
     #[serde(default)]
     pub machine: String,
-    /// Since when the drain waits for it, by the time of day.
+    /// Since when the drain waits for it, in milliseconds of the time of day.
     #[serde(default)]
     pub since_ms: u64,
 }
 
 impl Obstacle {
-    /// Whether both are the same, whenever they began.
+    /// Whether both are the same, since whenever.
     pub fn is_same(&self, other: &Self) -> bool {
         (self.kind, &self.team, &self.job) == (other.kind, &other.team, &other.job)
     }
 }
 
-/// The search for room for what is to be moved next.
+/// The search for capacity for what is to be moved next.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoomSearch {
-    /// Attempts that brought no room.
+    /// Attempts that found no capacity.
     pub failed: u32,
-    /// When the present attempt began, or begins if that is still to come; 0: none is needed.
+    /// When the current attempt began, or will, in milliseconds of the time of day; 0: none is needed.
     pub since_ms: u64,
 }
 
-/// A drain: what its operator wants, and how far it is.
+/// A drain: what its operator requested, and how far it is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
-    /// The form of the record, [`DRAIN_SCHEMA`].
+    /// The schema of the record, [`DRAIN_SCHEMA`].
     pub schema: u32,
     /// How far it is.
     pub phase: DrainPhase,
@@ -200,17 +201,17 @@
     pub cordons: u32,
     /// How many machines there were to drain.
     pub machines: u32,
-    /// When it was started, or resumed, by the time of day.
+    /// When it was started or resumed, in milliseconds of the time of day.
     pub started_ms: u64,
-    /// How long work that cannot save may run on.
+    /// How long tasks that cannot save a checkpoint may run on, in milliseconds.
     pub patience_ms: u64,
-    /// What becomes of such work then.
+    /// What becomes of such tasks then.
     pub unsaved: UnsavedWork,
-    /// How long one obstacle may stand before the drain stops by itself.
+    /// How long one obstacle may persist before the drain ends, in milliseconds.
     pub give_up_ms: u64,
     /// Replicas, array tasks and gangs that it has stopped.
     pub moved: u32,
-    /// The search for room for what comes next.
+    /// The search for capacity for what is to be moved next.
     #[serde(default)]
     pub room: RoomSearch,
     /// What it waits for, if anything.
@@ -219,13 +220,13 @@
 }
 
 impl DrainRecord {
-    /// Whether it may still stop tasks and give machines back.
+    /// Whether it may still stop tasks and scale in machines.
     pub fn is_active(&self) -> bool {
         self.phase == DrainPhase::Active
     }
 }
 
-/// Who stopped a task by choice.
+/// What caused a voluntary disruption.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stopper {
     /// The drain of this name.
@@ -236,43 +237,46 @@
     Rescheduler,
 }
 
-/// A task, or a whole gang, that was stopped by choice and whose replacement has not been seen
-/// running.
+/// A voluntary disruption: a task, or a whole gang, that was stopped and whose replacement has not
+/// been seen running.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Disruption {
-    /// The job.
+    /// The id of the job.
     #[serde(rename = "j")]
     pub job: Name,
-    /// The task; 0 for a gang.
+    /// The number of the task; 0 for a gang.
     #[serde(rename = "t")]
     pub task: u32,
     /// The attempt that was stopped. The replacement has a higher one.
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// Who stopped it.
+    /// What caused it.
     #[serde(rename = "b")]
     pub by: Stopper,
-    /// When, by the time of day.
+    /// When it was stopped, in milliseconds of the time of day.
     #[serde(rename = "s")]
     pub since_ms: u64,
 }
 
-/// What of a team's work is down by choice. Every transaction that stops some of it changes
-/// this record and is conditional on its version: that is what holds the budget.
+/// The open voluntary disruptions of a team. Every transaction that adds one changes this record and
+/// is conditional on its version, so that the budget cannot be exceeded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DisruptionRecord {
-    /// What was stopped and has not been seen running again.
+    /// The disruptions whose replacements have not been seen running.
     pub open: Vec<Disruption>,
 }
 
-/// Bytes that one entry of a [`DisruptionRecord`] takes of a value, at most.
-const DISRUPTION_BYTES: f64 = 200.0;
+/// Most bytes that one entry of a [`DisruptionRecord`] takes of a value.
+const MAX_DISRUPTION_BYTES: f64 = 200.0;
+
+/// The share of a value that the entries may take.
+const USABLE_VALUE_SHARE: f64 = 0.9;
 
 impl DisruptionRecord {
-    /// How many entries fit into a value of this size. It bounds what a team may have down by
-    /// choice at a time, whatever its budget is.
+    /// How many entries fit into a value of this size. It bounds the open disruptions of a team,
+    /// whatever its budget is.
     pub fn capacity(value_bytes: f64) -> usize {
-        ((value_bytes * 0.9 / DISRUPTION_BYTES) as usize).max(1)
+        ((value_bytes * USABLE_VALUE_SHARE / MAX_DISRUPTION_BYTES) as usize).max(1)
     }
 }
 
--- a/crates/sched/src/forecast.rs
+++ b/crates/sched/src/forecast.rs
@@ -1,4 +1,4 @@
-//! What will be asked for before a machine that is rented now could be up.
+//! The demand to expect before a machine that is requested now could be up.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -6,84 +6,100 @@
 use wire::{JobKind, JobSpec};
 
 use crate::placement::pending_task_count;
-use crate::records::{Name, Phase};
+use crate::records::{JobRecord, Name, Phase};
 use crate::replica::Replica;
 
-/// How far ahead: about what it takes to rent and boot a machine.
-pub const AHEAD: Duration = Duration::from_secs(60);
-/// Most room kept ready for services, as a share of what runs of them: the
-/// services of a cluster's first minute are no sign of what comes.
-const SERVICE_SHARE: f64 = 0.08;
-/// Most room kept ready for GPU tasks, as a share of all that run or wait.
-const GPU_SHARE: f64 = 0.25;
+/// How far ahead demand is forecast: about what it takes to request and boot a machine.
+pub const FORECAST_HORIZON: Duration = Duration::from_secs(60);
+/// Most capacity kept ready for services, as a share of the service tasks that run: the services of
+/// a cluster's first minute do not indicate what comes.
+const MAX_SERVICE_SHARE: f64 = 0.08;
+/// Most capacity kept ready for GPU tasks, as a share of all that run or wait.
+const MAX_GPU_SHARE: f64 = 0.25;
+/// How often the demand for GPU tasks is sampled at most.
+const GPU_SAMPLE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The service tasks to expect: as many as came in the last while, each like
-/// those of the latest service. Room for them has to be there when they come,
-/// as they are to start within seconds; else they stop gangs.
-pub fn expected_services(world: &Replica, now_ms: u64) -> Option<(JobSpec, u32)> {
-    let since = now_ms.saturating_sub(AHEAD.as_millis() as u64);
-    let (mut came, mut running) = (0, 0);
+/// The service tasks to expect: as many as were submitted within the last [`FORECAST_HORIZON`], each
+/// like those of the latest service. Capacity for them has to be there when they are submitted, as
+/// they are to start within seconds; otherwise they preempt gangs.
+pub fn expected_services(replica: &Replica, now_ms: u64) -> Option<(JobSpec, u32)> {
+    let since_ms = now_ms.saturating_sub(FORECAST_HORIZON.as_millis() as u64);
+    let (mut submitted, mut running) = (0, 0);
     let mut latest: Option<(u64, &JobSpec)> = None;
-    for job in world.open_job_ids.iter().filter_map(|id| world.jobs.get(id)).map(|j| &j.value) {
-        let Some(spec) = job.spec.as_deref().filter(|s| s.kind == JobKind::Service) else { continue };
+    for (_, job) in replica.open_jobs() {
+        let Some(spec) = job.spec.as_deref().filter(|spec| spec.kind == JobKind::Service) else { continue };
         running += job.assignments.len();
-        if job.submitted_ms >= since {
-            came += spec.tasks;
+        if job.submitted_ms >= since_ms {
+            submitted += spec.tasks;
         }
-        if latest.is_none_or(|l| job.submitted_ms > l.0) {
+        if latest.is_none_or(|(submitted_ms, _)| job.submitted_ms > submitted_ms) {
             latest = Some((job.submitted_ms, spec));
         }
     }
-    let tasks = came.min((running as f64 * SERVICE_SHARE) as u32);
-    latest.filter(|_| tasks > 0).map(|(_, spec)| (JobSpec { spread: false, ..spec.clone() }, tasks))
+    let tasks = submitted.min((running as f64 * MAX_SERVICE_SHARE) as u32);
+    let (_, spec) = latest.filter(|_| tasks > 0)?;
+    Some((JobSpec { spread: false, ..spec.clone() }, tasks))
 }
 
-/// The jobs that will be ready about when a machine rented now is up: all that they
-/// still need runs its last tasks, and takes no longer than that.
-pub fn next_steps(world: &Replica) -> impl Iterator<Item = &JobSpec> {
-    let ends = |id: &Name| {
-        let Some(job) = world.jobs.get(&**id).map(|j| &j.value) else { return false };
-        let short = |s: &JobSpec| s.estimated_runtime_s <= AHEAD.as_secs_f64();
-        job.phase == Phase::Done
-            || job.phase == Phase::Active
-                && job.spec.as_deref().is_some_and(short)
-                && !job.assignments.is_empty()
-                && pending_task_count(job) == 0
+/// The waiting jobs that will be ready about when a machine requested now is up: all their
+/// dependencies run their last tasks, and take no longer than that.
+pub fn next_steps(replica: &Replica) -> impl Iterator<Item = &JobSpec> {
+    let ends_soon = |id: &Name| replica.jobs.get(&**id).is_some_and(|job| ends_within_horizon(&job.value));
+    let waiting = replica.pipelines.waiting().filter_map(|id| replica.jobs.get(&**id));
+    waiting
+        .filter(move |job| job.value.dependencies.iter().all(ends_soon))
+        .filter_map(|job| job.value.spec.as_deref())
+}
+
+fn ends_within_horizon(job: &JobRecord) -> bool {
+    let is_short = |spec: &JobSpec| spec.estimated_runtime_s <= FORECAST_HORIZON.as_secs_f64();
+    let runs_last_tasks = || {
+        job.spec.as_deref().is_some_and(is_short)
+            && !job.assignments.is_empty()
+            && pending_task_count(job) == 0
     };
-    let waiting = world.pipelines.waiting().filter_map(|id| world.jobs.get(&**id));
-    waiting.filter(move |j| j.value.dependencies.iter().all(ends)).filter_map(|j| j.value.spec.as_deref())
+    job.phase == Phase::Done || (job.phase == Phase::Active && runs_last_tasks())
+}
+
+/// The number of GPU tasks at a time.
+#[derive(Debug, Clone, Copy)]
+struct GpuSample {
+    at: Instant,
+    tasks: u32,
 }
 
 /// How the demand for GPU tasks has grown.
 #[derive(Debug, Default)]
 pub struct GpuDemand {
-    samples: VecDeque<(Instant, u32)>,
+    samples: VecDeque<GpuSample>,
 }
 
 impl GpuDemand {
-    /// Notes what runs and waits now.
-    pub fn note(&mut self, world: &Replica, now: Instant) {
-        let often = Duration::from_secs(3);
-        if self.samples.back().is_some_and(|s| now.saturating_duration_since(s.0) < often) {
+    /// Samples what runs and waits now.
+    pub fn note(&mut self, replica: &Replica, now: Instant) {
+        let age = |sample: &GpuSample| now.saturating_duration_since(sample.at);
+        if self.samples.back().is_some_and(|sample| age(sample) < GPU_SAMPLE_INTERVAL) {
             return;
         }
-        let open = world.open_job_ids.iter().filter_map(|id| world.jobs.get(id)).map(|j| &j.value);
-        let of_gpus = open.filter(|j| j.spec.as_ref().is_some_and(|s| s.gpus > 0.0));
-        let sum = of_gpus.map(|j| j.assignments.len() as u32 + pending_task_count(j)).sum();
-        self.samples.push_back((now, sum));
-        while self.samples.get(1).is_some_and(|s| now.saturating_duration_since(s.0) >= AHEAD) {
+        let gpu_jobs = replica
+            .open_jobs()
+            .map(|(_, job)| job)
+            .filter(|job| job.spec.as_ref().is_some_and(|spec| spec.gpus > 0.0));
+        let tasks = gpu_jobs.map(|job| job.assignments.len() as u32 + pending_task_count(job)).sum();
+        self.samples.push_back(GpuSample { at: now, tasks });
+        while self.samples.get(1).is_some_and(|sample| age(sample) >= FORECAST_HORIZON) {
             self.samples.pop_front();
         }
     }
 
-    /// By how many tasks the demand may grow until machines rented now are up.
-    /// Nothing, as long as it is not known how it has grown.
+    /// By how many tasks the demand may grow until machines requested now are up. 0 as long as it is
+    /// not known how it has grown.
     pub fn growth(&self, now: Instant) -> u32 {
         let (Some(first), Some(last)) = (self.samples.front(), self.samples.back()) else { return 0 };
-        if now.saturating_duration_since(first.0) < AHEAD {
+        if now.saturating_duration_since(first.at) < FORECAST_HORIZON {
             return 0;
         }
-        last.1.saturating_sub(first.1).min((f64::from(last.1) * GPU_SHARE) as u32)
+        last.tasks.saturating_sub(first.tasks).min((f64::from(last.tasks) * MAX_GPU_SHARE) as u32)
     }
 }
 
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,6 +1,8 @@
 //! The decisions of the cluster scheduler, without any input or output: callers pass in what is
 //! known and what time it is.
 
+#![deny(missing_docs)]
+
 mod assignment;
 pub mod autoscaling;
 mod compact;
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -1,5 +1,5 @@
-//! Controlled rescheduling: which service task should move, after the design's
-//! threshold-gated evictions under a disruption budget.
+//! Controlled rescheduling: which service task should move to another machine. Evictions take place
+//! past a threshold only, and within a disruption budget.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,194 +7,281 @@
 use wire::{JobKind, JobSpec};
 
 use crate::hash::HashMap;
-use crate::placement::{Inventory, gpu_slots_lost_at, is_allowed};
-use crate::records::{Assignment, DesiredState, JobRecord, MAX_AVOIDED_MACHINES, Name};
+use crate::inventory::{Inventory, Slot};
+use crate::placement::{gpu_slots_lost_at, is_allowed_on};
+use crate::records::{Assignment, DesiredState, JobRecord, Name};
 use crate::replica::{Replica, Resources};
 
+/// When the rescheduler acts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    pub scan: Duration,
-    pub threshold: f64,
-    pub budget: Duration,
-    pub avoid: Duration,
+    /// The time between two scans.
+    pub scan_interval: Duration,
+    /// By how much the share that is used of a machine has to exceed that of another one.
+    pub usage_threshold: f64,
+    /// The disruption budget: the time between two evictions of a service, before it is stretched by
+    /// [`refill_ms`].
+    pub eviction_interval: Duration,
+    /// For how long placement avoids the machine for the evicted service.
+    pub avoid_duration: Duration,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            scan: Duration::from_secs(10),
-            threshold: 0.3,
-            budget: Duration::from_secs(60),
-            avoid: Duration::from_secs(300),
+            scan_interval: Duration::from_secs(10),
+            usage_threshold: 0.3,
+            eviction_interval: Duration::from_secs(60),
+            avoid_duration: Duration::from_secs(300),
         }
     }
 }
 
+/// A task to stop, so that it is placed anew.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Eviction {
+    /// The id of its job.
     pub job: String,
+    /// The number of the task.
     pub task: u32,
+    /// The machine that it leaves.
     pub machine: Name,
     /// Why, for the log.
     pub reason: &'static str,
 }
 
-/// Each service's budget refills on a clock of its own, so that evictions do
-/// not bunch: the budget is stretched by up to a quarter, by the job's id.
+const REASON_ZONE_SPREAD: &str = "zone spread";
+const REASON_CROWDED_MACHINE: &str = "crowded machine";
+const REASON_HOLDS_GPU_MACHINE: &str = "holds a machine with GPUs";
+
+/// Fewest tasks of a service that the rescheduler moves any of.
+const MIN_REPLICAS: u32 = 2;
+
+/// How long the budget of a service takes to refill, in milliseconds. Each refills on a clock of its
+/// own, so that evictions do not bunch: the interval is stretched by up to a quarter, by the job's
+/// id.
 pub fn refill_ms(id: &str, policy: &Policy) -> u64 {
-    let base = policy.budget.as_millis() as u64;
-    let spread = id.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b))) % 256;
-    base + base * spread / 1024
+    let interval_ms = policy.eviction_interval.as_millis() as u64;
+    let id_hash = id.bytes().fold(7u64, |hash, byte| hash.wrapping_mul(31).wrapping_add(u64::from(byte)));
+    interval_ms + interval_ms * (id_hash % 256) / 1024
 }
 
 /// Finds at most one eviction for each service.
-pub fn scan(world: &Replica, inventory: &Inventory, policy: &Policy, now_ms: u64) -> Vec<Eviction> {
-    let mut planned_use: Vec<Resources> = inventory.slots.iter().map(|s| s.used).collect();
-    let mut out = Vec::new();
-    // The least-used fitting machines, for every kind of task met so far.
-    let mut least = Vec::new();
-    for id in &world.open_job_ids {
-        let Some(job) = world.jobs.get(id).map(|j| &j.value) else { continue };
+pub fn scan(replica: &Replica, inventory: &Inventory, policy: &Policy, now_ms: u64) -> Vec<Eviction> {
+    let planned_usage = inventory.slots.iter().map(|slot| slot.used).collect();
+    let mut scan = Scan { replica, inventory, policy, planned_usage, least_used: Vec::new() };
+    let mut evictions = Vec::new();
+    for (id, job) in replica.open_jobs() {
         let Some(spec) = job.spec.as_deref() else { continue };
-        if spec.kind != JobKind::Service || spec.tasks < 2 || job.assignments.len() < spec.tasks as usize {
-            continue;
-        }
-        if job.assignments.iter().any(|a| !job.should_run(a))
-            || job.last_eviction_ms + refill_ms(id, policy) > now_ms
+        if may_evict(id, job, spec, policy, now_ms)
+            && let Some(eviction) = scan.plan_eviction(id, job, spec)
         {
-            continue;
-        }
-        let size = Resources::of_task(spec);
-        let mut in_zone: HashMap<&str, u32> = HashMap::default();
-        for a in &job.assignments {
-            if let Some(i) = inventory.find(&a.machine) {
-                *in_zone.entry(&*inventory.slots[i].zone).or_default() += 1;
-            }
-        }
-        let misplaced = (spec.gpus == 0.0).then(|| {
-            let rooms = Rooms { world, inventory, used: &planned_use, in_zone: &in_zone };
-            rooms.better_than_gpus(job, spec)
-        });
-        let kind = (size, &spec.types, &spec.zone, spec.spot);
-        if !least.iter().any(|(k, _)| *k == kind) {
-            least.push((kind, least_used(inventory, &planned_use, spec, size)));
-        }
-        let rooms = least.iter().find(|(k, _)| *k == kind).map(|(_, rooms)| rooms);
-        let found = misplaced.flatten().or_else(|| {
-            job.assignments.iter().find_map(|a| {
-                let from = inventory.find(&a.machine)?;
-                let here = &*inventory.slots[from].zone;
-                let mine = in_zone.get(here).copied().unwrap_or(0);
-                let share = planned_use[from].share_of(inventory.slots[from].capacity);
-                rooms.into_iter().flatten().find_map(|(zone, to, least)| {
-                    let there = in_zone.get(*zone).copied().unwrap_or(0);
-                    if *to == from {
-                        None
-                    } else if spec.spread && there + 1 < mine {
-                        Some((a, from, *to, "zone spread"))
-                    } else if (*zone == here || there < mine) && share - least > policy.threshold {
-                        Some((a, from, *to, "crowded machine"))
-                    } else {
-                        None
-                    }
-                })
-            })
-        });
-        if let Some((a, from, to, reason)) = found {
-            planned_use[from] = planned_use[from].plus_scaled(size, -1.0);
-            planned_use[to] = planned_use[to].plus_scaled(size, 1.0);
-            least.clear();
-            out.push(Eviction { job: id.clone(), task: a.task, machine: a.machine.clone(), reason });
+            evictions.push(eviction);
         }
     }
-    out
+    evictions
 }
 
-/// The least-used machine of each zone that a task of this kind fits on, and the
-/// share that is used of it.
-fn least_used<'a>(
-    inventory: &'a Inventory,
-    used: &[Resources],
-    spec: &JobSpec,
+/// Whether the job is a service of which all replicas are to run and whose budget has refilled.
+fn may_evict(id: &str, job: &JobRecord, spec: &JobSpec, policy: &Policy, now_ms: u64) -> bool {
+    spec.kind == JobKind::Service
+        && spec.tasks >= MIN_REPLICAS
+        && job.assignments.len() >= spec.tasks as usize
+        && job.assignments.iter().all(|assignment| job.should_run(assignment))
+        && job.last_eviction_ms + refill_ms(id, policy) <= now_ms
+}
+
+/// What machines for a task depend on.
+#[derive(PartialEq)]
+struct TaskKind<'a> {
     size: Resources,
-) -> Vec<(&'a str, usize, f64)> {
-    let mut zones: BTreeMap<&str, (usize, f64)> = BTreeMap::new();
-    for (i, s) in inventory.slots.iter().enumerate() {
-        let gpus_kept = s.capacity.gpus > 0.0 && spec.gpus == 0.0;
-        if gpus_kept
-            || !s.usable
-            || !size.fits(s.capacity.plus_scaled(used[i], -1.0))
-            || !is_allowed(spec, &s.machine_type, &s.zone, s.spot)
-        {
-            continue;
-        }
-        let share = used[i].share_of(s.capacity);
-        let best = zones.entry(&*s.zone).or_insert((i, share));
-        if share < best.1 {
-            *best = (i, share);
-        }
-    }
-    zones.into_iter().map(|(z, (i, share))| (z, i, share)).collect()
+    types: &'a Option<Vec<String>>,
+    zone: &'a Option<String>,
+    spot: bool,
+}
+
+/// The least used machine of a zone that a kind of task fits on.
+#[derive(Clone, Copy)]
+struct LeastUsed<'a> {
+    zone: &'a str,
+    slot: usize,
+    /// The share that is used of it.
+    usage: f64,
 }
 
-/// Where one service's tasks are, and what room there is.
-struct Rooms<'a> {
-    world: &'a Replica,
+/// The move of a task from one machine to another.
+struct Move<'a> {
+    assignment: &'a Assignment,
+    from: usize,
+    to: usize,
+    reason: &'static str,
+}
+
+/// One scan over all services.
+struct Scan<'a> {
+    replica: &'a Replica,
     inventory: &'a Inventory,
-    used: &'a [Resources],
-    in_zone: &'a HashMap<&'a str, u32>,
+    policy: &'a Policy,
+    /// What is in use of each slot, with the moves planned so far.
+    planned_usage: Vec<Resources>,
+    /// The least used machines of each zone for the kinds of task seen since the last move.
+    least_used: Vec<(TaskKind<'a>, Vec<LeastUsed<'a>>)>,
 }
 
-impl Rooms<'_> {
-    /// A task that sits on a machine with GPUs although there is other room, or
-    /// room there that no GPU job could use: the task on the emptiest of those
-    /// machines, so that whole machines come free.
-    fn better_than_gpus<'j>(
+/// How many tasks of a service each zone has.
+type TasksByZone<'a> = HashMap<&'a str, u32>;
+
+impl<'a> Scan<'a> {
+    /// Plans the eviction of one task of a service, if any should move.
+    fn plan_eviction(&mut self, id: &str, job: &'a JobRecord, spec: &'a JobSpec) -> Option<Eviction> {
+        let size = Resources::of_task(spec);
+        let tasks_by_zone = self.tasks_by_zone(job);
+        let off_gpus = if spec.gpus == 0.0 { self.move_off_gpus(job, spec, &tasks_by_zone) } else { None };
+        let found = off_gpus.or_else(|| self.move_to_least_used(job, spec, &tasks_by_zone));
+        let Move { assignment, from, to, reason } = found?;
+        self.planned_usage[from] = self.planned_usage[from].plus_scaled(size, -1.0);
+        self.planned_usage[to] = self.planned_usage[to].plus_scaled(size, 1.0);
+        self.least_used.clear();
+        let machine = assignment.machine.clone();
+        Some(Eviction { job: id.to_owned(), task: assignment.task, machine, reason })
+    }
+
+    fn tasks_by_zone(&self, job: &JobRecord) -> TasksByZone<'a> {
+        let mut tasks_by_zone = TasksByZone::default();
+        for assignment in &job.assignments {
+            if let Some(i) = self.inventory.find(&assignment.machine) {
+                *tasks_by_zone.entry(&*self.inventory.slots[i].zone).or_default() += 1;
+            }
+        }
+        tasks_by_zone
+    }
+
+    fn usage_of(&self, slot: usize) -> f64 {
+        self.planned_usage[slot].share_of(self.inventory.slots[slot].capacity)
+    }
+
+    /// Whether a machine may be used for a further task of a job.
+    fn takes(&self, spec: &JobSpec, size: Resources, i: usize, slot: &Slot) -> bool {
+        let free = slot.capacity.plus_scaled(self.planned_usage[i], -1.0);
+        slot.usable && size.fits(free) && is_allowed_on(spec, slot)
+    }
+
+    /// A move of a task to the least used machine of a zone, for a better zone spread or off a
+    /// crowded machine.
+    fn move_to_least_used(
+        &mut self,
+        job: &'a JobRecord,
+        spec: &'a JobSpec,
+        tasks_by_zone: &TasksByZone,
+    ) -> Option<Move<'a>> {
+        let kind = self.position_of_kind(spec);
+        let (_, least_used) = &self.least_used[kind];
+        job.assignments.iter().find_map(|assignment| {
+            let from = self.inventory.find(&assignment.machine)?;
+            let from_zone = &*self.inventory.slots[from].zone;
+            let tasks_here = tasks_in(tasks_by_zone, from_zone);
+            let usage = self.usage_of(from);
+            least_used.iter().filter(|to| to.slot != from).find_map(|to| {
+                let tasks_there = tasks_in(tasks_by_zone, to.zone);
+                let is_better_spread = spec.spread && tasks_there + 1 < tasks_here;
+                let keeps_spread = to.zone == from_zone || tasks_there < tasks_here;
+                let reason = if is_better_spread {
+                    REASON_ZONE_SPREAD
+                } else if keeps_spread && usage - to.usage > self.policy.usage_threshold {
+                    REASON_CROWDED_MACHINE
+                } else {
+                    return None;
+                };
+                Some(Move { assignment, from, to: to.slot, reason })
+            })
+        })
+    }
+
+    /// The position in `least_used` of the kind of this job's tasks, which is added if it is missing.
+    fn position_of_kind(&mut self, spec: &'a JobSpec) -> usize {
+        let size = Resources::of_task(spec);
+        let kind = TaskKind { size, types: &spec.types, zone: &spec.zone, spot: spec.spot };
+        let known = self.least_used.iter().position(|(other, _)| *other == kind);
+        known.unwrap_or_else(|| {
+            let least_used = self.least_used_machines(spec, size);
+            self.least_used.push((kind, least_used));
+            self.least_used.len() - 1
+        })
+    }
+
+    /// The least used machine of each zone that a task of this kind fits on, in the order of the
+    /// zones. Machines with GPUs are left out for tasks that need none.
+    fn least_used_machines(&self, spec: &JobSpec, size: Resources) -> Vec<LeastUsed<'a>> {
+        let mut by_zone: BTreeMap<&str, LeastUsed> = BTreeMap::new();
+        for (i, slot) in self.inventory.slots.iter().enumerate() {
+            let has_unneeded_gpus = slot.capacity.gpus > 0.0 && spec.gpus == 0.0;
+            if has_unneeded_gpus || !self.takes(spec, size, i, slot) {
+                continue;
+            }
+            let machine = LeastUsed { zone: &slot.zone, slot: i, usage: self.usage_of(i) };
+            let least_used = by_zone.entry(machine.zone).or_insert(machine);
+            if machine.usage < least_used.usage {
+                *least_used = machine;
+            }
+        }
+        by_zone.into_values().collect()
+    }
+
+    /// The move of a task that is on a machine with GPUs although there is capacity elsewhere, or on
+    /// such a machine that no GPU job could use: the task on the least used of those machines, so
+    /// that whole machines come free.
+    fn move_off_gpus(
         &self,
-        job: &'j JobRecord,
+        job: &'a JobRecord,
         spec: &JobSpec,
-    ) -> Option<(&'j Assignment, usize, usize, &'static str)> {
-        let Self { world, inventory, used, in_zone } = self;
-        let size = Resources::of_task(spec);
-        let share = |i: usize| used[i].share_of(inventory.slots[i].capacity);
-        let on_gpus = job.assignments.iter().filter_map(|a| {
-            let from = inventory.find(&a.machine)?;
-            let only_services = || {
-                let kinds = world.assignments(&a.machine).filter_map(|(_, j, _)| j.spec.as_ref());
-                kinds.map(|s| s.kind).all(|k| k == JobKind::Service)
-            };
-            (inventory.slots[from].capacity.gpus > 0.0 && only_services()).then_some((a, from))
+        tasks_by_zone: &TasksByZone,
+    ) -> Option<Move<'a>> {
+        let inventory = self.inventory;
+        let on_gpus = job.assignments.iter().filter_map(|assignment| {
+            let from = inventory.find(&assignment.machine)?;
+            let has_gpus = inventory.slots[from].capacity.gpus > 0.0;
+            (has_gpus && self.has_only_services(&assignment.machine)).then_some((assignment, from))
         });
-        let (a, from) = on_gpus.min_by(|x, y| share(x.1).total_cmp(&share(y.1)))?;
-        let here = &*inventory.slots[from].zone;
-        let mine = in_zone.get(here).copied().unwrap_or(0);
-        let to = (0..inventory.slots.len()).find(|&i| {
-            let s = &inventory.slots[i];
-            let there = in_zone.get(&*s.zone).copied().unwrap_or(0);
-            let lossless = || gpu_slots_lost_at(world, spec, s, used[i]) == 0;
+        let (assignment, from) = on_gpus.min_by(|a, b| self.usage_of(a.1).total_cmp(&self.usage_of(b.1)))?;
+        let from_zone = &*inventory.slots[from].zone;
+        let tasks_here = tasks_in(tasks_by_zone, from_zone);
+        let size = Resources::of_task(spec);
+        let suits = |i: usize, slot: &Slot| {
+            let keeps_spread =
+                *slot.zone == *from_zone || !spec.spread || tasks_in(tasks_by_zone, &slot.zone) < tasks_here;
+            let loses_no_gpu_slots =
+                || gpu_slots_lost_at(self.replica, spec, slot, self.planned_usage[i]) == 0;
             i != from
-                && s.usable
-                && size.fits(s.capacity.plus_scaled(used[i], -1.0))
-                && is_allowed(spec, &s.machine_type, &s.zone, s.spot)
-                && (*s.zone == *here || !spec.spread || there < mine)
-                && (s.capacity.gpus == 0.0 || share(i) > share(from) && lossless())
-        })?;
-        Some((a, from, to, "holds a machine with GPUs"))
+                && self.takes(spec, size, i, slot)
+                && keeps_spread
+                && (slot.capacity.gpus == 0.0
+                    || (self.usage_of(i) > self.usage_of(from) && loses_no_gpu_slots()))
+        };
+        let (to, _) = inventory.slots.iter().enumerate().find(|(i, slot)| suits(*i, slot))?;
+        Some(Move { assignment, from, to, reason: REASON_HOLDS_GPU_MACHINE })
+    }
+
+    /// Whether nothing but services is on a machine.
+    fn has_only_services(&self, machine: &str) -> bool {
+        let specs = self.replica.assignments(machine).filter_map(|(_, job, _)| job.spec.as_ref());
+        specs.map(|spec| spec.kind).all(|kind| kind == JobKind::Service)
     }
 }
 
-/// The record after an eviction: budget debited, avoid entry added, stop marked.
+fn tasks_in(tasks_by_zone: &TasksByZone, zone: &str) -> u32 {
+    tasks_by_zone.get(zone).copied().unwrap_or(0)
+}
+
+/// Changes the record of a job for an eviction: debits the disruption budget, avoids the machine and
+/// marks the task as to be stopped.
 pub fn evict(job: &mut JobRecord, eviction: &Eviction, policy: &Policy, now_ms: u64) {
-    for a in &mut job.assignments {
-        if a.task == eviction.task && a.machine == eviction.machine {
-            a.desired = DesiredState::Stopped;
+    for assignment in &mut job.assignments {
+        if assignment.task == eviction.task && assignment.machine == eviction.machine {
+            assignment.desired = DesiredState::Stopped;
         }
     }
     job.last_eviction_ms = now_ms;
-    job.avoided_machines.retain(|(m, until)| *until > now_ms && **m != *eviction.machine);
-    job.avoided_machines.push((eviction.machine.to_string(), now_ms + policy.avoid.as_millis() as u64));
-    let surplus = job.avoided_machines.len().saturating_sub(MAX_AVOIDED_MACHINES);
-    job.avoided_machines.drain(..surplus);
+    job.avoid_machine(&eviction.machine, now_ms, policy.avoid_duration.as_millis() as u64);
 }
 
 #[cfg(test)]
--- a/crates/sched/tests/unit/forecast.rs
+++ b/crates/sched/tests/unit/forecast.rs
@@ -39,11 +39,11 @@
     gang.id = "j-2".into();
     gang.tasks = 8;
     add(&mut w, gang, &[]);
-    demand.note(&w, start + AHEAD / 2);
-    assert_eq!(demand.growth(start + AHEAD / 2), 0);
-    demand.note(&w, start + AHEAD);
-    assert_eq!(demand.growth(start + AHEAD), 8);
-    let later = start + AHEAD * 3;
+    demand.note(&w, start + FORECAST_HORIZON / 2);
+    assert_eq!(demand.growth(start + FORECAST_HORIZON / 2), 0);
+    demand.note(&w, start + FORECAST_HORIZON);
+    assert_eq!(demand.growth(start + FORECAST_HORIZON), 8);
+    let later = start + FORECAST_HORIZON * 3;
     demand.note(&w, later);
     assert_eq!(demand.growth(later), 0);
 }
