--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -61,13 +61,13 @@
     ) -> Result<(KeyWrite, Condition), StoreError> {
         let large = || StoreError::ValueTooLarge(put.key.clone());
         let chunked = split_record(put, rand::rng().random(), value_bytes).ok_or_else(large)?;
-        if chunked.parts.len() > PARTS_MOST {
+        if chunked.chunks.len() > PARTS_MOST {
             return Err(large());
         }
-        let first = chunked.parts.last().map(|p| p.key.clone()).ok_or_else(large)?;
+        let first = chunked.chunks.last().map(|p| p.key.clone()).ok_or_else(large)?;
         let at_once = txn_ops.min(TXN_BYTES / (value_bytes + 300)).max(1);
         let mut written = 0;
-        for some in chunked.parts.chunks(at_once) {
+        for some in chunked.chunks.chunks(at_once) {
             let mut tries = 0;
             written = loop {
                 self.core().writes.acquire(some.len() as f64, 0.0, clock::now());
@@ -158,16 +158,16 @@
             return None;
         }
         let orphans = core.reader.orphans();
-        let id = |o: &OrphanedChunks| (o.of.clone(), o.nonce.clone());
+        let id = |o: &OrphanedChunks| (o.record_key.clone(), o.nonce.clone());
         self.seen.retain(|k, _| orphans.iter().any(|o| id(o) == *k));
         let ops = controller.plan().txn_ops;
         let due = orphans.into_iter().find(|o| {
             let since = *self.seen.entry(id(o)).or_insert(now);
             now.saturating_duration_since(since) >= ORPHANED_FOR
         })?;
-        let version = version_of(&core.world, &due.of)?;
+        let version = version_of(&core.world, &due.record_key)?;
         let puts = due.keys.iter().take(ops).map(|k| KeyWrite::delete(k.clone())).collect();
-        Some((vec![Condition { key: due.of, version }], puts))
+        Some((vec![Condition { key: due.record_key, version }], puts))
     }
 }
 
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -473,8 +473,8 @@
     caught_up(&service, &controller).await;
     let version = controller.core().world.jobs["j-1"].version;
     let chunked = store::split_record(&KeyWrite::new(key::job("j-1"), &job), 77, 2048).expect("parts");
-    let first = chunked.parts.last().expect("parts").key.clone();
-    chunked.parts.into_iter().for_each(|p| service.store().put(p));
+    let first = chunked.chunks.last().expect("parts").key.clone();
+    chunked.chunks.into_iter().for_each(|p| service.store().put(p));
     let at = service.store().revision;
     caught_up(&service, &controller).await;
     let (mut sweeper, mut now) = (Sweeper::default(), Instant::now());
--- a/crates/daemon/tests/unit/production.rs
+++ b/crates/daemon/tests/unit/production.rs
@@ -296,7 +296,7 @@
         assert_eq!((back.phase, back.done.len(), back.ended_ms), (now::Phase::Done, tasks, 0));
         let chunked = store::split_record(&KeyWrite::new(key.into(), &job), 7, 100).expect("parts");
         assert_eq!(read(key, &chunked.head.value.expect("a value")), Read::Unreadable);
-        for put in chunked.parts {
+        for put in chunked.chunks {
             assert_eq!(read(&put.key, &put.value.expect("a value")), Read::Ignored);
         }
         let mark = KeyWrite::new(
--- a/crates/daemon/tests/unit/sim/state.rs
+++ b/crates/daemon/tests/unit/sim/state.rs
@@ -59,8 +59,8 @@
     ) {
         for put in puts.iter_mut().filter(|p| p.value_len() as f64 > bytes) {
             let wide = split_record(put, nonce, bytes as usize).expect("a value");
-            let first = wide.parts.last().expect("parts").key.clone();
-            for part in wide.parts {
+            let first = wide.chunks.last().expect("parts").key.clone();
+            for part in wide.chunks {
                 assert!(self.txn(&[], vec![part]) == Outcome::Committed);
             }
             conditions.push(Condition { key: first, version: self.revision });
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -1,4 +1,4 @@
-//! Keys and values of the records.
+//! Encoding of records as values of the key-value store.
 
 use rmpv::Value;
 use sched::drain_records::{DRAIN_SCHEMA, DrainRecord};
@@ -8,70 +8,17 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Names of keys. Everything lies under one prefix, so one watch sees it all.
-pub mod key {
-    /// The prefix of all keys.
-    pub const PREFIX: &str = "sageloom/";
-    /// The prefix of the parts of records that are larger than a value.
-    pub const PARTS: &str = "sageloom/parts/";
-    /// The controller that leads.
-    pub const LEADER: &str = "sageloom/leader";
-    /// Which controllers are live, and the epoch.
-    pub const MAP: &str = "sageloom/map";
-    /// The machine types, as last told by the cloud.
-    pub const TYPES: &str = "sageloom/types";
-    /// Rentals under way, and machines that are gone.
-    pub const FLEET: &str = "sageloom/fleet";
-
-    /// A job's record.
-    pub fn job(id: &str) -> String {
-        format!("sageloom/jobs/{id}")
-    }
-    /// A machine's record.
-    pub fn machine(id: &str) -> String {
-        format!("sageloom/machines/{id}")
-    }
-    /// The record that placements of a team change.
-    pub fn team(name: &str) -> String {
-        format!("sageloom/teams/{}", team_id(name))
-    }
-    /// A team's name as its key has it, by which its record is known: names are free text,
-    /// and a key has no spaces.
-    pub fn team_id(name: &str) -> String {
-        name.replace(char::is_whitespace, "_")
-    }
-    /// Left by a controller of the version that knows pipelines, without a lease: it
-    /// does not come back old.
-    pub fn upgraded(name: &str) -> String {
-        format!("sageloom/upgraded/{name}")
-    }
-    /// Changes with every change of what is cordoned.
-    pub const CORDON_FENCE: &str = "sageloom/cordon-fence";
+use crate::key;
 
-    /// How far a drain is.
-    pub fn drain(name: &str) -> String {
-        format!("sageloom/drains/{name}")
-    }
-    /// Some of a drain's machines.
-    pub fn cordon(drain: &str, part: u32) -> String {
-        format!("sageloom/cordons/{drain}/{part}")
-    }
-    /// What of a team's work is down by choice.
-    pub fn disruptions(team: &str) -> String {
-        format!("sageloom/disruptions/{}", team_id(team))
-    }
-    /// A live controller's entry.
-    pub fn member(name: &str) -> String {
-        format!("sageloom/members/{name}")
-    }
-}
+/// What a write takes of a transaction beside its key and value, in bytes.
+const WRITE_OVERHEAD_BYTES: usize = 20;
 
-/// One put or delete of a transaction.
+/// A put or a deletion of a key, as part of a transaction.
 #[derive(Debug, Clone)]
 pub struct KeyWrite {
     /// The key.
     pub key: String,
-    /// None deletes the key.
+    /// The value; `None` deletes the key.
     pub value: Option<Value>,
     /// The lease that the key is attached to.
     pub lease: Option<u64>,
@@ -79,111 +26,152 @@
 
 impl KeyWrite {
     /// A put of a record.
-    pub fn new<T: Serialize>(key: String, value: &T) -> Self {
-        // By way of bytes, so that the value is just what a reader will see.
-        let value = rmp_serde::to_vec_named(value)
+    pub fn new<T: Serialize>(key: String, record: &T) -> Self {
+        // By way of bytes, so that the value is exactly what a reader will see.
+        let value = rmp_serde::to_vec_named(record)
             .ok()
-            .and_then(|b| rmpv::decode::read_value(&mut b.as_slice()).ok())
+            .and_then(|bytes| rmpv::decode::read_value(&mut bytes.as_slice()).ok())
             .unwrap_or(Value::Nil);
         Self { key, value: Some(value), lease: None }
     }
 
     /// A put of a record that is attached to a lease.
-    pub fn leased<T: Serialize>(key: String, value: &T, lease: u64) -> Self {
-        Self { lease: Some(lease), ..Self::new(key, value) }
+    pub fn leased<T: Serialize>(key: String, record: &T, lease: u64) -> Self {
+        Self { lease: Some(lease), ..Self::new(key, record) }
+    }
+
+    /// A deletion.
+    pub fn delete(key: String) -> Self {
+        Self { key, value: None, lease: None }
     }
 
-    /// About how much the change takes of a transaction, in the form that limits
-    /// are measured in.
+    /// About how many bytes the write takes of a transaction, written as JSON: the limits are
+    /// measured so.
     pub fn json_len(&self) -> usize {
-        self.key.len() + 20 + self.value_len()
+        self.key.len() + WRITE_OVERHEAD_BYTES + self.value_len()
     }
 
-    /// The length of its value.
+    /// The length of its value written as JSON, in bytes.
     pub fn value_len(&self) -> usize {
         self.value.as_ref().map_or(0, json_len)
     }
-
-    /// A deletion.
-    pub fn delete(key: String) -> Self {
-        Self { key, value: None, lease: None }
-    }
 }
 
+/// The most bytes that a character takes that JSON escapes.
+const MAX_ESCAPED_BYTES: usize = 6;
+
 /// The length of a value written as JSON.
 fn json_len(value: &Value) -> usize {
     match value {
-        Value::Map(m) => m.iter().map(|(k, v)| json_len(k) + json_len(v) + 2).sum::<usize>() + 2,
-        Value::Array(a) => a.iter().map(|v| json_len(v) + 1).sum::<usize>() + 2,
-        Value::String(s) => {
-            // Characters that JSON escapes take up to six bytes.
-            let plain = s.as_bytes().iter().filter(|b| **b >= 0x20 && **b != b'"' && **b != b'\\').count();
-            plain + (s.as_bytes().len() - plain) * 6 + 2
+        Value::Map(entries) => entries.iter().map(|(k, v)| json_len(k) + json_len(v) + 2).sum::<usize>() + 2,
+        Value::Array(items) => items.iter().map(|item| json_len(item) + 1).sum::<usize>() + 2,
+        Value::String(text) => {
+            let bytes = text.as_bytes();
+            let plain = bytes.iter().filter(|b| **b >= 0x20 && **b != b'"' && **b != b'\\').count();
+            plain + (bytes.len() - plain) * MAX_ESCAPED_BYTES + 2
         }
         other => other.to_string().len(),
     }
 }
 
-fn parse<T: DeserializeOwned>(value: Value) -> Option<T> {
+/// Decodes a value; `None` if it is not a `T`.
+fn decode_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
     // By way of bytes: rmpv's own deserializer does not read enums from text.
     let mut bytes = Vec::new();
-    rmpv::encode::write_value(&mut bytes, &value).ok()?;
+    rmpv::encode::write_value(&mut bytes, value).ok()?;
     rmp_serde::from_slice(&bytes).ok()
 }
 
-fn read<T: DeserializeOwned>(value: Option<Value>, bad: &mut bool) -> Option<T> {
-    let record = parse(value?);
-    *bad = record.is_none();
-    record
+/// What a key holds.
+struct Decoded<T> {
+    /// `None` if there is no value, or none that can be read.
+    record: Option<T>,
+    /// There is a value that cannot be read.
+    is_unreadable: bool,
 }
 
-/// The schema that a controller had. Whatever the record says otherwise, it stands for the
-/// first version that left one.
-fn schema_of(value: Value) -> u32 {
-    parse::<SchemaMarker>(value).map_or(SCHEMA_VERSION, |u| u.schema_version)
+impl<T: DeserializeOwned> Decoded<T> {
+    fn from_value(value: Option<Value>) -> Self {
+        let record = value.as_ref().and_then(decode_value);
+        let is_unreadable = value.is_some() && record.is_none();
+        Self { record, is_unreadable }
+    }
+}
+
+impl<T> Decoded<T> {
+    /// The change of the record, and whether there is a value that cannot be read.
+    fn into_change(self, change: impl FnOnce(Option<T>) -> RecordChange) -> (RecordChange, bool) {
+        (change(self.record), self.is_unreadable)
+    }
+}
+
+/// The change of a record that a key's value decodes to.
+fn decode<T: DeserializeOwned>(
+    value: Option<Value>,
+    change: impl FnOnce(Option<T>) -> RecordChange,
+) -> (RecordChange, bool) {
+    Decoded::from_value(value).into_change(change)
 }
 
 /// A drain's record; one of a later schema cannot be read.
-fn read_drain(value: Option<Value>, bad: &mut bool) -> Option<DrainRecord> {
-    let record = read::<DrainRecord>(value, bad)?;
-    *bad = record.schema != DRAIN_SCHEMA;
-    (!*bad).then_some(record)
+fn decode_drain(value: Option<Value>) -> Decoded<DrainRecord> {
+    let decoded = Decoded::<DrainRecord>::from_value(value);
+    let has_other_schema = decoded.record.as_ref().is_some_and(|record| record.schema != DRAIN_SCHEMA);
+    if has_other_schema { Decoded { record: None, is_unreadable: true } } else { decoded }
+}
+
+/// The schema version that a controller had. Whatever the record says otherwise, it stands for the
+/// first version that wrote one.
+fn decode_schema_version(value: &Value) -> u32 {
+    decode_value::<SchemaMarker>(value).map_or(SCHEMA_VERSION, |marker| marker.schema_version)
 }
 
-fn cordon_id(rest: &str) -> Option<CordonId> {
-    let (drain, part) = rest.rsplit_once('/')?;
-    Some((drain.to_owned(), part.parse().ok()?))
+fn parse_cordon_id(rest: &str) -> Option<CordonId> {
+    let (drain, number) = rest.rsplit_once('/')?;
+    Some((drain.to_owned(), number.parse().ok()?))
 }
 
-/// Reads a change of a key; `None` is a deletion. The second part tells that
-/// there is a value, but none that can be read.
+/// Decodes the change of a key; a value of `None` is its deletion. The second part tells that there
+/// is a value that cannot be read.
 pub fn decode_change(key: &str, value: Option<Value>) -> (RecordChange, bool) {
-    let mut bad = false;
-    let Some(rest) = key.strip_prefix(key::PREFIX) else { return (RecordChange::Other, false) };
-    let change = match rest.split_once('/') {
-        Some(("jobs", id)) => RecordChange::Job(id.to_owned(), read(value, &mut bad)),
-        Some(("machines", id)) => RecordChange::Machine(id.to_owned(), read(value, &mut bad)),
-        Some(("teams", id)) => RecordChange::Team(id.to_owned(), read(value, &mut bad)),
-        Some(("members", id)) => RecordChange::Member(id.to_owned(), read(value, &mut bad)),
-        Some(("upgraded", id)) => RecordChange::SchemaMarker(id.to_owned(), value.map(schema_of)),
-        Some(("drains", name)) => RecordChange::Drain(name.to_owned(), read_drain(value, &mut bad)),
-        Some(("cordons", rest)) => match cordon_id(rest) {
-            Some(id) => RecordChange::Cordon(id, read(value, &mut bad)),
-            None => RecordChange::Other,
+    const UNKNOWN: (RecordChange, bool) = (RecordChange::Other, false);
+    let Some(rest) = key.strip_prefix(key::PREFIX) else { return UNKNOWN };
+    let Some((kind, id)) = rest.split_once('/') else { return decode_single(key, value) };
+    let owned_id = || id.to_owned();
+    match kind {
+        "jobs" => decode(value, |record| RecordChange::Job(owned_id(), record)),
+        "machines" => decode(value, |record| RecordChange::Machine(owned_id(), record)),
+        "teams" => decode(value, |record| RecordChange::Team(owned_id(), record)),
+        "members" => decode(value, |record| RecordChange::Member(owned_id(), record)),
+        "disruptions" => decode(value, |record| RecordChange::Disruptions(owned_id(), record)),
+        "drains" => decode_drain(value).into_change(|record| RecordChange::Drain(owned_id(), record)),
+        "cordons" => match parse_cordon_id(id) {
+            Some(id) => decode(value, |record| RecordChange::Cordon(id, record)),
+            None => UNKNOWN,
         },
-        Some(("disruptions", team)) => RecordChange::Disruptions(team.to_owned(), read(value, &mut bad)),
-        // Only its version matters: were one that cannot be read passed over, no placement
-        // would be conditional on the version that it has.
-        None if rest == "cordon-fence" => {
-            RecordChange::CordonFence(value.map(|v| parse(v).unwrap_or_default()))
+        "upgraded" => {
+            let schema_version = value.as_ref().map(decode_schema_version);
+            (RecordChange::SchemaMarker(owned_id(), schema_version), false)
+        }
+        _ => UNKNOWN,
+    }
+}
+
+/// Decodes the change of a key of which there is only one.
+fn decode_single(key: &str, value: Option<Value>) -> (RecordChange, bool) {
+    match key {
+        // Only its version matters: were one that cannot be read ignored, no placement would be
+        // conditional on the version that it has.
+        key::CORDON_FENCE => {
+            let fence = value.map(|value| decode_value(&value).unwrap_or_default());
+            (RecordChange::CordonFence(fence), false)
         }
-        None if rest == "leader" => RecordChange::Leader(read(value, &mut bad)),
-        None if rest == "map" => RecordChange::Map(read(value, &mut bad)),
-        None if rest == "types" => RecordChange::Types(read(value, &mut bad)),
-        None if rest == "fleet" => RecordChange::Fleet(read(value, &mut bad)),
-        _ => RecordChange::Other,
-    };
-    (change, bad)
+        key::LEADER => decode(value, RecordChange::Leader),
+        key::MAP => decode(value, RecordChange::Map),
+        key::TYPES => decode(value, RecordChange::Types),
+        key::FLEET => decode(value, RecordChange::Fleet),
+        _ => (RecordChange::Other, false),
+    }
 }
 
 #[cfg(test)]
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,13 +1,15 @@
-//! The state service: client, record encoding, and the write budget.
+//! Access to the key-value store: a client, the encoding of the records, and the rate limit for
+//! requests.
 
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 mod chunks;
 mod client;
 mod codec;
+pub mod key;
 mod rate_limiter;
 
 pub use chunks::{ChunkedRecord, OrphanedChunks, RecordReader, split_record};
 pub use client::{KeyValueClient, StoreError, TxnOutcome};
-pub use codec::{KeyWrite, decode_change, key};
+pub use codec::{KeyWrite, decode_change};
 pub use rate_limiter::RateLimiter;
--- a/crates/store/src/rate_limiter.rs
+++ b/crates/store/src/rate_limiter.rs
@@ -1,90 +1,100 @@
+//! The rate limit for requests to the key-value store.
+
 use std::time::{Duration, Instant};
 
-/// A token bucket that callers wait on before they use the state service.
+/// A token bucket that callers wait on before they use the key-value store.
 #[derive(Debug)]
 pub struct RateLimiter {
+    /// Tokens that are added a second.
     per_s: f64,
+    /// Most tokens that the bucket holds.
     burst: f64,
-    level: f64,
-    at: Instant,
-    /// Since when rounds have had nothing.
-    denied: Option<Instant>,
+    /// Tokens that it holds as of `filled_at`; negative while there is debt.
+    tokens: f64,
+    filled_at: Instant,
+    /// Since when scheduling cycles have had no allowance.
+    denied_since: Option<Instant>,
 }
 
-/// How long rounds wait for others' debt before they have a change and its fence all the
-/// same: where users' changes take up a controller's whole share, what it places would
-/// wait for as long as they go on.
-const DENIED_FOR: Duration = Duration::from_secs(2);
-const ALLOWED_THEN: usize = 2;
+/// How long scheduling cycles wait for the debt of others before they have an allowance all the
+/// same: where users' changes take up a controller's whole rate, placements would otherwise wait for
+/// as long as these go on.
+const MAX_DENIAL: Duration = Duration::from_secs(2);
+/// The allowance after that: a change and its fence.
+const ALLOWANCE_AFTER_DENIAL: usize = 2;
+/// Changes that a cycle may have beyond those that there are tokens for.
+const EXTRA_ALLOWANCE: usize = 2;
+/// For how long a cycle may use up the rate ahead of time.
+const ALLOWANCE_AHEAD_S: f64 = 0.5;
 
 /// Most debt, in seconds of the rate, and longest wait.
-const DEBT_S: f64 = 2.0;
+const MAX_DEBT_S: f64 = 2.0;
 
 impl RateLimiter {
     /// A bucket that is full now and fills at this rate.
     pub fn new(per_s: f64, burst: f64, now: Instant) -> Self {
-        Self { per_s, burst, level: burst, at: now, denied: None }
+        Self { per_s, burst, tokens: burst, filled_at: now, denied_since: None }
     }
 
-    /// The rate at which it fills.
+    /// The rate at which it fills, in tokens a second.
     pub fn per_second(&self) -> f64 {
         self.per_s
     }
 
     fn fill(&mut self, now: Instant) {
-        let gained = now.saturating_duration_since(self.at).as_secs_f64() * self.per_s;
-        self.level = (self.level + gained).min(self.burst);
-        self.at = now;
+        let gained = now.saturating_duration_since(self.filled_at).as_secs_f64() * self.per_s;
+        self.tokens = (self.tokens + gained).min(self.burst);
+        self.filled_at = now;
     }
 
-    /// How long until there are `n` units.
-    fn wait(&mut self, n: f64, now: Instant) -> Duration {
+    /// How long until there are this many tokens.
+    fn time_until(&mut self, tokens: f64, now: Instant) -> Duration {
         self.fill(now);
-        wire::seconds(((n - self.level) / self.per_s).min(DEBT_S))
+        wire::seconds(((tokens - self.tokens) / self.per_s).min(MAX_DEBT_S))
     }
 
-    /// Takes `n` units, going into debt, and tells how long to wait first.
-    /// `reserve` is left for more urgent callers.
-    pub fn acquire(&mut self, n: f64, reserve: f64, now: Instant) -> Duration {
-        let wait = self.wait(n + reserve, now);
-        // Debt does not pile up: what could not be done is not done later.
-        self.level = (self.level - n).max(-DEBT_S * self.per_s);
+    /// Takes tokens, going into debt, and returns how long to wait first. `reserve` tokens are left
+    /// for more urgent callers.
+    pub fn acquire(&mut self, tokens: f64, reserve: f64, now: Instant) -> Duration {
+        let wait = self.time_until(tokens + reserve, now);
+        // Debt is bounded: what could not be done is not done later.
+        self.tokens = (self.tokens - tokens).max(-MAX_DEBT_S * self.per_s);
         wait
     }
 
-    /// The service refused for its rate: whatever was thought left is gone.
+    /// Notes that the key-value store refused a request by its own rate limit: there are no tokens.
     pub fn note_refusal(&mut self, now: Instant) {
         self.fill(now);
-        self.level = self.level.min(0.0);
+        self.tokens = self.tokens.min(0.0);
     }
 
-    /// How many changes a round may have now: nothing while there is debt, but not for
-    /// ever, and more the more has been saved up.
+    /// How many changes a scheduling cycle may have now: none while there is debt, though not for
+    /// more than a while, and the more the more tokens there are.
     pub fn allowance(&mut self, now: Instant) -> usize {
         self.fill(now);
-        if self.level >= 1.0 {
-            self.denied = None;
-            return (self.level + self.per_s * 0.5) as usize + 2;
+        if self.tokens >= 1.0 {
+            self.denied_since = None;
+            return (self.tokens + self.per_s * ALLOWANCE_AHEAD_S) as usize + EXTRA_ALLOWANCE;
         }
-        let since = *self.denied.get_or_insert(now);
-        if now.saturating_duration_since(since) < DENIED_FOR {
+        let since = *self.denied_since.get_or_insert(now);
+        if now.saturating_duration_since(since) < MAX_DENIAL {
             return 0;
         }
-        self.denied = Some(now);
-        ALLOWED_THEN
+        self.denied_since = Some(now);
+        ALLOWANCE_AFTER_DENIAL
     }
 
-    /// A controller's share changes with the number of controllers.
+    /// Changes the rate: the share of a controller depends on how many there are.
     pub fn set_rate(&mut self, per_s: f64, now: Instant) {
         self.fill(now);
         self.per_s = per_s;
         self.burst = per_s;
     }
 
-    /// How many units are there now.
+    /// How many tokens there are now.
     pub fn available(&mut self, now: Instant) -> f64 {
         self.fill(now);
-        self.level
+        self.tokens
     }
 }
 
--- a/crates/store/tests/unit/chunks.rs
+++ b/crates/store/tests/unit/chunks.rs
@@ -1,5 +1,8 @@
 use super::*;
+use crate::codec::KeyWrite;
+use crate::key;
 use sched::records::*;
+use sched::replica::RecordChange;
 
 fn large() -> FleetRecord {
     let gone = (0..400u32).map(|n| format!("host-{:06}", n * 7919 % 100_000).as_str().into()).collect();
@@ -17,15 +20,15 @@
 #[test]
 fn a_record_in_parts_is_read_when_all_are_there_in_any_order() {
     let w = wide(7);
-    assert!(w.parts.len() > 2);
-    for put in w.parts.iter().chain([&w.head]) {
+    assert!(w.chunks.len() > 2);
+    for put in w.chunks.iter().chain([&w.head]) {
         assert!(put.json_len() <= 500 + put.key.len() + 20, "{}", put.json_len());
     }
     let mut sorted = large();
     sorted.removed_machines.iter_mut().for_each(|g| g.sort_unstable());
     let mut reader = RecordReader::default();
     // In order, as the state service tells it.
-    for put in &w.parts {
+    for put in &w.chunks {
         assert!(matches!(reader.apply(&put.key, put.value.clone(), 3), (RecordChange::Other, false, 3)));
     }
     let (change, bad, at) = reader.apply(&w.head.key, w.head.value.clone(), 4);
@@ -33,7 +36,7 @@
     // The head first, as in a list by keys: nothing can be read, nothing is deleted.
     let mut reader = RecordReader::default();
     assert!(reader.apply(&w.head.key, w.head.value.clone(), 4).1);
-    let (last, others) = w.parts.split_last().expect("parts");
+    let (last, others) = w.chunks.split_last().expect("parts");
     for put in others {
         assert!(!reader.apply(&put.key, put.value.clone(), 3).1);
     }
@@ -45,7 +48,7 @@
 fn only_parts_that_no_head_names_are_orphans() {
     let (old, new) = (wide(7), wide(8));
     let mut reader = RecordReader::default();
-    for put in old.parts.iter().chain([&old.head]).chain(&new.parts) {
+    for put in old.chunks.iter().chain([&old.head]).chain(&new.chunks) {
         reader.apply(&put.key, put.value.clone(), 1);
     }
     let nonces = |r: &RecordReader| r.orphans().iter().map(|o| o.nonce.clone()).collect::<Vec<_>>();
@@ -53,7 +56,7 @@
     reader.apply(&new.head.key, new.head.value.clone(), 2);
     assert_eq!(nonces(&reader), ["7"]);
     let first = &reader.orphans()[0].keys[0];
-    assert_eq!(Some(first), old.parts.last().map(|p| &p.key), "the first part is written last, gone first");
+    assert_eq!(Some(first), old.chunks.last().map(|p| &p.key), "the first part is written last, gone first");
     reader.apply(key::FLEET, KeyWrite::new(key::FLEET.into(), &FleetRecord::default()).value, 3);
     assert_eq!(nonces(&reader), ["7", "8"], "it fits into one value again");
     assert!(!reader.is_chunked(key::FLEET));
