--- a/crates/daemon/src/chunk_collector.rs
+++ b/crates/daemon/src/chunk_collector.rs
@@ -50,16 +50,16 @@
         }
         let orphans = state.records.reader.orphans();
         let due = self.oldest_due(orphans, now)?;
-        let version = record_version(&state.records.replica, &due.of)?;
+        let version = record_version(&state.records.replica, &due.record_key)?;
         let max_deletions = controller.state_limits().txn_ops;
         let deletions =
             due.keys.iter().take(max_deletions).map(|key| KeyWrite::delete(key.clone())).collect();
-        Some(ChunkDeletion { condition: Condition { key: due.of, version }, deletions })
+        Some(ChunkDeletion { condition: Condition { key: due.record_key, version }, deletions })
     }
 
     /// The first of the orphans that has been one for long enough.
     fn oldest_due(&mut self, orphans: Vec<OrphanedChunks>, now: Instant) -> Option<OrphanedChunks> {
-        let id = |chunks: &OrphanedChunks| (chunks.of.clone(), chunks.nonce.clone());
+        let id = |chunks: &OrphanedChunks| (chunks.record_key.clone(), chunks.nonce.clone());
         self.first_seen.retain(|known, _| orphans.iter().any(|chunks| id(chunks) == *known));
         orphans.into_iter().find(|chunks| {
             let since = *self.first_seen.entry(id(chunks)).or_insert(now);
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -72,13 +72,13 @@
         let too_large = || StoreError::ValueTooLarge(write.key.clone());
         let value_bytes = limits.value_bytes as usize;
         let chunked = split_record(write, rand::rng().random(), value_bytes).ok_or_else(too_large)?;
-        if chunked.parts.len() > MAX_CHUNKS {
+        if chunked.chunks.len() > MAX_CHUNKS {
             return Err(too_large());
         }
-        let first_key = chunked.parts.last().map(|chunk| chunk.key.clone()).ok_or_else(too_large)?;
+        let first_key = chunked.chunks.last().map(|chunk| chunk.key.clone()).ok_or_else(too_large)?;
         let chunks_per_txn = limits.txn_ops.min(MAX_TXN_BYTES / (value_bytes + CHUNK_OVERHEAD_BYTES)).max(1);
         let mut revision = 0;
-        for chunks in chunked.parts.chunks(chunks_per_txn) {
+        for chunks in chunked.chunks.chunks(chunks_per_txn) {
             revision = self.write_chunks_with_retries(&write.key, chunks, value_bytes).await?;
         }
         let first_chunk_exists = Condition { key: first_key, version: revision };
--- a/crates/daemon/src/operators/hcl_file.rs
+++ b/crates/daemon/src/operators/hcl_file.rs
@@ -134,10 +134,10 @@
     Ok(Operators {
         drains: drain_settings(file, &drains)?,
         rescheduler: Policy {
-            scan: seconds(rescheduler.scan_s),
-            threshold: rescheduler.threshold,
-            budget: seconds(rescheduler.budget_s),
-            avoid: seconds(rescheduler.avoid_s),
+            scan_interval: seconds(rescheduler.scan_s),
+            usage_threshold: rescheduler.threshold,
+            eviction_interval: seconds(rescheduler.budget_s),
+            avoid_duration: seconds(rescheduler.avoid_s),
         },
         idle: seconds(fleet.idle_s),
         silent: fleet.silent_s.map(seconds),
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -207,7 +207,7 @@
         let replica = &mut records.replica;
         let is_recent = usability_checked_at
             .is_some_and(|at| now.saturating_duration_since(at) < USABILITY_CHECK_INTERVAL);
-        if is_recent && inventory.refresh_use(replica) {
+        if is_recent && inventory.refresh_usage(replica) {
             return;
         }
         *usability_checked_at = Some(now);
