--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -488,9 +488,11 @@
             case_over(&mut done, "returns planned", 1);
             controller.state().scheduling.recent_assignments.since = None;
             let new = spec(4_000_000, JobKind::Array, 1);
-            measured(|| api::choose_part(&controller, &new));
+            measured(|| api::shard_choice::choose_shard(&controller, &new));
             case_over(&mut done, "part for a first new job", 1);
-            measured(|| (0..4).for_each(|_| drop(black_box(api::choose_part(&controller, &new)))));
+            measured(|| {
+                (0..4).for_each(|_| drop(black_box(api::shard_choice::choose_shard(&controller, &new))))
+            });
             case_over(&mut done, "part for a new job", 4);
             measured(|| peer::encode(&Message::PeerStatus(peers::summary(&controller))));
             case_over(&mut done, "summary told", 1);
--- /dev/null
+++ b/crates/daemon/src/api/heartbeats.rs
@@ -0,0 +1,200 @@
+//! Heartbeats of workers: from the worker itself, or relayed by a peer.
+
+use std::time::Instant;
+
+use net::Reply;
+use sched::records::{MachineRecord, Member};
+use sched::replica::Replica;
+use wire::{Heartbeat, HeartbeatResponse, Redirect};
+
+use super::error::ApiError;
+use crate::clock;
+use crate::controller::Controller;
+use crate::load::LoadCounters;
+use crate::peers;
+use crate::state::ControllerState;
+use crate::worker::{Worker, final_stops, first_token};
+
+/// The status of a reply that sends a worker to another controller.
+const MISDIRECTED_REQUEST: u16 = 421;
+
+/// How a heartbeat came here.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum HeartbeatRoute {
+    /// From the worker itself.
+    Direct,
+    /// Through a controller that does not own the machine.
+    Relayed,
+}
+
+/// What is to be done with a heartbeat.
+#[derive(Debug, PartialEq)]
+pub(crate) enum HeartbeatOutcome {
+    /// Answer it: this renews the worker's lease.
+    Respond(HeartbeatResponse),
+    /// Send the worker to another controller, or to any other if none is named.
+    Redirect(Option<String>),
+    /// Relay it to this controller, which owns the machine and may be partitioned from it.
+    Relay(String),
+    /// Record the machine, and answer with the first token of this epoch.
+    RegisterMachine {
+        /// The epoch of the cluster map.
+        epoch: u64,
+    },
+}
+
+/// Answers a heartbeat.
+pub async fn handle_heartbeat(controller: &Controller, body: &[u8], route: HeartbeatRoute) -> Reply {
+    let heartbeat: Heartbeat = match wire::decode(body) {
+        Ok(heartbeat) => heartbeat,
+        Err(error) => return ApiError::InvalidHeartbeat(error.to_string()).into(),
+    };
+    if !heartbeat.is_named() {
+        return ApiError::InvalidMachineName.into();
+    }
+    LoadCounters::add(&controller.load.reports, 1);
+    match process_heartbeat(controller, &heartbeat, route, clock::now()) {
+        HeartbeatOutcome::Respond(response) => Reply::new(200, &response),
+        HeartbeatOutcome::Redirect(owner) => {
+            LoadCounters::add(&controller.load.turned_away, 1);
+            redirect(owner)
+        }
+        HeartbeatOutcome::Relay(owner) => {
+            peers::relay(controller, &owner, body.to_vec()).await.unwrap_or_else(|| redirect(None))
+        }
+        HeartbeatOutcome::RegisterMachine { epoch } => {
+            // The machine is recorded before anything is launched on it.
+            request_registration(controller, &heartbeat);
+            Reply::new(200, &renewal(first_token(epoch)))
+        }
+    }
+}
+
+/// The reply that sends a worker to another controller.
+pub(super) fn redirect(report_to: Option<String>) -> Reply {
+    Reply::new(MISDIRECTED_REQUEST, &Redirect { report_to })
+}
+
+/// A response that renews the lease and has no commands.
+fn renewal(fencing_token: u64) -> HeartbeatResponse {
+    HeartbeatResponse { fencing_token, commands: Vec::new() }
+}
+
+/// Updates what is known of the worker and decides on the answer.
+pub(crate) fn process_heartbeat(
+    controller: &Controller,
+    heartbeat: &Heartbeat,
+    route: HeartbeatRoute,
+    now: Instant,
+) -> HeartbeatOutcome {
+    let machine = &heartbeat.machine;
+    let mut guard = controller.state();
+    let state = &mut *guard;
+    let replica = &state.records.replica;
+    let Some(map) = replica.current_map() else { return HeartbeatOutcome::Redirect(None) };
+    let recorded_owner = replica.owner_of(machine);
+    let Some(owner) = recorded_owner.or_else(|| map.owner(machine, &heartbeat.zone)).cloned() else {
+        return HeartbeatOutcome::Redirect(None);
+    };
+    let epoch = map.epoch;
+    if owner != controller.identity {
+        return process_for_other_owner(controller, state, &owner, heartbeat, route, now);
+    }
+    if !controller.may_renew_leases(state, now) {
+        return HeartbeatOutcome::Redirect(None);
+    }
+    if !state.records.replica.machines.contains_key(machine.as_str()) {
+        return if must_stop_tasks(heartbeat, &state.records.replica) {
+            HeartbeatOutcome::Redirect(None)
+        } else {
+            HeartbeatOutcome::RegisterMachine { epoch }
+        };
+    }
+    process_for_own_worker(controller, state, heartbeat, epoch, now)
+}
+
+/// Whether the worker has to stop tasks of cancelled jobs. Only the owner may renew its lease
+/// then: the answers of others have no commands.
+fn must_stop_tasks(heartbeat: &Heartbeat, replica: &Replica) -> bool {
+    !final_stops(&heartbeat.tasks, replica).is_empty()
+}
+
+/// Decides on a heartbeat of a machine that another controller owns.
+fn process_for_other_owner(
+    controller: &Controller,
+    state: &mut ControllerState,
+    owner: &Member,
+    heartbeat: &Heartbeat,
+    route: HeartbeatRoute,
+    now: Instant,
+) -> HeartbeatOutcome {
+    if route == HeartbeatRoute::Relayed || owner.name == controller.identity.name {
+        return HeartbeatOutcome::Redirect(None);
+    }
+    // The worker has seen no token of this epoch: after a crash of several controllers its lease
+    // may be about to expire. Any live controller renews it once, with the first token of the
+    // epoch; the next heartbeat is redirected.
+    let token = first_token(state.epoch());
+    let replica = &state.records.replica;
+    if heartbeat.fencing_token < token
+        && controller.may_renew_leases(state, now)
+        && !must_stop_tasks(heartbeat, replica)
+    {
+        return HeartbeatOutcome::Respond(renewal(token));
+    }
+    state.machines.prune_redirections(state.records.replica.machines.len(), now);
+    if state.machines.was_redirected(&heartbeat.machine, now) {
+        // It was sent to its owner just now and came back.
+        return HeartbeatOutcome::Relay(owner.name.clone());
+    }
+    state.machines.note_redirection(&heartbeat.machine, now);
+    HeartbeatOutcome::Redirect(Some(owner.name.clone()))
+}
+
+/// Takes in a heartbeat of a worker of this controller, renews its lease and gives it commands.
+fn process_for_own_worker(
+    controller: &Controller,
+    state: &mut ControllerState,
+    heartbeat: &Heartbeat,
+    epoch: u64,
+    now: Instant,
+) -> HeartbeatOutcome {
+    let machine = heartbeat.machine.as_str();
+    let ControllerState { records, machines, .. } = state;
+    let replica = &records.replica;
+    let limits = controller.worker_limits(records.fresh_at);
+    let owned_since = replica.owned_since_epoch(machine);
+    if machines.workers.get(machine).is_some_and(|w| w.lapsed(owned_since)) {
+        machines.workers.remove(machine);
+    }
+    let new_worker = || Worker::new(heartbeat.addr.clone(), epoch, now);
+    let worker = machines.workers.entry(machine.into()).or_insert_with(new_worker);
+    worker.enter_epoch(epoch);
+    if worker.overtaken_by(heartbeat) {
+        return HeartbeatOutcome::Redirect(None);
+    }
+    let is_newest = worker.ingest(heartbeat.clone(), true, now);
+    // A copy of an older heartbeat gets no new commands; it may still be the one whose answer the
+    // worker waits for.
+    worker.renew(now);
+    let commands =
+        if is_newest { worker.answer(machine, replica, &limits, now) } else { worker.final_stops(replica) };
+    let response = HeartbeatResponse { fencing_token: worker.token(), commands };
+    if worker.due(now) {
+        controller.wake_scheduler.notify_one();
+    }
+    HeartbeatOutcome::Respond(response)
+}
+
+/// Has a machine recorded that sent its first heartbeat.
+fn request_registration(controller: &Controller, heartbeat: &Heartbeat) {
+    let record = MachineRecord {
+        addr: heartbeat.addr.clone(),
+        machine_type: heartbeat.machine_type.as_str().into(),
+        zone: heartbeat.zone.as_str().into(),
+        spot: heartbeat.spot,
+        release: false,
+    };
+    controller.state().machines.unrecorded.insert(heartbeat.machine.as_str().into(), record);
+    controller.unrecorded_machine.notify_one();
+}
--- /dev/null
+++ b/crates/daemon/src/api/machine_registration.rs
@@ -0,0 +1,126 @@
+//! Records machines that have sent a heartbeat for the first time.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use sched::records::{MachineRecord, Name};
+use sched::replica::RecordChange;
+use store::{KeyWrite, StoreError, TxnOutcome, key};
+use tokio::time::sleep;
+use tracing::{debug, info};
+use wire::{Condition, Heartbeat};
+
+use super::CONFLICT_TIMEOUT;
+use crate::controller::Controller;
+use crate::load::{Purpose, sample_names};
+use crate::state::ControllerState;
+
+/// How long further machines are waited for before a batch is recorded.
+const BATCH_DELAY: Duration = Duration::from_millis(150);
+/// How long a machine has to confirm its name.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Most bytes of a worker's status.
+const MAX_STATUS_BYTES: usize = wire::BODY_LIMIT * 4;
+
+/// A machine that has no record yet, with the record that it is to get.
+type NewMachine = (Name, MachineRecord);
+
+/// Records new machines in batches, until the controller stops. Each is asked itself first: a
+/// delayed duplicate of a heartbeat must not bring back a machine that was released.
+pub async fn register_machines(controller: Arc<Controller>) {
+    loop {
+        controller.unrecorded_machine.notified().await;
+        sleep(BATCH_DELAY).await;
+        loop {
+            let batch = next_batch(&controller);
+            if batch.is_empty() {
+                break;
+            }
+            let confirmed = confirm(&controller, batch).await;
+            record_machines(&controller, confirmed).await;
+        }
+    }
+}
+
+/// Takes as many unrecorded machines as one transaction can hold.
+fn next_batch(controller: &Controller) -> Vec<NewMachine> {
+    let mut state = controller.state();
+    let ControllerState { machines, records, .. } = &mut *state;
+    let (unrecorded, replica) = (&mut machines.unrecorded, &records.replica);
+    unrecorded.retain(|id, _| !replica.machines.contains_key(id));
+    let max_machines = controller.state_limits().txn_ops;
+    let batch: Vec<Name> = unrecorded.keys().take(max_machines).cloned().collect();
+    batch.into_iter().filter_map(|id| unrecorded.remove_entry(&id)).collect()
+}
+
+/// The machines of a batch that confirm their names, which are asked at the same time.
+async fn confirm(controller: &Arc<Controller>, batch: Vec<NewMachine>) -> Vec<NewMachine> {
+    let requests: Vec<_> = batch
+        .into_iter()
+        .map(|(id, record)| {
+            let asking = controller.clone();
+            controller
+                .task_tracker
+                .spawn(async move { confirms_name(&asking, &id, &record).await.then_some((id, record)) })
+        })
+        .collect();
+    let mut confirmed = Vec::new();
+    for request in requests {
+        confirmed.extend(request.await.ok().flatten());
+    }
+    confirmed
+}
+
+/// Whether the worker at the address of a record says that it is this machine's.
+pub(crate) async fn confirms_name(controller: &Controller, machine: &str, record: &MachineRecord) -> bool {
+    let answer = controller
+        .worker_http
+        .request(&record.addr, "GET", "/status", Vec::new(), MAX_STATUS_BYTES, CONFIRMATION_TIMEOUT)
+        .await;
+    answer.is_ok_and(|a| wire::decode::<Heartbeat>(&a.body).is_ok_and(|status| status.machine == machine))
+}
+
+async fn record_machines(controller: &Controller, machines: Vec<NewMachine>) {
+    if machines.is_empty() {
+        return;
+    }
+    controller.wait_for_write(machines.len(), 0.0).await;
+    controller.load.spend(Purpose::Machines, machines.len());
+    let conditions = machines.iter().map(|(id, _)| Condition { key: key::machine(id), version: 0 }).collect();
+    let writes = machines.iter().map(|(id, record)| KeyWrite::new(key::machine(id), record)).collect();
+    match controller.commit(conditions, writes).await {
+        Ok(TxnOutcome::Committed { revision }) => {
+            apply_registrations(controller, machines, revision);
+            controller.wake_scheduler.notify_one();
+            controller.peer_status_due.notify_one();
+        }
+        Ok(TxnOutcome::Conflict { revision, .. }) => {
+            controller.wait_for_revision(revision, CONFLICT_TIMEOUT).await;
+        }
+        Err(error) => {
+            debug!(%error, "machine registration failed");
+            controller.note_refusal(&error);
+            if matches!(error, StoreError::RateLimited) {
+                // Tried again without waiting for their next heartbeats.
+                controller.state().machines.unrecorded.extend(machines);
+            }
+        }
+    }
+}
+
+/// Puts machines that were recorded into the replica.
+fn apply_registrations(controller: &Controller, machines: Vec<NewMachine>, revision: u64) {
+    let mut state = controller.state();
+    let names: Vec<&Name> = machines.iter().map(|(id, _)| id).collect();
+    info!(count = names.len(), machines = sample_names(&names), "machines registered");
+    for (id, record) in machines {
+        debug!(
+            machine = &*id,
+            zone = &*record.zone,
+            machine_type = &*record.machine_type,
+            spot = record.spot,
+            "machine registered"
+        );
+        state.records.replica.apply(RecordChange::Machine(id.to_string(), Some(record)), revision);
+    }
+}
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -17,9 +17,9 @@
 use tokio_util::task::TaskTracker;
 use wire::JobKind;
 
-use crate::api;
 use crate::clock;
 pub use crate::clock::wall_ms;
+use crate::connection_shares::{CONNECTION_SHARES, share_of};
 use crate::limits::{self, LimitChanges, StateLimits};
 use crate::load::{LoadCounters, Purpose};
 use crate::operators::Operators;
@@ -122,8 +122,8 @@
             worker_http: workers_http,
             public_connections: Arc::new(Connections::new(
                 sockets.front,
-                &[(api::SHARES[0], sockets.workers_kept), (api::SHARES[1], sockets.users_kept)],
-                api::share_of,
+                &[(CONNECTION_SHARES[0], sockets.workers_kept), (CONNECTION_SHARES[1], sockets.users_kept)],
+                share_of,
             )),
             load: LoadCounters::default(),
             peer_connections: Arc::new(Connections::new(sockets.peers, &[], |_| 0)),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -8,6 +8,7 @@
 mod client;
 mod clock;
 mod commit;
+mod connection_shares;
 mod controller;
 mod drains;
 mod emulated;
@@ -247,7 +248,7 @@
     controller.spawn_task(reconcile::heartbeat(controller.clone()));
     controller.spawn_task(reconcile::rounds(controller.clone()));
     controller.spawn_task(prober::prober(controller.clone()));
-    controller.spawn_task(api::arrivals(controller.clone()));
+    controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
     controller.spawn_task(load::log_regularly(controller.clone()));
     if controller.operators.drains.enabled {
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -9,7 +9,7 @@
 use sched::replica::SortedLookup;
 use tokio::time::timeout;
 
-use crate::api;
+use crate::api::heartbeats::{HeartbeatRoute, handle_heartbeat};
 use crate::clock;
 use crate::controller::Controller;
 use crate::drains::observe;
@@ -197,7 +197,7 @@
             Message::PeerStatus(summary(&controller))
         }
         Some(Message::RelayedHeartbeat(r)) => {
-            let reply = api::report(&controller, &r.heartbeat, true).await;
+            let reply = handle_heartbeat(&controller, &r.heartbeat, HeartbeatRoute::Relayed).await;
             Message::HeartbeatResponse { status: reply.status, body: reply.body }
         }
         Some(Message::TerminationProofs(p)) => {
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -1,20 +1,23 @@
-use super::reports::{Disposal, answers, take_report};
+use super::heartbeats::{HeartbeatOutcome, process_heartbeat, redirect};
+use super::machine_registration::confirms_name;
 use super::*;
 use crate::operators::Operators;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
 use crate::{change_feed, read_barrier};
+use sched::records::{JobRecord, MachineRecord, Name, Phase};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
+use store::{KeyWrite, key};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
-use wire::{Heartbeat, Item, Items};
+use wire::{Heartbeat, Item, Items, JobKind};
 
-/// A stand-in for the state service with one job waiting, one done and one
+/// A stand-in for the key-value store with one job waiting, one done and one
 /// record that nobody can read. It refuses while `out`.
 async fn state_service(out: Arc<AtomicBool>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -62,13 +65,13 @@
     controller
 }
 
-/// Through start, outage and return, a job that was accepted is answered for
-/// as soon as the state service answers, and never with a 404.
+/// During start, outage and recovery, the status of an accepted job is answered as soon as the
+/// key-value store answers, and never with a 404.
 #[tokio::test]
-async fn an_accepted_job_stays_known() {
+async fn an_accepted_job_is_never_unknown_during_and_after_an_outage() {
     let out = Arc::new(AtomicBool::new(true));
     let controller = controller(state_service(out.clone()).await).await;
-    let ask = async |id: &str| status(&controller, id).await;
+    let ask = async |id: &str| job_reply(status(&controller, id).await);
     for id in ["j-1", "j-2", "j-3", "j-4"] {
         let reply = ask(id).await;
         assert_eq!((reply.status, reply.retry_after), (503, Some(1)), "{id}: nothing is known yet");
@@ -93,38 +96,43 @@
     controller.shutdown.cancel();
 }
 
-/// A worker that cannot reach its owner is passed on for a while only.
+/// The heartbeats of a worker that cannot reach its owner are relayed for a while only.
 #[test]
-fn workers_are_sent_to_their_owner_again_and_again() {
+fn a_worker_that_comes_back_is_relayed_for_a_while_and_redirected_again() {
     let controller = crate::scale::controller(40, 2);
     let machine = {
-        let core = controller.state();
-        let others = |id: &&Name| core.records.replica.owner_of(id).is_some_and(|o| o.name == "n-1");
-        core.records.replica.machines.keys().find(others).cloned().expect("one of the other's")
+        let state = controller.state();
+        let others = |id: &&Name| state.records.replica.owner_of(id).is_some_and(|o| o.name == "n-1");
+        state.records.replica.machines.keys().find(others).cloned().expect("one of the other's")
     };
     let report: Heartbeat = wire::decode(&wire::encode(&serde_json::json!({"frame": &*machine, "addr": "a",
         "shape": "m", "bay": "z", "loaner": false, "stint": 1, "tally": 1, "baton": u64::MAX >> 1,
         "threads": []})))
     .expect("a report");
     let start = Instant::now();
-    let relayed = |s: u64| match take_report(&controller, &report, false, start + Duration::from_secs(s)) {
-        Disposal::Relay(owner) => {
-            assert_eq!(owner, "n-1");
-            true
-        }
-        Disposal::Answer(reply) => {
-            assert_eq!(reply.status, 421);
-            false
+    let relayed = |s: u64| {
+        let at = start + Duration::from_secs(s);
+        match process_heartbeat(&controller, &report, HeartbeatRoute::Direct, at) {
+            HeartbeatOutcome::Relay(owner) => {
+                assert_eq!(owner, "n-1");
+                true
+            }
+            HeartbeatOutcome::Redirect(owner) => {
+                assert_eq!(redirect(owner).status, 421);
+                false
+            }
+            outcome @ (HeartbeatOutcome::Respond(_) | HeartbeatOutcome::RegisterMachine { .. }) => {
+                unreachable!("its record is there, and its owner is another: {outcome:?}")
+            }
         }
-        Disposal::Adopt(_) => unreachable!("its record is there"),
     };
     let seen: Vec<bool> = [0, 1, 2, 10, 59, 60, 61, 119, 120].map(relayed).to_vec();
     assert_eq!(seen, [false, true, true, true, true, false, true, true, false]);
 }
 
-/// A late copy of a report must not bring back a machine that was returned.
+/// A delayed duplicate of a heartbeat must not bring back a machine that was released.
 #[tokio::test]
-async fn a_machine_is_recorded_only_if_it_answers_itself() {
+async fn a_machine_is_recorded_only_if_it_confirms_its_name() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address").to_string();
     let serve = |_| async {
@@ -145,7 +153,10 @@
         spot: false,
         release: false,
     };
-    assert!(answers(&controller, "host-2", &record(&addr)).await);
-    assert!(!answers(&controller, "host-1", &record(&addr)).await, "another machine has its address now");
-    assert!(!answers(&controller, "host-1", &record("127.0.0.1:1")).await, "nobody is there");
+    assert!(confirms_name(&controller, "host-2", &record(&addr)).await);
+    assert!(
+        !confirms_name(&controller, "host-1", &record(&addr)).await,
+        "another machine has its address now"
+    );
+    assert!(!confirms_name(&controller, "host-1", &record("127.0.0.1:1")).await, "nobody is there");
 }
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -13,7 +13,7 @@
     TaskState, TaskStatus,
 };
 
-use crate::api::reports::{Disposal, take_report};
+use crate::api::heartbeats::{HeartbeatOutcome, HeartbeatRoute, process_heartbeat};
 use crate::controller::Controller;
 use crate::operators::Operators;
 use crate::reconcile;
@@ -159,8 +159,8 @@
 
     /// A worker's report arrives: the answer with which it stays, if it gets one.
     fn report(&mut self, n: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
-        match take_report(&self.nodes[n], report, false, self.now) {
-            Disposal::Answer(reply) if reply.status == 200 => wire::decode(&reply.body).ok(),
+        match process_heartbeat(&self.nodes[n], report, HeartbeatRoute::Direct, self.now) {
+            HeartbeatOutcome::Respond(response) => wire::decode(&wire::encode(&response)).ok(),
             _ => None,
         }
     }
--- a/crates/daemon/tests/unit/faults_records.rs
+++ b/crates/daemon/tests/unit/faults_records.rs
@@ -319,8 +319,8 @@
     site.map(&[0]);
     site.put(vec![KeyWrite::new(key::job("j-1"), &job)]);
     site.read(0);
-    let adopted = take_report(&site.nodes[0], &host.report(), false, site.now);
-    assert!(matches!(adopted, Disposal::Adopt(epoch) if epoch == site.epoch));
+    let adopted = process_heartbeat(&site.nodes[0], &host.report(), HeartbeatRoute::Direct, site.now);
+    assert!(matches!(adopted, HeartbeatOutcome::RegisterMachine { epoch } if epoch == site.epoch));
     assert!(site.command(0, &mut [&mut host]).is_empty());
     site.record("host-1", "a");
     site.read(0);
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -9,7 +9,7 @@
 use sched::replica::{RecordChange, Replica};
 use wire::{Heartbeat, JobKind, TaskState, TaskStatus};
 
-use crate::api::reports::{self, Disposal};
+use crate::api::heartbeats::{HeartbeatOutcome, HeartbeatRoute, process_heartbeat};
 use crate::controller::Controller;
 use crate::peers;
 use crate::reconcile;
@@ -125,12 +125,8 @@
     let later = now + Duration::from_secs(2);
     for id in machines.iter().step_by(2) {
         let report = report(&controller, id, 2, first_token(7));
-        match reports::take_report(&controller, &report, false, later) {
-            Disposal::Answer(reply) => assert_eq!(reply.status, 200, "{id}"),
-            Disposal::Relay(_) | Disposal::Adopt(_) => {
-                unreachable!("{id} has a record and its owner is here")
-            }
-        }
+        let outcome = process_heartbeat(&controller, &report, HeartbeatRoute::Direct, later);
+        assert!(matches!(outcome, HeartbeatOutcome::Respond(_)), "{id}: {outcome:?}");
     }
     // The others are late. None of them has been asked yet: whatever time has passed, they
     // are not silent.
--- a/crates/daemon/tests/unit/sim/users.rs
+++ b/crates/daemon/tests/unit/sim/users.rs
@@ -37,7 +37,7 @@
         if !known.iter().all(|n| self.nodes[via].state().records.replica.jobs.contains_key(&**n)) {
             return;
         }
-        let mut record = api::new_record(&self.nodes[via], s.clone(), None, known);
+        let mut record = api::submission::new_record(&self.nodes[via], s.clone(), None, known);
         record.submitted_ms = self.step * 100;
         let mut puts = [KeyWrite::new(key::job(&s.id), &record)];
         let mut conditions = vec![Condition { key: key::job(&s.id), version: 0 }];
