--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -98,7 +98,7 @@
     controller.spawn_task(reconcile::heartbeat(controller.clone()));
     controller.spawn_task(reconcile::rounds(controller.clone()));
     controller.spawn_task(prober::prober(controller.clone()));
-    controller.spawn_task(api::arrivals(controller.clone()));
+    controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
     controller.spawn_task(load::log_regularly(controller.clone()));
     let drains_enabled = controller.operators.drains.enabled;
