--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -22,8 +22,7 @@
 use crate::fleet_duty::Fleet;
 use crate::operators::Operators;
 use crate::peers;
-use crate::reconcile;
-use crate::round;
+use crate::scheduler;
 use crate::settings::Settings;
 use crate::worker::{Worker, first_token};
 
@@ -320,10 +319,14 @@
         site
     }
 
-    fn decide(&self, ops: usize) -> round::Round {
+    fn decide(&self, ops: usize) -> scheduler::SchedulingCycle {
         let mut state = self.controller.state();
-        reconcile::decide(&self.controller, &mut state, false, ops, Instant::now(), wall_ms())
-            .expect("entitled")
+        scheduler::decide(
+            &self.controller,
+            &mut state,
+            scheduler::CycleContext::new(ops, Instant::now(), wall_ms()),
+        )
+        .expect("entitled")
     }
 
     /// Lets all workers be looked at once.
@@ -461,12 +464,13 @@
             self.round(&mut done, "round that places 32 tasks", 8, 64);
             let round = self.decide(16);
             measured(|| {
-                let round::Assembled { conditions, puts, .. } = round::assemble(
-                    &controller.state().records.replica,
-                    &round,
-                    &controller.state_limits(),
-                    usize::MAX,
-                );
+                let scheduler::CycleTransaction { conditions, writes: puts, .. } =
+                    scheduler::build_transaction(
+                        &controller.state().records.replica,
+                        &round,
+                        &controller.state_limits(),
+                        usize::MAX,
+                    );
                 let put = |p: KeyWrite| p.value.map(|value| Op::Put { put: p.key, value, lease: p.lease });
                 wire::encode(&Txn { conditions, ops: puts.into_iter().filter_map(put).collect() })
             });
--- a/crates/daemon/src/drains/mod.rs
+++ b/crates/daemon/src/drains/mod.rs
@@ -7,6 +7,7 @@
 //! that a step of a leader that has been replaced comes to nothing.
 
 pub mod command;
+mod disruptions;
 mod eviction;
 pub mod observe;
 mod report;
@@ -32,6 +33,7 @@
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 use crate::state::ControllerState;
+pub(crate) use disruptions::disruption_condition;
 pub use eviction::EvictionBudget;
 use state::{DrainState, Hold};
 use transactions::Transaction;
--- a/crates/daemon/src/drains/transactions.rs
+++ b/crates/daemon/src/drains/transactions.rs
@@ -18,12 +18,12 @@
 use tracing::{debug, info};
 use wire::Condition;
 
+use super::disruptions::disruption_condition;
 use super::{after, observe};
 use crate::clock;
 use crate::commit::TXN_BYTES;
 use crate::controller::{Controller, wall_ms};
 use crate::load::Purpose;
-use crate::round::disruption_condition;
 use crate::state::ControllerState;
 
 /// How long a cordon may lie without a drain's record before it is taken away: the command
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -21,6 +21,7 @@
 #[path = "../tests/unit/faults_users.rs"]
 mod faults_users;
 mod fleet_duty;
+mod forwarded_proofs;
 #[cfg(test)]
 #[path = "../tests/unit/large_site.rs"]
 mod large_site;
@@ -40,11 +41,10 @@
 mod read_barrier;
 mod read_index;
 mod read_records;
-mod reconcile;
-mod round;
 #[cfg(test)]
 #[path = "../tests/unit/scale.rs"]
 mod scale;
+mod scheduler;
 mod settings;
 #[cfg(test)]
 #[path = "../tests/unit/sim/mod.rs"]
@@ -244,8 +244,8 @@
     controller.spawn_task(change_feed::follow_records(controller.clone()));
     controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
     controller.spawn_task(membership::keep_membership(controller.clone()));
-    controller.spawn_task(reconcile::heartbeat(controller.clone()));
-    controller.spawn_task(reconcile::rounds(controller.clone()));
+    controller.spawn_task(scheduler::detect_pauses(controller.clone()));
+    controller.spawn_task(scheduler::run_scheduler(controller.clone()));
     controller.spawn_task(prober::prober(controller.clone()));
     controller.spawn_task(api::arrivals(controller.clone()));
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -14,7 +14,6 @@
 use crate::controller::Controller;
 use crate::drains::observe;
 use crate::read_index;
-use crate::reconcile;
 use crate::state::{ControllerState, ReceivedStatus, accepts_work};
 
 pub(crate) const LARGE: usize = 1 << 20;
@@ -201,7 +200,7 @@
             Message::HeartbeatResponse { status: reply.status, body: reply.body }
         }
         Some(Message::TerminationProofs(p)) => {
-            reconcile::take_proofs(&controller, p.epoch, p.proofs, clock::now());
+            controller.accept_forwarded_proofs(p.epoch, p.proofs, clock::now());
             Message::Acknowledged
         }
         _ => return Reply::error(400, "not a message between controllers"),
--- a/crates/daemon/src/placer/claims.rs
+++ b/crates/daemon/src/placer/claims.rs
@@ -7,7 +7,7 @@
 use wire::{JobKind, JobSpec, Priority};
 
 use crate::controller::Controller;
-use crate::round::Round;
+use crate::scheduler::SchedulingCycle;
 
 /// A share of its team's limit that a service or a gang waits for.
 pub(super) struct Claim {
@@ -37,7 +37,7 @@
 pub(super) fn claims(
     controller: &Controller,
     world: &Replica,
-    round: &Round,
+    cycle: &SchedulingCycle,
     queue: &[String],
 ) -> Vec<Claim> {
     let is_array = |id: &String| {
@@ -50,7 +50,7 @@
     let open: Vec<(&JobRecord, &JobSpec)> = world
         .open_jobs()
         .filter_map(|(id, job)| {
-            let job = round.jobs.get(id).map_or(job, |j| j);
+            let job = cycle.jobs.get(id).map_or(job, |j| j);
             Some((job, job.spec.as_deref().filter(|s| s.kind != JobKind::Array)?))
         })
         .collect();
--- a/crates/daemon/src/placer/mod.rs
+++ b/crates/daemon/src/placer/mod.rs
@@ -17,7 +17,7 @@
 use wire::{JobKind, JobSpec, Priority};
 
 use crate::controller::Controller;
-use crate::round::{Event, Round, edit};
+use crate::scheduler::{SchedulingCycle, SchedulingEvent, record_for_update};
 use crate::state::{ControllerState, Reservation, SchedulingState};
 use claims::{Claim, claim_share, claims};
 use holds::hold_for_drains;
@@ -28,7 +28,7 @@
 const PREEMPT_MOST: u32 = 4;
 /// How long a search for what could be stopped is not repeated.
 const SEARCH_PAUSE: Duration = Duration::from_millis(900);
-/// Most searches of all that runs everywhere in one round: when hundreds of jobs
+/// Most searches of all that runs everywhere in one cycle: when hundreds of jobs
 /// wait, searching for each would take up the whole processor.
 const SEARCHES: u32 = 16;
 /// Most bytes that a gang's record has for each of its tasks.
@@ -43,24 +43,24 @@
 pub(crate) fn place(
     controller: &Controller,
     state: &mut ControllerState,
-    round: &mut Round,
+    cycle: &mut SchedulingCycle,
     ops: usize,
     now: Instant,
     now_ms: u64,
 ) {
-    let queue = waiting_here(controller, state, round);
+    let queue = waiting_here(controller, state, cycle);
     if queue.is_empty() {
         return;
     }
     state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
     let mut inventory = std::mem::take(&mut state.scheduling.inventory);
     inventory.begin();
-    place_queue(controller, state, &mut inventory, round, queue, Budget { ops, now, now_ms });
+    place_queue(controller, state, &mut inventory, cycle, queue, Budget { ops, now, now_ms });
     inventory.roll_back();
     state.scheduling.inventory = inventory;
 }
 
-/// What a round has, and when it is.
+/// What a cycle has, and when it is.
 #[derive(Clone, Copy)]
 struct Budget {
     /// Changes that its transaction may hold.
@@ -74,7 +74,7 @@
     controller: &Controller,
     state: &mut ControllerState,
     inventory: &mut Inventory,
-    round: &mut Round,
+    cycle: &mut SchedulingCycle,
     queue: Vec<String>,
     budget: Budget,
 ) {
@@ -84,7 +84,7 @@
     let holds = &mut drains.holds;
     let world: &Replica = &records.replica;
     scheduling.guaranteed.refresh(world, &controller.teams);
-    free_what_ended(world, inventory, round);
+    free_what_ended(world, inventory, cycle);
     scheduling.reservations.retain(|id, r| now < r.until && queue.contains(id));
     scheduling.last_victim_search.retain(|_, t| now.saturating_duration_since(*t) < SEARCH_PAUSE);
     for (id, reservation) in &scheduling.reservations {
@@ -98,8 +98,8 @@
         controller,
         world,
         inventory,
-        claims: claims(controller, world, round, &queue),
-        round,
+        claims: claims(controller, world, cycle, &queue),
+        cycle,
         budget,
         leads,
         longest,
@@ -114,9 +114,9 @@
     }
 }
 
-/// What this round has ended is free already.
-fn free_what_ended(world: &Replica, inventory: &mut Inventory, round: &Round) {
-    for (id, record) in &round.jobs {
+/// What this cycle has ended is free already.
+fn free_what_ended(world: &Replica, inventory: &mut Inventory, cycle: &SchedulingCycle) {
+    for (id, record) in &cycle.jobs {
         let Some(old) = world.jobs.get(id) else { continue };
         let Some(spec) = old.value.spec.as_deref() else { continue };
         let size = Resources::of_task(spec);
@@ -137,7 +137,7 @@
     controller: &'a Controller,
     world: &'w Replica,
     inventory: &'a mut Inventory,
-    round: &'a mut Round,
+    cycle: &'a mut SchedulingCycle,
     budget: Budget,
     leads: bool,
     claims: Vec<Claim>,
@@ -172,16 +172,16 @@
 impl Pass<'_, '_> {
     fn place_job(&mut self, id: String) {
         let world = self.world;
-        let Some(old) = self.round.jobs.get(&id).or_else(|| world.jobs.get(&id).map(|j| &j.value)) else {
+        let Some(old) = self.cycle.jobs.get(&id).or_else(|| world.jobs.get(&id).map(|j| &j.value)) else {
             return;
         };
         let Some(spec) = old.spec.as_deref() else { return };
         let controller = self.controller;
         let Some(team) = controller.team(&spec.team) else { return };
-        // A job that has a change in this round anyway costs no further one.
-        let cost = usize::from(!self.round.jobs.contains_key(&id))
-            + usize::from(!self.round.teams.contains(&spec.team));
-        if self.round.puts() + cost > self.budget.ops {
+        // A job that has a change in this cycle anyway costs no further one.
+        let cost = usize::from(!self.cycle.jobs.contains_key(&id))
+            + usize::from(!self.cycle.teams.contains(&spec.team));
+        if self.cycle.write_count() + cost > self.budget.ops {
             return;
         }
         let mut job = old.clone();
@@ -208,8 +208,8 @@
             self.collect_room(&candidate);
         } else if placement::retry_at_ms(&job) <= self.budget.now_ms {
             job.shard = None;
-            self.round.log.push(Event::Escalated { job: id.clone() });
-            self.round.jobs.insert(id, job);
+            self.cycle.events.push(SchedulingEvent::Escalated { job: id.clone() });
+            self.cycle.jobs.insert(id, job);
         }
     }
 
@@ -272,12 +272,12 @@
     }
 
     /// Whether a service would find room where GPU jobs lose none. Not looked for any more
-    /// after many searches in one round.
+    /// after many searches in one cycle.
     fn arrays_could_make_way(&mut self, candidate: &Candidate) -> bool {
-        if self.round.searches >= SEARCHES {
+        if self.cycle.victim_searches >= SEARCHES {
             return false;
         }
-        self.round.searches += 1;
+        self.cycle.victim_searches += 1;
         let (world, spec) = (self.world, candidate.spec);
         let whole = |s: &placement::Slot| placement::gpu_slots_lost(world, spec, s) == 0;
         let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
@@ -303,9 +303,13 @@
             self.give_up(spec, &placed);
             return;
         }
-        self.round.log.push(Event::Placed { job: id.to_owned(), tasks: placed.len(), attempt: job.attempt });
-        self.round.teams.insert(spec.team.clone());
-        self.round.placing.insert(id.to_owned());
+        self.cycle.events.push(SchedulingEvent::Placed {
+            job: id.to_owned(),
+            tasks: placed.len(),
+            attempt: job.attempt,
+        });
+        self.cycle.teams.insert(spec.team.clone());
+        self.cycle.placed_jobs.insert(id.to_owned());
         // The rest of the room that is made for it stays its own: given to others, it
         // would be made again and again (recorded: a task was stopped eight times).
         if let Some(Reservation { machines, until }) = self.scheduling.reservations.remove(id) {
@@ -316,7 +320,7 @@
                 self.scheduling.reservations.insert(id.to_owned(), left);
             }
         }
-        self.round.jobs.insert(id.to_owned(), job);
+        self.cycle.jobs.insert(id.to_owned(), job);
     }
 
     /// What was placed is not to be after all.
@@ -372,9 +376,9 @@
         let reservation = Reservation { machines: room.machines, until };
         self.scheduling.reservations.insert(id.to_owned(), reservation);
         for v in room.victims {
-            let Some(record) = edit(self.round, self.world, &v.job) else { continue };
+            let Some(record) = record_for_update(self.cycle, self.world, &v.job) else { continue };
             preempt::mark(record, &v);
-            self.round.log.push(Event::Preempted { by: id.to_owned(), victim: v });
+            self.cycle.events.push(SchedulingEvent::Preempted { by: id.to_owned(), victim: v });
         }
     }
 
@@ -388,7 +392,7 @@
         placement::retry_at_ms(job) <= now_ms
             && (!gang || job.assignments.is_empty())
             && !is_patient(job, now_ms)
-            && self.round.searches < SEARCHES
+            && self.cycle.victim_searches < SEARCHES
             && !self.scheduling.last_victim_search.get(candidate.id).is_some_and(recent)
     }
 
@@ -406,7 +410,7 @@
         let whole = |s: &placement::Slot| last_resort || placement::gpu_slots_lost(world, spec, s) == 0;
         let mut room = Room { machines: Vec::new(), victims: Vec::new() };
         for _ in 0..tasks {
-            self.round.searches += 1;
+            self.cycle.victim_searches += 1;
             let running = self.running.get_or_insert_with(|| preempt::Running::new(world, self.inventory));
             let asker = (spec, priority);
             let found = preempt::find_victims(
--- a/crates/daemon/src/placer/queue.rs
+++ b/crates/daemon/src/placer/queue.rs
@@ -7,7 +7,7 @@
 use wire::JobSpec;
 
 use crate::controller::Controller;
-use crate::round::Round;
+use crate::scheduler::SchedulingCycle;
 use crate::state::ControllerState;
 
 /// The open jobs that fit into their teams' guarantees along with the earlier unfinished
@@ -48,12 +48,16 @@
 }
 
 /// The jobs with tasks that wait and that this controller places.
-pub(super) fn waiting_here(controller: &Controller, state: &ControllerState, round: &Round) -> Vec<String> {
+pub(super) fn waiting_here(
+    controller: &Controller,
+    state: &ControllerState,
+    cycle: &SchedulingCycle,
+) -> Vec<String> {
     let waits = |(id, job): &(&String, &JobRecord)| {
-        let job = round.jobs.get(*id).map_or(*job, |j| j);
+        let job = cycle.jobs.get(*id).map_or(*job, |j| j);
         placement::pending_task_count(job) > 0
             && state.records.replica.scheduler_of(job) == Some(&controller.identity.name)
-            && !round.held.contains(*id)
+            && !cycle.jobs_on_hold.contains(*id)
     };
     state.records.replica.open_jobs().filter(waits).map(|(id, _)| id.clone()).collect()
 }
--- /dev/null
+++ b/crates/daemon/src/scheduler/proof_forwarding.rs
@@ -0,0 +1,30 @@
+//! Termination proofs on their way to the controllers that schedule the jobs.
+
+use std::sync::Arc;
+
+use peer::TerminationProof;
+
+use crate::clock;
+use crate::controller::Controller;
+use crate::peers;
+
+/// Most proofs in one message, so that it stays far below what a peer reads, however much is
+/// lost at once.
+const MAX_PROOFS_PER_MESSAGE: usize = 2048;
+
+/// Sends proofs to the controller `scheduler`, in a task of its own.
+pub(super) fn forward_proofs(controller: &Arc<Controller>, scheduler: String, proofs: Vec<TerminationProof>) {
+    let Some(epoch) = controller.state().cluster_map().map(|map| map.epoch) else { return };
+    let controller = controller.clone();
+    let task_tracker = controller.task_tracker.clone();
+    task_tracker.spawn(async move {
+        for chunk in proofs.chunks(MAX_PROOFS_PER_MESSAGE) {
+            if !peers::hand_over(&controller, &scheduler, epoch, chunk.to_vec()).await {
+                // This controller writes the proofs itself for the back-off.
+                controller.state().peers.note_unreachable(scheduler, clock::now());
+                controller.wake_scheduler.notify_one();
+                return;
+            }
+        }
+    });
+}
--- /dev/null
+++ b/crates/daemon/src/scheduler/terminations.rs
@@ -0,0 +1,147 @@
+//! Assignments that are over, written to their jobs' records.
+
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+use sched::records::{JobRecord, MAX_AVOIDED_MACHINES, TerminationReason};
+use sched::replica::Replica;
+use wire::{JobKind, Priority};
+
+use super::cycle::{CycleContext, SchedulingCycle, record_for_update};
+use super::events::SchedulingEvent;
+use crate::controller::Controller;
+use crate::state::{ControllerState, PendingProof};
+use crate::worker::Key;
+
+/// How long a job avoids a machine on which one of its tasks has failed, in seconds.
+const FAILED_MACHINE_BACKOFF_S: u64 = 60;
+/// How long a job avoids a machine that has rejected one of its tasks, in milliseconds.
+const REJECTING_MACHINE_BACKOFF_MS: u64 = 5000;
+
+/// An assignment that is proven to be over.
+#[derive(Clone, Copy)]
+pub(super) struct Termination<'a> {
+    /// The assignment.
+    pub(super) key: &'a Key,
+    /// The machine that it was on.
+    pub(super) machine: &'a str,
+    /// How it ended.
+    pub(super) reason: TerminationReason,
+}
+
+/// Ends an assignment in its job's record, if the cycle has room for the job.
+pub(super) fn terminate(
+    cycle: &mut SchedulingCycle,
+    replica: &Replica,
+    termination: Termination,
+    now_ms: u64,
+) {
+    let Termination { key: (job, task, attempt), machine, reason } = termination;
+    if cycle.has_no_room_for_termination(job) {
+        return;
+    }
+    let Some(record) = record_for_update(cycle, replica, job) else { return };
+    record.end_assignment(*task, *attempt, reason, now_ms, FAILED_MACHINE_BACKOFF_S);
+    if reason == TerminationReason::Rejected {
+        avoid_machine(record, machine, now_ms + REJECTING_MACHINE_BACKOFF_MS);
+    }
+    cycle.events.push(SchedulingEvent::Terminated {
+        job: job.clone(),
+        task: *task,
+        attempt: *attempt,
+        reason,
+    });
+}
+
+/// Has a job avoid a machine that has rejected its task: something runs there that the records
+/// do not show yet.
+fn avoid_machine(record: &mut JobRecord, machine: &str, until_ms: u64) {
+    record.avoided_machines.retain(|(avoided, _)| avoided != machine);
+    record.avoided_machines.push((machine.to_owned(), until_ms));
+    let surplus = record.avoided_machines.len().saturating_sub(MAX_AVOIDED_MACHINES);
+    record.avoided_machines.drain(..surplus);
+}
+
+/// Ends assignments on machines without a record: a record is deleted only after the cloud has
+/// confirmed the release, and nothing is launched without one.
+pub(super) fn terminate_on_released_machines(
+    controller: &Controller,
+    state: &ControllerState,
+    cycle: &mut SchedulingCycle,
+    now_ms: u64,
+) {
+    let replica = &state.records.replica;
+    for machine in &replica.machines_without_record {
+        for (id, job, assignment) in replica.assignments(machine) {
+            if replica.scheduler_of(job) != Some(&controller.identity.name) {
+                continue;
+            }
+            // The rest has its turn in later cycles: what ends in this one can be placed in it,
+            // too.
+            if cycle.has_no_room_for_termination(id) {
+                continue;
+            }
+            let Some(record) = record_for_update(cycle, replica, id) else { continue };
+            let (task, attempt, reason) = (assignment.task, assignment.attempt, TerminationReason::Lost);
+            record.end_assignment(task, attempt, reason, now_ms, 0);
+            let job = id.to_owned();
+            cycle.events.push(SchedulingEvent::Terminated { job, task, attempt, reason });
+        }
+    }
+}
+
+/// Ends the assignments whose termination owners of machines have proven. A proof holds only
+/// under the cluster map that it was made under, as a later owner may launch what is absent.
+pub(super) fn terminate_proven(
+    controller: &Controller,
+    state: &mut ControllerState,
+    cycle: &mut SchedulingCycle,
+    context: CycleContext,
+) {
+    let Some(epoch) = state.cluster_map().map(|map| map.epoch) else { return };
+    let ControllerState { records, proofs, .. } = state;
+    let replica = &records.replica;
+    proofs.retain_valid(replica, &controller.identity.name, epoch, context.now);
+    let mut proofs_by_job: BTreeMap<&str, Vec<(&Key, &PendingProof)>> = BTreeMap::new();
+    for (key, proof) in proofs.iter() {
+        proofs_by_job.entry(&key.0).or_default().push((key, proof));
+    }
+    // One write holds all proofs of a job. Where writes are short, those come first that
+    // complete a job, hold many proofs, or have waited long: in the order of names, some would
+    // wait while others are written for each single task.
+    let mut order: Vec<(f64, Vec<(&Key, &PendingProof)>)> = proofs_by_job
+        .into_iter()
+        .filter_map(|(id, proofs)| {
+            let job = &replica.jobs.get(id)?.value;
+            let is_written_anyway = cycle.jobs.contains_key(id);
+            let urgency =
+                if is_written_anyway { f64::INFINITY } else { write_urgency(job, &proofs, context.now) };
+            Some((urgency, proofs))
+        })
+        .collect();
+    order.sort_by(|a, b| b.0.total_cmp(&a.0));
+    for (key, proof) in order.into_iter().flat_map(|(_, proofs)| proofs) {
+        let termination = Termination { key, machine: &proof.machine, reason: proof.reason };
+        terminate(cycle, replica, termination, context.now_ms);
+    }
+}
+
+/// How urgent it is to write these proofs of a job.
+fn write_urgency(job: &JobRecord, proofs: &[(&Key, &PendingProof)], now: Instant) -> f64 {
+    let done = proofs.iter().filter(|(_, p)| p.reason == TerminationReason::Done).count() as u32;
+    let tasks = job.spec.as_ref().map_or(0, |s| s.tasks);
+    let is_gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
+    let completes_job = done > 0 && (is_gang || job.done.len() + done >= tasks);
+    let longest_wait =
+        proofs.iter().map(|(_, p)| now.saturating_duration_since(p.proven_at)).max().unwrap_or_default();
+    let by_priority = match job.priority() {
+        Some(Priority::Production) => 6.0,
+        Some(Priority::High) => 4.0,
+        Some(Priority::Normal) => 1.0,
+        Some(Priority::Low) | None => 0.0,
+    };
+    f64::from(u8::from(completes_job)) * 20.0
+        + proofs.len() as f64
+        + longest_wait.as_secs_f64() * 2.0
+        + by_priority
+}
--- /dev/null
+++ b/crates/daemon/src/scheduler/worker_reconciliation.rs
@@ -0,0 +1,181 @@
+//! Reconciliation of the owned workers with the records: proofs and commands that follow.
+
+use std::time::Instant;
+
+use peer::TerminationProof;
+use sched::records::{Member, Name, TerminationReason};
+use sched::replica::Replica;
+use sched::spot_notice;
+use wire::{Command, Commands};
+
+use super::cycle::{CycleContext, OutgoingCommands, SchedulingCycle, record_for_update};
+use super::events::SchedulingEvent;
+use super::terminations::{Termination, terminate};
+use crate::controller::Controller;
+use crate::state::{ControllerState, FORWARDED_PROOF_TIMEOUT, PeerTable, PendingProof, PendingProofs};
+use crate::worker::{Key, Limits, Worker};
+
+/// Commands that only make a worker forget tasks are sent at once beyond this number.
+const MAX_DELAYED_FORGETS: usize = 12;
+
+/// Reconciles the owned workers with the records, as far as either has changed.
+pub(super) fn reconcile_workers(
+    controller: &Controller,
+    state: &mut ControllerState,
+    cycle: &mut SchedulingCycle,
+    context: CycleContext,
+) {
+    let Some(epoch) = state.cluster_map().map(|map| map.epoch) else { return };
+    update_owned_workers(&controller.identity, state, epoch, context.now);
+    let ControllerState { records, machines, peers, proofs, .. } = state;
+    let mut reconciliation = WorkerReconciliation {
+        me: &controller.identity.name,
+        epoch,
+        limits: controller.worker_limits(records.fresh_at),
+        context,
+        replica: &records.replica,
+        peers,
+        proofs,
+        cycle,
+    };
+    for (machine, worker) in &mut machines.workers {
+        worker.enter_epoch(epoch);
+        if worker.due(context.now) {
+            reconciliation.reconcile(machine, worker);
+        }
+    }
+}
+
+/// Adds workers of machines that this controller has become the owner of, removes those of
+/// others, and has those compared with the records whose records have changed.
+fn update_owned_workers(me: &Member, state: &mut ControllerState, epoch: u64, now: Instant) {
+    let replica = &mut state.records.replica;
+    let workers = &mut state.machines.workers;
+    let changed: Vec<Name> = match replica.take_changed_machines() {
+        Some(changed) => changed.into_iter().collect(),
+        None => {
+            workers.retain(|id, worker| {
+                replica.owner_of(id) == Some(me) && !worker.lapsed(replica.owned_since_epoch(id))
+            });
+            replica.owned_by(me).cloned().collect()
+        }
+    };
+    for id in changed {
+        match replica.machines.get(&id).filter(|_| replica.owner_of(&id) == Some(me)) {
+            Some(record) => {
+                let new = || Worker::new(record.value.addr.clone(), epoch, now);
+                workers.entry(id).or_insert_with(new).look_again();
+            }
+            None => {
+                workers.remove(&id);
+            }
+        }
+    }
+}
+
+/// The end of an assignment, proven by its worker's heartbeats.
+struct ProvenTermination<'a> {
+    key: Key,
+    machine: &'a Name,
+    reason: TerminationReason,
+    /// When it was first proven.
+    proven_at: Instant,
+}
+
+/// What the reconciliation of a worker reads and changes beside the worker.
+struct WorkerReconciliation<'a> {
+    /// The name of this controller.
+    me: &'a str,
+    /// The epoch of the cluster map.
+    epoch: u64,
+    limits: Limits,
+    context: CycleContext,
+    replica: &'a Replica,
+    peers: &'a PeerTable,
+    proofs: &'a mut PendingProofs,
+    cycle: &'a mut SchedulingCycle,
+}
+
+impl WorkerReconciliation<'_> {
+    fn reconcile(&mut self, machine: &Name, worker: &mut Worker) {
+        let now = self.context.now;
+        let plan = worker.reconcile(machine, self.replica, &self.limits, now);
+        for (key, reason) in plan.ends {
+            let Some(job) = self.replica.jobs.get(&key.0) else { continue };
+            let scheduler = self.replica.scheduler_of(&job.value).unwrap_or_default();
+            let proven_at = worker.ended_since(&key, now);
+            self.route_proof(scheduler, ProvenTermination { key, machine, reason, proven_at });
+        }
+        if let Some(until) = worker.notice_until {
+            self.stop_on_spot_notice(machine, until);
+        }
+        self.send_commands(machine, worker, plan.commands, plan.poke);
+    }
+
+    /// Passes the proof of a termination to the job's scheduler, or writes it in its place. There
+    /// is one writer for each job: two owners that write the same record at the same time only
+    /// make each other's transactions fail.
+    fn route_proof(&mut self, scheduler: &str, termination: ProvenTermination) {
+        let ProvenTermination { key, machine, reason, proven_at } = termination;
+        let now = self.context.now;
+        if scheduler == self.me {
+            // Written with all other proofs of its job.
+            let (machine, epoch) = (machine.to_string(), self.epoch);
+            let proof = PendingProof { machine, reason, epoch, received_at: now, proven_at };
+            self.proofs.insert(key, proof);
+        } else if self.must_write_for(scheduler, proven_at) {
+            let termination = Termination { key: &key, machine, reason };
+            terminate(self.cycle, self.replica, termination, self.context.now_ms);
+        } else if proven_at == now {
+            let (job, task, attempt) = key;
+            let machine = machine.to_string();
+            let proof = TerminationProof { job, task, attempt, machine, reason_code: reason.code() };
+            self.cycle.forwarded_proofs.entry(scheduler.to_owned()).or_default().push(proof);
+        }
+    }
+
+    /// Whether the job's scheduler is not expected to write a proof: it has not done so in time,
+    /// or it cannot be reached.
+    fn must_write_for(&self, scheduler: &str, proven_at: Instant) -> bool {
+        let now = self.context.now;
+        now.saturating_duration_since(proven_at) > FORWARDED_PROOF_TIMEOUT
+            || self.peers.is_backing_off(scheduler, now)
+            || !self.peers.statuses.contains_key(scheduler)
+    }
+
+    /// Stops the tasks on a spot machine that need the time that is left until it is reclaimed.
+    fn stop_on_spot_notice(&mut self, machine: &Name, until: Instant) {
+        let replica = self.replica;
+        let time_left = until.saturating_duration_since(self.context.now);
+        for (job, record, assignment) in replica.assignments(machine) {
+            let stops = record.spec.as_ref().is_some_and(|spec| spot_notice::stops(spec, time_left));
+            if !stops || !record.should_run(assignment) {
+                continue;
+            }
+            let Some(record) = record_for_update(self.cycle, replica, job) else { continue };
+            let task = assignment.task;
+            if spot_notice::mark(record, task) {
+                let (job, machine) = (job.to_owned(), machine.clone());
+                self.cycle.events.push(SchedulingEvent::SpotNotice { job, task, machine });
+            }
+        }
+    }
+
+    /// Has commands sent that are due. `probes`: the worker has to be shown a newer token even
+    /// without commands.
+    fn send_commands(&mut self, machine: &Name, worker: &mut Worker, commands: Vec<Command>, probes: bool) {
+        let now = self.context.now;
+        let only_forgets =
+            !commands.is_empty() && commands.iter().all(|c| matches!(c, Command::Forget { .. }));
+        let is_urgent =
+            probes || !commands.is_empty() && (!only_forgets || commands.len() > MAX_DELAYED_FORGETS);
+        let is_due = only_forgets && worker.clear_due(now);
+        if !(is_urgent || is_due) || !worker.may_send(now) {
+            return;
+        }
+        let Some(token) = worker.begin(&commands, now) else { return };
+        let commands = Commands { fencing_token: token, incarnation: worker.session, commands };
+        let outgoing = OutgoingCommands { machine: machine.clone(), address: worker.addr.clone(), commands };
+        self.cycle.commands.push(outgoing);
+    }
+}
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -26,7 +26,7 @@
     let mut state = controller.state();
     let member = |n: &str| Member { name: n.into(), zone: "a".into(), incarnation: 1 };
     state.records.replica.apply(RecordChange::Member("n-1".into(), Some(member("n-1"))), 1 << 40);
-    crate::reconcile::decide(&controller, &mut state, false, 4, start, 0);
+    crate::scheduler::decide(&controller, &mut state, crate::scheduler::CycleContext::new(4, start, 0));
     assert!(state.machines.workers.len() >= 3);
     let aside = |state: &mut ControllerState, heard: bool, peer: bool, s: u64| {
         let now = start + Duration::from_secs(s);
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::operators::Operators;
-use crate::round::{self, Assembled, Round};
+use crate::scheduler::{self, CycleTransaction, SchedulingCycle};
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
 use crate::state::ControllerState;
@@ -82,12 +82,12 @@
     conditions.iter().find(|c| c.key == key).map(|c| c.version)
 }
 
-fn eviction_round(controller: &Arc<Controller>, core: &ControllerState) -> Round {
+fn eviction_round(controller: &Arc<Controller>, core: &ControllerState) -> SchedulingCycle {
     let eviction = Eviction { job: "j-1".into(), task: 1, machine: "m-2".into(), reason: "crowded machine" };
     let evictions = std::slice::from_ref(&eviction);
     let mut budget = EvictionBudget::of_round(controller, core, evictions).expect("all know drains");
     let disruption = budget.debit(&core.records.replica, &eviction, 9).expect("nothing is down");
-    let mut round = Round::default();
+    let mut round = SchedulingCycle::default();
     round.jobs.insert("j-1".into(), core.records.replica.jobs["j-1"].value.clone());
     round.disruptions.insert("j-1".into(), disruption);
     round
@@ -107,8 +107,9 @@
     assert_eq!((taken, transaction.puts()), (1, 3), "the job, the team's record and the drain's");
     let (conditions, puts) = transaction.parts();
     let round = eviction_round(&controller, &core);
-    let assembled = round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
-    for (conditions, puts) in [(conditions, puts), (&assembled.conditions[..], &assembled.puts[..])] {
+    let assembled =
+        scheduler::build_transaction(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
+    for (conditions, puts) in [(conditions, puts), (&assembled.conditions[..], &assembled.writes[..])] {
         assert_eq!(version_of(conditions, &key::disruptions("t")), Some(7));
         assert_eq!(version_of(conditions, &key::job("j-1")), Some(3));
         assert_eq!(version_of(conditions, key::MAP), Some(1));
@@ -144,11 +145,15 @@
         let mut core = controller.state();
         site(&mut core, &controller.identity);
         let cordon_fence = controller.operators.drains.enabled;
-        let mut round = Round { cordon_fence, ..Round::default() };
+        let mut round = SchedulingCycle { fences_cordons: cordon_fence, ..SchedulingCycle::default() };
         round.jobs.insert("j-1".into(), core.records.replica.jobs["j-1"].value.clone());
-        round.placing.insert("j-1".into());
-        let Assembled { conditions, puts, .. } =
-            round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
+        round.placed_jobs.insert("j-1".into());
+        let CycleTransaction { conditions, writes: puts, .. } = scheduler::build_transaction(
+            &core.records.replica,
+            &round,
+            &controller.state_limits(),
+            usize::MAX,
+        );
         assert_eq!(version_of(&conditions, key::CORDON_FENCE), fence);
         assert!(puts.iter().all(|p| p.key != key::CORDON_FENCE), "it is not written");
     }
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -16,8 +16,7 @@
 use crate::api::reports::{Disposal, take_report};
 use crate::controller::Controller;
 use crate::operators::Operators;
-use crate::reconcile;
-use crate::round;
+use crate::scheduler;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
@@ -146,15 +145,23 @@
         let (sends, conditions, puts) = {
             let controller = &self.nodes[n];
             let mut core = controller.state();
-            let Some(round) = reconcile::decide(controller, &mut core, false, 16, self.now, 1_000_000) else {
+            let Some(round) = scheduler::decide(
+                controller,
+                &mut core,
+                scheduler::CycleContext::new(16, self.now, 1_000_000),
+            ) else {
                 return Vec::new();
             };
-            let assembled =
-                round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
-            (round.sends, assembled.conditions, assembled.puts)
+            let assembled = scheduler::build_transaction(
+                &core.records.replica,
+                &round,
+                &controller.state_limits(),
+                usize::MAX,
+            );
+            (round.commands, assembled.conditions, assembled.writes)
         };
         self.txn(&conditions, puts);
-        sends.into_iter().map(|(machine, _, commands)| (machine, commands)).collect()
+        sends.into_iter().map(|sent| (sent.machine, sent.commands)).collect()
     }
 
     /// A worker's report arrives: the answer with which it stays, if it gets one.
@@ -166,7 +173,13 @@
     }
 
     fn answered(&mut self, n: usize, machine: &str, commands: &Commands, report: Option<Heartbeat>) {
-        reconcile::answered(&mut self.nodes[n].state(), machine, commands.fencing_token, report, self.now);
+        scheduler::record_response(
+            &mut self.nodes[n].state(),
+            machine,
+            commands.fencing_token,
+            report,
+            self.now,
+        );
     }
 
     fn job(&self, id: &str) -> Box<JobRecord> {
--- a/crates/daemon/tests/unit/faults_records.rs
+++ b/crates/daemon/tests/unit/faults_records.rs
@@ -217,10 +217,10 @@
         machine: "host-1".into(),
         reason_code: 3,
     };
-    reconcile::take_proofs(&site.nodes[new], site.epoch - 1, vec![proof.clone()], site.now);
+    site.nodes[new].accept_forwarded_proofs(site.epoch - 1, vec![proof.clone()], site.now);
     site.round(new);
     assert_eq!(site.attempt("j-1"), Some(1), "it runs");
-    reconcile::take_proofs(&site.nodes[new], site.epoch, vec![proof], site.now);
+    site.nodes[new].accept_forwarded_proofs(site.epoch, vec![proof], site.now);
     site.round(new);
     assert!(site.attempt("j-1").is_none_or(|a| a > 1), "of this map it would count");
 }
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -18,7 +18,7 @@
 use crate::stand_in::*;
 use crate::worker::tests::spec;
 use crate::worker::{Limits, Worker, first_token};
-use crate::{change_feed, membership, read_barrier, reconcile, round};
+use crate::{change_feed, membership, read_barrier, scheduler};
 
 /// A description without one of its fields, or with another value in it.
 fn odd(id: &str, field: &str, value: Option<serde_json::Value>) -> Vec<u8> {
@@ -254,7 +254,7 @@
 
 /// One round that gives a job's only task to a machine.
 async fn place(controller: &Arc<Controller>, id: &str, machine: &str) {
-    let mut round = round::Round::default();
+    let mut round = scheduler::SchedulingCycle::default();
     let Some(mut job) = controller.state().records.replica.jobs.get(id).map(|j| j.value.clone()) else {
         return;
     };
@@ -266,8 +266,8 @@
         desired: DesiredState::Running,
     }];
     round.jobs.insert(id.into(), job);
-    round.placing.insert(id.into());
-    reconcile::commit(controller, round).await;
+    round.placed_jobs.insert(id.into());
+    scheduler::commit(controller, round).await;
 }
 
 /// Names of teams are free text, and a key has no spaces: the fence of such a team must be
@@ -861,17 +861,17 @@
     follows.iter().for_each(|f| f.abort());
     let view = b.state().records.replica.jobs["j-2"].value.clone();
     assert_eq!(cancel(&a, "j-2").await, (200, Some(JobState::Cancelled)));
-    let mut late = round::Round::default();
+    let mut late = scheduler::SchedulingCycle::default();
     late.jobs.insert("j-2".into(), Box::new(done(*view)));
-    reconcile::commit(&b, late).await;
+    scheduler::commit(&b, late).await;
     follow(&b);
     // And once more by who has heard of it: its only task is done all the same.
     caught_up(&service, &b).await;
     let record = b.state().records.replica.jobs["j-2"].value.clone();
     assert_eq!((record.phase, record.assignments.len()), (Phase::Cancelled, 1));
-    let mut after = round::Round::default();
+    let mut after = scheduler::SchedulingCycle::default();
     after.jobs.insert("j-2".into(), Box::new(done(*record)));
-    reconcile::commit(&b, after).await;
+    scheduler::commit(&b, after).await;
     assert!(service.store().job("j-2").is_some_and(|j| j.assignments.is_empty()));
     for controller in [&a, &b] {
         assert_eq!(state(controller, "j-2").await, (200, Some(JobState::Cancelled)));
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -12,9 +12,8 @@
 use crate::api::reports::{self, Disposal};
 use crate::controller::Controller;
 use crate::peers;
-use crate::reconcile;
-use crate::round;
 use crate::scale;
+use crate::scheduler;
 use crate::worker::tests::spec;
 use crate::worker::{Worker, first_token};
 
@@ -28,9 +27,9 @@
 }
 
 /// Takes in what a round would write, as if it had been committed; tells how many changes.
-fn commit(controller: &Arc<Controller>, world: &mut Replica, mut round: round::Round) -> usize {
-    let round::Assembled { puts, left_out, teams, .. } =
-        round::assemble(world, &round, &controller.state_limits(), usize::MAX);
+fn commit(controller: &Arc<Controller>, world: &mut Replica, mut round: scheduler::SchedulingCycle) -> usize {
+    let scheduler::CycleTransaction { writes: puts, left_out, teams, .. } =
+        scheduler::build_transaction(world, &round, &controller.state_limits(), usize::MAX);
     for (id, record) in std::mem::take(&mut round.jobs) {
         if !left_out.contains(&id) {
             apply(world, RecordChange::Job(id, Some(record)));
@@ -95,7 +94,8 @@
         let at = now + Duration::from_millis(100 * rounds);
         core.records.fresh_at = Some(at);
         core.machines.workers.values_mut().for_each(|w| w.heard = Some(at));
-        let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
+        let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, at, NOW_MS))
+            .expect("entitled");
         assert!(commit(&controller, &mut core.records.replica, round) <= 16);
     }
     assert_eq!(waiting(&core.records.replica), 0, "after {rounds} rounds, {free_before} machines were empty");
@@ -116,7 +116,8 @@
     {
         let mut core = controller.state();
         apply(&mut core.records.replica, RecordChange::Map(Some(map)));
-        let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
+        let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, now, NOW_MS))
+            .expect("entitled");
         assert!(round.jobs.is_empty(), "nothing is over");
         assert_eq!(core.machines.workers.len(), MACHINES);
     }
@@ -175,7 +176,8 @@
         rounds += 1;
         assert!(rounds < 200, "{} left", core.records.replica.machines_without_record.len());
         let at = now + Duration::from_millis(100 * rounds);
-        let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
+        let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, at, NOW_MS))
+            .expect("entitled");
         changes += commit(&controller, &mut core.records.replica, round);
     }
     assert!(hit.len() > 100, "{}", hit.len());
@@ -235,9 +237,10 @@
     // So many that there is one on nearly every machine without GPUs, three thousand.
     add(&mut core.records.replica, "j-1", JobKind::Gang, 6900, 4.0);
     add(&mut core.records.replica, "j-2", JobKind::Array, 4, 2.0);
-    let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
-    assert!(!round.placing.contains("j-1"), "its record cannot be written");
-    assert!(round.placing.contains("j-2"), "nobody waits with it");
+    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, now, NOW_MS))
+        .expect("entitled");
+    assert!(!round.placed_jobs.contains("j-1"), "its record cannot be written");
+    assert!(round.placed_jobs.contains("j-2"), "nobody waits with it");
     commit(&controller, &mut core.records.replica, round);
     controller.limit_changes.all_upgraded.store(true, std::sync::atomic::Ordering::Relaxed);
     let later = now + Duration::from_secs(21);
@@ -246,13 +249,15 @@
         w.excuse(later);
         w.heard = Some(later);
     });
-    let round = reconcile::decide(&controller, &mut core, false, 16, later, NOW_MS).expect("entitled");
+    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, later, NOW_MS))
+        .expect("entitled");
     let record = round.jobs.get("j-1").expect("placed");
     assert_eq!(record.assignments.len(), 6900);
     let machines: std::collections::BTreeSet<&Name> = record.assignments.iter().map(|a| &a.machine).collect();
     assert!(machines.len() > 2900, "{}", machines.len());
     let put = store::KeyWrite::new(store::key::job("j-1"), record);
     assert!(put.value_len() as f64 > controller.state_limits().value_bytes);
-    let assembled = round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
-    assert_eq!(assembled.chunked.as_deref(), Some("j-1"));
+    let assembled =
+        scheduler::build_transaction(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
+    assert_eq!(assembled.chunked_job.as_deref(), Some("j-1"));
 }
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -21,7 +21,7 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
-use crate::{api, change_feed, read_barrier, reconcile};
+use crate::{api, change_feed, read_barrier, scheduler};
 
 #[derive(Default)]
 struct Store {
@@ -231,10 +231,14 @@
     let decided = {
         let mut core = controller.state();
         let ops = controller.state_limits().txn_ops;
-        reconcile::decide(controller, &mut core, false, ops, Instant::now(), crate::controller::wall_ms())
+        scheduler::decide(
+            controller,
+            &mut core,
+            scheduler::CycleContext::new(ops, Instant::now(), crate::controller::wall_ms()),
+        )
     };
     if let Some(round) = decided {
-        reconcile::commit(controller, round).await;
+        scheduler::commit(controller, round).await;
     }
 }
 
--- a/crates/daemon/tests/unit/placer.rs
+++ b/crates/daemon/tests/unit/placer.rs
@@ -72,7 +72,9 @@
         "loaner": false, "stint": 1, "tally": 1, "baton": first_token(7), "threads": []});
     worker.ingest(wire::decode(&wire::encode(&report)).expect("a report"), true, now);
     state.machines.workers.insert("host-1".into(), worker);
-    let round = crate::reconcile::decide(&controller, &mut state, false, 16, now, 1000).expect("a round");
+    let round =
+        crate::scheduler::decide(&controller, &mut state, crate::scheduler::CycleContext::new(16, now, 1000))
+            .expect("a round");
     round.jobs.iter().map(|(id, j)| (id.clone(), j.assignments.len())).collect()
 }
 
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -11,8 +11,7 @@
 
 use crate::controller::Controller;
 use crate::operators::Operators;
-use crate::reconcile;
-use crate::round;
+use crate::scheduler;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::state::ControllerState;
@@ -154,8 +153,9 @@
         "{} machines, {tasks} tasks",
         core.machines.workers.len()
     );
-    let round = reconcile::decide(&controller, &mut core, false, 0, now, NOW_MS).expect("entitled");
-    assert!(round.sends.is_empty(), "what runs is left alone");
+    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(0, now, NOW_MS))
+        .expect("entitled");
+    assert!(round.commands.is_empty(), "what runs is left alone");
     assert_eq!(due(&core, now + Duration::from_millis(100)), 0, "nothing is open");
     // One job is cancelled: only its machines are looked at.
     let id = core.records.replica.open_job_ids.iter().next().expect("some").clone();
@@ -164,8 +164,10 @@
     let machines: std::collections::BTreeSet<_> = job.assignments.iter().map(|a| a.machine.clone()).collect();
     apply(&mut core.records.replica, RecordChange::Job(id, Some(job)));
     let later = now + Duration::from_millis(200);
-    let round = reconcile::decide(&controller, &mut core, false, 0, later, NOW_MS).expect("entitled");
-    let sent: std::collections::BTreeSet<_> = round.sends.iter().map(|s| s.0.clone()).collect();
+    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(0, later, NOW_MS))
+        .expect("entitled");
+    let sent: std::collections::BTreeSet<_> =
+        round.commands.iter().map(|sent| sent.machine.clone()).collect();
     assert!(sent == machines && !sent.is_empty());
 }
 
@@ -204,9 +206,15 @@
         rounds += 1;
         assert!(rounds < 200, "{} left", core.records.replica.machines_without_record.len());
         let at = now + Duration::from_millis(100 * rounds);
-        let mut round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
-        let round::Assembled { puts, left_out, teams, .. } =
-            round::assemble(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
+        let mut round =
+            scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, at, NOW_MS))
+                .expect("entitled");
+        let scheduler::CycleTransaction { writes: puts, left_out, teams, .. } = scheduler::build_transaction(
+            &core.records.replica,
+            &round,
+            &controller.state_limits(),
+            usize::MAX,
+        );
         changes += puts.len();
         for (id, record) in std::mem::take(&mut round.jobs) {
             if !left_out.contains(&id) {
@@ -262,7 +270,7 @@
     let proofs: Vec<peer::TerminationProof> = proofs.collect();
     assert!(proofs.len() > 16, "more than a round holds");
     drop(core);
-    reconcile::take_proofs(&controller, EPOCH, proofs, now);
+    controller.accept_forwarded_proofs(EPOCH, proofs, now);
     core = controller.state();
     apply(
         &mut core.records.replica,
@@ -271,7 +279,8 @@
             removed_machines: Some(vec![lost.clone()]),
         })),
     );
-    let round = reconcile::decide(&controller, &mut core, false, 16, now, NOW_MS).expect("entitled");
+    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, now, NOW_MS))
+        .expect("entitled");
     let record = round.jobs.get(&service).expect("its task is over");
     assert!(record.assignments.iter().all(|a| a.machine != lost));
     assert!(round.jobs.len() > 4, "the arrays have the rest");
--- a/crates/daemon/tests/unit/round.rs
+++ b/crates/daemon/tests/unit/scheduler_transaction.rs
@@ -4,6 +4,7 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
+use sched::records::{Assignment, DesiredState};
 use sched::replica::RecordChange;
 use std::sync::Arc;
 use wire::JobKind;
@@ -30,13 +31,13 @@
 }
 
 #[test]
-fn the_largest_records_and_rounds_keep_the_state_services_limits() {
+fn largest_records_and_transactions_keep_the_limits_of_the_key_value_store() {
     let controller = Controller::new(
         Settings::parse("example", EXAMPLE).expect("the example is valid"),
         Operators::default(),
         1,
     );
-    let (mut world, mut round) = (Replica::default(), Round::default());
+    let (mut replica, mut cycle) = (Replica::default(), SchedulingCycle::default());
     for n in 0..30 {
         let id = format!("j-{n:06}");
         let job = Box::new(largest(&controller, &id));
@@ -44,20 +45,21 @@
         assert!(json < controller.state_limits().value_bytes, "{json}");
         let put = KeyWrite::new(key::job(&id), &job);
         assert!(put.json_len() as f64 >= json, "the estimate is no less than what it is");
-        world.apply(RecordChange::Job(id.clone(), Some(job.clone())), 3);
-        round.jobs.insert(id, job);
+        replica.apply(RecordChange::Job(id.clone(), Some(job.clone())), 3);
+        cycle.jobs.insert(id, job);
     }
     let plan = controller.state_limits();
-    let Assembled { conditions, puts, left_out, .. } = assemble(&world, &round, &plan, usize::MAX);
-    let bytes: usize = puts.iter().map(KeyWrite::json_len).sum();
-    assert!(puts.len() >= 4 && bytes + conditions.len() * 60 < 64 * 1024, "{bytes}");
-    assert_eq!(left_out.len(), 30 - puts.len(), "the rest has its turn later");
-    let small = assemble(&world, &round, &StateLimits { txn_ops: 3, ..plan }, usize::MAX);
-    assert_eq!(small.puts.len(), 3);
+    let CycleTransaction { conditions, writes, left_out, .. } =
+        build_transaction(&replica, &cycle, &plan, usize::MAX);
+    let bytes: usize = writes.iter().map(KeyWrite::json_len).sum();
+    assert!(writes.len() >= 4 && bytes + conditions.len() * 60 < 64 * 1024, "{bytes}");
+    assert_eq!(left_out.len(), 30 - writes.len(), "the rest has its turn later");
+    let small = build_transaction(&replica, &cycle, &StateLimits { txn_ops: 3, ..plan }, usize::MAX);
+    assert_eq!(small.writes.len(), 3);
     let small = StateLimits { value_bytes: 1000.0, ..plan };
-    let none = assemble(&world, &round, &small, usize::MAX);
-    assert!(none.puts.is_empty(), "what a value cannot hold is not sent");
-    let one = assemble(&world, &round, &StateLimits { chunked: true, ..small }, usize::MAX);
-    assert!(one.puts.len() == 1 && one.chunked.is_some(), "but in parts, one at a time");
-    assert_eq!(assemble(&world, &round, &plan, 1).puts.len(), 1);
+    let none = build_transaction(&replica, &cycle, &small, usize::MAX);
+    assert!(none.writes.is_empty(), "what a value cannot hold is not sent");
+    let one = build_transaction(&replica, &cycle, &StateLimits { chunked: true, ..small }, usize::MAX);
+    assert!(one.writes.len() == 1 && one.chunked_job.is_some(), "but in parts, one at a time");
+    assert_eq!(build_transaction(&replica, &cycle, &plan, 1).writes.len(), 1);
 }
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -94,11 +94,21 @@
             let controller = &self.nodes[n];
             let mut state = controller.state();
             let scan = self.step.is_multiple_of(50);
-            reconcile::decide(controller, &mut state, scan, plan.txn_ops, now, self.step * 100).map(|r| {
-                let round::Assembled { conditions, puts, .. } =
-                    round::assemble(&state.records.replica, &r, &controller.state_limits(), usize::MAX);
+            scheduler::decide(
+                controller,
+                &mut state,
+                scheduler::CycleContext::new(plan.txn_ops, now, self.step * 100).with_rescheduler(scan),
+            )
+            .map(|r| {
+                let scheduler::CycleTransaction { conditions, writes: puts, .. } =
+                    scheduler::build_transaction(
+                        &state.records.replica,
+                        &r,
+                        &controller.state_limits(),
+                        usize::MAX,
+                    );
                 let epoch = state.cluster_map().map_or(0, |m| m.epoch);
-                (r.sends, conditions, puts, r.proofs, epoch)
+                (r.commands, conditions, puts, r.forwarded_proofs, epoch)
             })
         };
         let Some((sends, conditions, puts, proofs, epoch)) = decided else { return };
@@ -106,7 +116,7 @@
             let to = self.nodes.iter().position(|n| n.identity.name == to).expect("a known controller");
             self.post(Message::TerminationProofs { to, epoch, list });
         }
-        for (machine, _, commands) in sends {
+        for scheduler::OutgoingCommands { machine, commands, .. } in sends {
             let to = (0..MACHINES).find(|m| *id(*m) == *machine).expect("a known machine");
             self.waiting.insert((n, to), commands.fencing_token);
             self.post(Message::Commands { to, from: n, commands });
--- a/crates/daemon/tests/unit/sim/mail.rs
+++ b/crates/daemon/tests/unit/sim/mail.rs
@@ -71,7 +71,7 @@
                         let at = self.step + self.rng.random_range(1..400);
                         self.mail.push((at, Message::TerminationProofs { to, epoch, list: list.clone() }));
                     }
-                    reconcile::take_proofs(&self.nodes[to], epoch, list, self.now());
+                    self.nodes[to].accept_forwarded_proofs(epoch, list, self.now());
                 }
                 Message::Txn { from, conditions, puts, sized } => {
                     if self.state.txn(&conditions, puts) == Outcome::Refused {
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -22,7 +22,7 @@
 use crate::operators::Operators;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
-use crate::{api, change_feed, read_barrier, reconcile};
+use crate::{api, change_feed, read_barrier, scheduler};
 
 /// What a controller meets at the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -381,9 +381,13 @@
     let decided = {
         let mut core = controller.state();
         let ops = controller.state_limits().txn_ops;
-        reconcile::decide(controller, &mut core, false, ops, Instant::now(), crate::controller::wall_ms())
+        scheduler::decide(
+            controller,
+            &mut core,
+            scheduler::CycleContext::new(ops, Instant::now(), crate::controller::wall_ms()),
+        )
     };
     if let Some(round) = decided {
-        reconcile::commit(controller, round).await;
+        scheduler::commit(controller, round).await;
     }
 }
