--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -27,6 +27,7 @@
 #[path = "../tests/unit/faults_users.rs"]
 mod faults_users;
 mod fleet_duty;
+mod forwarded_proofs;
 #[cfg(test)]
 #[path = "../tests/unit/large_site.rs"]
 mod large_site;
@@ -49,11 +50,10 @@
 mod read_barrier;
 mod read_index;
 mod read_records;
-mod reconcile;
-mod round;
 #[cfg(test)]
 #[path = "../tests/unit/scale.rs"]
 mod scale;
+mod scheduler;
 mod settings;
 #[cfg(test)]
 #[path = "../tests/unit/sim/mod.rs"]
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -12,7 +12,7 @@
 use crate::logging::LogLevelError;
 use crate::operators::Operators;
 use crate::settings::{Settings, SettingsError};
-use crate::{api, change_feed, drains, fleet_duty, load, membership, peers, prober, read_barrier, reconcile};
+use crate::{api, change_feed, drains, fleet_duty, load, membership, peers, prober, read_barrier, scheduler};
 
 /// Largest body of a request from a peer, in bytes.
 const MAX_PEER_REQUEST_BYTES: usize = 1 << 20;
@@ -95,8 +95,8 @@
     controller.spawn_task(change_feed::follow_records(controller.clone()));
     controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
     controller.spawn_task(membership::keep_membership(controller.clone()));
-    controller.spawn_task(reconcile::heartbeat(controller.clone()));
-    controller.spawn_task(reconcile::rounds(controller.clone()));
+    controller.spawn_task(scheduler::detect_pauses(controller.clone()));
+    controller.spawn_task(scheduler::run_scheduler(controller.clone()));
     controller.spawn_task(prober::prober(controller.clone()));
     controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
