--- /dev/null
+++ b/crates/sched/tests/golden/jobs.rs
@@ -0,0 +1,204 @@
+//! Records of jobs, with another value in every field.
+
+use sched::records::{Assignment, JobRecord, Phase, Ranges, Urgency, Want};
+use wire::{JobKind, JobSpec, Priority};
+
+use crate::fixture::{Fixture, fixture};
+use crate::job_specs;
+
+/// All records of jobs.
+pub fn job_records() -> Vec<Fixture<JobRecord>> {
+    let mut all = vec![
+        fixture("job-active-full", full()),
+        fixture("job-without-optional-fields", without_optional_fields()),
+        fixture("job-active-dense-assignments", with_run(JobKind::Array, dense_run())),
+        fixture("job-active-scattered-assignments", with_run(JobKind::Array, scattered_run())),
+        fixture("job-active-gang-assignments", with_run(JobKind::Gang, gang_run())),
+        fixture("job-active-service-without-assignments", with_run(JobKind::Service, Vec::new())),
+        fixture("job-waiting-for-needs", waiting_for_needs()),
+        fixture("job-done-shrunk", shrunk(Phase::Done)),
+        fixture("job-cancelled-shrunk", shrunk(Phase::Cancelled)),
+    ];
+    all.extend(of_every_phase());
+    all.extend(of_every_priority());
+    all
+}
+
+fn assignment(task: u32, attempt: u64, machine: &str, want: Want) -> Assignment {
+    Assignment { task, attempt, machine: machine.into(), want }
+}
+
+/// A set with several gaps.
+pub fn scattered_tasks() -> Ranges {
+    let mut tasks = Ranges::default();
+    [0, 1, 2, 5, 9, 10, 40].into_iter().for_each(|task| tasks.insert(task));
+    tasks
+}
+
+/// Each machine has ten tasks in a row, and each follows the one before.
+fn dense_run() -> Vec<Assignment> {
+    let machine = |task: u32| format!("host-{:06}", 100 + task / 10);
+    (0..40).map(|task| assignment(task, 3, &machine(task), Want::Run)).collect()
+}
+
+/// Machines with names of several forms, several attempts, and both states that are wanted.
+fn scattered_run() -> Vec<Assignment> {
+    vec![
+        assignment(3, 12, "host-000205", Want::Run),
+        assignment(4, 11, "host-000017", Want::Stop),
+        assignment(6, 12, "spare", Want::Run),
+        assignment(7, 12, "host-000017", Want::Run),
+        assignment(11, 12, "host-000205", Want::Run),
+        assignment(12, 10, "host-17", Want::Stop),
+        assignment(70_013, 12, "host-000205", Want::Run),
+        assignment(70_014, 12, "00000000000000000012", Want::Run),
+    ]
+}
+
+/// The tasks of a gang go on from machine to machine, which are not in the order of their names.
+fn gang_run() -> Vec<Assignment> {
+    let machine = |task: u32| format!("host-{:06}", 300 - task / 3);
+    (0..12).map(|task| assignment(task, 5, &machine(task), Want::Run)).collect()
+}
+
+fn boxed(spec: JobSpec) -> Option<Box<JobSpec>> {
+    Some(Box::new(spec))
+}
+
+/// Every field that is stored is set.
+pub fn full() -> JobRecord {
+    JobRecord {
+        phase: Phase::Active,
+        spec: boxed(job_specs::full(JobKind::Array, Priority::High)),
+        part: Some("controller-2".into()),
+        submitted_ms: 1_800_000_000_001,
+        attempt: 12,
+        done: scattered_tasks(),
+        run: scattered_run(),
+        avoid: vec![("host-000092".into(), 1_800_000_000_011), ("host-000091".into(), 1_800_000_000_012)],
+        left: vec!["host-000082".into(), "left".into(), "host-000081".into()],
+        evicted_ms: 1_800_000_000_002,
+        errors: 7,
+        error_ms: 1_800_000_000_003,
+        needs: vec!["j-31".into(), "j-000000000000000021".into(), "j-123456789012345678".into()],
+        accepted_ms: 1_800_000_000_004,
+        ended_ms: 1_800_000_000_005,
+        urgency: Urgency { priority: None, done_by_ms: None },
+    }
+}
+
+fn without_optional_fields() -> JobRecord {
+    JobRecord {
+        phase: Phase::Active,
+        spec: None,
+        part: None,
+        submitted_ms: 0,
+        attempt: 0,
+        done: Ranges::default(),
+        run: Vec::new(),
+        avoid: Vec::new(),
+        left: Vec::new(),
+        evicted_ms: 0,
+        errors: 0,
+        error_ms: 0,
+        needs: Vec::new(),
+        accepted_ms: 0,
+        ended_ms: 0,
+        urgency: Urgency { priority: None, done_by_ms: None },
+    }
+}
+
+fn with_run(kind: JobKind, run: Vec<Assignment>) -> JobRecord {
+    JobRecord {
+        phase: Phase::Active,
+        spec: boxed(job_specs::full(kind, Priority::Normal)),
+        part: None,
+        submitted_ms: 1_800_000_000_101,
+        attempt: 13,
+        done: Ranges::all(2),
+        run,
+        avoid: Vec::new(),
+        left: Vec::new(),
+        evicted_ms: 1_800_000_000_102,
+        errors: 0,
+        error_ms: 0,
+        needs: Vec::new(),
+        accepted_ms: 0,
+        ended_ms: 0,
+        urgency: Urgency { priority: None, done_by_ms: None },
+    }
+}
+
+fn waiting_for_needs() -> JobRecord {
+    JobRecord {
+        phase: Phase::Waiting,
+        spec: boxed(job_specs::without_optional_fields()),
+        part: Some("controller-3".into()),
+        submitted_ms: 1_800_000_000_201,
+        attempt: 0,
+        done: Ranges::default(),
+        run: Vec::new(),
+        avoid: Vec::new(),
+        left: Vec::new(),
+        evicted_ms: 1_800_000_000_202,
+        errors: 0,
+        error_ms: 0,
+        needs: vec!["j-000411".into(), "j-000412".into(), "j-000500".into()],
+        accepted_ms: 0,
+        ended_ms: 0,
+        urgency: Urgency { priority: None, done_by_ms: None },
+    }
+}
+
+/// What is left of a job that is final once nothing of it is on any machine.
+pub fn shrunk(phase: Phase) -> JobRecord {
+    JobRecord {
+        phase,
+        spec: None,
+        part: None,
+        submitted_ms: 0,
+        attempt: 0,
+        // The count of the scattered tasks.
+        done: Ranges::all(7),
+        run: Vec::new(),
+        avoid: Vec::new(),
+        left: Vec::new(),
+        evicted_ms: 0,
+        errors: 0,
+        error_ms: 0,
+        needs: Vec::new(),
+        accepted_ms: 0,
+        ended_ms: 1_800_000_000_005,
+        urgency: Urgency { priority: None, done_by_ms: None },
+    }
+}
+
+fn of_every_phase() -> Vec<Fixture<JobRecord>> {
+    let phases = [
+        (Phase::Active, "active"),
+        (Phase::Done, "done"),
+        (Phase::Cancelled, "cancelled"),
+        (Phase::Waiting, "waiting"),
+    ];
+    let of_phase = |(phase, name)| {
+        let mut record = with_run(JobKind::Array, vec![assignment(1, 13, "host-000401", Want::Stop)]);
+        record.phase = phase;
+        fixture(&format!("job-phase-{name}"), record)
+    };
+    phases.into_iter().map(of_phase).collect()
+}
+
+fn of_every_priority() -> Vec<Fixture<JobRecord>> {
+    let priorities = [
+        (Priority::Low, "low"),
+        (Priority::Normal, "normal"),
+        (Priority::High, "high"),
+        (Priority::Production, "production"),
+    ];
+    let of_priority = |(priority, name)| {
+        let mut record = with_run(JobKind::Array, Vec::new());
+        record.spec = boxed(job_specs::full(JobKind::Array, priority));
+        fixture(&format!("job-priority-{name}"), record)
+    };
+    priorities.into_iter().map(of_priority).collect()
+}
--- /dev/null
+++ b/crates/wire/tests/golden.rs
@@ -0,0 +1,21 @@
+//! Golden data: files with the bytes of every message between controllers and users, workers,
+//! the cloud and the state service. The code has to write and to read just these.
+//!
+//! A file is only replaced where the protocol itself is changed on purpose.
+
+extern crate sageloom_wire as wire;
+
+#[path = "golden/files.rs"]
+mod files;
+#[path = "golden/job_specs.rs"]
+mod job_specs;
+#[path = "golden/jobs.rs"]
+mod jobs;
+#[path = "golden/machine_types.rs"]
+mod machine_types;
+#[path = "golden/messages.rs"]
+mod messages;
+#[path = "golden/outside.rs"]
+mod outside;
+#[path = "golden/workers.rs"]
+mod workers;
