--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -204,3 +204,7 @@
 #[cfg(test)]
 #[path = "../tests/unit/operators.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "../tests/unit/golden_operators.rs"]
+mod golden_tests;
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -322,3 +322,7 @@
 #[cfg(test)]
 #[path = "../tests/unit/settings.rs"]
 pub(crate) mod tests;
+
+#[cfg(test)]
+#[path = "../tests/unit/golden_settings.rs"]
+mod golden_tests;
--- /dev/null
+++ b/crates/daemon/tests/unit/golden_operators.rs
@@ -0,0 +1,44 @@
+//! An operators' file with every field is read as these values.
+
+use super::*;
+
+const FILE: &str = include_str!("../../testdata/operators-full.hcl");
+
+#[test]
+fn every_field_is_read() {
+    let rescheduler = Policy {
+        scan: Duration::from_secs(11),
+        threshold: 0.45,
+        budget: Duration::from_millis(62_500),
+        avoid: Duration::from_secs(303),
+    };
+    let teams =
+        BTreeMap::from([("team b".into(), TeamBudget::Share(0.25)), ("team-a".into(), TeamBudget::Count(4))]);
+    let expected = Operators {
+        rescheduler,
+        idle: Duration::from_millis(24_500),
+        silent: Some(Duration::from_secs(95)),
+        spare_gpu_tasks: 6,
+        drains: DrainSettings { enabled: true, budgets: Budgets { per_service: 3, teams } },
+    };
+    assert_eq!(Operators::parse("operators-full.hcl", FILE).expect("valid settings"), expected);
+}
+
+/// What holds where the file says nothing.
+#[test]
+fn defaults() {
+    let rescheduler = Policy {
+        scan: Duration::from_secs(10),
+        threshold: 0.3,
+        budget: Duration::from_secs(60),
+        avoid: Duration::from_secs(300),
+    };
+    let expected = Operators {
+        rescheduler,
+        idle: Duration::from_secs(20),
+        silent: None,
+        spare_gpu_tasks: 1,
+        drains: DrainSettings { enabled: false, budgets: Budgets { per_service: 1, teams: BTreeMap::new() } },
+    };
+    assert_eq!(Operators::parse("operators.hcl", "").expect("valid settings"), expected);
+}
