--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -64,3 +64,7 @@
 #[cfg(test)]
 #[path = "../tests/unit/operators.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "../tests/unit/golden_operators.rs"]
+mod golden_tests;
