--- a/crates/daemon/tests/unit/golden_operators.rs
+++ b/crates/daemon/tests/unit/golden_operators.rs
@@ -1,5 +1,10 @@
 //! An operators' file with every field is read as these values.
 
+use std::collections::BTreeMap;
+
+use drain::budget::{Budgets, TeamBudget};
+use sched::rescheduler::Policy;
+
 use super::*;
 
 const FILE: &str = include_str!("../../testdata/operators-full.hcl");
@@ -7,10 +12,10 @@
 #[test]
 fn every_field_is_read() {
     let rescheduler = Policy {
-        scan: Duration::from_secs(11),
-        threshold: 0.45,
-        budget: Duration::from_millis(62_500),
-        avoid: Duration::from_secs(303),
+        scan_interval: Duration::from_secs(11),
+        usage_threshold: 0.45,
+        eviction_interval: Duration::from_millis(62_500),
+        avoid_duration: Duration::from_secs(303),
     };
     let teams =
         BTreeMap::from([("team b".into(), TeamBudget::Share(0.25)), ("team-a".into(), TeamBudget::Count(4))]);
@@ -28,10 +33,10 @@
 #[test]
 fn defaults() {
     let rescheduler = Policy {
-        scan: Duration::from_secs(10),
-        threshold: 0.3,
-        budget: Duration::from_secs(60),
-        avoid: Duration::from_secs(300),
+        scan_interval: Duration::from_secs(10),
+        usage_threshold: 0.3,
+        eviction_interval: Duration::from_secs(60),
+        avoid_duration: Duration::from_secs(300),
     };
     let expected = Operators {
         rescheduler,
--- a/crates/daemon/tests/unit/golden_settings.rs
+++ b/crates/daemon/tests/unit/golden_settings.rs
@@ -1,7 +1,7 @@
 //! A settings file with every field is read as these values.
 
 use super::*;
-use sched::world::Team;
+use sched::replica::Team;
 
 const FILE: &str = include_str!("../../testdata/settings-full.toml");
 
--- a/crates/peer/tests/golden/messages.rs
+++ b/crates/peer/tests/golden/messages.rs
@@ -1,86 +1,100 @@
 //! Messages that are sent to every peer, and their answers.
 
-use peer::{MachineRow, Message, Proof, Proofs, Relay, Summary};
+use peer::{MachineStatusRow, Message, PeerStatus, RelayedHeartbeat, TerminationProof, TerminationProofs};
 
 fn check(file: &str, message: &Message) {
     crate::check(file, message, peer::encode, peer::decode);
 }
 
 /// Two machines, whose flags together tell all flags from each other.
-fn machines() -> Vec<MachineRow> {
-    let first = MachineRow {
+fn machines() -> Vec<MachineStatusRow> {
+    let first = MachineStatusRow {
         id: "host-000231".into(),
         usable: true,
         silent_ms: 77_001,
-        met: true,
+        heard_from: true,
         free_cpus: 1.25,
         free_gpus: 2.5,
         free_memory_gb: 3.75,
-        sick: false,
-        notice: false,
+        unhealthy: false,
+        spot_notice: false,
     };
-    let second = MachineRow {
+    let second = MachineStatusRow {
         id: "spare".into(),
         usable: true,
         silent_ms: 77_002,
-        met: false,
+        heard_from: false,
         free_cpus: 4.25,
         free_gpus: 5.5,
         free_memory_gb: 6.75,
-        sick: true,
-        notice: false,
+        unhealthy: true,
+        spot_notice: false,
     };
     vec![first, second]
 }
 
 #[test]
 fn summary() {
-    let summary = Summary {
+    let summary = PeerStatus {
         name: "controller-1".into(),
         incarnation: 7_700_000_000_000_000_003,
-        count: 77_004,
+        sequence: 77_004,
         epoch: 77_005,
         state_silent_ms: 77_006,
         machines: machines(),
     };
-    check("summary-full.rkyv", &Message::Summary(summary));
-    let empty = Summary {
+    check("summary-full.rkyv", &Message::PeerStatus(summary));
+    let empty = PeerStatus {
         name: "c".into(),
         incarnation: 77_007,
-        count: 77_008,
+        sequence: 77_008,
         epoch: 77_009,
         state_silent_ms: 77_010,
         machines: Vec::new(),
     };
-    check("summary-without-machines.rkyv", &Message::Summary(empty));
+    check("summary-without-machines.rkyv", &Message::PeerStatus(empty));
 }
 
 #[test]
 fn relay() {
-    check("relay.rkyv", &Message::Relay(Relay { report: vec![0x81, 0xa1, 0x61, 0x07, 0x00, 0xff] }));
+    check(
+        "relay.rkyv",
+        &Message::RelayedHeartbeat(RelayedHeartbeat { heartbeat: vec![0x81, 0xa1, 0x61, 0x07, 0x00, 0xff] }),
+    );
 }
 
 #[test]
 fn proofs() {
-    let first = Proof {
+    let first = TerminationProof {
         job: "j-000412".into(),
         task: 77_011,
         attempt: 77_012,
         machine: "host-000232".into(),
-        end: 4,
+        reason_code: 4,
     };
-    let second =
-        Proof { job: "j-1".into(), task: 77_013, attempt: 77_014, machine: "spare".into(), end: 201 };
-    check("proofs-full.rkyv", &Message::Proofs(Proofs { epoch: 77_015, list: vec![first, second] }));
-    check("proofs-empty.rkyv", &Message::Proofs(Proofs { epoch: 77_016, list: Vec::new() }));
+    let second = TerminationProof {
+        job: "j-1".into(),
+        task: 77_013,
+        attempt: 77_014,
+        machine: "spare".into(),
+        reason_code: 201,
+    };
+    check(
+        "proofs-full.rkyv",
+        &Message::TerminationProofs(TerminationProofs { epoch: 77_015, proofs: vec![first, second] }),
+    );
+    check(
+        "proofs-empty.rkyv",
+        &Message::TerminationProofs(TerminationProofs { epoch: 77_016, proofs: Vec::new() }),
+    );
 }
 
 #[test]
 fn taken() {
-    check("taken.rkyv", &Message::Taken);
+    check("taken.rkyv", &Message::Acknowledged);
 }
 
 #[test]
 fn relayed() {
-    check("relayed.rkyv", &Message::Relayed { status: 421, body: vec![0x80, 0x01, 0x02, 0xfe] });
+    check("relayed.rkyv", &Message::HeartbeatResponse { status: 421, body: vec![0x80, 0x01, 0x02, 0xfe] });
 }
--- a/crates/sched/tests/golden/jobs.rs
+++ b/crates/sched/tests/golden/jobs.rs
@@ -1,6 +1,6 @@
 //! Records of jobs, with another value in every field.
 
-use sched::records::{Assignment, JobRecord, Phase, Ranges, Urgency, Want};
+use sched::records::{Assignment, DesiredState, JobRecord, Phase, Ranges, Urgency};
 use wire::{JobKind, JobSpec, Priority};
 
 use crate::fixture::{Fixture, fixture};
@@ -24,8 +24,8 @@
     all
 }
 
-fn assignment(task: u32, attempt: u64, machine: &str, want: Want) -> Assignment {
-    Assignment { task, attempt, machine: machine.into(), want }
+fn assignment(task: u32, attempt: u64, machine: &str, want: DesiredState) -> Assignment {
+    Assignment { task, attempt, machine: machine.into(), desired: want }
 }
 
 /// A set with several gaps.
@@ -38,27 +38,27 @@
 /// Each machine has ten tasks in a row, and each follows the one before.
 fn dense_run() -> Vec<Assignment> {
     let machine = |task: u32| format!("host-{:06}", 100 + task / 10);
-    (0..40).map(|task| assignment(task, 3, &machine(task), Want::Run)).collect()
+    (0..40).map(|task| assignment(task, 3, &machine(task), DesiredState::Running)).collect()
 }
 
 /// Machines with names of several forms, several attempts, and both states that are wanted.
 fn scattered_run() -> Vec<Assignment> {
     vec![
-        assignment(3, 12, "host-000205", Want::Run),
-        assignment(4, 11, "host-000017", Want::Stop),
-        assignment(6, 12, "spare", Want::Run),
-        assignment(7, 12, "host-000017", Want::Run),
-        assignment(11, 12, "host-000205", Want::Run),
-        assignment(12, 10, "host-17", Want::Stop),
-        assignment(70_013, 12, "host-000205", Want::Run),
-        assignment(70_014, 12, "00000000000000000012", Want::Run),
+        assignment(3, 12, "host-000205", DesiredState::Running),
+        assignment(4, 11, "host-000017", DesiredState::Stopped),
+        assignment(6, 12, "spare", DesiredState::Running),
+        assignment(7, 12, "host-000017", DesiredState::Running),
+        assignment(11, 12, "host-000205", DesiredState::Running),
+        assignment(12, 10, "host-17", DesiredState::Stopped),
+        assignment(70_013, 12, "host-000205", DesiredState::Running),
+        assignment(70_014, 12, "00000000000000000012", DesiredState::Running),
     ]
 }
 
 /// The tasks of a gang go on from machine to machine, which are not in the order of their names.
 fn gang_run() -> Vec<Assignment> {
     let machine = |task: u32| format!("host-{:06}", 300 - task / 3);
-    (0..12).map(|task| assignment(task, 5, &machine(task), Want::Run)).collect()
+    (0..12).map(|task| assignment(task, 5, &machine(task), DesiredState::Running)).collect()
 }
 
 fn boxed(spec: JobSpec) -> Option<Box<JobSpec>> {
@@ -70,20 +70,23 @@
     JobRecord {
         phase: Phase::Active,
         spec: boxed(job_specs::full(JobKind::Array, Priority::High)),
-        part: Some("controller-2".into()),
+        shard: Some("controller-2".into()),
         submitted_ms: 1_800_000_000_001,
         attempt: 12,
         done: scattered_tasks(),
-        run: scattered_run(),
-        avoid: vec![("host-000092".into(), 1_800_000_000_011), ("host-000091".into(), 1_800_000_000_012)],
-        left: vec!["host-000082".into(), "left".into(), "host-000081".into()],
-        evicted_ms: 1_800_000_000_002,
-        errors: 7,
-        error_ms: 1_800_000_000_003,
-        needs: vec!["j-31".into(), "j-000000000000000021".into(), "j-123456789012345678".into()],
+        assignments: scattered_run(),
+        avoided_machines: vec![
+            ("host-000092".into(), 1_800_000_000_011),
+            ("host-000091".into(), 1_800_000_000_012),
+        ],
+        vacated_machines: vec!["host-000082".into(), "left".into(), "host-000081".into()],
+        last_eviction_ms: 1_800_000_000_002,
+        failed_starts: 7,
+        last_failure_ms: 1_800_000_000_003,
+        dependencies: vec!["j-31".into(), "j-000000000000000021".into(), "j-123456789012345678".into()],
         accepted_ms: 1_800_000_000_004,
         ended_ms: 1_800_000_000_005,
-        urgency: Urgency { priority: None, done_by_ms: None },
+        urgency: Urgency { priority: None, deadline_ms: None },
     }
 }
 
@@ -91,20 +94,20 @@
     JobRecord {
         phase: Phase::Active,
         spec: None,
-        part: None,
+        shard: None,
         submitted_ms: 0,
         attempt: 0,
         done: Ranges::default(),
-        run: Vec::new(),
-        avoid: Vec::new(),
-        left: Vec::new(),
-        evicted_ms: 0,
-        errors: 0,
-        error_ms: 0,
-        needs: Vec::new(),
+        assignments: Vec::new(),
+        avoided_machines: Vec::new(),
+        vacated_machines: Vec::new(),
+        last_eviction_ms: 0,
+        failed_starts: 0,
+        last_failure_ms: 0,
+        dependencies: Vec::new(),
         accepted_ms: 0,
         ended_ms: 0,
-        urgency: Urgency { priority: None, done_by_ms: None },
+        urgency: Urgency { priority: None, deadline_ms: None },
     }
 }
 
@@ -112,20 +115,20 @@
     JobRecord {
         phase: Phase::Active,
         spec: boxed(job_specs::full(kind, Priority::Normal)),
-        part: None,
+        shard: None,
         submitted_ms: 1_800_000_000_101,
         attempt: 13,
         done: Ranges::all(2),
-        run,
-        avoid: Vec::new(),
-        left: Vec::new(),
-        evicted_ms: 1_800_000_000_102,
-        errors: 0,
-        error_ms: 0,
-        needs: Vec::new(),
+        assignments: run,
+        avoided_machines: Vec::new(),
+        vacated_machines: Vec::new(),
+        last_eviction_ms: 1_800_000_000_102,
+        failed_starts: 0,
+        last_failure_ms: 0,
+        dependencies: Vec::new(),
         accepted_ms: 0,
         ended_ms: 0,
-        urgency: Urgency { priority: None, done_by_ms: None },
+        urgency: Urgency { priority: None, deadline_ms: None },
     }
 }
 
@@ -133,20 +136,20 @@
     JobRecord {
         phase: Phase::Waiting,
         spec: boxed(job_specs::without_optional_fields()),
-        part: Some("controller-3".into()),
+        shard: Some("controller-3".into()),
         submitted_ms: 1_800_000_000_201,
         attempt: 0,
         done: Ranges::default(),
-        run: Vec::new(),
-        avoid: Vec::new(),
-        left: Vec::new(),
-        evicted_ms: 1_800_000_000_202,
-        errors: 0,
-        error_ms: 0,
-        needs: vec!["j-000411".into(), "j-000412".into(), "j-000500".into()],
+        assignments: Vec::new(),
+        avoided_machines: Vec::new(),
+        vacated_machines: Vec::new(),
+        last_eviction_ms: 1_800_000_000_202,
+        failed_starts: 0,
+        last_failure_ms: 0,
+        dependencies: vec!["j-000411".into(), "j-000412".into(), "j-000500".into()],
         accepted_ms: 0,
         ended_ms: 0,
-        urgency: Urgency { priority: None, done_by_ms: None },
+        urgency: Urgency { priority: None, deadline_ms: None },
     }
 }
 
@@ -155,21 +158,21 @@
     JobRecord {
         phase,
         spec: None,
-        part: None,
+        shard: None,
         submitted_ms: 0,
         attempt: 0,
         // The count of the scattered tasks.
         done: Ranges::all(7),
-        run: Vec::new(),
-        avoid: Vec::new(),
-        left: Vec::new(),
-        evicted_ms: 0,
-        errors: 0,
-        error_ms: 0,
-        needs: Vec::new(),
+        assignments: Vec::new(),
+        avoided_machines: Vec::new(),
+        vacated_machines: Vec::new(),
+        last_eviction_ms: 0,
+        failed_starts: 0,
+        last_failure_ms: 0,
+        dependencies: Vec::new(),
         accepted_ms: 0,
         ended_ms: 1_800_000_000_005,
-        urgency: Urgency { priority: None, done_by_ms: None },
+        urgency: Urgency { priority: None, deadline_ms: None },
     }
 }
 
@@ -181,7 +184,8 @@
         (Phase::Waiting, "waiting"),
     ];
     let of_phase = |(phase, name)| {
-        let mut record = with_run(JobKind::Array, vec![assignment(1, 13, "host-000401", Want::Stop)]);
+        let mut record =
+            with_run(JobKind::Array, vec![assignment(1, 13, "host-000401", DesiredState::Stopped)]);
         record.phase = phase;
         fixture(&format!("job-phase-{name}"), record)
     };
--- a/crates/sched/tests/golden/records.rs
+++ b/crates/sched/tests/golden/records.rs
@@ -1,7 +1,7 @@
 //! Records other than those of jobs and drains, with another value in every field.
 
 use sched::records::{
-    FleetRecord, MachineRecord, MapRecord, Member, Rental, TeamRecord, TypesRecord, Upgraded,
+    ClusterMap, FleetRecord, MachineRecord, MachineTypesRecord, Member, ScaleOut, SchemaMarker, TeamRecord,
 };
 use wire::MachineType;
 
@@ -37,21 +37,21 @@
 }
 
 /// What controllers leave for good.
-pub fn upgraded_records() -> Vec<Fixture<Upgraded>> {
-    vec![fixture("upgraded", Upgraded { schema_version: 73_002 })]
+pub fn upgraded_records() -> Vec<Fixture<SchemaMarker>> {
+    vec![fixture("upgraded", SchemaMarker { schema_version: 73_002 })]
 }
 
 /// Maps of controllers.
-pub fn map_records() -> Vec<Fixture<MapRecord>> {
+pub fn map_records() -> Vec<Fixture<ClusterMap>> {
     let other = Member { name: "controller-2".into(), zone: "zone-b".into(), incarnation: 73_003 };
     vec![
-        fixture("map-full", MapRecord { epoch: 73_004, live: vec![other, member()] }),
-        fixture("map-empty", MapRecord { epoch: 0, live: Vec::new() }),
+        fixture("map-full", ClusterMap { epoch: 73_004, live: vec![other, member()] }),
+        fixture("map-empty", ClusterMap { epoch: 0, live: Vec::new() }),
     ]
 }
 
 /// Machine types, as the cloud last told them.
-pub fn types_records() -> Vec<Fixture<TypesRecord>> {
+pub fn types_records() -> Vec<Fixture<MachineTypesRecord>> {
     let smaller = MachineType {
         name: "type-e".into(),
         cpus: 4.5,
@@ -65,8 +65,8 @@
         zones: Vec::new(),
     };
     vec![
-        fixture("types-full", TypesRecord { types: vec![machine_types::full(), smaller] }),
-        fixture("types-empty", TypesRecord { types: Vec::new() }),
+        fixture("types-full", MachineTypesRecord { types: vec![machine_types::full(), smaller] }),
+        fixture("types-empty", MachineTypesRecord { types: Vec::new() }),
     ]
 }
 
@@ -75,14 +75,14 @@
     vec![fixture("team", TeamRecord { placements: 73_005 })]
 }
 
-fn answered_rental() -> Rental {
-    Rental {
+fn answered_rental() -> ScaleOut {
+    ScaleOut {
         request: "request-a".into(),
         machine_type: "type-b".into(),
         zone: "zone-c".into(),
         spot: true,
         count: 73_006,
-        asked_ms: 1_800_000_000_301,
+        requested_ms: 1_800_000_000_301,
         machines: Some(vec![
             "00000000000000000012".into(),
             "host-000101".into(),
@@ -93,14 +93,14 @@
     }
 }
 
-fn rental_without_answer() -> Rental {
-    Rental {
+fn rental_without_answer() -> ScaleOut {
+    ScaleOut {
         request: "request-d".into(),
         machine_type: "type-e".into(),
         zone: "zone-f".into(),
         spot: false,
         count: 73_007,
-        asked_ms: 1_800_000_000_302,
+        requested_ms: 1_800_000_000_302,
         machines: None,
     }
 }
@@ -108,14 +108,15 @@
 /// Rentals under way and machines that are gone.
 pub fn fleet_records() -> Vec<Fixture<FleetRecord>> {
     let full = FleetRecord {
-        rentals: vec![rental_without_answer(), answered_rental()],
-        gone: Some(vec!["host-000007".into(), "host-000070".into(), "host-000700".into()]),
+        scale_outs: vec![rental_without_answer(), answered_rental()],
+        removed_machines: Some(vec!["host-000007".into(), "host-000070".into(), "host-000700".into()]),
     };
-    let without_optional_fields = FleetRecord { rentals: vec![rental_without_answer()], gone: None };
+    let without_optional_fields =
+        FleetRecord { scale_outs: vec![rental_without_answer()], removed_machines: None };
     vec![
         fixture("fleet-full", full),
         fixture("fleet-without-optional-fields", without_optional_fields),
-        fixture("fleet-empty", FleetRecord { rentals: Vec::new(), gone: None }),
+        fixture("fleet-empty", FleetRecord { scale_outs: Vec::new(), removed_machines: None }),
         fixture("fleet-with-empty-lists", with_empty_lists()),
     ]
 }
@@ -124,5 +125,5 @@
 fn with_empty_lists() -> FleetRecord {
     let mut rental = rental_without_answer();
     rental.machines = Some(Vec::new());
-    FleetRecord { rentals: vec![rental], gone: Some(Vec::new()) }
+    FleetRecord { scale_outs: vec![rental], removed_machines: Some(Vec::new()) }
 }
--- a/crates/sched/tests/golden/stored.rs
+++ b/crates/sched/tests/golden/stored.rs
@@ -8,7 +8,7 @@
 use sched::drain_records::{
     CordonRecord, DisruptionRecord, DrainPhase, DrainRecord, Obstacle, ObstacleKind, RoomSearch, UnsavedWork,
 };
-use sched::records::{FleetRecord, JobRecord, MachineRecord, Phase, Ranges, Rental, Urgency};
+use sched::records::{FleetRecord, JobRecord, MachineRecord, Phase, Ranges, ScaleOut, Urgency};
 use wire::Priority;
 
 use crate::fixture::Fixture;
@@ -85,7 +85,7 @@
 #[test]
 fn urgency_of_a_job_is_not_written() {
     let mut urgent = jobs::full();
-    urgent.urgency = Urgency { priority: Some(Priority::Production), done_by_ms: Some(75_001) };
+    urgent.urgency = Urgency { priority: Some(Priority::Production), deadline_ms: Some(75_001) };
     assert_eq!(wire::encode(&urgent), wire::encode(&jobs::full()));
 }
 
@@ -94,8 +94,8 @@
     for phase in [Phase::Done, Phase::Cancelled] {
         let mut record = jobs::full();
         record.phase = phase;
-        record.run = Vec::new();
-        record.shrink();
+        record.assignments = Vec::new();
+        record.compact_if_final();
         assert_eq!(record, jobs::shrunk(phase));
     }
 }
@@ -105,20 +105,20 @@
     let expected = JobRecord {
         phase: Phase::Cancelled,
         spec: None,
-        part: None,
+        shard: None,
         submitted_ms: 0,
         attempt: 0,
         done: Ranges::default(),
-        run: Vec::new(),
-        avoid: Vec::new(),
-        left: Vec::new(),
-        evicted_ms: 0,
-        errors: 0,
-        error_ms: 0,
-        needs: Vec::new(),
+        assignments: Vec::new(),
+        avoided_machines: Vec::new(),
+        vacated_machines: Vec::new(),
+        last_eviction_ms: 0,
+        failed_starts: 0,
+        last_failure_ms: 0,
+        dependencies: Vec::new(),
         accepted_ms: 0,
         ended_ms: 0,
-        urgency: Urgency { priority: None, done_by_ms: None },
+        urgency: Urgency { priority: None, deadline_ms: None },
     };
     check_read(&json!({ "phase": "c", "unknown": 1 }), &expected);
 }
@@ -128,7 +128,7 @@
 fn lists_of_a_job_are_read_from_their_dense_form() {
     let mut expected = jobs::shrunk(Phase::Done);
     expected.done = jobs::scattered_tasks();
-    expected.needs = vec!["j-000007".into(), "j-000009".into()];
+    expected.dependencies = vec!["j-000007".into(), "j-000009".into()];
     let message = json!({ "phase": "d", "done": [3, "4300002"], "needs": [["j-", 6, "72"]], "ended_ms": 1_800_000_000_005_u64 });
     check_read(&message, &expected);
 }
@@ -150,19 +150,19 @@
 
 #[test]
 fn fleet_record_without_optional_fields() {
-    let rental = Rental {
+    let rental = ScaleOut {
         request: "request-a".into(),
         machine_type: "type-b".into(),
         zone: "zone-c".into(),
         spot: true,
         count: 4,
-        asked_ms: 5,
+        requested_ms: 5,
         machines: None,
     };
     let message = json!({
         "rentals": [{ "r": "request-a", "t": "type-b", "z": "zone-c", "s": true, "n": 4, "a": 5, "m": null }],
     });
-    check_read(&message, &FleetRecord { rentals: vec![rental], gone: None });
+    check_read(&message, &FleetRecord { scale_outs: vec![rental], removed_machines: None });
 }
 
 #[test]
--- a/crates/store/tests/golden/chunked.rs
+++ b/crates/store/tests/golden/chunked.rs
@@ -1,9 +1,9 @@
 //! Records in parts.
 
 use rmpv::Value;
-use sched::records::{FleetRecord, Rental};
-use sched::world::Change;
-use store::{Chunked, Orphans, Put, Reader, key, split};
+use sched::records::{FleetRecord, ScaleOut};
+use sched::replica::RecordChange;
+use store::{ChunkedRecord, KeyWrite, OrphanedChunks, RecordReader, key, split_record};
 
 use crate::files;
 use crate::values::{from_bytes, to_bytes};
@@ -21,23 +21,27 @@
 
 /// A record that takes three parts.
 fn large_fleet() -> FleetRecord {
-    let rental = |n: u32| Rental {
+    let rental = |n: u32| ScaleOut {
         request: format!("request-{n}"),
         machine_type: format!("type-{n}").into(),
         zone: format!("zone-{n}").into(),
         spot: n.is_multiple_of(2),
         count: n + 10,
-        asked_ms: 1_800_000_000_000 + u64::from(n),
+        requested_ms: 1_800_000_000_000 + u64::from(n),
         machines: (n > 0).then(|| vec![format!("host-{n:06}").into()]),
     };
-    FleetRecord { rentals: (0..7).map(rental).collect(), gone: Some(vec!["host-000700".into()]) }
+    FleetRecord {
+        scale_outs: (0..7).map(rental).collect(),
+        removed_machines: Some(vec!["host-000700".into()]),
+    }
 }
 
-fn large_fleet_in_parts() -> Chunked {
-    split(&Put::new(key::FLEET.into(), &large_fleet()), NONCE, VALUE_BYTES).expect("a record in parts")
+fn large_fleet_in_parts() -> ChunkedRecord {
+    split_record(&KeyWrite::new(key::FLEET.into(), &large_fleet()), NONCE, VALUE_BYTES)
+        .expect("a record in parts")
 }
 
-fn check_put(put: &Put, (key, file): (&str, &str)) {
+fn check_put(put: &KeyWrite, (key, file): (&str, &str)) {
     assert_eq!(put.key, key);
     assert_eq!(put.lease, None);
     let written = put.value.as_ref().map(to_bytes).expect("a value");
@@ -48,15 +52,15 @@
     Some(from_bytes(&files::read(file)))
 }
 
-fn assert_whole(change: &Change) {
-    assert_eq!(format!("{change:?}"), format!("{:?}", Change::Fleet(Some(large_fleet()))));
+fn assert_whole(change: &RecordChange) {
+    assert_eq!(format!("{change:?}"), format!("{:?}", RecordChange::Fleet(Some(large_fleet()))));
 }
 
 #[test]
 fn record_is_split_into_the_golden_parts() {
     let chunked = large_fleet_in_parts();
-    assert_eq!(chunked.parts.len(), PARTS.len());
-    for (put, expected) in chunked.parts.iter().zip(PARTS) {
+    assert_eq!(chunked.chunks.len(), PARTS.len());
+    for (put, expected) in chunked.chunks.iter().zip(PARTS) {
         check_put(put, expected);
     }
     check_put(&chunked.head, HEAD);
@@ -64,11 +68,14 @@
 
 #[test]
 fn record_is_read_from_the_golden_parts() {
-    let mut reader = Reader::default();
+    let mut reader = RecordReader::default();
     for (key, file) in PARTS {
-        assert!(matches!(reader.take(key, read(file), 76_101), (Change::Other, false, 76_101)), "{key}");
+        assert!(
+            matches!(reader.apply(key, read(file), 76_101), (RecordChange::Other, false, 76_101)),
+            "{key}"
+        );
     }
-    let (change, bad, version) = reader.take(HEAD.0, read(HEAD.1), 76_102);
+    let (change, bad, version) = reader.apply(HEAD.0, read(HEAD.1), 76_102);
     assert_eq!((bad, version), (false, 76_102));
     assert_whole(&change);
     assert!(reader.is_chunked(HEAD.0));
@@ -77,27 +84,30 @@
 
 #[test]
 fn record_is_read_when_its_last_part_is_there() {
-    let mut reader = Reader::default();
-    let (change, bad, version) = reader.take(HEAD.0, read(HEAD.1), 76_102);
-    assert!(matches!(change, Change::Fleet(None)));
+    let mut reader = RecordReader::default();
+    let (change, bad, version) = reader.apply(HEAD.0, read(HEAD.1), 76_102);
+    assert!(matches!(change, RecordChange::Fleet(None)));
     assert_eq!((bad, version), (true, 76_102));
     let [first, second, third] = PARTS;
     for (key, file) in [first, third] {
-        assert!(matches!(reader.take(key, read(file), 76_101), (Change::Other, false, 76_101)), "{key}");
+        assert!(
+            matches!(reader.apply(key, read(file), 76_101), (RecordChange::Other, false, 76_101)),
+            "{key}"
+        );
     }
-    let (change, bad, version) = reader.take(second.0, read(second.1), 76_101);
+    let (change, bad, version) = reader.apply(second.0, read(second.1), 76_101);
     assert_eq!((bad, version), (false, 76_102));
     assert_whole(&change);
 }
 
 #[test]
 fn parts_without_a_head_are_orphans() {
-    let mut reader = Reader::default();
+    let mut reader = RecordReader::default();
     for (key, file) in PARTS {
-        reader.take(key, read(file), 76_101);
+        reader.apply(key, read(file), 76_101);
     }
-    let expected = Orphans {
-        of: "sageloom/fleet".into(),
+    let expected = OrphanedChunks {
+        record_key: "sageloom/fleet".into(),
         nonce: "abc1234".into(),
         keys: PARTS.iter().rev().map(|(key, _)| (*key).to_owned()).collect(),
     };
--- a/crates/store/tests/golden/keys.rs
+++ b/crates/store/tests/golden/keys.rs
@@ -5,7 +5,7 @@
 #[test]
 fn keys_of_single_records() {
     assert_eq!(key::PREFIX, "sageloom/");
-    assert_eq!(key::PARTS, "sageloom/parts/");
+    assert_eq!(key::CHUNKS, "sageloom/parts/");
     assert_eq!(key::LEADER, "sageloom/leader");
     assert_eq!(key::MAP, "sageloom/map");
     assert_eq!(key::TYPES, "sageloom/types");
--- a/crates/wire/tests/golden/job_specs.rs
+++ b/crates/wire/tests/golden/job_specs.rs
@@ -21,11 +21,11 @@
         one_zone: true,
         spread: false,
         spot: false,
-        estimate_s: 241.5,
-        checkpoint_s: 31.5,
-        save_s: 5.5,
+        estimated_runtime_s: 241.5,
+        checkpoint_interval_s: 31.5,
+        checkpoint_save_s: 5.5,
         deadline_s: Some(901.5),
-        needs: Some(vec!["j-000411".into(), "j-000003".into()]),
+        dependencies: Some(vec!["j-000411".into(), "j-000003".into()]),
     }
 }
 
@@ -49,10 +49,10 @@
         one_zone: false,
         spread: true,
         spot: false,
-        estimate_s: 242.5,
-        checkpoint_s: 32.5,
-        save_s: 6.5,
+        estimated_runtime_s: 242.5,
+        checkpoint_interval_s: 32.5,
+        checkpoint_save_s: 6.5,
         deadline_s: None,
-        needs: None,
+        dependencies: None,
     }
 }
--- a/crates/wire/tests/golden/workers.rs
+++ b/crates/wire/tests/golden/workers.rs
@@ -1,12 +1,12 @@
 //! Messages between workers and controllers.
 
 use serde_json::json;
-use wire::{Cause, Command, Commands, Redirect, Report, ReportAnswer, TaskReport, TaskState};
+use wire::{Command, Commands, ExitReason, Heartbeat, HeartbeatResponse, Redirect, TaskState, TaskStatus};
 
 use crate::messages::{check, check_read};
 
-fn task_report(state: TaskState, cause: Option<Cause>, saved: Option<bool>) -> TaskReport {
-    TaskReport { task: "j-000412/3".into(), attempt: 70_002, state, cause, saved }
+fn task_report(state: TaskState, cause: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
+    TaskStatus { task: "j-000412/3".into(), attempt: 70_002, state, cause, checkpointed: saved }
 }
 
 #[test]
@@ -19,22 +19,25 @@
         (TaskState::Exited, "exited"),
     ];
     for (state, name) in states {
-        check(&format!("task-report-{name}.msgpack"), &task_report(state, Some(Cause::Stopped), Some(true)));
+        check(
+            &format!("task-report-{name}.msgpack"),
+            &task_report(state, Some(ExitReason::Stopped), Some(true)),
+        );
     }
 }
 
 #[test]
 fn task_report_of_every_cause() {
     let causes = [
-        (Cause::Done, "done"),
-        (Cause::Stopped, "stopped"),
-        (Cause::PeersGone, "peers-gone"),
-        (Cause::Alone, "alone"),
-        (Cause::Error, "error"),
-        (Cause::NoRoom, "no-room"),
-        (Cause::Busy, "busy"),
-        (Cause::Unknown, "unknown"),
-        (Cause::Other, "other"),
+        (ExitReason::Done, "done"),
+        (ExitReason::Stopped, "stopped"),
+        (ExitReason::PeersGone, "peers-gone"),
+        (ExitReason::GangIncomplete, "alone"),
+        (ExitReason::Error, "error"),
+        (ExitReason::NoCapacity, "no-room"),
+        (ExitReason::Busy, "busy"),
+        (ExitReason::Unknown, "unknown"),
+        (ExitReason::Other, "other"),
     ];
     for (cause, name) in causes {
         let report = task_report(TaskState::Exited, Some(cause), Some(false));
@@ -45,7 +48,7 @@
 #[test]
 fn task_report_with_a_cause_that_is_not_known() {
     let message = json!({ "thread": "j-000412/3", "try": 70_002, "status": "ended", "cause": "new-cause" });
-    check_read(&message, &task_report(TaskState::Exited, Some(Cause::Other), None));
+    check_read(&message, &task_report(TaskState::Exited, Some(ExitReason::Other), None));
 }
 
 #[test]
@@ -57,19 +60,19 @@
 
 #[test]
 fn report_full() {
-    let report = Report {
+    let report = Heartbeat {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "type-a".into(),
         zone: "zone-b".into(),
         spot: true,
-        session: 71_001,
-        seq: 71_002,
-        token: 71_003,
-        notice_s: Some(19.5),
+        incarnation: 71_001,
+        sequence: 71_002,
+        fencing_token: 71_003,
+        spot_notice_s: Some(19.5),
         tasks: vec![
             task_report(TaskState::Running, None, None),
-            task_report(TaskState::Exited, Some(Cause::Done), Some(true)),
+            task_report(TaskState::Exited, Some(ExitReason::Done), Some(true)),
         ],
     };
     check("report-full.msgpack", &report);
@@ -77,16 +80,16 @@
 
 #[test]
 fn report_without_optional_fields() {
-    let report = Report {
+    let report = Heartbeat {
         machine: "host-000232".into(),
         addr: "10.1.0.233:9000".into(),
         machine_type: "type-c".into(),
         zone: "zone-d".into(),
         spot: false,
-        session: 1,
-        seq: 2,
-        token: 3,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 2,
+        fencing_token: 3,
+        spot_notice_s: None,
         tasks: Vec::new(),
     };
     check("report-without-optional-fields.msgpack", &report);
@@ -118,16 +121,20 @@
 
 #[test]
 fn report_answer() {
-    let answer = ReportAnswer { token: 71_004, commands: vec![stop(), start(), forget()] };
+    let answer = HeartbeatResponse { fencing_token: 71_004, commands: vec![stop(), start(), forget()] };
     check("report-answer-full.msgpack", &answer);
-    check("report-answer-without-commands.msgpack", &ReportAnswer { token: 71_005, commands: Vec::new() });
+    check(
+        "report-answer-without-commands.msgpack",
+        &HeartbeatResponse { fencing_token: 71_005, commands: Vec::new() },
+    );
 }
 
 #[test]
 fn commands() {
-    let commands = Commands { token: 71_006, session: 71_007, commands: vec![forget(), stop(), start()] };
+    let commands =
+        Commands { fencing_token: 71_006, incarnation: 71_007, commands: vec![forget(), stop(), start()] };
     check("commands-full.msgpack", &commands);
-    let none = Commands { token: 71_008, session: 71_009, commands: Vec::new() };
+    let none = Commands { fencing_token: 71_008, incarnation: 71_009, commands: Vec::new() };
     check("commands-without-commands.msgpack", &none);
 }
 
