--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -28,11 +28,13 @@
 mod faults_users;
 mod fleet_duty;
 mod forwarded_proofs;
+mod freshness_checks;
 #[cfg(test)]
 #[path = "../tests/unit/large_site.rs"]
 mod large_site;
 mod limits;
 mod load;
+mod load_log;
 mod logging;
 mod membership;
 mod operators;
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -1,16 +1,7 @@
-//! What a controller's own work amounts to, logged every ten seconds.
+//! Counters of a controller's own work.
 
-use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::time::Duration;
 
-use tokio::time::sleep;
-use tracing::info;
-
-use crate::controller::Controller;
-
-/// How often the load is logged.
-const LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// Most names in one line of the log, as hundreds make no readable line.
 const MAX_SAMPLE_NAMES: usize = 5;
 
@@ -76,7 +67,7 @@
     }
 
     /// The changes by purpose since the last call, as text.
-    fn take_changes(&self) -> String {
+    pub fn take_changes(&self) -> String {
         let counted = PURPOSES.iter().zip(&self.changes);
         let texts = counted.map(|((_, name), count)| format!("{name} {}", take(count)));
         texts.collect::<Vec<_>>().join(", ")
@@ -84,7 +75,7 @@
 }
 
 /// Reads a counter and sets it back to 0.
-fn take(counter: &AtomicU64) -> u64 {
+pub fn take(counter: &AtomicU64) -> u64 {
     counter.swap(0, Ordering::Relaxed)
 }
 
@@ -94,46 +85,6 @@
     sample.join(" ") + if names.len() > sample.len() { " …" } else { "" }
 }
 
-/// Logs the load regularly until the controller stops.
-pub async fn log_regularly(controller: Arc<Controller>) {
-    loop {
-        sleep(LOG_INTERVAL).await;
-        log_load(&controller);
-    }
-}
-
-fn log_load(controller: &Controller) {
-    let counters = &controller.load;
-    let cycles = take(&counters.cycles);
-    let cycle_us = take(&counters.cycle_us);
-    info!(
-        connections = open_connections(controller),
-        closed_for_want =
-            controller.public_connections.take_closed() + controller.peer_connections.take_closed(),
-        changes = counters.take_changes(),
-        conflicts = take(&counters.conflicts),
-        cycles,
-        cycle_us = cycle_us / cycles.max(1),
-        heartbeats = take(&counters.heartbeats),
-        not_renewed = take(&counters.heartbeats_not_renewed),
-        "load"
-    );
-}
-
-/// How many connections are open, by whom they are with.
-fn open_connections(controller: &Controller) -> String {
-    let public = controller.public_connections.by_share();
-    let public: Vec<String> = public.map(|(name, n)| format!("{name} {n}")).collect();
-    format!(
-        "{}, peers {}, to workers {}, to the key-value store {}, to peers and the cloud {}",
-        public.join(", "),
-        controller.peer_connections.open(),
-        controller.worker_http.open(),
-        controller.kv_http.open(),
-        controller.peer_and_cloud_http.open()
-    )
-}
-
 #[cfg(test)]
 #[path = "../tests/unit/load.rs"]
 mod tests;
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -12,7 +12,9 @@
 use crate::logging::LogLevelError;
 use crate::operators::Operators;
 use crate::settings::{Settings, SettingsError};
-use crate::{api, change_feed, drains, fleet_duty, load, membership, peers, prober, read_barrier, scheduler};
+use crate::{
+    api, change_feed, drains, fleet_duty, freshness_checks, load_log, membership, peers, prober, scheduler,
+};
 
 /// Largest body of a request from a peer, in bytes.
 const MAX_PEER_REQUEST_BYTES: usize = 1 << 20;
@@ -93,14 +95,14 @@
 /// Starts all tasks but the servers.
 pub(crate) fn spawn_tasks(controller: &Arc<Controller>) {
     controller.spawn_task(change_feed::follow_records(controller.clone()));
-    controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
+    controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
     controller.spawn_task(membership::keep_membership(controller.clone()));
     controller.spawn_task(scheduler::detect_pauses(controller.clone()));
     controller.spawn_task(scheduler::run_scheduler(controller.clone()));
     controller.spawn_task(prober::prober(controller.clone()));
     controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
-    controller.spawn_task(load::log_regularly(controller.clone()));
+    controller.spawn_task(load_log::log_regularly(controller.clone()));
     let drains_enabled = controller.operators.drains.enabled;
     if drains_enabled {
         controller.spawn_task(drains::duty(controller.clone()));
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -5,7 +5,7 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
-use crate::{change_feed, read_barrier};
+use crate::{change_feed, freshness_checks};
 use sched::records::{JobRecord, MachineRecord, Name, Phase};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -61,7 +61,7 @@
     settings.external.state = state;
     let controller = Controller::new(settings, Operators::default(), 1);
     controller.spawn_task(change_feed::follow_records(controller.clone()));
-    controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
+    controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
     controller
 }
 
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -18,7 +18,7 @@
 use crate::stand_in::*;
 use crate::worker::tests::spec;
 use crate::worker::{Limits, Worker, first_token};
-use crate::{change_feed, membership, read_barrier, scheduler};
+use crate::{change_feed, membership, freshness_checks, scheduler};
 
 /// A description without one of its fields, or with another value in it.
 fn odd(id: &str, field: &str, value: Option<serde_json::Value>) -> Vec<u8> {
@@ -595,7 +595,7 @@
     let (a, door) = service.controller(0, 2, 1).await;
     let follows = [
         tokio::spawn(change_feed::follow_records(a.clone())),
-        tokio::spawn(read_barrier::serve_read_barrier(a.clone())),
+        tokio::spawn(freshness_checks::run_freshness_checks(a.clone())),
     ];
     let (b, _) = service.follower(1, 2).await;
     service.elect(&[&a, &b], 1);
@@ -836,7 +836,7 @@
     let (b, _) = service.controller(1, 2, 2).await;
     let follows = [
         tokio::spawn(change_feed::follow_records(b.clone())),
-        tokio::spawn(read_barrier::serve_read_barrier(b.clone())),
+        tokio::spawn(freshness_checks::run_freshness_checks(b.clone())),
     ];
     assert!(soon(20, || b.state().records.is_loaded).await);
     service.elect(&[&a, &b], 1);
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -21,7 +21,7 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
-use crate::{api, change_feed, read_barrier, scheduler};
+use crate::{api, change_feed, freshness_checks, scheduler};
 
 #[derive(Default)]
 struct Store {
@@ -159,7 +159,7 @@
         (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e4, 1e4);
         let controller = Controller::new(settings, Operators::default(), incarnation);
         controller.spawn_task(change_feed::follow_records(controller.clone()));
-        controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
+        controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
         assert!(
             timeout(Duration::from_secs(5), async {
                 while !controller.state().records.is_loaded {
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -22,7 +22,7 @@
 use crate::operators::Operators;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
-use crate::{api, change_feed, read_barrier, scheduler};
+use crate::{api, change_feed, freshness_checks, scheduler};
 
 /// What a controller meets at the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -305,7 +305,7 @@
 /// Starts the duties that keep the mirror.
 pub fn follow(controller: &Arc<Controller>) {
     controller.spawn_task(change_feed::follow_records(controller.clone()));
-    controller.spawn_task(read_barrier::serve_read_barrier(controller.clone()));
+    controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
 }
 
 /// Whether something comes about within so many seconds.
