--- a/crates/daemon/src/drains/observe.rs
+++ b/crates/daemon/src/drains/observe.rs
@@ -93,9 +93,9 @@
 /// Sends a request. A controller without drains answers 404: nothing that runs on its machines
 /// is known to.
 async fn exchange(controller: &Inner, address: &str, request: &RunningTasksRequest) -> Option<RunningTasks> {
-    let body = peer::encode_running_request(request);
+    let body = peer::encode_running_tasks_request(request);
     let answer = controller.http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
-    (answer.status == 200).then(|| peer::decode_running(&answer.body)).flatten()
+    (answer.status == 200).then(|| peer::decode_running_tasks(&answer.body)).flatten()
 }
 
 /// Takes in an answer, if it is one to this request from the peer that was asked.
@@ -121,7 +121,7 @@
     if !controller.operators.drains.enabled {
         return Reply::error(404, "drains are switched off");
     }
-    let Some(request) = peer::decode_running_request(body) else {
+    let Some(request) = peer::decode_running_tasks_request(body) else {
         return Reply::error(400, "not a request for running tasks");
     };
     let core = controller.core();
@@ -134,5 +134,5 @@
         epoch,
         jobs: own(controller, &core, jobs, clock::now()),
     };
-    Reply { status: 200, body: peer::encode_running(&answer), retry_after: None }
+    Reply { status: 200, body: peer::encode_running_tasks(&answer), retry_after: None }
 }
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -228,18 +228,18 @@
 /// Sends one request. A controller of the version in production knows none of its kind: for
 /// as long as it is there, leases are renewed within the bound alone.
 async fn exchange(controller: &Controller, address: &str, asked: &ReadIndexRequest) -> Option<ReadIndex> {
-    let body = peer::encode_request(asked);
+    let body = peer::encode_read_index_request(asked);
     let answer = controller.http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
-    (answer.status == 200).then(|| peer::decode_index(&answer.body)).flatten()
+    (answer.status == 200).then(|| peer::decode_read_index(&answer.body)).flatten()
 }
 
 /// Answers a peer's request.
 pub fn serve(controller: &Controller, body: &[u8]) -> Reply {
-    let Some(request) = peer::decode_request(body) else {
+    let Some(request) = peer::decode_read_index_request(body) else {
         return Reply::error(400, "not a request for a read index");
     };
     let index = answer(controller, &controller.core(), &request);
-    Reply { status: 200, body: peer::encode_index(&index), retry_after: None }
+    Reply { status: 200, body: peer::encode_read_index(&index), retry_after: None }
 }
 
 #[cfg(test)]
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -62,8 +62,8 @@
 fn exchange(asker: &Controller, of: &Controller, at: Instant) -> bool {
     let mut core = asker.core();
     let Some(asked) = request(&core, 77, at) else { return false };
-    let bytes = peer::encode_index(&answer(of, &of.core(), &asked));
-    let index = peer::decode_index(&bytes).expect("an answer");
+    let bytes = peer::encode_read_index(&answer(of, &of.core(), &asked));
+    let index = peer::decode_read_index(&bytes).expect("an answer");
     take(&mut core, &of.me.name, &asked, index, at, at) == Word::Counts
 }
 
@@ -235,7 +235,7 @@
     loop {
         parts += 1;
         let index = answer(&other, &other.core(), &asked);
-        assert!(peer::encode_index(&index).len() < LARGE / 2, "part {parts}");
+        assert!(peer::encode_read_index(&index).len() < LARGE / 2, "part {parts}");
         match take(&mut core, "n-1", &asked, index, late, late + Duration::from_secs(parts)) {
             Word::Continues(after) => {
                 assert!(!leader.may_renew(&core, late), "part {parts} is not all");
@@ -284,9 +284,9 @@
         let request = Request { method: "POST".into(), path: path.into(), body: body.into() };
         crate::peers::serve(other.clone(), request)
     };
-    let asked = peer::encode_request(&ReadIndexRequest { nonce: 8, after: 3 });
+    let asked = peer::encode_read_index_request(&ReadIndexRequest { nonce: 8, after: 3 });
     let reply = post(PATH, asked.clone()).await;
-    let index = peer::decode_index(&reply.body).expect("an index");
+    let index = peer::decode_read_index(&reply.body).expect("an index");
     assert_eq!((reply.status, index.nonce, index.cancelled.len()), (200, 8, 1));
     assert_eq!(post(PATH, vec![1, 2, 3]).await.status, 400);
     assert_eq!(post("/read-index", asked).await.status, 404, "it cannot be continued");
