--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -133,7 +133,8 @@
     let Core { world, inventory, given, .. } = core;
     let world: &Replica = world;
     let parts = world.current_map()?.live.iter().filter_map(|m| {
-        let rooms = || inventory.slot_classes_of(m.incarnation).filter(|(s, _)| gpu_slots_lost(world, spec, s) == 0);
+        let rooms =
+            || inventory.slot_classes_of(m.incarnation).filter(|(s, _)| gpu_slots_lost(world, spec, s) == 0);
         let taken = given.cpus.get(&m.incarnation).copied().unwrap_or(0.0);
         let free = rooms().map(|(s, machines)| s.free().cpus * f64::from(machines)).sum::<f64>() - taken;
         fits_entire_job(spec, rooms()).then_some((free, m))
--- a/crates/daemon/src/drains/command/changes.rs
+++ b/crates/daemon/src/drains/command/changes.rs
@@ -148,7 +148,7 @@
 pub(super) fn drained_by_another(world: &Replica, name: &str, machines: &[Name]) -> Option<(String, String)> {
     let others = world.drains.cordons.iter().filter(|((drain, _), c)| drain != name && c.value.active);
     others.into_iter().find_map(|((drain, _), c)| {
-        let machine = c.value.left().find(|m| machines.contains(m))?;
+        let machine = c.value.remaining().find(|m| machines.contains(m))?;
         Some((machine.to_string(), drain.clone()))
     })
 }
@@ -169,7 +169,8 @@
         return Ok(None);
     }
     let (mut conditions, mut puts) = changed(world, name, Event::ResumeRequested)?;
-    let left: Vec<Name> = world.drains.cordons_of(name).flat_map(|(_, c)| c.value.left()).cloned().collect();
+    let left: Vec<Name> =
+        world.drains.cordons_of(name).flat_map(|(_, c)| c.value.remaining()).cloned().collect();
     if let Some((machine, drain)) = drained_by_another(world, name, &left) {
         return Err(SelectionError::Drained { machine, drain }.into());
     }
--- a/crates/daemon/src/drains/command/mod.rs
+++ b/crates/daemon/src/drains/command/mod.rs
@@ -13,7 +13,7 @@
 use drain::step::Machine;
 use drain::view;
 use net::Client;
-use sched::drain_records::{DRAIN_SCHEMA, DrainPhase, DrainRecord, RoomSearch, UnsavedWork};
+use sched::drain_records::{CapacitySearch, DRAIN_SCHEMA, DrainPhase, DrainRecord, UnsavedWork};
 use sched::hash::HashMap;
 use sched::records::Name;
 use sched::replica::Replica;
@@ -281,7 +281,7 @@
             unsaved: self.unsaved,
             give_up_ms: ms(self.give_up_s),
             moved: 0,
-            room: RoomSearch::default(),
+            capacity_search: CapacitySearch::default(),
             obstacle: None,
         }
     }
--- a/crates/daemon/src/drains/eviction.rs
+++ b/crates/daemon/src/drains/eviction.rs
@@ -3,7 +3,7 @@
 
 use drain::budget::{Ledger, UnitId};
 use drain::view::{self, ByRecords};
-use sched::drain_records::{Disruption, DisruptionRecord, Stopper};
+use sched::drain_records::{Disruption, DisruptionCause, DisruptionRecord};
 use sched::replica::Replica;
 use sched::rescheduler::Eviction;
 use wire::JobKind;
@@ -53,7 +53,7 @@
         self.ledger.check(&team, &unit).ok()?;
         self.ledger.debit(&team, &unit);
         let attempt = view::attempt_of(job, &unit)?;
-        let by = Stopper::Rescheduler;
-        Some((team, Disruption { job: unit.job, task: unit.task, attempt, by, since_ms: now_ms }))
+        let by = DisruptionCause::Rescheduler;
+        Some((team, Disruption { job: unit.job, task: unit.task, attempt, cause: by, since_ms: now_ms }))
     }
 }
--- a/crates/daemon/src/drains/report.rs
+++ b/crates/daemon/src/drains/report.rs
@@ -25,7 +25,7 @@
     match end {
         DrainEnd::Finished => "finished",
         DrainEnd::ByOperator => "stopped by its operator",
-        DrainEnd::NoRoom => "stopped: no room was found for what is left",
+        DrainEnd::NoCapacity => "stopped: no room was found for what is left",
         DrainEnd::WorkLeft => "stopped: what is left cannot save its progress and runs on",
         DrainEnd::GaveUp => "stopped: an obstacle stood for too long",
     }
@@ -43,11 +43,11 @@
     match kind {
         ObstacleKind::ServiceBudget => "the service's budget",
         ObstacleKind::TeamBudget => "the team's budget",
-        ObstacleKind::NoRoom => "room elsewhere",
+        ObstacleKind::NoCapacity => "room elsewhere",
         ObstacleKind::CannotSave => "work that cannot save its progress",
         ObstacleKind::Stopping => "what was told to stop",
         ObstacleKind::OldController => "a controller that knows no drains",
-        ObstacleKind::GivingBack => "an empty machine to be given back",
+        ObstacleKind::ScalingIn => "an empty machine to be given back",
     }
 }
 
@@ -79,7 +79,7 @@
             let emptied = gone.iter().filter(|m| cordon.value.emptied().contains(m)).count();
             of.given_back += emptied;
             of.lost += gone.len() - emptied;
-            of.left += cordon.value.left().count();
+            of.left += cordon.value.remaining().count();
         }
         of
     }
@@ -104,8 +104,8 @@
 pub fn status(world: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
     let mut text = line(world, name, record, now_ms) + "\n";
     let _ = writeln!(text, "started {} s ago", seconds(record.started_ms, now_ms));
-    if record.room.failed > 0 {
-        let _ = writeln!(text, "{} attempts to get room have failed", record.room.failed);
+    if record.capacity_search.failed > 0 {
+        let _ = writeln!(text, "{} attempts to get room have failed", record.capacity_search.failed);
     }
     for (_, cordon) in world.drains.cordons_of(name) {
         let c = &cordon.value;
--- a/crates/daemon/src/drains/transactions.rs
+++ b/crates/daemon/src/drains/transactions.rs
@@ -7,7 +7,7 @@
 use drain::step::{Move, Work};
 use drain::view;
 use sched::drain_records::{
-    CordonFence, CordonRecord, Disruption, DisruptionRecord, DrainPhase, DrainRecord, Stopper,
+    CordonFence, CordonRecord, Disruption, DisruptionCause, DisruptionRecord, DrainPhase, DrainRecord,
 };
 use sched::drains::CordonId;
 use sched::records::{JobRecord, Name};
@@ -206,7 +206,7 @@
     for (id, cordon) in world.drains.cordons.iter().filter(|(id, _)| active(&id.0)) {
         let mut record = cordon.value.clone();
         let mut changed = false;
-        for machine in cordon.value.left() {
+        for machine in cordon.value.remaining() {
             if !world.machines.contains_key(machine) {
                 changed |= record.note_gone(machine);
             } else if !world.jobs_by_machine.contains_key(machine) {
@@ -257,9 +257,10 @@
         }
         bytes += size;
         jobs.insert(id.job.clone(), job);
-        let known = || DisruptionRecord { open: world.drains.open(&team).to_vec() };
-        let by = Stopper::Drain(m.drain.clone());
-        let disruption = Disruption { job: id.job.clone(), task: id.task, attempt, by, since_ms: now_ms };
+        let known = || DisruptionRecord { open: world.drains.open_disruptions(&team).to_vec() };
+        let by = DisruptionCause::Drain(m.drain.clone());
+        let disruption =
+            Disruption { job: id.job.clone(), task: id.task, attempt, cause: by, since_ms: now_ms };
         teams.entry(team.clone()).or_insert_with(known).open.push(disruption);
         let record = drains.entry(m.drain.clone()).or_insert_with(|| drain.value.clone());
         *record = after(record, Event::Moved(1))?;
@@ -296,7 +297,7 @@
             let eviction = Eviction { job: id, task: m.unit.id.task, machine, reason: "drain" };
             rescheduler::evict(job, &eviction, &controller.operators.rescheduler, now_ms);
         }
-        Work::Saving | Work::Unsaved => _ = spot_notice::mark(job, m.unit.id.task),
+        Work::Saving | Work::Unsaved => _ = spot_notice::mark_to_stop(job, m.unit.id.task),
     }
     job.shard = None;
 }
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/fleet_duty/returns.rs
@@ -65,7 +65,7 @@
     if !controller.operators.drains.enabled || drains::paused(controller, &core.world).is_some() {
         return HashSet::default();
     }
-    core.world.drains.machines_to_give_back()
+    core.world.drains.machines_to_scale_in()
 }
 
 /// What decides whether idle machines stay.
--- a/crates/daemon/src/placer/mod.rs
+++ b/crates/daemon/src/placer/mod.rs
@@ -370,7 +370,7 @@
         self.reserved.insert(id.to_owned(), (room.machines, until));
         for v in room.victims {
             let Some(record) = edit(self.round, self.world, &v.job) else { continue };
-            preempt::mark(record, &v);
+            preempt::mark_to_stop(record, &v);
             self.round.log.push(Event::Preempted { by: id.to_owned(), victim: v });
         }
     }
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -209,11 +209,11 @@
         if let Some(until) = worker.notice_until {
             let left = until.saturating_duration_since(now);
             for (job, record, a) in world.assignments(id) {
-                let stops = record.spec.as_ref().is_some_and(|s| spot_notice::stops(s, left));
+                let stops = record.spec.as_ref().is_some_and(|s| spot_notice::should_stop(s, left));
                 if stops
                     && record.should_run(a)
                     && let Some(record) = edit(round, world, job)
-                    && spot_notice::mark(record, a.task)
+                    && spot_notice::mark_to_stop(record, a.task)
                 {
                     round.log.push(Event::SpotNotice {
                         job: job.to_owned(),
--- a/crates/daemon/src/round.rs
+++ b/crates/daemon/src/round.rs
@@ -125,7 +125,7 @@
         puts.push(put);
         placing |= round.placing.contains(id);
         if let Some((team, disruption)) = disruption {
-            let known = || DisruptionRecord { open: world.drains.open(&team).to_vec() };
+            let known = || DisruptionRecord { open: world.drains.open_disruptions(&team).to_vec() };
             disruptions.entry(team.clone()).or_insert_with(known).open.push(disruption.clone());
         }
         if let Some(team) = new_team {
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -9,7 +9,9 @@
 use drain::budget::UnitId;
 use drain::step::{Move, Unit, Work};
 use peer::RunningTasksRequest;
-use sched::drain_records::{CordonFence, CordonRecord, DRAIN_SCHEMA, Disruption, Stopper, UnsavedWork};
+use sched::drain_records::{
+    CordonFence, CordonRecord, DRAIN_SCHEMA, Disruption, DisruptionCause, UnsavedWork,
+};
 use sched::records::*;
 use sched::replica::RecordChange;
 use sched::rescheduler::Eviction;
@@ -35,7 +37,7 @@
         unsaved: UnsavedWork::Leave,
         give_up_ms: 1_000_000,
         moved: 0,
-        room: Default::default(),
+        capacity_search: Default::default(),
         obstacle: None,
     }
 }
@@ -98,8 +100,13 @@
     let controller = controller(ON);
     let mut core = controller.core();
     site(&mut core, &controller.me);
-    let open =
-        vec![Disruption { job: "j-9".into(), task: 0, attempt: 1, by: Stopper::Rescheduler, since_ms: 1 }];
+    let open = vec![Disruption {
+        job: "j-9".into(),
+        task: 0,
+        attempt: 1,
+        cause: DisruptionCause::Rescheduler,
+        since_ms: 1,
+    }];
     core.world.apply(RecordChange::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
     let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
     let (transaction, taken) = transactions::stop(&controller, &core, &moves, 9).expect("one to stop");
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -180,7 +180,7 @@
             worker.reconcile("m-1", &world, &limits, at);
         }
         let spec = JobSpec { checkpoint_save_s: s, checkpoint_interval_s: s, ..spec("j-1", JobKind::Gang) };
-        sched::spot_notice::stops(&spec, Duration::from_secs(5));
+        sched::spot_notice::should_stop(&spec, Duration::from_secs(5));
         let mut budget = store::RateLimiter::new(s, s, now);
         let _ = now + budget.acquire(s, s, now);
     }
--- a/crates/drain/examples/measure.rs
+++ b/crates/drain/examples/measure.rs
@@ -15,7 +15,7 @@
 use drain::step::{self, Limits, Machine};
 use drain::view::{self, ObservedTasks};
 use drain::waves::{self, Effort};
-use sched::drain_records::{Disruption, DisruptionRecord, DrainPhase, Stopper};
+use sched::drain_records::{Disruption, DisruptionCause, DisruptionRecord, DrainPhase};
 use sched::placement::{self, Inventory};
 use sched::records::{Assignment, DesiredState, JobRecord, Name, TerminationReason};
 use sched::replica::{RecordChange, Replica};
@@ -199,7 +199,7 @@
         let observed = self.observed();
         let teams: Vec<String> = self.world.drains.disruptions.keys().cloned().collect();
         for team in teams {
-            let open = self.world.drains.open(&team).to_vec();
+            let open = self.world.drains.open_disruptions(&team).to_vec();
             let left: Vec<Disruption> =
                 open.iter().filter(|d| !view::is_settled(&self.world, d, &observed)).cloned().collect();
             if left.len() < open.len() {
@@ -216,9 +216,9 @@
         let Assignment { task, attempt, .. } = a.clone();
         self.put(RecordChange::Job(id.clone(), Some(job)));
         let team = m.unit.team.clone();
-        let mut open = self.world.drains.open(&team).to_vec();
-        let by = Stopper::Drain("d".into());
-        open.push(Disruption { job: m.unit.id.job.clone(), task, attempt, by, since_ms: self.now });
+        let mut open = self.world.drains.open_disruptions(&team).to_vec();
+        let by = DisruptionCause::Drain("d".into());
+        open.push(Disruption { job: m.unit.id.job.clone(), task, attempt, cause: by, since_ms: self.now });
         // The team's and the drain's records are one change each for a whole transaction.
         self.world.apply(RecordChange::Disruptions(team, Some(DisruptionRecord { open })), self.version);
         self.running.remove(&(id.clone(), task, attempt));
--- a/crates/drain/src/lifecycle.rs
+++ b/crates/drain/src/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sched::drain_records::{DrainEnd, DrainPhase, DrainRecord, Obstacle, RoomSearch};
+use sched::drain_records::{CapacitySearch, DrainEnd, DrainPhase, DrainRecord, Obstacle};
 
 /// How often room is searched for before a drain stops.
 pub const ROOM_ATTEMPTS: u32 = 4;
@@ -55,10 +55,10 @@
     match (record.phase, event) {
         (DrainPhase::Active, Event::Moved(count)) => {
             record.moved += count;
-            record.room = RoomSearch::default();
+            record.capacity_search = CapacitySearch::default();
         }
         (DrainPhase::Active, Event::RoomMissing { attempt }) => room_missing(record, attempt, now_ms),
-        (DrainPhase::Active, Event::RoomNotNeeded) => record.room = RoomSearch::default(),
+        (DrainPhase::Active, Event::RoomNotNeeded) => record.capacity_search = CapacitySearch::default(),
         (DrainPhase::Active, Event::Waits(obstacle)) => waits(record, obstacle, now_ms),
         (DrainPhase::Active, Event::AllGone) => {
             record.phase = DrainPhase::Closing(DrainEnd::Finished);
@@ -73,7 +73,7 @@
         (DrainPhase::Closed(_), Event::ResumeRequested) => {
             record.phase = DrainPhase::Active;
             record.started_ms = now_ms;
-            record.room = RoomSearch::default();
+            record.capacity_search = CapacitySearch::default();
             record.obstacle = None;
         }
         (_, Event::ResumeRequested) => return Err(LifecycleError::NotOver),
@@ -85,7 +85,7 @@
 /// The obstacle stays with the record: it tells why the drain has stopped.
 fn close(record: &mut DrainRecord, end: DrainEnd) {
     record.phase = DrainPhase::Closing(end);
-    record.room = RoomSearch::default();
+    record.capacity_search = CapacitySearch::default();
 }
 
 /// The pause after so many attempts that brought no room.
@@ -95,7 +95,7 @@
 
 /// Goes on with the search for room, or with the pause before the next attempt.
 fn room_missing(record: &mut DrainRecord, attempt: Duration, now_ms: u64) {
-    let search = &mut record.room;
+    let search = &mut record.capacity_search;
     if search.since_ms == 0 {
         search.since_ms = now_ms.max(1);
         return;
@@ -107,13 +107,13 @@
     search.failed += 1;
     search.since_ms = now_ms + pause_ms(search.failed);
     if search.failed >= ROOM_ATTEMPTS {
-        close(record, DrainEnd::NoRoom);
+        close(record, DrainEnd::NoCapacity);
     }
 }
 
 /// Whether an attempt to get room is under way, rather than a pause between two.
 pub fn wants_room(record: &DrainRecord, now_ms: u64) -> bool {
-    record.is_active() && record.room.since_ms > 0 && now_ms >= record.room.since_ms
+    record.is_active() && record.capacity_search.since_ms > 0 && now_ms >= record.capacity_search.since_ms
 }
 
 /// Notes what the drain waits for. What it has waited for all along keeps its beginning, and
--- a/crates/drain/src/selection.rs
+++ b/crates/drain/src/selection.rs
@@ -83,7 +83,7 @@
 fn drained_by<'w>(world: &'w Replica, machine: &Name) -> Option<&'w str> {
     let has = |(_, c): &(&'w sched::drains::CordonId, &'w sched::replica::Versioned<_>)| {
         let cordon: &sched::drain_records::CordonRecord = &c.value;
-        cordon.active && cordon.left().any(|m| m == machine)
+        cordon.active && cordon.remaining().any(|m| m == machine)
     };
     world.drains.cordons.iter().find(has).map(|((drain, _), _)| drain.as_str())
 }
--- a/crates/drain/src/step.rs
+++ b/crates/drain/src/step.rs
@@ -189,7 +189,7 @@
             {
                 self.decision.wants_room.push(machine.name.clone());
             }
-            return self.waits_for(ObstacleKind::NoRoom, machine, Some(unit));
+            return self.waits_for(ObstacleKind::NoCapacity, machine, Some(unit));
         };
         ledger.debit(&unit.team, &unit.id);
         stopped.insert(unit.id.clone(), ());
@@ -206,7 +206,7 @@
     fn at_machine(&mut self, machine: &Machine) {
         if machine.units.is_empty() {
             self.unsaved_only = false;
-            self.waits_for(ObstacleKind::GivingBack, machine, None);
+            self.waits_for(ObstacleKind::ScalingIn, machine, None);
         }
     }
 
--- a/crates/drain/src/view.rs
+++ b/crates/drain/src/view.rs
@@ -63,7 +63,7 @@
 pub fn machines_left(world: &Replica, drain: &str) -> Vec<Name> {
     let there = |m: &&Name| world.machines.contains_key(*m);
     let cordons = world.drains.cordons_of(drain);
-    cordons.flat_map(|(_, c)| c.value.left()).filter(there).cloned().collect()
+    cordons.flat_map(|(_, c)| c.value.remaining()).filter(there).cloned().collect()
 }
 
 /// Orders of drains' machines, by the drains' names.
@@ -74,7 +74,8 @@
 pub fn active_drains(world: &Replica, budgets: &Budgets, orders: &Orders) -> Vec<Drain> {
     let active = world.drains.records.iter().filter(|(_, d)| d.value.is_active());
     // What is gone is written down first.
-    let is_noted = |name: &str| world.drains.cordons_of(name).all(|(_, c)| c.value.left().next().is_none());
+    let is_noted =
+        |name: &str| world.drains.cordons_of(name).all(|(_, c)| c.value.remaining().next().is_none());
     let drains = active.filter_map(|(name, record)| {
         let machines = machines_left(world, name).into_iter();
         let mut machines: Vec<Machine> =
--- a/crates/drain/tests/state_machine.rs
+++ b/crates/drain/tests/state_machine.rs
@@ -17,7 +17,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
-use sched::drain_records::{CordonFence, CordonRecord, Disruption, DisruptionRecord, Stopper};
+use sched::drain_records::{CordonFence, CordonRecord, Disruption, DisruptionCause, DisruptionRecord};
 use sched::placement;
 use sched::records::{Assignment, DesiredState, JobRecord, Name, TerminationReason};
 use sched::replica::{RecordChange, Replica};
@@ -141,7 +141,7 @@
 /// that it was decided by.
 struct Stop {
     unit: UnitId,
-    by: Stopper,
+    by: DisruptionCause,
     job: Box<JobRecord>,
     job_version: u64,
     team_version: u64,
@@ -267,7 +267,7 @@
         let Decision { moves, .. } = step::decide(&drains, &mut ledger, &mut Everywhere, &limits);
         let world = &leader.world;
         let stops = moves.iter().filter_map(|m: &Move| {
-            let by = Stopper::Drain(m.drain.clone());
+            let by = DisruptionCause::Drain(m.drain.clone());
             stop(world, &m.unit.id, by)
         });
         let stops = stops.collect();
@@ -286,7 +286,7 @@
         let unit = UnitId { job: id.as_str().into(), task: 0 };
         let ledger = self.ledger(&leader.world, &jobs, &ByRecords);
         if ledger.check(TEAM, &unit).is_ok() {
-            let stop = stop(&leader.world, &unit, Stopper::Rescheduler);
+            let stop = stop(&leader.world, &unit, DisruptionCause::Rescheduler);
             self.leaders[n].stops.extend(stop);
         }
     }
@@ -301,7 +301,7 @@
             if job_is_old || team_is_old {
                 continue;
             }
-            if s.by != Stopper::Rescheduler {
+            if s.by != DisruptionCause::Rescheduler {
                 self.check_stop(&s);
             }
             let attempt = s.open.last().map_or(0, |d| d.attempt);
@@ -453,14 +453,14 @@
 }
 
 /// A stop as a leader with these records would commit it.
-fn stop(world: &Replica, unit: &UnitId, by: Stopper) -> Option<Stop> {
+fn stop(world: &Replica, unit: &UnitId, by: DisruptionCause) -> Option<Stop> {
     let known = world.jobs.get(&*unit.job)?;
     let mut job = known.value.clone();
     let attempt = view::attempt_of(&job, unit)?;
-    sched::spot_notice::mark(&mut job, unit.task);
-    let mut open = world.drains.open(TEAM).to_vec();
+    sched::spot_notice::mark_to_stop(&mut job, unit.task);
+    let mut open = world.drains.open_disruptions(TEAM).to_vec();
     let disruption =
-        Disruption { job: unit.job.clone(), task: unit.task, attempt, by: by.clone(), since_ms: 0 };
+        Disruption { job: unit.job.clone(), task: unit.task, attempt, cause: by.clone(), since_ms: 0 };
     open.push(disruption);
     let team_version = world.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
     Some(Stop { unit: unit.clone(), by, job, job_version: known.version, team_version, open })
--- a/crates/drain/tests/unit/budget.rs
+++ b/crates/drain/tests/unit/budget.rs
@@ -1,5 +1,5 @@
 use super::*;
-use sched::drain_records::Stopper;
+use sched::drain_records::DisruptionCause;
 
 fn service(job: &str, replicas: u32, up: &[u32], starting: bool) -> ServiceHealth {
     let up = up.iter().copied().collect();
@@ -11,7 +11,7 @@
 }
 
 fn disruption(job: &str, task: u32) -> Disruption {
-    Disruption { job: job.into(), task, attempt: 1, by: Stopper::Rescheduler, since_ms: 0 }
+    Disruption { job: job.into(), task, attempt: 1, cause: DisruptionCause::Rescheduler, since_ms: 0 }
 }
 
 fn budgets(team: Option<TeamBudget>) -> Budgets {
--- a/crates/drain/tests/unit/lifecycle.rs
+++ b/crates/drain/tests/unit/lifecycle.rs
@@ -15,14 +15,14 @@
     while record.is_active() {
         missing(&mut record, now);
         if !wants_room(&record, now) && record.is_active() {
-            pauses.push((record.room.since_ms - now) / 1000);
-            now = record.room.since_ms;
+            pauses.push((record.capacity_search.since_ms - now) / 1000);
+            now = record.capacity_search.since_ms;
         }
         now += 1000;
         assert!(now < 3_600_000, "it never ends");
     }
     assert_eq!(pauses, [15, 30, 60]);
-    assert_eq!((record.phase, record.room.failed), (DrainPhase::Closing(DrainEnd::NoRoom), 0));
+    assert_eq!((record.phase, record.capacity_search.failed), (DrainPhase::Closing(DrainEnd::NoCapacity), 0));
 }
 
 #[test]
@@ -31,9 +31,9 @@
     for now in [1000, 62_000] {
         missing(&mut record, now);
     }
-    assert_eq!(record.room.failed, 1);
+    assert_eq!(record.capacity_search.failed, 1);
     apply(&mut record, Event::Moved(2), 70_000).expect("active");
-    assert_eq!((record.room, record.moved), (RoomSearch::default(), 2));
+    assert_eq!((record.capacity_search, record.moved), (CapacitySearch::default(), 2));
 }
 
 #[test]
--- a/crates/drain/tests/unit/step.rs
+++ b/crates/drain/tests/unit/step.rs
@@ -67,13 +67,13 @@
     let mut ledger = ledger(&budgets, &["j-1", "j-2"]);
     let decision = decide(&drains, &mut ledger, &mut Places(0), &limits(9, 1000));
     assert!(decision.moves.is_empty());
-    assert_eq!(waits_for(&decision, "d"), Some(ObstacleKind::NoRoom));
+    assert_eq!(waits_for(&decision, "d"), Some(ObstacleKind::NoCapacity));
     // It is asked for from the next step on, and not in the pause between two attempts.
     let mut again = drains.clone();
     again[0].record = decision.records[0].1.clone();
     let decision = decide(&again, &mut ledger, &mut Places(0), &limits(9, 2000));
     assert_eq!(decision.wants_room, ["m".into()]);
-    again[0].record.room = sched::drain_records::RoomSearch { failed: 1, since_ms: 9000 };
+    again[0].record.capacity_search = sched::drain_records::CapacitySearch { failed: 1, since_ms: 9000 };
     let decision = decide(&again, &mut ledger, &mut Places(0), &limits(9, 2000));
     assert!(decision.wants_room.is_empty());
 }
--- a/crates/drain/tests/unit/test_records.rs
+++ b/crates/drain/tests/unit/test_records.rs
@@ -77,7 +77,7 @@
         unsaved: UnsavedWork::Leave,
         give_up_ms: 3_600_000,
         moved: 0,
-        room: RoomSearch::default(),
+        capacity_search: CapacitySearch::default(),
         obstacle: None,
     }
 }
--- a/crates/drain/tests/unit/view.rs
+++ b/crates/drain/tests/unit/view.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::site::{add, spec, start_drain, world};
-use sched::drain_records::Stopper;
+use sched::drain_records::DisruptionCause;
 use sched::records::{DesiredState, TerminationReason};
 use sched::replica::RecordChange;
 
@@ -47,7 +47,7 @@
     assert!(units.len() == 1 && units[0].work == Work::Saving && !units[0].stopping);
     assert_eq!(units[0].id, units_on(&w, "m-2")[0].id);
     let mut job = w.jobs["j-1"].value.clone();
-    sched::spot_notice::mark(&mut job, 2);
+    sched::spot_notice::mark_to_stop(&mut job, 2);
     w.apply(RecordChange::Job("j-1".into(), Some(job)), 7);
     assert!(units_on(&w, "m-1")[0].stopping, "all of it stops");
 }
@@ -56,8 +56,8 @@
 fn an_entry_goes_once_a_later_attempt_runs_or_none_will() {
     let mut w = world(&[("m-1", "a"), ("m-2", "a")]);
     add(&mut w, spec("j-1", JobKind::Service, 1), &[(0, "m-1")]);
-    let by = Stopper::Rescheduler;
-    let entry = Disruption { job: "j-1".into(), task: 0, attempt: 1, by, since_ms: 0 };
+    let by = DisruptionCause::Rescheduler;
+    let entry = Disruption { job: "j-1".into(), task: 0, attempt: 1, cause: by, since_ms: 0 };
     let mut seen = ObservedTasks::default();
     seen.note("j-1", 0, 1);
     assert!(!is_settled(&w, &entry, &seen), "that is the one that was stopped");
--- a/crates/sched/src/drain_records.rs
+++ b/crates/sched/src/drain_records.rs
@@ -58,7 +58,7 @@
     }
 
     /// The machines that are not gone.
-    pub fn left(&self) -> impl Iterator<Item = &Name> {
+    pub fn remaining(&self) -> impl Iterator<Item = &Name> {
         self.machines().iter().filter(|m| !self.gone().contains(m))
     }
 
@@ -106,7 +106,7 @@
     ByOperator,
     /// No capacity was found for what is to be moved, after all retries.
     #[serde(rename = "no-room")]
-    NoRoom,
+    NoCapacity,
     /// What is left cannot save a checkpoint and was to be left running.
     #[serde(rename = "work-left")]
     WorkLeft,
@@ -140,7 +140,7 @@
     TeamBudget,
     /// There is no capacity for it elsewhere.
     #[serde(rename = "no-room")]
-    NoRoom,
+    NoCapacity,
     /// It cannot save a checkpoint, and the drain's patience is not over.
     #[serde(rename = "cannot-save")]
     CannotSave,
@@ -152,7 +152,7 @@
     OldController,
     /// Nothing is left on the machine; it is about to be scaled in.
     #[serde(rename = "giving-back")]
-    GivingBack,
+    ScalingIn,
 }
 
 /// The first thing that a drain waits for.
@@ -183,7 +183,7 @@
 
 /// The search for capacity for what is to be moved next.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomSearch {
+pub struct CapacitySearch {
     /// Attempts that found no capacity.
     pub failed: u32,
     /// When the current attempt began, or will, in milliseconds of the time of day; 0: none is needed.
@@ -212,8 +212,8 @@
     /// Replicas, array tasks and gangs that it has stopped.
     pub moved: u32,
     /// The search for capacity for what is to be moved next.
-    #[serde(default)]
-    pub room: RoomSearch,
+    #[serde(rename = "room", default)]
+    pub capacity_search: CapacitySearch,
     /// What it waits for, if anything.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub obstacle: Option<Obstacle>,
@@ -228,7 +228,7 @@
 
 /// What caused a voluntary disruption.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stopper {
+pub enum DisruptionCause {
     /// The drain of this name.
     #[serde(rename = "d")]
     Drain(String),
@@ -252,7 +252,7 @@
     pub attempt: u64,
     /// What caused it.
     #[serde(rename = "b")]
-    pub by: Stopper,
+    pub cause: DisruptionCause,
     /// When it was stopped, in milliseconds of the time of day.
     #[serde(rename = "s")]
     pub since_ms: u64,
--- a/crates/sched/src/drains.rs
+++ b/crates/sched/src/drains.rs
@@ -103,14 +103,14 @@
 
     /// The machines that an active drain is to scale in, as nothing is left on them. That is
     /// recorded first: the record tells these from machines that were lost.
-    pub fn machines_to_give_back(&self) -> HashSet<&Name> {
+    pub fn machines_to_scale_in(&self) -> HashSet<&Name> {
         let is_active = |(name, _): &CordonId| self.records.get(name).is_some_and(|d| d.value.is_active());
         let active = self.cordons.iter().filter(|(id, cordon)| cordon.value.active && is_active(id));
         active.flat_map(|(_, cordon)| cordon.value.emptied()).collect()
     }
 
     /// The open voluntary disruptions of a team, by its name as its key has it.
-    pub fn open(&self, team_id: &str) -> &[Disruption] {
+    pub fn open_disruptions(&self, team_id: &str) -> &[Disruption] {
         self.disruptions.get(team_id).map_or(&[], |d| &d.value.open)
     }
 }
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -247,7 +247,7 @@
 }
 
 /// Marks a victim as to be stopped in its job's record; all of a gang stops together.
-pub fn mark(job: &mut JobRecord, victim: &Victim) {
+pub fn mark_to_stop(job: &mut JobRecord, victim: &Victim) {
     // Only the leader knows whom the capacity is freed for; the scheduler of a shard would give it
     // straight back to the victim.
     job.shard = None;
--- a/crates/sched/tests/unit/alike.rs
+++ b/crates/sched/tests/unit/alike.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn machines_that_are_alike_are_chosen_as_if_each_were_looked_at() {
+fn equivalent_machines_are_chosen_as_if_each_were_considered() {
     let mut draw = Draw(7);
     let mut placed = 0;
     for _ in 0..60 {
--- a/crates/sched/tests/unit/autoscaling.rs
+++ b/crates/sched/tests/unit/autoscaling.rs
@@ -1,15 +1,15 @@
 use super::*;
 use wire::JobKind;
 
-use crate::placement::tests::{spec, team, world};
+use crate::placement::tests::{replica_with, spec, team};
 
 fn demand(spec: &JobSpec, tasks: u32) -> Demand<'_> {
     Demand { spec, tasks, in_zone: HashMap::default(), unsuitable_types: Vec::new() }
 }
 
 #[test]
-fn machines_that_boot_are_used_before_more_are_rented() {
-    let types = world(&[]).machine_types;
+fn machines_that_boot_are_used_before_more_are_requested() {
+    let types = replica_with(&[]).machine_types;
     let s = spec("j-1", JobKind::Array, 6);
     let coming = ExpectedCapacity {
         machine_type: "m".into(),
@@ -30,7 +30,7 @@
 
 #[test]
 fn spread_and_blocked_offers_shape_the_plan() {
-    let types = world(&[]).machine_types;
+    let types = replica_with(&[]).machine_types;
     let mut s = spec("j-1", JobKind::Service, 4);
     s.spread = true;
     let zones = |blocked: &str| -> Vec<String> {
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn gpu_room_that_services_take_now_is_rented_anew_for_gangs() {
-    let types = world(&[]).machine_types;
+fn gpu_capacity_that_services_take_now_is_requested_again_for_gangs() {
+    let types = replica_with(&[]).machine_types;
     let gpu = ExpectedCapacity {
         machine_type: "g".into(),
         zone: "a".into(),
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_large_array_leaves_offers_for_those_behind_it() {
-    let types = world(&[]).machine_types;
+    let types = replica_with(&[]).machine_types;
     let array = spec("j-1", JobKind::Array, 5000);
     let mut gang = spec("j-2", JobKind::Gang, 4);
     (gang.cpus, gang.gpus) = (14.0, 2.0);
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn what_can_never_run_is_told_apart() {
-    let types = world(&[]).machine_types;
+fn jobs_that_can_never_run_are_recognized() {
+    let types = replica_with(&[]).machine_types;
     let mut s = spec("j-1", JobKind::Gang, 3);
     s.cpus = 17.0;
     assert!(!fits_some_machine_type(&s, &types));
--- a/crates/sched/tests/unit/compact.rs
+++ b/crates/sched/tests/unit/compact.rs
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn the_names_of_a_rental_take_a_character_each() {
-    let rental = crate::records::ScaleOut {
+fn the_names_of_a_scale_out_take_a_character_each() {
+    let scale_out = crate::records::ScaleOut {
         request: "n-1".into(),
         machine_type: "m".into(),
         zone: "a".into(),
@@ -38,10 +38,10 @@
         requested_ms: 0,
         machines: Some((200..250).map(|n| format!("host-{n:06}").into()).collect()),
     };
-    let json = serde_json::to_string(&rental).expect("encodes");
+    let json = serde_json::to_string(&scale_out).expect("encodes");
     assert!(json.len() < 140, "{json}");
-    assert_eq!(serde_json::from_str::<crate::records::ScaleOut>(&json).expect("decodes"), rental);
-    let none = crate::records::ScaleOut { machines: None, ..rental };
+    assert_eq!(serde_json::from_str::<crate::records::ScaleOut>(&json).expect("decodes"), scale_out);
+    let none = crate::records::ScaleOut { machines: None, ..scale_out };
     let bytes = rmp_serde::to_vec_named(&none).expect("encodes");
     assert_eq!(rmp_serde::from_slice::<crate::records::ScaleOut>(&bytes).expect("decodes"), none);
 }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn lists_that_are_cut_off_are_refused() {
+fn truncated_lists_are_refused() {
     let bad = (vec![("host-", 6usize, 1u64, DesiredState::Running, "1")],);
     let bytes = rmp_serde::to_vec(&bad.0).expect("encodes");
     let mut d = rmp_serde::Deserializer::new(bytes.as_slice());
--- a/crates/sched/tests/unit/forecast.rs
+++ b/crates/sched/tests/unit/forecast.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::placement::tests::{add, spec, world};
+use crate::placement::tests::{add, replica_with, spec};
 
 #[test]
-fn services_to_come_are_a_small_share_of_what_runs() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+fn expected_services_are_a_small_share_of_the_running_ones() {
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     assert!(expected_services(&w, 1000).is_none());
     let run: Vec<(u32, &str)> = (0..50).map(|t| (t, "a1")).collect();
     add(&mut w, spec("j-1", JobKind::Service, 50), &run);
@@ -13,7 +13,7 @@
 
 #[test]
 fn the_next_step_is_foreseen_when_the_last_tasks_before_it_run() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     add(&mut w, spec("j-1", JobKind::Array, 2), &[(0, "a1")]);
     let next =
         crate::records::JobRecord::waiting(spec("j-2", JobKind::Array, 3), None, 0, vec!["j-1".into()]);
@@ -30,7 +30,7 @@
 
 #[test]
 fn growth_is_known_only_after_a_while_and_bounded() {
-    let mut w = world(&[("a1", "g", "a", false)]);
+    let mut w = replica_with(&[("a1", "g", "a", false)]);
     let mut gang = spec("j-1", JobKind::Gang, 40);
     gang.gpus = 1.0;
     add(&mut w, gang.clone(), &[]);
--- a/crates/sched/tests/unit/inventory.rs
+++ b/crates/sched/tests/unit/inventory.rs
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn a_board_kept_up_to_date_is_the_one_made_anew() {
+fn an_inventory_kept_up_to_date_equals_a_new_one() {
     let mut draw = Draw(11);
     let machines = 50;
-    let mut world = site(&mut draw, machines);
+    let mut replica = site(&mut draw, machines);
     let mut inventory = Inventory::default();
     let unusable: RefCell<BTreeSet<String>> = RefCell::default();
     let name = |n: usize| format!("h-{n:03}");
@@ -38,13 +38,13 @@
                 s.cpus = [0.5, 1.0, 0.1][draw.below(3)];
                 let on: Vec<String> = (0..draw.below(4)).map(|_| name(draw.below(machines))).collect();
                 let run: Vec<(u32, &str)> = (0..).zip(on.iter().map(String::as_str)).collect();
-                add(&mut world, s, &run);
+                add(&mut replica, s, &run);
             }
             6 => {
                 let id = format!("j-{}", draw.below(30));
-                if let Some(job) = world.jobs.get(&id) {
+                if let Some(job) = replica.jobs.get(&id) {
                     let record = Box::new(JobRecord { phase: Phase::Cancelled, ..(*job.value).clone() });
-                    world.apply(RecordChange::Job(id, Some(record)), 10 + step);
+                    replica.apply(RecordChange::Job(id, Some(record)), 10 + step);
                 }
             }
             7..=9 => {
@@ -55,22 +55,22 @@
             }
             10 if draw.one_in(4) => {
                 let id = name(draw.below(machines));
-                let record = world.machines.get(id.as_str()).map(|m| m.value.clone());
-                world.apply(RecordChange::Machine(id.clone(), None), 10 + step);
+                let record = replica.machines.get(id.as_str()).map(|m| m.value.clone());
+                replica.apply(RecordChange::Machine(id.clone(), None), 10 + step);
                 if draw.one_in(2) {
-                    world.apply(RecordChange::Machine(id, record), 10 + step);
+                    replica.apply(RecordChange::Machine(id, record), 10 + step);
                 }
             }
             11 if draw.one_in(8) => {
                 let member = |n: &str, incarnation| Member { name: n.into(), zone: "a".into(), incarnation };
                 let live = vec![member("n", 1), member("o", 2 + step)];
-                world.apply(RecordChange::Map(Some(ClusterMap { epoch: 2 + step, live })), 10 + step);
+                replica.apply(RecordChange::Map(Some(ClusterMap { epoch: 2 + step, live })), 10 + step);
             }
             _ => {}
         }
         let before = inventory.topology_generation;
-        inventory.refresh(&mut world, |id, _| !unusable.borrow().contains(&**id));
-        let new = Inventory::new(&world, |id| !unusable.borrow().contains(id));
+        inventory.refresh(&mut replica, |id, _| !unusable.borrow().contains(&**id));
+        let new = Inventory::new(&replica, |id| !unusable.borrow().contains(id));
         assert_same(&inventory, &new);
         *(if inventory.topology_generation == before { &mut kept } else { &mut made }) += 1;
         // What a round gives away is gone after it.
--- a/crates/sched/tests/unit/pipeline.rs
+++ b/crates/sched/tests/unit/pipeline.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn everything_is_found_again_from_the_records_in_any_order() {
+fn pipelines_are_rebuilt_from_the_records_in_any_order() {
     let mut w = Replica::default();
     let mut written: Vec<(String, JobRecord)> = Vec::new();
     for n in 0..40usize {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn jobs_that_come_while_others_are_cancelled_are_cancelled_too() {
+fn jobs_submitted_while_a_dependency_is_cancelled_are_cancelled_too() {
     let mut w = Replica::default();
     job(&mut w, of("j-0", |_| {}), &[], 0);
     job(&mut w, of("j-1", |_| {}), &["j-0"], 0);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_step_is_as_urgent_as_what_needs_it_until_that_is_cancelled() {
+fn a_step_is_as_urgent_as_its_dependents_until_they_are_cancelled() {
     let mut w = Replica::default();
     let step = |id: &str, priority, due| {
         of(id, |s| (s.priority, s.deadline_s, s.estimated_runtime_s) = (priority, due, 20.0))
@@ -198,7 +198,7 @@
 
 /// Needs lists of any length and form keep their members.
 #[test]
-fn long_lists_of_needs_are_short_in_the_record() {
+fn long_lists_of_dependencies_are_short_in_the_record() {
     let needs: Vec<Name> = (0..6000).map(|n| format!("j-{:06}", 1000 + n * 3).as_str().into()).collect();
     let record = JobRecord::waiting(spec("j-1", JobKind::Array, 1), None, 0, needs.clone());
     let json = serde_json::to_string(&record).expect("encodes");
--- a/crates/sched/tests/unit/placement.rs
+++ b/crates/sched/tests/unit/placement.rs
@@ -34,7 +34,7 @@
 }
 
 /// Machines as (name, type, zone, spot). "m" has 8 CPUs, "g" 16 and 2 GPUs.
-pub fn world(machines: &[(&str, &str, &str, bool)]) -> Replica {
+pub fn replica_with(machines: &[(&str, &str, &str, bool)]) -> Replica {
     let mut w = Replica::default();
     let kind = |name: &str, cpus, gpus| MachineType {
         name: name.into(),
@@ -98,7 +98,7 @@
 
 #[test]
 fn spread_counts_tasks_of_old_attempts_too() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
     let mut s = spec("j-1", JobKind::Service, 3);
     s.spread = true;
     add(&mut w, s.clone(), &[]);
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_gang_is_placed_whole_in_one_zone_or_not_at_all() {
-    let mut w = world(&[("a1", "m", "a", false), ("b1", "m", "b", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("b1", "m", "b", false)]);
     let mut s = spec("j-1", JobKind::Gang, 2);
     (s.one_zone, s.cpus) = (true, 6.0);
     add(&mut w, s.clone(), &[]);
@@ -126,8 +126,8 @@
 }
 
 #[test]
-fn a_teams_limit_bounds_what_is_placed() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+fn a_teams_quota_bounds_what_is_placed() {
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     add(&mut w, spec("j-1", JobKind::Array, 9), &[]);
     add(&mut w, spec("j-2", JobKind::Array, 1), &[(0, "a1")]);
     assert_eq!(placed(&w, "j-1", &Team { cpus_max: 5.0, ..team() }).len(), 1);
@@ -135,7 +135,7 @@
 
 #[test]
 fn avoided_machines_come_last_and_kinds_not_allowed_never() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", true)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", true)]);
     add(&mut w, spec("j-2", JobKind::Array, 3), &[(0, "a2"), (1, "a2"), (2, "a2")]);
     let mut job = JobRecord::new(spec("j-1", JobKind::Array, 6), None, 0);
     job.avoided_machines = vec![("a1".into(), 5000)];
@@ -146,7 +146,7 @@
 
 #[test]
 fn gpu_machines_are_kept_whole() {
-    let mut w = world(&[("a1", "g", "a", false)]);
+    let mut w = replica_with(&[("a1", "g", "a", false)]);
     let mut gpu = spec("j-9", JobKind::Gang, 1);
     (gpu.cpus, gpu.gpus) = (14.0, 2.0);
     add(&mut w, gpu, &[]);
@@ -168,7 +168,7 @@
 /// A stream of small gangs must not keep a large one waiting for ever.
 #[test]
 fn a_large_gang_starts_against_an_endless_stream_of_small_work() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
     let mut large = spec("j-1", JobKind::Gang, 2);
     (large.one_zone, large.cpus) = (true, 8.0);
     add(&mut w, large.clone(), &[]);
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_lost_task_of_a_waiting_gang_is_replaced_in_its_attempt_and_zone() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
     let mut s = spec("j-1", JobKind::Gang, 2);
     (s.one_zone, s.cpus) = (true, 8.0);
     add(&mut w, s, &[(0, "a1"), (1, "gone")]);
@@ -230,7 +230,7 @@
     job.end_assignment(0, 1, TerminationReason::Stopped, 0, 0);
     let placed = place(&w, &mut inventory(&w), &mut job, &team(), |_| true, limits);
     assert!(placed.is_empty() && job.assignments.is_empty(), "one zone holds only one of two now");
-    let mut w2 = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
+    let mut w2 = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     w2.apply(RecordChange::Job("j-1".into(), Some(Box::new(job.clone()))), 9);
     let placed = place(&w2, &mut inventory(&w2), &mut job, &team(), |_| true, limits);
     assert_eq!(placed.iter().map(|a| a.attempt).collect::<Vec<_>>(), [2, 2]);
@@ -254,8 +254,8 @@
 }
 
 #[test]
-fn only_the_oldest_few_gangs_are_collected_for() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+fn capacity_is_collected_only_for_the_oldest_few_gangs() {
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     let run: Vec<(u32, &str)> = (0..40).map(|t| (t, "a1")).collect();
     add(&mut w, spec("j-0", JobKind::Gang, 40), &run);
     for n in 1..6 {
@@ -269,7 +269,7 @@
 
 #[test]
 fn a_gangs_machines_have_their_images_at_about_the_same_time() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", false)]);
     let mut s = spec("j-2", JobKind::Gang, 2);
     (s.cpus, s.image_gb) = (8.0, 40.0);
     let mut before = spec("j-1", JobKind::Array, 1);
@@ -300,7 +300,7 @@
 /// first waits: the fetch goes on, and the first gets another machine.
 #[test]
 fn a_fetch_goes_on_when_another_task_gives_up_waiting() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", false)]);
     let mut s = spec("j-1", JobKind::Gang, 2);
     (s.one_zone, s.cpus) = (true, 8.0);
     add(&mut w, s, &[(0, "a1"), (1, "a2")]);
@@ -337,7 +337,7 @@
 
 #[test]
 fn services_go_where_their_image_comes_soonest() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "f", "a", false), ("a3", "m", "a", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "f", "a", false), ("a3", "m", "a", false)]);
     let slow = w.machine_types["m"].clone();
     w.machine_types.insert(
         "f".into(),
--- a/crates/sched/tests/unit/preempt.rs
+++ b/crates/sched/tests/unit/preempt.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::placement::tests::{add, inventory, spec, team, world};
+use crate::placement::tests::{add, inventory, replica_with, spec, team};
 use wire::Priority;
 
 #[test]
-fn a_guarantee_stops_only_work_beyond_one() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+fn a_guarantee_preempts_only_jobs_beyond_theirs() {
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     let mut old = spec("j-1", JobKind::Array, 4);
     old.team = "u".into();
     add(&mut w, old, &[(0, "a1"), (1, "a1"), (2, "a1"), (3, "a1")]);
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn higher_priority_is_never_stopped_and_room_is_not_made_twice() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+fn higher_priority_is_never_preempted_and_capacity_is_not_freed_twice() {
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     let mut service = spec("j-1", JobKind::Service, 3);
     service.priority = Priority::Production;
     add(&mut w, service, &[(0, "a1"), (1, "a1"), (2, "a1")]);
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_gang_that_was_stopped_before_is_spared() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     add(&mut w, spec("j-1", JobKind::Gang, 1), &[(0, "a1")]);
     let mut often = w.jobs["j-1"].value.as_ref().clone();
     (often.attempt, often.assignments[0].attempt) = (5, 5);
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn a_teams_own_arrays_make_way_within_its_limit() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+fn a_teams_own_arrays_are_preempted_within_its_quota() {
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     add(&mut w, spec("j-1", JobKind::Array, 3), &[(0, "a1"), (1, "a1"), (2, "a1")]);
     let mut s = spec("j-2", JobKind::Service, 1);
     s.priority = Priority::Production;
--- a/crates/sched/tests/unit/replica.rs
+++ b/crates/sched/tests/unit/replica.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::{add, spec, world};
+use crate::placement::tests::{add, replica_with, spec};
 use crate::records::Phase;
 use wire::JobKind;
 
@@ -11,8 +11,8 @@
 /// Hundreds of machines of a lost zone are told gone with one change; their
 /// own records follow when there is time.
 #[test]
-fn machines_are_gone_with_the_fleets_record_whatever_comes_first() {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
+fn machines_are_removed_by_the_fleet_record_in_any_order_of_changes() {
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     add(&mut w, spec("j-1", JobKind::Array, 1), &[(0, "a1")]);
     w.apply(fleet(&["a1"]), 5);
     assert!(!w.machines.contains_key("a1") && w.machines.contains_key("a2"));
@@ -42,8 +42,8 @@
 
 /// News that comes after what this controller wrote itself.
 #[test]
-fn older_news_does_not_undo_newer() {
-    let mut w = world(&[("a1", "m", "a", false)]);
+fn older_changes_do_not_undo_newer_ones() {
+    let mut w = replica_with(&[("a1", "m", "a", false)]);
     let job = JobRecord::new(spec("j-1", JobKind::Array, 2), None, 0);
     let mut newer = job.clone();
     newer.phase = Phase::Cancelled;
--- a/crates/sched/tests/unit/rescheduler.rs
+++ b/crates/sched/tests/unit/rescheduler.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::placement::tests::{add, inventory, spec, world};
+use crate::placement::tests::{add, inventory, replica_with, spec};
 use crate::records::{DesiredState, JobRecord};
 
 fn crowded(kind: JobKind, tasks: u32) -> Replica {
-    let mut w = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
+    let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     let run: Vec<(u32, &str)> = (0..tasks).map(|t| (t, "a1")).collect();
     add(&mut w, spec("j-1", kind, tasks), &run);
     w
@@ -17,15 +17,15 @@
     assert_eq!(scan(&crowded(JobKind::Service, 1)), 0, "single replicas stay put");
     assert_eq!(scan(&crowded(JobKind::Array, 2)), 0);
     assert_eq!(scan(&crowded(JobKind::Gang, 2)), 0);
-    let mut even = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
+    let mut even = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     add(&mut even, spec("j-1", JobKind::Service, 3), &[(0, "a1"), (1, "a1"), (2, "a2")]);
     assert_eq!(scan(&even), 0, "a quarter more is below the threshold");
 }
 
 #[test]
-fn services_leave_machines_with_gpus_once_there_is_other_room() {
+fn services_leave_machines_with_gpus_once_there_is_other_capacity() {
     let policy = Policy::default();
-    let mut w = world(&[("g1", "g", "a", false), ("g2", "g", "a", false), ("a1", "m", "a", false)]);
+    let mut w = replica_with(&[("g1", "g", "a", false), ("g2", "g", "a", false), ("a1", "m", "a", false)]);
     let s = spec("j-1", JobKind::Service, 3);
     add(&mut w, s.clone(), &[(0, "g1"), (1, "g1"), (2, "g2")]);
     let found = scan(&w, &inventory(&w), &policy, 1_000_000);
@@ -57,7 +57,7 @@
     assert!(refills.iter().all(|r| (60_000..75_000).contains(r)));
     assert!(refills.iter().collect::<std::collections::BTreeSet<_>>().len() > 10, "refills are staggered");
     // All replicas but one stay up.
-    let mut w2 = world(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
+    let mut w2 = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     job.last_eviction_ms = 0;
     w2.apply(crate::replica::RecordChange::Job("j-1".into(), Some(Box::new(job))), 5);
     assert!(scan(&w2, &inventory(&w2), &policy, 1_000_000).is_empty());
--- a/crates/store/tests/unit/chunks.rs
+++ b/crates/store/tests/unit/chunks.rs
@@ -9,7 +9,7 @@
     FleetRecord { scale_outs: Vec::new(), removed_machines: Some(gone) }
 }
 
-fn wide(nonce: u64) -> ChunkedRecord {
+fn chunked(nonce: u64) -> ChunkedRecord {
     split_record(&KeyWrite::new(key::FLEET.into(), &large()), nonce, 500).expect("parts")
 }
 
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn a_record_in_parts_is_read_when_all_are_there_in_any_order() {
-    let w = wide(7);
+fn a_chunked_record_is_read_once_all_chunks_are_in_whatever_order() {
+    let w = chunked(7);
     assert!(w.chunks.len() > 2);
     for put in w.chunks.iter().chain([&w.head]) {
         assert!(put.json_len() <= 500 + put.key.len() + 20, "{}", put.json_len());
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn only_parts_that_no_head_names_are_orphans() {
-    let (old, new) = (wide(7), wide(8));
+fn only_chunks_that_no_head_names_are_orphans() {
+    let (old, new) = (chunked(7), chunked(8));
     let mut reader = RecordReader::default();
     for put in old.chunks.iter().chain([&old.head]).chain(&new.chunks) {
         reader.apply(&put.key, put.value.clone(), 1);
--- a/crates/store/tests/unit/rate_limiter.rs
+++ b/crates/store/tests/unit/rate_limiter.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn waits_for_what_is_missing() {
+fn callers_wait_for_missing_tokens() {
     let t = Instant::now();
     let mut b = RateLimiter::new(10.0, 5.0, t);
     assert_eq!(b.acquire(5.0, 0.0, t), Duration::ZERO);
