--- a/crates/daemon/src/drains/observe.rs
+++ b/crates/daemon/src/drains/observe.rs
@@ -98,10 +98,10 @@
     address: &str,
     request: &RunningTasksRequest,
 ) -> Option<RunningTasks> {
-    let body = peer::encode_running_request(request);
+    let body = peer::encode_running_tasks_request(request);
     let answer =
         controller.peer_and_cloud_http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
-    (answer.status == 200).then(|| peer::decode_running(&answer.body)).flatten()
+    (answer.status == 200).then(|| peer::decode_running_tasks(&answer.body)).flatten()
 }
 
 /// Takes in an answer, if it is one to this request from the peer that was asked.
@@ -127,7 +127,7 @@
     if !controller.operators.drains.enabled {
         return Reply::error(404, "drains are switched off");
     }
-    let Some(request) = peer::decode_running_request(body) else {
+    let Some(request) = peer::decode_running_tasks_request(body) else {
         return Reply::error(400, "not a request for running tasks");
     };
     let state = controller.state();
@@ -140,5 +140,5 @@
         epoch,
         jobs: own(controller, &state, jobs, clock::now()),
     };
-    Reply { status: 200, body: peer::encode_running(&answer), retry_after: None }
+    Reply { status: 200, body: peer::encode_running_tasks(&answer), retry_after: None }
 }
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/fleet_duty/returns.rs
@@ -65,7 +65,7 @@
     if !controller.operators.drains.enabled || drains::paused(controller, &state.records.replica).is_some() {
         return HashSet::default();
     }
-    state.records.replica.drains.machines_to_give_back()
+    state.records.replica.drains.machines_to_scale_in()
 }
 
 /// What decides whether idle machines stay.
--- a/crates/daemon/src/placer/mod.rs
+++ b/crates/daemon/src/placer/mod.rs
@@ -377,7 +377,7 @@
         self.scheduling.reservations.insert(id.to_owned(), reservation);
         for v in room.victims {
             let Some(record) = record_for_update(self.cycle, self.world, &v.job) else { continue };
-            preempt::mark(record, &v);
+            preempt::mark_to_stop(record, &v);
             self.cycle.events.push(SchedulingEvent::Preempted { by: id.to_owned(), victim: v });
         }
     }
--- a/crates/daemon/src/scheduler/transaction.rs
+++ b/crates/daemon/src/scheduler/transaction.rs
@@ -165,7 +165,7 @@
     }
 
     fn add_disruption(&mut self, team: String, disruption: &Disruption) {
-        let known = || DisruptionRecord { open: self.replica.drains.open(&team).to_vec() };
+        let known = || DisruptionRecord { open: self.replica.drains.open_disruptions(&team).to_vec() };
         let record = self.disruptions.entry(team.clone()).or_insert_with(known);
         record.open.push(disruption.clone());
     }
--- a/crates/daemon/src/scheduler/worker_reconciliation.rs
+++ b/crates/daemon/src/scheduler/worker_reconciliation.rs
@@ -148,13 +148,13 @@
         let replica = self.replica;
         let time_left = until.saturating_duration_since(self.context.now);
         for (job, record, assignment) in replica.assignments(machine) {
-            let stops = record.spec.as_ref().is_some_and(|spec| spot_notice::stops(spec, time_left));
+            let stops = record.spec.as_ref().is_some_and(|spec| spot_notice::should_stop(spec, time_left));
             if !stops || !record.should_run(assignment) {
                 continue;
             }
             let Some(record) = record_for_update(self.cycle, replica, job) else { continue };
             let task = assignment.task;
-            if spot_notice::mark(record, task) {
+            if spot_notice::mark_to_stop(record, task) {
                 let (job, machine) = (job.to_owned(), machine.clone());
                 self.cycle.events.push(SchedulingEvent::SpotNotice { job, task, machine });
             }
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -18,7 +18,7 @@
 use crate::stand_in::*;
 use crate::worker::tests::spec;
 use crate::worker::{Limits, Worker, first_token};
-use crate::{change_feed, membership, freshness_checks, scheduler};
+use crate::{change_feed, freshness_checks, membership, scheduler};
 
 /// A description without one of its fields, or with another value in it.
 fn odd(id: &str, field: &str, value: Option<serde_json::Value>) -> Vec<u8> {
@@ -181,7 +181,7 @@
             worker.reconcile("m-1", &world, &limits, at);
         }
         let spec = JobSpec { checkpoint_save_s: s, checkpoint_interval_s: s, ..spec("j-1", JobKind::Gang) };
-        sched::spot_notice::stops(&spec, Duration::from_secs(5));
+        sched::spot_notice::should_stop(&spec, Duration::from_secs(5));
         let mut budget = store::RateLimiter::new(s, s, now);
         let _ = now + budget.acquire(s, s, now);
     }
--- a/crates/peer/tests/golden/read_index.rs
+++ b/crates/peer/tests/golden/read_index.rs
@@ -3,13 +3,18 @@
 use peer::{CancelledJob, ReadIndex, ReadIndexRequest};
 
 fn check(file: &str, index: &ReadIndex) {
-    crate::check(file, index, peer::encode_index, peer::decode_index);
+    crate::check(file, index, peer::encode_read_index, peer::decode_read_index);
 }
 
 #[test]
 fn request() {
     let request = ReadIndexRequest { nonce: 7_700_000_000_000_000_101, after: 77_102 };
-    crate::check("read-index-request.rkyv", &request, peer::encode_request, peer::decode_request);
+    crate::check(
+        "read-index-request.rkyv",
+        &request,
+        peer::encode_read_index_request,
+        peer::decode_read_index_request,
+    );
 }
 
 #[test]
--- a/crates/peer/tests/golden/running_tasks.rs
+++ b/crates/peer/tests/golden/running_tasks.rs
@@ -3,11 +3,11 @@
 use peer::{RunningTask, RunningTasks, RunningTasksOfJob, RunningTasksRequest};
 
 fn check_request(file: &str, request: &RunningTasksRequest) {
-    crate::check(file, request, peer::encode_running_request, peer::decode_running_request);
+    crate::check(file, request, peer::encode_running_tasks_request, peer::decode_running_tasks_request);
 }
 
 fn check(file: &str, running: &RunningTasks) {
-    crate::check(file, running, peer::encode_running, peer::decode_running);
+    crate::check(file, running, peer::encode_running_tasks, peer::decode_running_tasks);
 }
 
 #[test]
--- a/crates/sched/tests/golden/drain_records.rs
+++ b/crates/sched/tests/golden/drain_records.rs
@@ -1,8 +1,8 @@
 //! Records of drains, with another value in every field.
 
 use sched::drain_records::{
-    CordonFence, CordonRecord, DRAIN_SCHEMA, Disruption, DisruptionRecord, DrainEnd, DrainPhase, DrainRecord,
-    Obstacle, ObstacleKind, RoomSearch, Stopper, UnsavedWork,
+    CapacitySearch, CordonFence, CordonRecord, DRAIN_SCHEMA, Disruption, DisruptionCause, DisruptionRecord,
+    DrainEnd, DrainPhase, DrainRecord, Obstacle, ObstacleKind, UnsavedWork,
 };
 
 use crate::fixture::{Fixture, fixture};
@@ -46,7 +46,7 @@
         unsaved,
         give_up_ms: 600_002,
         moved: 74_004,
-        room: RoomSearch { failed: 74_005, since_ms: 1_800_000_000_402 },
+        capacity_search: CapacitySearch { failed: 74_005, since_ms: 1_800_000_000_402 },
         obstacle,
     }
 }
@@ -76,7 +76,7 @@
 
 fn without_room_search() -> DrainRecord {
     let mut record = drain_record(DrainPhase::Active, UnsavedWork::Leave, None);
-    record.room = RoomSearch { failed: 0, since_ms: 0 };
+    record.capacity_search = CapacitySearch { failed: 0, since_ms: 0 };
     record
 }
 
@@ -84,7 +84,7 @@
     let ends = [
         (DrainEnd::Finished, "finished"),
         (DrainEnd::ByOperator, "by-operator"),
-        (DrainEnd::NoRoom, "no-room"),
+        (DrainEnd::NoCapacity, "no-room"),
         (DrainEnd::WorkLeft, "work-left"),
         (DrainEnd::GaveUp, "gave-up"),
     ];
@@ -99,11 +99,11 @@
     let kinds = [
         (ObstacleKind::ServiceBudget, "service-budget"),
         (ObstacleKind::TeamBudget, "team-budget"),
-        (ObstacleKind::NoRoom, "no-room"),
+        (ObstacleKind::NoCapacity, "no-room"),
         (ObstacleKind::CannotSave, "cannot-save"),
         (ObstacleKind::Stopping, "stopping"),
         (ObstacleKind::OldController, "old-controller"),
-        (ObstacleKind::GivingBack, "giving-back"),
+        (ObstacleKind::ScalingIn, "giving-back"),
     ];
     kinds.into_iter().map(|(kind, name)| {
         let record = drain_record(DrainPhase::Active, UnsavedWork::Stop, Some(obstacle(kind)));
@@ -117,14 +117,14 @@
         job: "j-000412".into(),
         task: 74_006,
         attempt: 74_007,
-        by: Stopper::Drain("drain-a".into()),
+        cause: DisruptionCause::Drain("drain-a".into()),
         since_ms: 1_800_000_000_404,
     };
     let by_rescheduler = Disruption {
         job: "j-000413".into(),
         task: 0,
         attempt: 74_008,
-        by: Stopper::Rescheduler,
+        cause: DisruptionCause::Rescheduler,
         since_ms: 1_800_000_000_405,
     };
     vec![
--- a/crates/sched/tests/golden/stored.rs
+++ b/crates/sched/tests/golden/stored.rs
@@ -6,7 +6,8 @@
 use std::fmt::Debug;
 
 use sched::drain_records::{
-    CordonRecord, DisruptionRecord, DrainPhase, DrainRecord, Obstacle, ObstacleKind, RoomSearch, UnsavedWork,
+    CapacitySearch, CordonRecord, DisruptionRecord, DrainPhase, DrainRecord, Obstacle, ObstacleKind,
+    UnsavedWork,
 };
 use sched::records::{FleetRecord, JobRecord, MachineRecord, Phase, Ranges, ScaleOut, Urgency};
 use wire::Priority;
@@ -174,7 +175,7 @@
 #[test]
 fn drain_record_without_optional_fields() {
     let obstacle = Obstacle {
-        kind: ObstacleKind::NoRoom,
+        kind: ObstacleKind::NoCapacity,
         team: String::new(),
         job: String::new(),
         machine: String::new(),
@@ -190,7 +191,7 @@
         unsaved: UnsavedWork::Leave,
         give_up_ms: 6,
         moved: 7,
-        room: RoomSearch { failed: 0, since_ms: 0 },
+        capacity_search: CapacitySearch { failed: 0, since_ms: 0 },
         obstacle: None,
     };
     let mut message = json!({
