--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -159,9 +159,11 @@
             // Capacity that is being freed already counts, so that it is not freed twice.
             if self.is_stopping(task) {
                 free = free.plus_scaled(Resources::of_task(task.spec), 1.0);
-            } else if self.may_stop(task) {
-                let (priority, cost) = (task.priority(), task.preemption_cost());
-                candidates.push(Candidate { priority, cost, task });
+                continue;
+            }
+            let priority = task.priority();
+            if self.may_stop(task, priority) {
+                candidates.push(Candidate { priority, cost: task.preemption_cost(), task });
             }
         }
         candidates.sort_by_key(|c| (c.priority, c.cost, c.task.assignment.task));
@@ -185,8 +187,7 @@
         self.chosen_before.iter().any(is_chosen) || !job.should_run(assignment)
     }
 
-    fn may_stop(&self, task: &RunningTask) -> bool {
-        let priority = task.priority();
+    fn may_stop(&self, task: &RunningTask, priority: Priority) -> bool {
         let has_lower_priority = priority < self.priority;
         let is_beyond_guarantee = self.guaranteed.contains(&self.spec.id)
             && !self.guaranteed.contains(task.job_id)
@@ -199,7 +200,7 @@
 /// A task of the job's own team that may be stopped.
 struct TeamCandidate<'a> {
     priority: Priority,
-    job_id: &'a str,
+    job_id: &'a String,
     assignment: &'a Assignment,
     size: Resources,
 }
@@ -219,7 +220,9 @@
     let team_usage = replica.team_usage.get(&spec.team).copied().unwrap_or_default();
     let mut free = team.limit().plus_scaled(team_usage.without_memory(), -1.0);
     let mut candidates: Vec<TeamCandidate> = Vec::new();
-    for (id, job) in replica.open_jobs() {
+    // Without `Replica::open_jobs`, whose iterator costs a fifth of this search.
+    for job_id in &replica.open_job_ids {
+        let Some(job) = replica.jobs.get(job_id).map(|job| &job.value) else { continue };
         let Some(other) = job.spec.as_deref().filter(|other| other.team == spec.team) else { continue };
         let size = Resources::of_task(other).without_memory();
         let other_priority = job.priority().unwrap_or(other.priority);
@@ -229,7 +232,7 @@
                 free = free.plus_scaled(size, 1.0);
             } else if may_stop && inventory.find(&assignment.machine).is_some() {
                 // A machine that does not answer would not stop them soon.
-                candidates.push(TeamCandidate { priority: other_priority, job_id: id, assignment, size });
+                candidates.push(TeamCandidate { priority: other_priority, job_id, assignment, size });
             }
         }
     }
