--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -25,7 +25,7 @@
 use crate::reconcile;
 use crate::round;
 use crate::settings::Settings;
-use crate::worker::{Worker, first_token};
+use crate::worker::{FencingToken, Worker};
 
 const EPOCH: u64 = 7;
 /// Tasks of a job, and on a machine.
@@ -258,7 +258,7 @@
             spot: false,
             incarnation: 1,
             sequence: self.seq,
-            fencing_token: first_token(EPOCH),
+            fencing_token: FencingToken::first_of_epoch(EPOCH).get(),
             spot_notice_s: None,
             tasks: on.collect(),
             machine: id,
@@ -275,8 +275,8 @@
             let report = self.report(n, 0);
             let now = Instant::now();
             let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
-            worker.ingest(report, true, now);
-            worker.renew(now);
+            worker.receive_heartbeat(report, now);
+            worker.renew_lease(now);
             self.controller.state().machines.workers.insert(machine_id(n).into(), worker);
         }
     }
--- a/crates/daemon/src/api/heartbeats.rs
+++ b/crates/daemon/src/api/heartbeats.rs
@@ -13,7 +13,7 @@
 use crate::load::LoadCounters;
 use crate::peers;
 use crate::state::ControllerState;
-use crate::worker::{Worker, final_stops, first_token};
+use crate::worker::{FencingToken, Worker, stops_of_cancelled_jobs};
 
 /// The status of a reply that sends a worker to another controller.
 const MISDIRECTED_REQUEST: u16 = 421;
@@ -65,7 +65,7 @@
         HeartbeatOutcome::RegisterMachine { epoch } => {
             // The machine is recorded before anything is launched on it.
             request_registration(controller, &heartbeat);
-            Reply::new(200, &renewal(first_token(epoch)))
+            Reply::new(200, &renewal(FencingToken::first_of_epoch(epoch)))
         }
     }
 }
@@ -76,8 +76,8 @@
 }
 
 /// A response that renews the lease and has no commands.
-fn renewal(fencing_token: u64) -> HeartbeatResponse {
-    HeartbeatResponse { fencing_token, commands: Vec::new() }
+fn renewal(token: FencingToken) -> HeartbeatResponse {
+    HeartbeatResponse { fencing_token: token.get(), commands: Vec::new() }
 }
 
 /// Updates what is known of the worker and decides on the answer.
@@ -116,7 +116,7 @@
 /// Whether the worker has to stop tasks of cancelled jobs. Only the owner may renew its lease
 /// then: the answers of others have no commands.
 fn must_stop_tasks(heartbeat: &Heartbeat, replica: &Replica) -> bool {
-    !final_stops(&heartbeat.tasks, replica).is_empty()
+    !stops_of_cancelled_jobs(&heartbeat.tasks, replica).is_empty()
 }
 
 /// Decides on a heartbeat of a machine that another controller owns.
@@ -134,9 +134,9 @@
     // The worker has seen no token of this epoch: after a crash of several controllers its lease
     // may be about to expire. Any live controller renews it once, with the first token of the
     // epoch; the next heartbeat is redirected.
-    let token = first_token(state.epoch());
+    let token = FencingToken::first_of_epoch(state.epoch());
     let replica = &state.records.replica;
-    if heartbeat.fencing_token < token
+    if FencingToken::from(heartbeat.fencing_token) < token
         && controller.may_renew_leases(state, now)
         && !must_stop_tasks(heartbeat, replica)
     {
@@ -164,23 +164,26 @@
     let replica = &records.replica;
     let limits = controller.worker_limits(records.fresh_at);
     let owned_since = replica.owned_since_epoch(machine);
-    if machines.workers.get(machine).is_some_and(|w| w.lapsed(owned_since)) {
+    if machines.workers.get(machine).is_some_and(|w| w.predates_ownership(owned_since)) {
         machines.workers.remove(machine);
     }
     let new_worker = || Worker::new(heartbeat.addr.clone(), epoch, now);
     let worker = machines.workers.entry(machine.into()).or_insert_with(new_worker);
     worker.enter_epoch(epoch);
-    if worker.overtaken_by(heartbeat) {
+    if worker.is_superseded_by(heartbeat) {
         return HeartbeatOutcome::Redirect(None);
     }
-    let is_newest = worker.ingest(heartbeat.clone(), true, now);
+    let is_newest = worker.receive_heartbeat(heartbeat.clone(), now);
     // A copy of an older heartbeat gets no new commands; it may still be the one whose answer the
     // worker waits for.
-    worker.renew(now);
-    let commands =
-        if is_newest { worker.answer(machine, replica, &limits, now) } else { worker.final_stops(replica) };
-    let response = HeartbeatResponse { fencing_token: worker.token(), commands };
-    if worker.due(now) {
+    worker.renew_lease(now);
+    let commands = if is_newest {
+        worker.commands_for_heartbeat(machine, replica, &limits, now)
+    } else {
+        worker.stops_of_cancelled_jobs(replica)
+    };
+    let response = HeartbeatResponse { fencing_token: worker.token().get(), commands };
+    if worker.is_reconciliation_due(now) {
         controller.wake_scheduler.notify_one();
     }
     HeartbeatOutcome::Respond(response)
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -26,7 +26,7 @@
 use crate::read_barrier::ReadBarrier;
 use crate::settings::Settings;
 use crate::state::{ControllerState, ShareBasis};
-use crate::worker::Limits;
+use crate::worker::WorkerLimits;
 
 /// How long a controller may be out of touch before it is no longer live.
 pub const MEMBER_TTL: Duration = Duration::from_secs(4);
@@ -249,14 +249,15 @@
         (self.list_bytes() * 0.22 * 6.0) as u32
     }
 
-    pub fn worker_limits(&self, fresh_at: Option<Instant>) -> Limits {
+    pub fn worker_limits(&self, fresh_at: Option<Instant>) -> WorkerLimits {
         let w = &self.settings.facts.workers;
-        Limits {
+        WorkerLimits {
             gang_peer: wire::seconds(w.gang_peer_s),
             // The clocks of both sides drift apart by 0.05% each way at most;
             // the rest is for timers that fire late.
             lease: wire::seconds(w.lease_s * 1.002 + 1.0),
             fresh_at,
+            max_launch_replica_age: MEMBER_TTL,
         }
     }
 
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -36,12 +36,12 @@
                 id: id.to_string(),
                 usable: accepts_work(worker, report, now),
                 silent_ms: if stood_still { 0 } else { millis(worker.silent_for(now)) },
-                heard_from: worker.heard.is_some(),
+                heard_from: worker.was_heard_from(),
                 free_cpus: kind.cpus - used.cpus,
                 free_gpus: kind.gpus - used.gpus,
                 free_memory_gb: kind.memory_gb - used.memory_gb,
-                unhealthy: worker.sick(),
-                spot_notice: worker.notice_until.is_some(),
+                unhealthy: worker.is_unhealthy(),
+                spot_notice: worker.spot_notice_until().is_some(),
             })
         })
         .collect();
--- a/crates/daemon/src/prober.rs
+++ b/crates/daemon/src/prober.rs
@@ -53,7 +53,7 @@
 fn quiet_workers(controller: &Controller, now: Instant) -> Vec<(Name, String)> {
     let limit = controller.heartbeat_interval() * 3 / 2 + Duration::from_millis(500);
     let state = controller.state();
-    let quiet = |w: &Worker| w.heard.is_none() || w.silent_for(now) > limit;
+    let quiet = |w: &Worker| !w.was_heard_from() || w.silent_for(now) > limit;
     state
         .machines
         .workers
@@ -82,9 +82,9 @@
     if let Some(w) = controller.state().machines.workers.get_mut(machine) {
         match report {
             Some(report) => {
-                w.ingest(report, false, clock::now());
+                w.receive_response(report, clock::now());
             }
-            None => w.did_not_answer(),
+            None => w.note_probe_failure(),
         }
     }
     controller.wake_scheduler.notify_one();
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -23,7 +23,7 @@
 use crate::placer;
 use crate::round::{Assembled, Event, Round, assemble, edit, log_events};
 use crate::state::{ControllerState, FORWARDED_PROOF_TIMEOUT, PendingProof};
-use crate::worker::{Key, Worker};
+use crate::worker::{AssignmentId, FencingToken, Worker};
 
 /// Nothing was stopped after all: no room is being made.
 fn release(round: &Round, controller: &Controller) {
@@ -151,7 +151,8 @@
         Some(touched) => touched.into_iter().collect(),
         None => {
             let kept = |id: &Name, w: &Worker| {
-                world.owner_of(id) == Some(&controller.identity) && !w.lapsed(world.owned_since_epoch(id))
+                world.owner_of(id) == Some(&controller.identity)
+                    && !w.predates_ownership(world.owned_since_epoch(id))
             };
             workers.retain(|id, w| kept(id, w));
             world.owned_by(&controller.identity).cloned().collect()
@@ -161,7 +162,7 @@
         match world.machines.get(&id).filter(|_| world.owner_of(&id) == Some(&controller.identity)) {
             Some(record) => {
                 let new = || Worker::new(record.value.addr.clone(), epoch, now);
-                workers.entry(id).or_insert_with(new).look_again();
+                workers.entry(id).or_insert_with(new).request_reconciliation();
             }
             None => {
                 workers.remove(&id);
@@ -171,14 +172,14 @@
     let limits = controller.worker_limits(fresh_at);
     for (id, worker) in workers.iter_mut() {
         worker.enter_epoch(epoch);
-        if !worker.due(now) {
+        if !worker.is_reconciliation_due(now) {
             continue;
         }
         let plan = worker.reconcile(id, world, &limits, now);
-        for (key, how) in plan.ends {
-            let Some(job) = world.jobs.get(&key.0) else { continue };
+        for (key, how) in plan.terminations {
+            let Some(job) = world.jobs.get(&key.job) else { continue };
             let placer = world.scheduler_of(&job.value).unwrap_or_default();
-            let since = worker.ended_since(&key, now);
+            let since = worker.first_proven_at(&key, now);
             // One writer for each job: two owners that write the same record at
             // the same time only make each other's transactions fail.
             if placer == controller.identity.name {
@@ -195,16 +196,16 @@
                 end(round, world, &key, id, how, now_ms);
             } else if since == now {
                 let proof = TerminationProof {
-                    job: key.0,
-                    task: key.1,
-                    attempt: key.2,
+                    job: key.job,
+                    task: key.task,
+                    attempt: key.attempt,
                     machine: id.to_string(),
                     reason_code: how.code(),
                 };
                 round.proofs.entry(placer.to_owned()).or_default().push(proof);
             }
         }
-        if let Some(until) = worker.notice_until {
+        if let Some(until) = worker.spot_notice_until() {
             let left = until.saturating_duration_since(now);
             for (job, record, a) in world.assignments(id) {
                 let stops = record.spec.as_ref().is_some_and(|s| spot_notice::stops(s, left));
@@ -223,14 +224,16 @@
         }
         let only_clears =
             !plan.commands.is_empty() && plan.commands.iter().all(|c| matches!(c, Command::Forget { .. }));
-        let urgent = plan.poke || !plan.commands.is_empty() && (!only_clears || plan.commands.len() > 12);
-        let due = only_clears && worker.clear_due(now);
+        let urgent = plan.needs_token_acknowledgement
+            || !plan.commands.is_empty() && (!only_clears || plan.commands.len() > 12);
+        let due = only_clears && worker.is_cleanup_due(now);
         if (urgent || due)
-            && worker.may_send(now)
-            && let Some(token) = worker.begin(&plan.commands, now)
+            && worker.may_send_commands(now)
+            && let Some(token) = worker.begin_commands(&plan.commands, now)
         {
-            let session = worker.session;
-            let commands = Commands { fencing_token: token, incarnation: session, commands: plan.commands };
+            let session = worker.incarnation();
+            let commands =
+                Commands { fencing_token: token.get(), incarnation: session, commands: plan.commands };
             round.sends.push((id.clone(), worker.addr.clone(), commands));
         }
     }
@@ -240,7 +243,7 @@
 fn end(
     round: &mut Round,
     world: &Replica,
-    (job, task, attempt): &Key,
+    AssignmentId { job, task, attempt }: &AssignmentId,
     machine: &str,
     how: TerminationReason,
     now_ms: u64,
@@ -274,14 +277,14 @@
     let ControllerState { records, proofs, .. } = state;
     let world = &records.replica;
     proofs.retain_valid(world, &controller.identity.name, epoch, now);
-    let mut jobs: BTreeMap<&str, Vec<(&Key, &PendingProof)>> = BTreeMap::new();
+    let mut jobs: BTreeMap<&str, Vec<(&AssignmentId, &PendingProof)>> = BTreeMap::new();
     for (key, proof) in proofs.iter() {
-        jobs.entry(&key.0).or_default().push((key, proof));
+        jobs.entry(&key.job).or_default().push((key, proof));
     }
     // A change tells of all that has ended of a job. Where changes are short, those
     // come first that complete a job, tell of much, or have waited long: by names
     // alone, some would wait while others are written for every single task.
-    let mut order: Vec<(f64, Vec<(&Key, &PendingProof)>)> = jobs
+    let mut order: Vec<(f64, Vec<(&AssignmentId, &PendingProof)>)> = jobs
         .into_iter()
         .filter_map(|(id, ends)| {
             let job = &world.jobs.get(id)?.value;
@@ -296,7 +299,7 @@
 }
 
 /// How much a change is worth that tells of these ends of a job.
-fn worth(job: &JobRecord, ends: &[(&Key, &PendingProof)], now: Instant) -> f64 {
+fn worth(job: &JobRecord, ends: &[(&AssignmentId, &PendingProof)], now: Instant) -> f64 {
     let done = ends.iter().filter(|(_, p)| p.reason == TerminationReason::Done).count() as u32;
     let tasks = job.spec.as_ref().map_or(0, |s| s.tasks);
     let gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
@@ -509,9 +512,13 @@
 ) {
     let report = report.filter(|r| r.machine == machine);
     let Some(w) = state.machines.workers.get_mut(machine) else { return };
-    w.finish(token, report.is_some(), now);
-    if let Some(report) = report {
-        w.ingest(report, false, now);
+    let token = FencingToken::from(token);
+    match report {
+        Some(report) => {
+            w.commands_answered(token);
+            w.receive_response(report, now);
+        }
+        None => w.commands_failed(token, now),
     }
 }
 
--- a/crates/daemon/src/state/machine_view.rs
+++ b/crates/daemon/src/state/machine_view.rs
@@ -29,9 +29,9 @@
     fn of_worker(worker: &Worker, now: Instant) -> Self {
         Self {
             silent: worker.silent_for(now),
-            heard_from: worker.heard.is_some(),
-            unhealthy: worker.sick(),
-            spot_notice: worker.notice_until.is_some(),
+            heard_from: worker.was_heard_from(),
+            unhealthy: worker.is_unhealthy(),
+            spot_notice: worker.spot_notice_until().is_some(),
         }
     }
 
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -189,7 +189,7 @@
     /// The process runs. After a pause, workers are not blamed for what was not heard meanwhile.
     pub fn tick(&mut self, now: Instant) {
         if self.pauses.tick(now) {
-            self.machines.workers.values_mut().for_each(|worker| worker.excuse(now));
+            self.machines.workers.values_mut().for_each(|worker| worker.note_process_pause(now));
         }
     }
 
@@ -231,10 +231,10 @@
 /// Whether an owner's worker may be given something.
 pub(crate) fn accepts_work(worker: &Worker, heartbeat_interval: Duration, now: Instant) -> bool {
     let limit = max_silence(heartbeat_interval);
-    worker.heard.is_some()
-        && worker.hears()
+    worker.was_heard_from()
+        && worker.receives_commands()
         && worker.silent_for(now) < limit
-        && !worker.is_mute(limit, now)
-        && worker.notice_until.is_none()
-        && !worker.sick()
+        && !worker.sends_no_heartbeats(limit, now)
+        && worker.spot_notice_until().is_none()
+        && !worker.is_unhealthy()
 }
--- a/crates/daemon/src/state/termination_proofs.rs
+++ b/crates/daemon/src/state/termination_proofs.rs
@@ -7,7 +7,7 @@
 use sched::records::TerminationReason;
 use sched::replica::Replica;
 
-use crate::worker::Key;
+use crate::worker::AssignmentId;
 
 /// How long a controller that a proof was forwarded to has to write it.
 pub const FORWARDED_PROOF_TIMEOUT: Duration = Duration::from_millis(5000);
@@ -32,12 +32,12 @@
 /// Proofs that are not written yet, by job, task and attempt.
 #[derive(Debug, Default)]
 pub struct PendingProofs {
-    by_assignment: BTreeMap<Key, PendingProof>,
+    by_assignment: BTreeMap<AssignmentId, PendingProof>,
 }
 
 impl PendingProofs {
     /// Keeps a proof until it is written.
-    pub fn insert(&mut self, assignment: Key, proof: PendingProof) {
+    pub fn insert(&mut self, assignment: AssignmentId, proof: PendingProof) {
         self.by_assignment.insert(assignment, proof);
     }
 
@@ -46,14 +46,14 @@
     pub fn insert_forwarded(&mut self, epoch: u64, proofs: Vec<TerminationProof>, now: Instant) {
         for proof in proofs {
             let Some(reason) = TerminationReason::from_code(proof.reason_code) else { continue };
-            let pending =
-                PendingProof { machine: proof.machine, reason, epoch, received_at: now, proven_at: now };
-            self.insert((proof.job, proof.task, proof.attempt), pending);
+            let TerminationProof { job, task, attempt, machine, .. } = proof;
+            let pending = PendingProof { machine, reason, epoch, received_at: now, proven_at: now };
+            self.insert(AssignmentId { job, task, attempt }, pending);
         }
     }
 
     /// The proofs, in the order of jobs, tasks and attempts.
-    pub fn iter(&self) -> impl Iterator<Item = (&Key, &PendingProof)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&AssignmentId, &PendingProof)> {
         self.by_assignment.iter()
     }
 
@@ -61,20 +61,20 @@
     /// under, as a later owner may start what is absent, and only while the record has the
     /// assignment and this controller, `me`, schedules the job.
     pub fn retain_valid(&mut self, replica: &Replica, me: &str, epoch: u64, now: Instant) {
-        self.by_assignment.retain(|key, proof| {
+        self.by_assignment.retain(|assignment, proof| {
             let age = now.saturating_duration_since(proof.received_at);
-            proof.epoch == epoch && age < MAX_PROOF_AGE && is_assigned(replica, me, key, proof)
+            proof.epoch == epoch && age < MAX_PROOF_AGE && is_assigned(replica, me, assignment, proof)
         });
     }
 }
 
 /// Whether the assignment is still in its job's record, and `me` schedules the job.
-fn is_assigned(replica: &Replica, me: &str, (job, task, attempt): &Key, proof: &PendingProof) -> bool {
-    let Some(job) = replica.jobs.get(job).map(|job| &job.value) else { return false };
+fn is_assigned(replica: &Replica, me: &str, id: &AssignmentId, proof: &PendingProof) -> bool {
+    let Some(job) = replica.jobs.get(&id.job).map(|job| &job.value) else { return false };
     if replica.scheduler_of(job) != Some(me) {
         return false;
     }
-    let Ok(found) = job.assignments.binary_search_by_key(task, |a| a.task) else { return false };
+    let Ok(found) = job.assignments.binary_search_by_key(&id.task, |a| a.task) else { return false };
     let assignment = &job.assignments[found];
-    assignment.attempt == *attempt && *assignment.machine == *proof.machine
+    assignment.attempt == id.attempt && *assignment.machine == *proof.machine
 }
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -4,8 +4,8 @@
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
 use crate::state::ControllerState;
-use crate::worker::tests::spec;
-use crate::worker::{Worker, first_token};
+use crate::worker::Worker;
+use crate::worker::tests::{first_token, spec};
 use drain::budget::UnitId;
 use drain::step::{Move, Unit, Work};
 use peer::RunningTasksRequest;
@@ -233,14 +233,14 @@
             checkpointed: None,
         }],
     };
-    worker.ingest(report(1, TaskState::Fetching), true, now);
+    worker.receive_heartbeat(report(1, TaskState::Fetching), now);
     core.machines.workers.insert(machine.into(), worker);
     let seen = |core: &ControllerState, at| {
         drain::view::Running::is_running(&observe::running(&controller, core, at), "j-1", task, 1)
     };
     assert!(!seen(&core, now), "it fetches its image");
     let worker = core.machines.workers.get_mut(machine).expect("there");
-    worker.ingest(report(2, TaskState::Running), true, now);
+    worker.receive_heartbeat(report(2, TaskState::Running), now);
     assert!(seen(&core, now));
     assert!(!seen(&core, now + Duration::from_secs(9)), "nothing was heard for three reports");
     let request = RunningTasksRequest { nonce: 7, epoch: 4, jobs: vec!["j-1".into()] };
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -223,7 +223,7 @@
         host.live(self.now);
         let report = host.report();
         if let Some(w) = self.nodes[n].state().machines.workers.get_mut(host.id) {
-            w.ingest(report, false, self.now);
+            w.receive_response(report, self.now);
         }
     }
 
--- a/crates/daemon/tests/unit/faults_reports.rs
+++ b/crates/daemon/tests/unit/faults_reports.rs
@@ -355,7 +355,7 @@
 #[test]
 fn a_deaf_machine_counts_as_deaf_until_it_hears() {
     let (mut site, mut host) = running(1);
-    let hears = |site: &Site| site.nodes[0].state().machines.workers["host-1"].hears();
+    let hears = |site: &Site| site.nodes[0].state().machines.workers["host-1"].receives_commands();
     let deaf_at = site.now;
     while site.now < deaf_at + LEASE * 3 {
         site.wait(3.0);
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -11,13 +11,13 @@
 use tokio::time::sleep;
 use wire::{Heartbeat, JobKind, JobSpec, JobState, TaskState, TaskStatus};
 
-use crate::controller::Controller;
+use crate::controller::{Controller, MEMBER_TTL};
 use crate::operators::Operators;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
 use crate::stand_in::*;
-use crate::worker::tests::spec;
-use crate::worker::{Limits, Worker, first_token};
+use crate::worker::tests::{first_token, spec};
+use crate::worker::{Worker, WorkerLimits};
 use crate::{change_feed, membership, read_barrier, reconcile, round};
 
 /// A description without one of its fields, or with another value in it.
@@ -165,7 +165,12 @@
             vec![Assignment { task: 0, attempt: 1, machine: "m-1".into(), desired: DesiredState::Stopped }];
         world.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 2);
         let mut worker = Worker::new("a".into(), 1, now);
-        let limits = Limits { gang_peer: Duration::ZERO, lease: Duration::from_secs(9), fresh_at: Some(now) };
+        let limits = WorkerLimits {
+            gang_peer: Duration::ZERO,
+            lease: Duration::from_secs(9),
+            fresh_at: Some(now),
+            max_launch_replica_age: MEMBER_TTL,
+        };
         for n in 1..4 {
             let at = now + Duration::from_secs(n * 3);
             let mut report = report("m-1", n);
@@ -177,7 +182,7 @@
                 cause: None,
                 checkpointed: None,
             }];
-            assert!(worker.ingest(report, true, at));
+            assert!(worker.receive_heartbeat(report, at));
             worker.reconcile("m-1", &world, &limits, at);
         }
         let spec = JobSpec { checkpoint_save_s: s, checkpoint_interval_s: s, ..spec("j-1", JobKind::Gang) };
--- a/crates/daemon/tests/unit/fleet_duty_returns.rs
+++ b/crates/daemon/tests/unit/fleet_duty_returns.rs
@@ -27,7 +27,7 @@
             .workers
             .iter_mut()
             .filter(|(id, _)| !dark.contains(id))
-            .for_each(|(_, w)| w.heard = Some(at));
+            .for_each(|(_, w)| w.set_last_heartbeat_at(at));
     };
     hear(&mut state, later);
     let mut fleet =
@@ -88,7 +88,7 @@
     state.tick(now);
     let woken = now + Duration::from_secs(32);
     // Some reports are taken in before anything else runs.
-    state.machines.workers.values_mut().take(40).for_each(|w| w.heard = Some(woken));
+    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_heartbeat_at(woken));
     assert_eq!(fleet.surplus(&controller, &state, woken), [], "before the beat");
     state.records.fresh_at = Some(woken);
     state.tick(woken);
@@ -96,7 +96,7 @@
     let later = woken + controller.silence_limit();
     (0..9).for_each(|n| state.tick(woken + controller.silence_limit() * n / 8));
     state.records.fresh_at = Some(later);
-    state.machines.workers.values_mut().take(40).for_each(|w| w.heard = Some(later));
+    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_heartbeat_at(later));
     assert_eq!(fleet.surplus(&controller, &state, later).len(), 60, "but for what it does not hear now");
 }
 
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -15,8 +15,8 @@
 use crate::reconcile;
 use crate::round;
 use crate::scale;
-use crate::worker::tests::spec;
-use crate::worker::{Worker, first_token};
+use crate::worker::Worker;
+use crate::worker::tests::{first_token, spec};
 
 const MACHINES: usize = 4000;
 const NOW_MS: u64 = 500_000;
@@ -94,7 +94,7 @@
         rounds += 1;
         let at = now + Duration::from_millis(100 * rounds);
         core.records.fresh_at = Some(at);
-        core.machines.workers.values_mut().for_each(|w| w.heard = Some(at));
+        core.machines.workers.values_mut().for_each(|w| w.set_last_heartbeat_at(at));
         let round = reconcile::decide(&controller, &mut core, false, 16, at, NOW_MS).expect("entitled");
         assert!(commit(&controller, &mut core.records.replica, round) <= 16);
     }
@@ -133,11 +133,11 @@
     let silent = now + controller.silence_limit() * 2;
     let mut core = controller.state();
     let unmet: Vec<Name> =
-        core.machines.workers.iter().filter(|(_, w)| w.heard.is_none()).map(|(id, _)| id.clone()).collect();
+        core.machines.workers.iter().filter(|(_, w)| !w.was_heard_from()).map(|(id, _)| id.clone()).collect();
     assert!(unmet.len() > MACHINES / 4, "{}", unmet.len());
     assert!(unmet.iter().all(|id| core.machines.workers[id].silent_for(silent) == Duration::ZERO));
     for id in &unmet {
-        core.machines.workers.get_mut(id).expect("owned").did_not_answer();
+        core.machines.workers.get_mut(id).expect("owned").note_probe_failure();
     }
     assert!(unmet.iter().all(|id| core.machines.workers[id].silent_for(silent) > controller.silence_limit()));
 }
@@ -209,7 +209,7 @@
         let owned: Vec<Name> = core.records.replica.owned_by(&controller.identity).cloned().collect();
         for id in owned {
             let mut worker = Worker::new("10.1.0.1:9000".into(), 7, now);
-            worker.owned_since = now;
+            worker.set_owned_since(now);
             core.machines.workers.insert(id, worker);
         }
     }
@@ -218,8 +218,8 @@
         let report = report(&controller, id, 1, first_token(7));
         let mut core = controller.state();
         let worker = core.machines.workers.get_mut(id).expect("owned");
-        worker.ingest(report, true, now);
-        worker.renew(now);
+        worker.receive_heartbeat(report, now);
+        worker.renew_lease(now);
     }
     let mut core = controller.state();
     core.records.fresh_at = Some(now);
@@ -239,8 +239,8 @@
     let later = now + Duration::from_secs(21);
     core.records.fresh_at = Some(later);
     core.machines.workers.values_mut().for_each(|w| {
-        w.excuse(later);
-        w.heard = Some(later);
+        w.note_process_pause(later);
+        w.set_last_heartbeat_at(later);
     });
     let round = reconcile::decide(&controller, &mut core, false, 16, later, NOW_MS).expect("entitled");
     let record = round.jobs.get("j-1").expect("placed");
--- a/crates/daemon/tests/unit/placer.rs
+++ b/crates/daemon/tests/unit/placer.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::worker::tests::spec;
+use crate::worker::tests::{first_token, spec};
 use std::collections::BTreeMap;
 
 #[test]
@@ -40,7 +40,7 @@
     use crate::operators::Operators;
     use crate::settings::Settings;
     use crate::settings::tests::EXAMPLE;
-    use crate::worker::{Worker, first_token};
+    use crate::worker::Worker;
     use sched::replica::RecordChange;
 
     let controller =
@@ -70,7 +70,7 @@
     let mut worker = Worker::new("host-1".into(), 7, now);
     let report = serde_json::json!({"frame": "host-1", "addr": "host-1", "shape": "m", "bay": "a",
         "loaner": false, "stint": 1, "tally": 1, "baton": first_token(7), "threads": []});
-    worker.ingest(wire::decode(&wire::encode(&report)).expect("a report"), true, now);
+    worker.receive_heartbeat(wire::decode(&wire::encode(&report)).expect("a report"), now);
     state.machines.workers.insert("host-1".into(), worker);
     let round = crate::reconcile::decide(&controller, &mut state, false, 16, now, 1000).expect("a round");
     round.jobs.iter().map(|(id, j)| (id.clone(), j.assignments.len())).collect()
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -2,8 +2,8 @@
 use crate::operators::Operators;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
-use crate::worker::tests::spec;
-use crate::worker::{Worker, first_token};
+use crate::worker::Worker;
+use crate::worker::tests::{first_token, spec};
 use sched::records::*;
 use std::sync::Arc;
 use wire::{Command, Heartbeat, JobKind};
@@ -89,7 +89,7 @@
         {"thread": "j-2/0", "try": 1, "status": "running"}]);
     let report = serde_json::json!({"frame": MACHINE, "addr": "a", "shape": "m", "bay": "a", "loaner": false,
         "stint": 1, "tally": 1, "baton": first_token(4), "threads": list});
-    worker.ingest(wire::decode::<Heartbeat>(&wire::encode(&report)).expect("a report"), true, start);
+    worker.receive_heartbeat(wire::decode::<Heartbeat>(&wire::encode(&report)).expect("a report"), start);
     confirm(&other, "j-1", 4);
     let late = start + bound + Duration::from_secs(20);
     let renews = |at: Instant| leader.may_renew_leases(&leader.state(), at);
@@ -100,7 +100,7 @@
     let limits = leader.worker_limits(state.records.fresh_at);
     let plan = worker.reconcile(MACHINE, &state.records.replica, &limits, late);
     let stop = Command::Stop { task: "j-1/0".into(), attempt: 1, grace_s: 0.0 };
-    assert_eq!((plan.commands, plan.ends), (vec![stop], vec![]), "the cancelled one, and only that");
+    assert_eq!((plan.commands, plan.terminations), (vec![stop], vec![]), "the cancelled one, and only that");
     // What it can write later is conditional on the version that it learnt.
     assert_eq!(state.records.replica.jobs["j-1"].version, 4);
 }
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -16,8 +16,8 @@
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::state::ControllerState;
-use crate::worker::tests::spec;
-use crate::worker::{Worker, first_token};
+use crate::worker::Worker;
+use crate::worker::tests::{first_token, spec};
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 const EPOCH: u64 = 7;
@@ -131,15 +131,15 @@
             tasks: core.records.replica.assignments(&id).map(running).collect(),
         };
         let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
-        worker.ingest(report, true, now);
-        worker.renew(now);
+        worker.receive_heartbeat(report, now);
+        worker.renew_lease(now);
         core.machines.workers.insert(id, worker);
     }
     core.records.fresh_at = Some(now);
 }
 
 fn due(core: &ControllerState, now: Instant) -> usize {
-    core.machines.workers.values().filter(|w| w.due(now)).count()
+    core.machines.workers.values().filter(|w| w.is_reconciliation_due(now)).count()
 }
 
 #[test]
--- a/crates/daemon/tests/unit/sim/machines.rs
+++ b/crates/daemon/tests/unit/sim/machines.rs
@@ -142,13 +142,17 @@
         if !mine || !controller.may_renew_leases(core, now) {
             return None;
         }
-        let worker = core.machines.workers.get_mut(id(m).as_str()).filter(|w| !w.overtaken_by(&report))?;
-        let news = worker.ingest(report, true, now);
-        worker.renew(now);
+        let worker =
+            core.machines.workers.get_mut(id(m).as_str()).filter(|w| !w.is_superseded_by(&report))?;
+        let news = worker.receive_heartbeat(report, now);
+        worker.renew_lease(now);
         let limits = controller.worker_limits(core.records.fresh_at);
-        let orders =
-            if news { worker.answer(&id(m), &core.records.replica, &limits, now) } else { Vec::new() };
-        Some((worker.token(), orders))
+        let orders = if news {
+            worker.commands_for_heartbeat(&id(m), &core.records.replica, &limits, now)
+        } else {
+            Vec::new()
+        };
+        Some((worker.token().get(), orders))
     }
 
     pub(super) fn execute(&mut self, m: usize, orders: &[Command]) {
--- a/crates/daemon/tests/unit/sim/mail.rs
+++ b/crates/daemon/tests/unit/sim/mail.rs
@@ -1,6 +1,7 @@
 //! Messages on their way: delayed, lost, copied, repeated.
 
 use super::*;
+use crate::worker::FencingToken;
 
 pub(super) enum Message {
     Commands {
@@ -126,9 +127,13 @@
     pub(super) fn answered(&mut self, n: usize, machine: usize, token: u64, report: Option<Heartbeat>) {
         let now = self.now();
         if let Some(w) = self.nodes[n].state().machines.workers.get_mut(id(machine).as_str()) {
-            w.finish(token, report.is_some(), now);
-            if let Some(report) = report {
-                w.ingest(report, false, now);
+            let token = FencingToken::from(token);
+            match report {
+                Some(report) => {
+                    w.commands_answered(token);
+                    w.receive_response(report, now);
+                }
+                None => w.commands_failed(token, now),
             }
         }
     }
--- a/crates/daemon/tests/unit/worker.rs
+++ b/crates/daemon/tests/unit/worker.rs
@@ -1,8 +1,8 @@
-use super::reconcile::Plan;
+use super::reconcile::ReconciliationPlan;
 use super::*;
 use sched::records::*;
 use sched::replica::{RecordChange, Replica};
-use wire::{ExitReason, JobKind, JobSpec, Priority};
+use wire::{ExitReason, JobKind, JobSpec, Priority, TaskState, TaskStatus};
 
 /// A machine type without GPUs that boots and fetches fast.
 pub(crate) fn kind(cpus: f64, memory_gb: f64, zones: &[&str]) -> wire::MachineType {
@@ -46,8 +46,31 @@
     }
 }
 
-fn world(run: Vec<Assignment>, phase: Phase) -> Replica {
-    let mut w = Replica::default();
+/// The first token of an epoch, as heartbeats show it.
+pub(crate) fn first_token(epoch: u64) -> u64 {
+    FencingToken::first_of_epoch(epoch).get()
+}
+
+impl From<FencingToken> for u64 {
+    fn from(token: FencingToken) -> Self {
+        token.get()
+    }
+}
+
+impl Worker {
+    /// Has the worker as if its last status was received at this time.
+    pub(crate) fn set_last_heartbeat_at(&mut self, at: Instant) {
+        self.liveness.last_heartbeat_at = Some(at);
+    }
+
+    /// Has the worker as if this controller had owned its machine since this time.
+    pub(crate) fn set_owned_since(&mut self, at: Instant) {
+        self.liveness.owned_since = at;
+    }
+}
+
+fn replica_with(assignments: Vec<Assignment>, phase: Phase) -> Replica {
+    let mut replica = Replica::default();
     let machine = MachineRecord {
         addr: "a".into(),
         machine_type: "m".into(),
@@ -55,18 +78,18 @@
         spot: false,
         release: false,
     };
-    w.apply(RecordChange::Machine("host-1".into(), Some(machine)), 1);
+    replica.apply(RecordChange::Machine("host-1".into(), Some(machine)), 1);
     let mut job = JobRecord::new(spec("j-1", JobKind::Array), None, 0);
-    (job.assignments, job.phase) = (run, phase);
-    w.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 2);
-    w
+    (job.assignments, job.phase) = (assignments, phase);
+    replica.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 2);
+    replica
 }
 
-fn assigned(want: DesiredState) -> Vec<Assignment> {
-    vec![Assignment { task: 0, attempt: 1, machine: "host-1".into(), desired: want }]
+fn assigned(desired: DesiredState) -> Vec<Assignment> {
+    vec![Assignment { task: 0, attempt: 1, machine: "host-1".into(), desired }]
 }
 
-fn report(seq: u64, token: u64, tasks: &[(u64, TaskState, Option<ExitReason>)]) -> Heartbeat {
+fn heartbeat(seq: u64, token: impl Into<u64>, tasks: &[(u64, TaskState, Option<ExitReason>)]) -> Heartbeat {
     Heartbeat {
         machine: "host-1".into(),
         addr: "a".into(),
@@ -75,7 +98,7 @@
         spot: false,
         incarnation: 1,
         sequence: seq,
-        fencing_token: token,
+        fencing_token: token.into(),
         spot_notice_s: None,
         tasks: tasks
             .iter()
@@ -94,86 +117,101 @@
     [Command::Start { task: "j-1/0".into(), attempt: 1 }]
 }
 
-fn limits(now: Instant) -> Limits {
-    Limits { gang_peer: Duration::from_secs(5), lease: Duration::from_secs(11), fresh_at: Some(now) }
+fn limits(now: Instant) -> WorkerLimits {
+    WorkerLimits {
+        gang_peer: Duration::from_secs(5),
+        lease: Duration::from_secs(11),
+        fresh_at: Some(now),
+        max_launch_replica_age: Duration::from_secs(4),
+    }
 }
 
-fn ends(plan: &Plan) -> Vec<TerminationReason> {
-    plan.ends.iter().map(|e| e.1).collect()
+fn terminations(plan: &ReconciliationPlan) -> Vec<TerminationReason> {
+    plan.terminations.iter().map(|e| e.1).collect()
 }
 
 #[test]
-fn a_new_owner_takes_absence_for_nothing_until_its_token_was_seen() {
+fn absence_proves_nothing_to_a_new_owner_until_its_token_was_seen() {
     let now = Instant::now();
-    let w = world(assigned(DesiredState::Stopped), Phase::Active);
+    let replica = replica_with(assigned(DesiredState::Stopped), Phase::Active);
     let mut worker = Worker::new("a".into(), 5, now);
-    worker.ingest(report(1, first_token(4) + 9, &[]), true, now);
-    let plan = worker.reconcile("host-1", &w, &limits(now), now);
-    assert!(plan.ends.is_empty() && plan.poke);
-    worker.ingest(report(2, first_token(5), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
+    worker.receive_heartbeat(heartbeat(1, first_token(4) + 9, &[]), now);
+    let plan = worker.reconcile("host-1", &replica, &limits(now), now);
+    assert!(plan.terminations.is_empty() && plan.needs_token_acknowledgement);
+    worker.receive_heartbeat(heartbeat(2, first_token(5), &[]), now);
+    assert_eq!(
+        terminations(&worker.reconcile("host-1", &replica, &limits(now), now)),
+        [TerminationReason::Lost]
+    );
 }
 
-/// A task ended, its machine lost the lease before that was recorded, and the
-/// next owner started it there once more. A copy of the report from before, which
-/// comes to yet another owner as the first it hears, ends nothing.
+/// A task exited, its machine lost the lease before that was recorded, and the next owner started
+/// it there once more. A delayed duplicate of the heartbeat from before, which reaches yet another
+/// owner as the first that it receives, ends nothing.
 #[test]
-fn a_late_copy_of_an_end_is_no_proof_to_a_new_owner() {
+fn a_delayed_duplicate_of_an_exit_proves_nothing_to_a_new_owner() {
     let now = Instant::now();
-    let w = world(assigned(DesiredState::Running), Phase::Active);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
     let mut worker = Worker::new("a".into(), 9, now);
-    let old = report(316, first_token(7) + 3, &[(1, TaskState::Exited, Some(ExitReason::Done))]);
-    worker.ingest(old, true, now);
-    let plan = worker.reconcile("host-1", &w, &limits(now), now);
-    assert!(plan.ends.is_empty() && plan.poke, "the worker is asked");
+    let old = heartbeat(316, first_token(7) + 3, &[(1, TaskState::Exited, Some(ExitReason::Done))]);
+    worker.receive_heartbeat(old, now);
+    let plan = worker.reconcile("host-1", &replica, &limits(now), now);
+    assert!(plan.terminations.is_empty() && plan.needs_token_acknowledgement, "the worker is asked");
     let running = [(1, TaskState::Running, None)];
-    worker.ingest(Heartbeat { incarnation: 2, ..report(317, first_token(8) + 1, &running) }, false, now);
-    let plan = worker.reconcile("host-1", &w, &limits(now), now);
-    assert!(plan.ends.is_empty() && !plan.poke);
+    worker
+        .receive_response(Heartbeat { incarnation: 2, ..heartbeat(317, first_token(8) + 1, &running) }, now);
+    let plan = worker.reconcile("host-1", &replica, &limits(now), now);
+    assert!(plan.terminations.is_empty() && !plan.needs_token_acknowledgement);
     let ended = [(1, TaskState::Exited, Some(ExitReason::Done))];
-    worker.ingest(Heartbeat { incarnation: 2, ..report(318, first_token(9), &ended) }, true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Done]);
+    worker.receive_heartbeat(Heartbeat { incarnation: 2, ..heartbeat(318, first_token(9), &ended) }, now);
+    assert_eq!(
+        terminations(&worker.reconcile("host-1", &replica, &limits(now), now)),
+        [TerminationReason::Done]
+    );
 }
 
-/// A controller stands still for longer than the lease. On waking it proves that
-/// whatever was on a machine is over, an assignment too that it has not launched
-/// yet. Then the worker reports; the proof is on its way to the record.
+/// A controller is paused for longer than the lease. Then it proves that whatever was on a machine
+/// is over, including an assignment that it has not launched yet. The worker sends a heartbeat
+/// while the proof is on its way to the record.
 #[test]
-fn what_was_proven_over_is_not_launched_after_all() {
+fn an_assignment_that_was_proven_over_is_not_launched() {
     let now = Instant::now();
-    let w = world(assigned(DesiredState::Running), Phase::Active);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
     let mut worker = Worker::new("a".into(), 5, now);
-    worker.ingest(report(1, first_token(5), &[]), true, now);
-    worker.renew(now);
+    worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
+    worker.renew_lease(now);
     let woken = now + Duration::from_secs(30);
-    let plan = worker.reconcile("host-1", &w, &limits(woken), woken);
-    assert_eq!(ends(&plan), [TerminationReason::Lost]);
-    worker.ended_since(&plan.ends[0].0, woken);
-    worker.ingest(Heartbeat { incarnation: 2, ..report(2, first_token(5), &[]) }, true, woken);
-    worker.renew(woken);
-    assert_eq!(worker.answer("host-1", &w, &limits(woken), woken), []);
-    let plan = worker.reconcile("host-1", &w, &limits(woken), woken);
-    assert!(plan.commands.is_empty() && ends(&plan) == [TerminationReason::Lost], "it is still over");
+    let plan = worker.reconcile("host-1", &replica, &limits(woken), woken);
+    assert_eq!(terminations(&plan), [TerminationReason::Lost]);
+    worker.first_proven_at(&plan.terminations[0].0, woken);
+    worker.receive_heartbeat(Heartbeat { incarnation: 2, ..heartbeat(2, first_token(5), &[]) }, woken);
+    worker.renew_lease(woken);
+    assert_eq!(worker.commands_for_heartbeat("host-1", &replica, &limits(woken), woken), []);
+    let plan = worker.reconcile("host-1", &replica, &limits(woken), woken);
+    assert!(plan.commands.is_empty() && terminations(&plan) == [TerminationReason::Lost], "it is still over");
 }
 
 #[test]
 fn an_unanswered_launch_is_ruled_out_only_by_a_later_token() {
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
-    worker.ingest(report(1, first_token(5), &[]), true, now);
-    let w = world(assigned(DesiredState::Running), Phase::Active);
-    let plan = worker.reconcile("host-1", &w, &limits(now), now);
+    worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
+    let plan = worker.reconcile("host-1", &replica, &limits(now), now);
     assert!(matches!(plan.commands[..], [Command::Start { .. }]));
-    let sent = worker.begin(&launch(), now).expect("a token");
+    let sent = worker.begin_commands(&launch(), now).expect("a token");
     // Cancelled while the launch is on its way.
-    let w = world(assigned(DesiredState::Running), Phase::Cancelled);
-    worker.ingest(report(2, sent, &[]), true, now);
-    assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
-    worker.finish(sent, false, now);
-    worker.ingest(report(3, sent, &[]), true, now);
-    assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
-    worker.ingest(report(4, worker.token(), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Cancelled);
+    worker.receive_heartbeat(heartbeat(2, sent, &[]), now);
+    assert!(worker.reconcile("host-1", &replica, &limits(now), now).terminations.is_empty());
+    worker.commands_failed(sent, now);
+    worker.receive_heartbeat(heartbeat(3, sent, &[]), now);
+    assert!(worker.reconcile("host-1", &replica, &limits(now), now).terminations.is_empty());
+    worker.receive_heartbeat(heartbeat(4, worker.token(), &[]), now);
+    assert_eq!(
+        terminations(&worker.reconcile("host-1", &replica, &limits(now), now)),
+        [TerminationReason::Lost]
+    );
 }
 
 /// An epoch has 2^20 tokens for each worker. Before they are used up a new epoch is asked for;
@@ -183,165 +221,173 @@
 fn an_owner_never_gives_out_a_token_of_the_next_epoch() {
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
-    worker.ingest(report(1, first_token(5), &[]), true, now);
-    let mut last = first_token(5);
+    worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
+    let mut last = FencingToken::first_of_epoch(5);
     let mut low_at = None;
-    while worker.may_send(now) {
-        let token = worker.begin(&[], now).expect("a token");
-        assert!(token > last && token < first_token(6));
+    while worker.may_send_commands(now) {
+        let token = worker.begin_commands(&[], now).expect("a token");
+        assert!(token > last && token < FencingToken::first_of_epoch(6));
         last = token;
-        worker.finish(token, true, now);
+        worker.commands_answered(token);
         if low_at.is_none() && worker.tokens_run_low() {
             low_at = Some(token);
         }
     }
-    assert_eq!(last, first_token(6) - 1);
+    assert_eq!(last.get(), first_token(6) - 1);
     let low_at = low_at.expect("a new epoch is asked for in time");
-    assert!(last - low_at > 100_000, "there is time for it");
-    assert!(worker.begin(&launch(), now).is_none());
+    assert!(last.get() - low_at.get() > 100_000, "there is time for it");
+    assert!(worker.begin_commands(&launch(), now).is_none());
     // The last launch is not answered. Nothing of this epoch can show that it never came.
     let mut worker = Worker::new("a".into(), 5, now);
-    worker.ingest(report(1, first_token(5), &[]), true, now);
-    worker.token = first_token(6) - 2;
-    let sent = worker.begin(&launch(), now).expect("the last");
-    worker.finish(sent, false, now);
-    assert_eq!(worker.token(), first_token(6) - 1);
-    let w = world(assigned(DesiredState::Stopped), Phase::Active);
-    worker.ingest(report(2, sent, &[]), true, now);
-    assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
+    worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
+    worker.commands.newest = FencingToken::from(first_token(6) - 2);
+    let sent = worker.begin_commands(&launch(), now).expect("the last");
+    worker.commands_failed(sent, now);
+    assert_eq!(worker.token().get(), first_token(6) - 1);
+    let replica = replica_with(assigned(DesiredState::Stopped), Phase::Active);
+    worker.receive_heartbeat(heartbeat(2, sent, &[]), now);
+    assert!(worker.reconcile("host-1", &replica, &limits(now), now).terminations.is_empty());
     worker.enter_epoch(6);
-    assert!(!worker.tokens_run_low() && worker.may_send(now + Duration::from_secs(9)));
-    worker.ingest(report(3, first_token(6), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
+    assert!(!worker.tokens_run_low() && worker.may_send_commands(now + Duration::from_secs(9)));
+    worker.receive_heartbeat(heartbeat(3, first_token(6), &[]), now);
+    assert_eq!(
+        terminations(&worker.reconcile("host-1", &replica, &limits(now), now)),
+        [TerminationReason::Lost]
+    );
 }
 
 #[test]
 fn a_request_of_an_earlier_epoch_does_not_end_the_wait_for_a_later_one() {
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
-    worker.ingest(report(1, first_token(5), &[]), true, now);
-    let old = worker.begin(&launch(), now).expect("a token");
+    worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
+    let old = worker.begin_commands(&launch(), now).expect("a token");
     worker.enter_epoch(6);
-    worker.ingest(report(2, first_token(6), &[]), true, now);
-    worker.begin(&launch(), now);
-    worker.finish(old, true, now);
-    let w = world(assigned(DesiredState::Stopped), Phase::Active);
-    assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
+    worker.receive_heartbeat(heartbeat(2, first_token(6), &[]), now);
+    worker.begin_commands(&launch(), now);
+    worker.commands_answered(old);
+    let replica = replica_with(assigned(DesiredState::Stopped), Phase::Active);
+    assert!(worker.reconcile("host-1", &replica, &limits(now), now).terminations.is_empty());
 }
 
 #[test]
-fn launches_in_an_answer_are_open_until_the_next_report_of_its_own() {
+fn launches_in_a_response_are_open_until_the_next_heartbeat() {
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
-    worker.ingest(report(1, first_token(5), &[]), true, now);
-    let w = world(assigned(DesiredState::Running), Phase::Active);
-    assert_eq!(worker.answer("host-1", &w, &limits(now), now).len(), 1);
-    let w = world(assigned(DesiredState::Running), Phase::Cancelled);
-    worker.ingest(report(2, first_token(5), &[]), false, now);
-    assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
-    worker.ingest(report(3, first_token(5), &[]), true, now);
-    assert_eq!(ends(&worker.reconcile("host-1", &w, &limits(now), now)), [TerminationReason::Lost]);
+    worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
+    assert_eq!(worker.commands_for_heartbeat("host-1", &replica, &limits(now), now).len(), 1);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Cancelled);
+    worker.receive_response(heartbeat(2, first_token(5), &[]), now);
+    assert!(worker.reconcile("host-1", &replica, &limits(now), now).terminations.is_empty());
+    worker.receive_heartbeat(heartbeat(3, first_token(5), &[]), now);
+    assert_eq!(
+        terminations(&worker.reconcile("host-1", &replica, &limits(now), now)),
+        [TerminationReason::Lost]
+    );
 }
 
 #[test]
-fn an_older_report_changes_nothing() {
+fn an_older_heartbeat_changes_nothing() {
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
-    assert!(worker.ingest(report(7, first_token(5), &[(1, TaskState::Running, None)]), true, now));
-    assert!(!worker.ingest(report(6, first_token(5), &[]), true, now));
-    let w = world(assigned(DesiredState::Running), Phase::Active);
-    assert_eq!(worker.reconcile("host-1", &w, &limits(now), now), Plan::default());
+    assert!(worker.receive_heartbeat(heartbeat(7, first_token(5), &[(1, TaskState::Running, None)]), now));
+    assert!(!worker.receive_heartbeat(heartbeat(6, first_token(5), &[]), now));
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
+    assert_eq!(worker.reconcile("host-1", &replica, &limits(now), now), ReconciliationPlan::default());
 }
 
 #[test]
-fn clears_wait_until_the_end_is_committed_and_the_mirror_is_newer() {
+fn tasks_are_forgotten_once_the_end_is_committed_and_the_replica_is_newer() {
     let start = Instant::now();
     let mut worker = Worker::new("a".into(), 5, start);
-    worker.ingest(report(1, first_token(5), &[(1, TaskState::Exited, Some(ExitReason::Done))]), true, start);
-    let assigned = world(assigned(DesiredState::Running), Phase::Active);
+    worker.receive_heartbeat(
+        heartbeat(1, first_token(5), &[(1, TaskState::Exited, Some(ExitReason::Done))]),
+        start,
+    );
+    let assigned = replica_with(assigned(DesiredState::Running), Phase::Active);
     let plan = worker.reconcile("host-1", &assigned, &limits(start), start);
-    assert_eq!((ends(&plan), plan.commands.len()), (vec![TerminationReason::Done], 0));
-    let gone = world(vec![], Phase::Active);
+    assert_eq!((terminations(&plan), plan.commands.len()), (vec![TerminationReason::Done], 0));
+    let gone = replica_with(vec![], Phase::Active);
     assert!(worker.reconcile("host-1", &gone, &limits(start), start).commands.is_empty());
     let later = start + Duration::from_secs(3);
     let stale = worker.reconcile("host-1", &gone, &limits(start), later);
-    assert!(stale.commands.is_empty(), "the mirror is as old as the first sight");
+    assert!(stale.commands.is_empty(), "the replica is as old as the first sight");
     let plan = worker.reconcile("host-1", &gone, &limits(later), later);
     assert!(matches!(plan.commands[..], [Command::Forget { attempt: 1, .. }]));
 }
 
 #[test]
-fn a_machine_that_is_heard_but_does_not_hear_gets_no_work_and_counts_as_silent() {
+fn a_worker_that_does_not_hear_gets_no_work_and_counts_as_silent() {
     let start = Instant::now();
     let at = |s| start + Duration::from_secs(s);
     let mut worker = Worker::new("a".into(), 5, start);
-    worker.ingest(report(1, first_token(4), &[]), true, start);
-    assert!(!worker.hears(), "it has shown no token of this owner's");
-    worker.renew(start);
-    worker.ingest(report(2, first_token(5), &[]), true, at(1));
-    assert!(worker.hears());
-    worker.begin(&launch(), at(1));
-    worker.finish(first_token(5) + 1, false, at(4));
-    worker.renew(at(4));
-    worker.ingest(report(3, first_token(5), &[]), true, at(8));
-    worker.renew(at(8));
-    worker.ingest(report(4, first_token(5), &[]), true, at(12));
-    assert!(!worker.hears());
-    assert_eq!(worker.silent_for(at(20)), Duration::from_secs(8), "its reports do not count");
-    // Its lease ran out although its reports were answered.
-    let mut next = report(5, first_token(5), &[]);
+    worker.receive_heartbeat(heartbeat(1, first_token(4), &[]), start);
+    assert!(!worker.receives_commands(), "it has shown no token of this owner's");
+    worker.renew_lease(start);
+    worker.receive_heartbeat(heartbeat(2, first_token(5), &[]), at(1));
+    assert!(worker.receives_commands());
+    worker.begin_commands(&launch(), at(1));
+    worker.commands_failed((first_token(5) + 1).into(), at(4));
+    worker.renew_lease(at(4));
+    worker.receive_heartbeat(heartbeat(3, first_token(5), &[]), at(8));
+    worker.renew_lease(at(8));
+    worker.receive_heartbeat(heartbeat(4, first_token(5), &[]), at(12));
+    assert!(!worker.receives_commands());
+    assert_eq!(worker.silent_for(at(20)), Duration::from_secs(8), "its heartbeats do not count");
+    // Its lease ran out although its heartbeats were answered.
+    let mut next = heartbeat(5, first_token(5), &[]);
     next.incarnation = 2;
-    worker.ingest(next, true, at(30));
-    assert!(!worker.hears());
-    let mut heard = report(6, worker.token(), &[]);
+    worker.receive_heartbeat(next, at(30));
+    assert!(!worker.receives_commands());
+    let mut heard = heartbeat(6, worker.token(), &[]);
     heard.incarnation = 2;
-    worker.ingest(heard, false, at(31));
-    assert!(worker.hears(), "it answered a request");
+    worker.receive_response(heard, at(31));
+    assert!(worker.receives_commands(), "it answered a request");
 }
 
-/// Copies of reports arrive late, also as the first thing that a controller
-/// hears which has just taken over: they prove nothing.
+/// Delayed duplicates of heartbeats prove nothing, also as the first that a new owner receives.
 #[test]
-fn late_copies_prove_no_absence_renew_nothing_and_revive_nothing() {
+fn delayed_duplicates_prove_no_absence_and_renew_nothing() {
     let now = Instant::now();
-    let w = world(assigned(DesiredState::Running), Phase::Active);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
     let mut worker = Worker::new("a".into(), 6, now);
-    // A copy from the epoch before, from when the task was not there yet.
-    worker.ingest(report(3, first_token(5) + 7, &[]), true, now);
-    let plan = worker.reconcile("host-1", &w, &limits(now), now);
-    assert!(plan.ends.is_empty() && !worker.hears());
+    // A duplicate from the epoch before, from when the task was not there yet.
+    worker.receive_heartbeat(heartbeat(3, first_token(5) + 7, &[]), now);
+    let plan = worker.reconcile("host-1", &replica, &limits(now), now);
+    assert!(plan.terminations.is_empty() && !worker.receives_commands());
     // The worker itself, with the task.
     let running = [(1, TaskState::Running, None)];
-    assert!(worker.ingest(report(9, first_token(6), &running), true, now));
+    assert!(worker.receive_heartbeat(heartbeat(9, first_token(6), &running), now));
     let later = now + Duration::from_secs(40);
     for seq in [3, 8, 9] {
-        assert!(!worker.ingest(report(seq, first_token(5) + 7, &[]), true, later));
+        assert!(!worker.receive_heartbeat(heartbeat(seq, first_token(5) + 7, &[]), later));
     }
     assert_eq!(worker.silent_for(later), Duration::from_secs(40));
-    assert!(worker.reconcile("host-1", &w, &limits(later), now).ends.is_empty());
-    // A launch that was not answered is not ruled out by a copy that shows
+    assert!(worker.reconcile("host-1", &replica, &limits(later), now).terminations.is_empty());
+    // A launch that was not answered is not ruled out by a duplicate that shows
     // an older token, however late it comes.
     let mut worker = Worker::new("a".into(), 6, now);
-    worker.ingest(report(1, first_token(6), &[]), true, now);
-    let sent = worker.begin(&launch(), now).expect("a token");
-    worker.finish(sent, false, now);
-    worker.ingest(report(2, first_token(6), &[]), true, now);
-    let w = world(assigned(DesiredState::Running), Phase::Cancelled);
-    assert!(worker.reconcile("host-1", &w, &limits(now), now).ends.is_empty());
+    worker.receive_heartbeat(heartbeat(1, first_token(6), &[]), now);
+    let sent = worker.begin_commands(&launch(), now).expect("a token");
+    worker.commands_failed(sent, now);
+    worker.receive_heartbeat(heartbeat(2, first_token(6), &[]), now);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Cancelled);
+    assert!(worker.reconcile("host-1", &replica, &limits(now), now).terminations.is_empty());
 }
 
 #[test]
-fn a_lease_proves_its_tasks_over_only_after_its_full_time() {
+fn only_a_lease_that_has_fully_expired_proves_its_tasks_over() {
     let start = Instant::now();
     let limits = limits(start);
-    let w = world(assigned(DesiredState::Running), Phase::Active);
+    let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
     let silent = |token, renewed: Option<Duration>, after: Duration| {
         let mut worker = Worker::new("a".into(), 5, start);
-        worker.ingest(report(1, token, &[(1, TaskState::Running, None)]), true, start);
+        worker.receive_heartbeat(heartbeat(1, token, &[(1, TaskState::Running, None)]), start);
         if let Some(at) = renewed {
-            worker.renew(start + at);
+            worker.renew_lease(start + at);
         }
-        !worker.reconcile("host-1", &w, &limits, start + after).ends.is_empty()
+        !worker.reconcile("host-1", &replica, &limits, start + after).terminations.is_empty()
     };
     let (token, renewed) = (first_token(5), Some(Duration::from_secs(2)));
     let end = Duration::from_secs(2) + limits.lease;
@@ -352,25 +398,27 @@
 }
 
 #[test]
-fn a_machine_is_sick_by_several_jobs_but_not_by_one_bad_job() {
+fn a_machine_is_unhealthy_by_failures_of_several_jobs_but_not_of_one() {
     let mut worker = Worker::new("a".into(), 1, Instant::now());
     for _ in 0..5 {
-        worker.note_end("j-1", TerminationReason::Error);
+        worker.failures.note_termination("j-1", TerminationReason::Error);
     }
-    assert!(!worker.sick());
-    worker.note_end("j-2", TerminationReason::Error);
-    assert!(worker.sick());
-    worker.note_end("j-3", TerminationReason::Done);
-    assert!(!worker.sick());
+    assert!(!worker.is_unhealthy());
+    worker.failures.note_termination("j-2", TerminationReason::Error);
+    assert!(worker.is_unhealthy());
+    worker.failures.note_termination("j-3", TerminationReason::Done);
+    assert!(!worker.is_unhealthy());
 }
 
 #[test]
-fn cancelled_tasks_are_killed_and_others_may_save() {
+fn cancelled_tasks_are_killed_and_others_may_checkpoint() {
     let now = Instant::now();
-    let grace = |want, phase| {
+    let grace = |desired, phase| {
         let mut worker = Worker::new("a".into(), 5, now);
-        worker.ingest(report(1, first_token(5), &[(1, TaskState::Running, None)]), true, now);
-        match &worker.reconcile("host-1", &world(assigned(want), phase), &limits(now), now).commands[..] {
+        worker.receive_heartbeat(heartbeat(1, first_token(5), &[(1, TaskState::Running, None)]), now);
+        match &worker.reconcile("host-1", &replica_with(assigned(desired), phase), &limits(now), now).commands
+            [..]
+        {
             [Command::Stop { grace_s, .. }] => Some(*grace_s),
             _ => None,
         }
