--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -21,7 +21,7 @@
 use crate::controller::{Controller, wall_ms};
 use crate::fleet_duty::Fleet;
 use crate::operators::Operators;
-use crate::peers;
+use crate::peer_status;
 use crate::reconcile;
 use crate::round;
 use crate::settings::Settings;
@@ -305,7 +305,7 @@
     }
 
     pub fn hear_peer(&self, count: u64) {
-        peers::take(&self.controller, self.rows(count));
+        peer_status::receive_status(&self.controller, self.rows(count));
     }
 
     pub fn new(machines: usize, jobs: usize) -> Self {
@@ -494,12 +494,12 @@
                 (0..4).for_each(|_| drop(black_box(api::shard_choice::choose_shard(&controller, &new))))
             });
             case_over(&mut done, "part for a new job", 4);
-            measured(|| peer::encode(&Message::PeerStatus(peers::summary(&controller))));
+            measured(|| peer::encode(&Message::PeerStatus(peer_status::own_status(&controller))));
             case_over(&mut done, "summary told", 1);
             let told = peer::encode(&Message::PeerStatus(self.rows(self.seq * 10)));
             measured(|| {
                 if let Some(Message::PeerStatus(s)) = peer::decode(&told) {
-                    peers::take(&controller, s);
+                    peer_status::receive_status(&controller, s);
                 }
             });
             case_over(&mut done, "summary heard", 1);
--- a/crates/daemon/src/api/heartbeats.rs
+++ b/crates/daemon/src/api/heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::clock;
 use crate::controller::Controller;
 use crate::load::LoadCounters;
-use crate::peers;
+use crate::peer_client;
 use crate::state::ControllerState;
 use crate::worker::{FencingToken, Worker, stops_of_cancelled_jobs};
 
@@ -60,7 +60,8 @@
             redirect(owner)
         }
         HeartbeatOutcome::Relay(owner) => {
-            peers::relay(controller, &owner, body.to_vec()).await.unwrap_or_else(|| redirect(None))
+            let relayed = peer_client::relay_heartbeat(controller, &owner, body.to_vec()).await;
+            relayed.unwrap_or_else(|| redirect(None))
         }
         HeartbeatOutcome::RegisterMachine { epoch } => {
             // The machine is recorded before anything is launched on it.
--- a/crates/daemon/src/drains/observe.rs
+++ b/crates/daemon/src/drains/observe.rs
@@ -13,7 +13,7 @@
 use super::state::PeerAnswer;
 use crate::clock;
 use crate::controller::Controller;
-use crate::peers::LARGE;
+use crate::peer_client::MAX_MESSAGE_BYTES;
 use crate::state::ControllerState;
 
 /// Where peers ask.
@@ -99,8 +99,11 @@
     request: &RunningTasksRequest,
 ) -> Option<RunningTasks> {
     let body = peer::encode_running_request(request);
-    let answer =
-        controller.peer_and_cloud_http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
+    let answer = controller
+        .peer_and_cloud_http
+        .request(address, "POST", PATH, body, MAX_MESSAGE_BYTES, DEADLINE)
+        .await
+        .ok()?;
     (answer.status == 200).then(|| peer::decode_running(&answer.body)).flatten()
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -29,7 +29,9 @@
 mod load;
 mod membership;
 mod operators;
-mod peers;
+mod peer_client;
+mod peer_server;
+mod peer_status;
 #[cfg(test)]
 #[path = "../tests/unit/pipelines.rs"]
 mod pipelines;
@@ -212,11 +214,11 @@
     let controller = Controller::new(settings, operators, incarnation);
     spawn_duties(&controller);
     let n = controller.clone();
-    let peers = move |request| peers::serve(n.clone(), request);
+    let peers = move |request| peer_server::serve(n.clone(), request);
     controller.spawn_task(net::serve(
         peer_listener,
         controller.peer_connections.clone(),
-        1 << 20,
+        peer_client::MAX_MESSAGE_BYTES,
         peers,
         controller.shutdown.clone(),
         controller.task_tracker.clone(),
@@ -259,7 +261,7 @@
             let (name, address) = (peer.node_name.clone(), peer.address.clone());
             controller.spawn_task(drains::observe::ask_peer(controller.clone(), name, address));
         }
-        controller.spawn_task(peers::exchange_summaries(controller.clone(), peer.address.clone()));
+        controller.spawn_task(peer_status::exchange_statuses(controller.clone(), peer.address.clone()));
     }
 }
 
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -17,7 +17,6 @@
 //!   knows a newer map does not count. Jobs cancelled through `awaits` were never started.
 //!   A released machine has nothing left to renew.
 
-use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use net::Reply;
@@ -29,8 +28,8 @@
 
 use crate::clock;
 use crate::controller::Controller;
-use crate::peers::LARGE;
-use crate::state::ControllerState;
+use crate::peer_client::MAX_MESSAGE_BYTES;
+use crate::state::{ControllerState, PeerReadIndex};
 
 /// Answers in parts are in the order of versions. Those of `/read-index`, which came before,
 /// were in the order of ids, and could not be continued.
@@ -41,59 +40,12 @@
 /// Bytes of records after which an answer ends; the rest comes with the next part. Well below
 /// [`LARGE`], as what was changed by one transaction (64 KiB) is never parted.
 const PART_BYTES: usize = 256 << 10;
-/// How many of a controller's processes are remembered.
-const PROCESSES: usize = 16;
-
-#[derive(Default)]
-pub struct ReadIndexes {
-    peers: HashMap<String, PeerIndex>,
-    /// When each process of each controller was first heard of.
-    heard: HashMap<String, Vec<(u64, Instant)>>,
-}
-
-#[derive(Clone, Copy)]
-struct PeerIndex {
-    incarnation: u64,
-    /// All that it knew up to this revision has been taken in.
-    revision: u64,
-    /// When the last request was sent that was answered in full.
-    at: Instant,
-}
-
-impl ReadIndexes {
-    /// Notes that a process has been heard of.
-    pub fn heard(&mut self, name: &str, incarnation: u64, now: Instant) {
-        let list = self.heard.entry(name.to_owned()).or_default();
-        if list.iter().all(|(i, _)| *i != incarnation) {
-            // The oldest may be forgotten: its word then counts for less.
-            if list.len() >= PROCESSES {
-                list.remove(0);
-            }
-            list.push((incarnation, now));
-        }
-    }
-
-    fn first_heard(&self, name: &str, incarnation: u64) -> Option<Instant> {
-        self.heard.get(name)?.iter().find(|(i, _)| *i == incarnation).map(|(_, at)| *at)
-    }
-
-    /// Up to when all that a peer has confirmed to users is known here.
-    pub fn vouched_at(&self, name: &str) -> Option<Instant> {
-        self.peers.get(name).map(|p| p.at)
-    }
-
-    /// Up to which revision all cancellations are known, read here or by a peer that told.
-    fn after(&self, read: u64) -> u64 {
-        self.peers.values().map(|p| p.revision).fold(read, u64::max)
-    }
-}
-
 /// What to ask a peer, if there is need to.
 pub(crate) fn request(state: &ControllerState, nonce: u64, now: Instant) -> Option<ReadIndexRequest> {
     let fresh = state.records.fresh_at.is_some_and(|f| now.saturating_duration_since(f) < ASK_AFTER);
     (state.records.is_loaded && !fresh).then(|| ReadIndexRequest {
         nonce,
-        after: state.peers.read_indexes.after(state.records.replica.revision),
+        after: state.peers.read_indexes.known_up_to(state.records.replica.revision),
     })
 }
 
@@ -162,8 +114,8 @@
     if index.nonce != asked.nonce || index.name != peer || !state.records.is_loaded {
         return Word::Void;
     }
-    state.peers.read_indexes.heard(peer, index.incarnation, now);
-    let known = state.peers.read_indexes.first_heard(peer, index.incarnation);
+    state.peers.read_indexes.note_heard(peer, index.incarnation, now);
+    let known = state.peers.read_indexes.first_heard_at(peer, index.incarnation);
     let before = state.records.fresh_at.zip(known).is_some_and(|(fresh, heard)| heard <= fresh);
     let epoch = state.cluster_map().map_or(0, |m| m.epoch);
     let mut counts = index.epoch <= epoch && (index.revision > 0 || before);
@@ -196,12 +148,8 @@
         // A part that does not get further would be asked for without end.
         return known_up_to.filter(|v| *v > asked.after).map_or(Word::Void, Word::Continues);
     }
-    // Of an earlier process's answers nothing is left to build on.
-    let found = PeerIndex { incarnation: index.incarnation, revision: index.revision, at: sent };
-    let entry = state.peers.read_indexes.peers.entry(peer.to_owned()).or_insert(found);
-    if entry.incarnation != index.incarnation || sent >= entry.at {
-        *entry = found;
-    }
+    let found = PeerReadIndex { incarnation: index.incarnation, revision: index.revision, asked_at: sent };
+    state.peers.read_indexes.update(peer, found);
     Word::LoadCounters
 }
 
@@ -238,8 +186,11 @@
 /// as long as it is there, leases are renewed within the bound alone.
 async fn exchange(controller: &Controller, address: &str, asked: &ReadIndexRequest) -> Option<ReadIndex> {
     let body = peer::encode_request(asked);
-    let answer =
-        controller.peer_and_cloud_http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
+    let answer = controller
+        .peer_and_cloud_http
+        .request(address, "POST", PATH, body, MAX_MESSAGE_BYTES, DEADLINE)
+        .await
+        .ok()?;
     (answer.status == 200).then(|| peer::decode_index(&answer.body)).flatten()
 }
 
--- a/crates/daemon/src/reconcile.rs
+++ b/crates/daemon/src/reconcile.rs
@@ -19,7 +19,7 @@
 use crate::controller::{Controller, wall_ms};
 use crate::drains;
 use crate::load::{LoadCounters, Purpose};
-use crate::peers;
+use crate::peer_client;
 use crate::placer;
 use crate::round::{Assembled, Event, Round, assemble, edit, log_events};
 use crate::state::{ControllerState, FORWARDED_PROOF_TIMEOUT, PendingProof};
@@ -326,7 +326,7 @@
     let tasks = controller.task_tracker.clone();
     tasks.spawn(async move {
         for some in proofs.chunks(PROOFS_AT_ONCE) {
-            if !peers::hand_over(&controller, &to, epoch, some.to_vec()).await {
+            if !peer_client::forward_termination_proofs(&controller, &to, epoch, some.to_vec()).await {
                 // Its jobs' ends are written here for a while.
                 controller.state().peers.note_unreachable(to, clock::now());
                 controller.wake_scheduler.notify_one();
--- a/crates/daemon/src/state/peers.rs
+++ b/crates/daemon/src/state/peers.rs
@@ -7,7 +7,7 @@
 use sched::records::Name;
 use sched::replica::Replica;
 
-use crate::read_index::ReadIndexes;
+use super::read_indexes::ReadIndexes;
 
 /// How long nothing may be heard of a controller before it counts as unreachable.
 const SILENCE_LIMIT: Duration = Duration::from_millis(3500);
--- a/crates/daemon/tests/unit/fault_days/network.rs
+++ b/crates/daemon/tests/unit/fault_days/network.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use super::{All, Site};
-use crate::{api, peers, read_index};
+use crate::{api, peer_server, read_index};
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Party {
@@ -132,7 +132,7 @@
                     (c.controller.clone()?, c.incarnation)
                 };
                 let reply = match request.path.as_str() {
-                    "/peer" | read_index::PATH => peers::serve(controller, request).await,
+                    "/peer" | read_index::PATH => peer_server::serve(controller, request).await,
                     _ => api::serve(controller, request).await,
                 };
                 if !self.lock().controllers[*n].runs(incarnation) {
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -400,7 +400,7 @@
     assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await.0, 201);
     for n in 0..200 {
         let (controller, report) = (controller.clone(), wire::encode(&report(&format!("host-{n}"), 1)));
-        tokio::spawn(async move { crate::peers::relay(&controller, "n-1", report).await });
+        tokio::spawn(async move { crate::peer_client::relay_heartbeat(&controller, "n-1", report).await });
     }
     let since = Instant::now();
     assert_eq!(state(&controller, "j-1").await, (200, Some(JobState::Queued)));
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -11,7 +11,8 @@
 
 use crate::api::heartbeats::{HeartbeatOutcome, HeartbeatRoute, process_heartbeat};
 use crate::controller::Controller;
-use crate::peers;
+use crate::peer_client;
+use crate::peer_status;
 use crate::reconcile;
 use crate::round;
 use crate::scale;
@@ -192,10 +193,10 @@
             core.machines.workers.insert(id, Worker::new("10.1.0.1:9000".into(), 7, now));
         }
     }
-    let summary = peers::summary(&controller);
+    let summary = peer_status::own_status(&controller);
     assert_eq!(summary.machines.len(), 2 * MACHINES);
     let bytes = peer::encode(&peer::Message::PeerStatus(summary));
-    assert!(bytes.len() < peers::LARGE, "{}", bytes.len());
+    assert!(bytes.len() < peer_client::MAX_MESSAGE_BYTES, "{}", bytes.len());
 }
 
 /// A gang on every machine. Before all controllers are upgraded its record cannot be written:
--- a/crates/daemon/tests/unit/peers.rs
+++ b/crates/daemon/tests/unit/peer_status.rs
@@ -6,7 +6,7 @@
 use sched::replica::RecordChange;
 
 #[test]
-fn late_copies_of_summaries_say_nothing() {
+fn delayed_duplicates_of_statuses_change_nothing() {
     let text = EXAMPLE.replacen(
         "[external]",
         "[[peers]]\nnode_name = \"n-1\"\naddress = \"127.0.0.1:3\"\n[external]",
@@ -14,9 +14,9 @@
     );
     let controller =
         Controller::new(Settings::parse("example", &text).expect("valid"), Operators::default(), 1);
-    let hear = |incarnation, count, state_silent_ms| {
+    let receive = |incarnation, count, state_silent_ms| {
         let name = "n-1".to_owned();
-        take(
+        receive_status(
             &controller,
             PeerStatus {
                 name,
@@ -29,19 +29,19 @@
         );
         controller.state().peers.statuses["n-1"].status.state_silent_ms
     };
-    assert_eq!(hear(7, 1, 60_000), 60_000, "an outage");
-    assert_eq!(hear(7, 2, 100), 100);
-    assert_eq!(hear(7, 1, 60_000), 100, "a copy of the first");
+    assert_eq!(receive(7, 1, 60_000), 60_000, "an outage");
+    assert_eq!(receive(7, 2, 100), 100);
+    assert_eq!(receive(7, 1, 60_000), 100, "a duplicate of the first");
     let member = Member { name: "n-1".into(), zone: "a".into(), incarnation: 8 };
     controller.state().records.replica.apply(RecordChange::Member("n-1".into(), Some(member)), 1);
-    assert_eq!(hear(8, 1, 50), 50, "a new process counts anew");
-    assert_eq!(hear(7, 9, 60_000), 50, "its predecessor is gone");
+    assert_eq!(receive(8, 1, 50), 50, "a new process counts anew");
+    assert_eq!(receive(7, 9, 60_000), 50, "its predecessor is gone");
 }
 
-/// A controller that is cut off from its workers says that they are silent, and
-/// leaves the map: its word is not that of their next owner.
+/// A controller that is partitioned from its workers reports that they are silent, and leaves the
+/// map: its status must not pass for that of their next owner.
 #[test]
-fn what_was_said_of_a_machine_goes_with_its_owner() {
+fn the_status_of_a_machine_is_forgotten_with_its_owner() {
     let controller = crate::scale::controller(40, 2);
     let mut state = controller.state();
     let theirs: Vec<_> = state.records.replica.machines.keys().cloned().collect();
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -236,7 +236,7 @@
     loop {
         parts += 1;
         let index = answer(&other, &other.state(), &asked);
-        assert!(peer::encode_index(&index).len() < LARGE / 2, "part {parts}");
+        assert!(peer::encode_index(&index).len() < MAX_MESSAGE_BYTES / 2, "part {parts}");
         match take(&mut state, "n-1", &asked, index, late, late + Duration::from_secs(parts)) {
             Word::Continues(after) => {
                 assert!(!leader.may_renew_leases(&state, late), "part {parts} is not all");
@@ -283,7 +283,7 @@
     confirm(&other, "j-1", 4);
     let post = |path: &str, body: Vec<u8>| {
         let request = Request { method: "POST".into(), path: path.into(), body: body.into() };
-        crate::peers::serve(other.clone(), request)
+        crate::peer_server::serve(other.clone(), request)
     };
     let asked = peer::encode_request(&ReadIndexRequest { nonce: 8, after: 3 });
     let reply = post(PATH, asked.clone()).await;
