--- a/crates/daemon/src/api/machine_registration.rs
+++ b/crates/daemon/src/api/machine_registration.rs
@@ -8,19 +8,18 @@
 use store::{KeyWrite, StoreError, TxnOutcome, key};
 use tokio::time::sleep;
 use tracing::{debug, info};
-use wire::{Condition, Heartbeat};
+use wire::Condition;
 
 use super::CONFLICT_TIMEOUT;
 use crate::controller::Controller;
 use crate::load::{Purpose, sample_names};
 use crate::state::ControllerState;
+use crate::worker_client::fetch_status;
 
 /// How long further machines are waited for before a batch is recorded.
 const BATCH_DELAY: Duration = Duration::from_millis(150);
 /// How long a machine has to confirm its name.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Most bytes of a worker's status.
-const MAX_STATUS_BYTES: usize = wire::BODY_LIMIT * 4;
 
 /// A machine that has no record yet, with the record that it is to get.
 type NewMachine = (Name, MachineRecord);
@@ -73,11 +72,8 @@
 
 /// Whether the worker at the address of a record says that it is this machine's.
 pub(crate) async fn confirms_name(controller: &Controller, machine: &str, record: &MachineRecord) -> bool {
-    let answer = controller
-        .worker_http
-        .request(&record.addr, "GET", "/status", Vec::new(), MAX_STATUS_BYTES, CONFIRMATION_TIMEOUT)
-        .await;
-    answer.is_ok_and(|a| wire::decode::<Heartbeat>(&a.body).is_ok_and(|status| status.machine == machine))
+    let status = fetch_status(controller, machine, &record.addr, CONFIRMATION_TIMEOUT).await;
+    status.is_ok_and(|status| status.is_some())
 }
 
 async fn record_machines(controller: &Controller, machines: Vec<NewMachine>) {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -57,6 +57,7 @@
 mod stand_in;
 mod state;
 mod worker;
+mod worker_client;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -249,7 +250,7 @@
     controller.spawn_task(membership::keep_membership(controller.clone()));
     controller.spawn_task(reconcile::heartbeat(controller.clone()));
     controller.spawn_task(reconcile::rounds(controller.clone()));
-    controller.spawn_task(prober::prober(controller.clone()));
+    controller.spawn_task(prober::probe_silent_workers(controller.clone()));
     controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
     controller.spawn_task(load::log_regularly(controller.clone()));
--- a/crates/daemon/src/peer_status.rs
+++ b/crates/daemon/src/peer_status.rs
@@ -132,7 +132,7 @@
 pub async fn exchange_statuses(controller: Arc<Controller>, address: String) {
     let mut is_urgent = true;
     loop {
-        read_index::ask(&controller, &address).await;
+        read_index::query_peer(&controller, &address).await;
         if is_urgent || !was_exchanged_lately(&controller, &address) {
             exchange_status(&controller, &address).await;
         }
--- a/crates/daemon/src/prober.rs
+++ b/crates/daemon/src/prober.rs
@@ -1,4 +1,5 @@
-//! Asks workers that have not been heard of.
+//! Probes owned workers that have not been heard from for their status, so that a new owner need
+//! not wait for their heartbeats.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,85 +7,84 @@
 use net::NetError;
 use sched::records::Name;
 use tokio::time::sleep;
-use wire::Heartbeat;
 
 use crate::clock;
 use crate::controller::Controller;
 use crate::worker::Worker;
+use crate::worker_client::fetch_status;
 
-/// How often silent workers are asked.
-const PROBE_EVERY: Duration = Duration::from_millis(700);
-const PROBE_DEADLINE: Duration = Duration::from_millis(1200);
-/// Most workers asked at a time, as a part of those to ask, and at least. Those that are lost
-/// must not keep the others from being asked.
-const PROBED_PART: usize = 4;
-const PROBED_LEAST: usize = 16;
-/// And as a part of the connections to workers, as each that does not answer holds one.
-const PROBED_SOCKETS_PART: usize = 2;
+/// How often silent workers are probed.
+const PROBE_INTERVAL: Duration = Duration::from_millis(700);
+/// How long a worker has to answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// At most this part of the silent workers is probed at a time: those that are lost must not keep
+/// the others from being probed.
+const SILENT_WORKERS_DIVISOR: usize = 4;
+/// But so many are, if there are as many.
+const MIN_CONCURRENT_PROBES: usize = 16;
+/// At most this part of the connections to workers is used, as each worker that does not answer
+/// holds one.
+const CONNECTIONS_DIVISOR: usize = 2;
+/// How late a heartbeat may be, beyond one and a half of its intervals.
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(500);
 
-/// Asks owned workers that have not been heard of for their status, so that a
-/// new owner need not wait for their reports.
-pub async fn prober(controller: Arc<Controller>) {
-    let mut turn = 0;
+/// A worker that was not heard from lately.
+struct SilentWorker {
+    machine: Name,
+    addr: String,
+}
+
+/// Probes silent workers until the controller stops.
+pub async fn probe_silent_workers(controller: Arc<Controller>) {
+    let max_probes = controller.settings.sockets().to_workers / CONNECTIONS_DIVISOR;
+    let mut next = 0;
     loop {
-        sleep(PROBE_EVERY).await;
-        let mut quiet = quiet_workers(&controller, clock::now());
-        let most = controller.settings.sockets().to_workers / PROBED_SOCKETS_PART;
-        let at_once = probed_at_once(quiet.len(), most);
-        if !quiet.is_empty() {
-            let from = turn % quiet.len();
-            quiet.rotate_left(from);
-            turn = from + at_once;
+        sleep(PROBE_INTERVAL).await;
+        let mut silent = silent_workers(&controller, clock::now());
+        let probes = concurrent_probes(silent.len(), max_probes);
+        if !silent.is_empty() {
+            let first = next % silent.len();
+            silent.rotate_left(first);
+            next = first + probes;
         }
-        for (machine, addr) in quiet.into_iter().take(at_once) {
-            let controller = controller.clone();
-            let tasks = controller.task_tracker.clone();
-            tasks.spawn(async move { probe(&controller, &machine, &addr).await });
+        for worker in silent.into_iter().take(probes) {
+            let prober = controller.clone();
+            controller.task_tracker.spawn(async move { probe(&prober, &worker).await });
         }
     }
 }
 
-/// How many of so many silent workers are asked at a time.
-fn probed_at_once(quiet: usize, most: usize) -> usize {
-    (quiet / PROBED_PART).max(PROBED_LEAST).min(most.max(1)).min(quiet)
+/// How many of so many silent workers are probed at a time.
+fn concurrent_probes(silent: usize, max_probes: usize) -> usize {
+    (silent / SILENT_WORKERS_DIVISOR).max(MIN_CONCURRENT_PROBES).min(max_probes.max(1)).min(silent)
 }
 
-/// The owned workers that have not been heard of for longer than a report may take.
-fn quiet_workers(controller: &Controller, now: Instant) -> Vec<(Name, String)> {
-    let limit = controller.heartbeat_interval() * 3 / 2 + Duration::from_millis(500);
+/// The owned workers that have not been heard from for longer than a heartbeat may take.
+fn silent_workers(controller: &Controller, now: Instant) -> Vec<SilentWorker> {
+    let limit = controller.heartbeat_interval() * 3 / 2 + MAX_HEARTBEAT_DELAY;
     let state = controller.state();
-    let quiet = |w: &Worker| !w.was_heard_from() || w.silent_for(now) > limit;
-    state
-        .machines
-        .workers
-        .iter()
-        .filter(|(_, w)| !w.addr.is_empty() && quiet(w))
-        .map(|(id, w)| (id.clone(), w.addr.clone()))
+    let is_silent = |w: &Worker| !w.was_heard_from() || w.silent_for(now) > limit;
+    let workers = state.machines.workers.iter();
+    workers
+        .filter(|(_, w)| !w.addr.is_empty() && is_silent(w))
+        .map(|(machine, w)| SilentWorker { machine: machine.clone(), addr: w.addr.clone() })
         .collect()
 }
 
 /// Asks one worker for its status.
-async fn probe(controller: &Controller, machine: &Name, addr: &str) {
-    let asked = controller.worker_http.request(
-        addr,
-        "GET",
-        "/status",
-        Vec::new(),
-        wire::BODY_LIMIT * 4,
-        PROBE_DEADLINE,
-    );
-    let report = match asked.await {
-        Ok(answer) => wire::decode::<Heartbeat>(&answer.body).ok().filter(|r| *r.machine == **machine),
-        // It was not asked at all.
+async fn probe(controller: &Controller, worker: &SilentWorker) {
+    let status = match fetch_status(controller, &worker.machine, &worker.addr, PROBE_TIMEOUT).await {
+        Ok(status) => status,
+        // No connection was free: the worker was not asked at all.
         Err(NetError::Busy(_)) => return,
         Err(_) => None,
     };
-    if let Some(w) = controller.state().machines.workers.get_mut(machine) {
-        match report {
-            Some(report) => {
-                w.receive_response(report, clock::now());
+    if let Some(known) = controller.state().machines.workers.get_mut(&worker.machine) {
+        match status {
+            Some(status) => {
+                known.receive_response(status, clock::now());
             }
-            None => w.note_probe_failure(),
+            None => known.note_probe_failure(),
         }
     }
     controller.wake_scheduler.notify_one();
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -36,6 +36,7 @@
     "membership",
     "read_barrier",
     "worker",
+    "worker_client",
 ];
 
 fn crates() -> PathBuf {
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -59,13 +59,17 @@
     state.records.replica.apply(RecordChange::Job(id.into(), Some(record)), revision);
 }
 
-/// One question and its answer between two controllers; whether its word counts.
+fn sent<'p>(peer: &'p str, request: &'p ReadIndexRequest, sent_at: Instant) -> SentRequest<'p> {
+    SentRequest { peer, request, sent_at }
+}
+
+/// One request and its answer between two controllers; whether the answer is complete.
 fn exchange(asker: &Arc<Controller>, of: &Arc<Controller>, at: Instant) -> bool {
     let mut state = asker.state();
-    let Some(asked) = request(&state, 77, at) else { return false };
-    let bytes = peer::encode_index(&answer(of, &of.state(), &asked));
+    let Some(asked) = request_if_needed(&state, 77, at) else { return false };
+    let bytes = peer::encode_index(&own_read_index(of, &of.state(), &asked));
     let index = peer::decode_index(&bytes).expect("an answer");
-    take(&mut state, &of.identity.name, &asked, index, at, at) == Word::LoadCounters
+    apply_read_index(&mut state, sent(&of.identity.name, &asked, at), index, at) == ReadIndexOutcome::Complete
 }
 
 fn three() -> [Arc<Controller>; 3] {
@@ -108,7 +112,7 @@
 /// In a long outage in which nothing was cancelled no lease is lost, as long as all answer;
 /// each answer carries on for the bound from when it was asked for.
 #[test]
-fn leases_go_on_through_a_long_outage_while_every_peer_answers() {
+fn leases_are_renewed_through_a_long_outage_while_every_peer_answers() {
     let [leader, other, third] = three();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
@@ -123,13 +127,13 @@
     assert!(!leader.may_renew_leases(&leader.state(), last + bound), "one that falls silent ends it");
     // With the state service there is nothing to ask.
     leader.state().records.fresh_at = Some(last);
-    assert!(request(&leader.state(), 1, last + Duration::from_secs(1)).is_none());
+    assert!(request_if_needed(&leader.state(), 1, last + Duration::from_secs(1)).is_none());
 }
 
 /// The answer to a user was on its way when the peer answered: it is confirmed later than
 /// asked, so that its time has not begun before. Its next answer tells of it.
 #[test]
-fn an_answer_to_a_user_in_flight_counts_from_the_question_and_comes_with_the_next_answer() {
+fn a_confirmation_in_flight_counts_from_the_request_and_comes_with_the_next_read_index() {
     let [leader, other, third] = three();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
@@ -149,7 +153,7 @@
 
 /// A process that came back has forgotten what its predecessor confirmed.
 #[test]
-fn a_peer_that_ended_and_came_back_counts_only_for_what_it_can_know() {
+fn a_restarted_peer_vouches_only_for_what_it_can_know() {
     let [leader, _, third] = three();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
@@ -174,7 +178,7 @@
 
 /// What says nothing of the peer's present knowledge does not count.
 #[test]
-fn late_copies_other_processes_newer_maps_and_halves_do_not_count() {
+fn duplicates_other_incarnations_later_epochs_and_partial_answers_are_inconclusive() {
     let [leader, other, third] = three();
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
@@ -182,8 +186,8 @@
     assert!(exchange(&leader, &third, late));
     confirm(&other, "j-1", 4);
     let mut state = leader.state();
-    let asked = request(&state, 5, late).expect("there is need");
-    let whole = answer(&other, &other.state(), &asked);
+    let asked = request_if_needed(&state, 5, late).expect("there is need");
+    let whole = own_read_index(&other, &other.state(), &asked);
     let broken = CancelledJob { record: vec![0xc1], ..whole.cancelled[0].clone() };
     let cases = [
         ReadIndex { nonce: 4, ..whole.clone() },
@@ -194,11 +198,14 @@
         ReadIndex { cancelled: vec![broken], ..whole.clone() },
     ];
     for (n, index) in cases.into_iter().enumerate() {
-        let word = take(&mut state, "n-1", &asked, index, late, late);
-        assert_ne!(word, Word::LoadCounters, "case {n}");
+        let outcome = apply_read_index(&mut state, sent("n-1", &asked, late), index, late);
+        assert_ne!(outcome, ReadIndexOutcome::Complete, "case {n}");
         assert!(!leader.may_renew_leases(&state, late), "case {n}");
     }
-    assert_eq!(take(&mut state, "n-1", &asked, whole, late, late), Word::LoadCounters);
+    assert_eq!(
+        apply_read_index(&mut state, sent("n-1", &asked, late), whole, late),
+        ReadIndexOutcome::Complete
+    );
     assert!(leader.may_renew_leases(&state, late));
     // An older reading of its own does not bring back what was learnt.
     let old = JobRecord::new(spec("j-1", JobKind::Service), None, 0);
@@ -231,19 +238,24 @@
     let late = start + leader.settings.renewal_bound();
     assert!(exchange(&leader, &third, late));
     let mut state = leader.state();
-    let mut asked = request(&state, 1, late).expect("there is need");
+    let mut asked = request_if_needed(&state, 1, late).expect("there is need");
     let mut parts = 0;
     loop {
         parts += 1;
-        let index = answer(&other, &other.state(), &asked);
+        let index = own_read_index(&other, &other.state(), &asked);
         assert!(peer::encode_index(&index).len() < MAX_MESSAGE_BYTES / 2, "part {parts}");
-        match take(&mut state, "n-1", &asked, index, late, late + Duration::from_secs(parts)) {
-            Word::Continues(after) => {
+        match apply_read_index(
+            &mut state,
+            sent("n-1", &asked, late),
+            index,
+            late + Duration::from_secs(parts),
+        ) {
+            ReadIndexOutcome::Partial { known_up_to: after } => {
                 assert!(!leader.may_renew_leases(&state, late), "part {parts} is not all");
                 asked = ReadIndexRequest { nonce: parts, after };
             }
-            word => {
-                assert_eq!(word, Word::LoadCounters);
+            outcome => {
+                assert_eq!(outcome, ReadIndexOutcome::Complete);
                 break;
             }
         }
@@ -253,31 +265,37 @@
     assert_eq!(known as u64, JOBS);
     assert!(leader.may_renew_leases(&state, late));
     assert_eq!(state.peers.read_indexes.vouched_at("n-1"), Some(late), "from the first question on");
-    let none = answer(&other, &other.state(), &ReadIndexRequest { nonce: 1, after: 10 + JOBS / 2 });
+    let none = own_read_index(&other, &other.state(), &ReadIndexRequest { nonce: 1, after: 10 + JOBS / 2 });
     assert!(!none.truncated && none.cancelled.is_empty());
 }
 
 /// An answer that says that there is more, and does not get any further, ends the questions.
 #[test]
-fn parts_that_get_no_further_do_not_count() {
+fn partial_answers_without_progress_are_inconclusive() {
     let [leader, other, _] = three();
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
     cancel_many(&other, 10);
     let late = start + leader.settings.renewal_bound();
     let mut state = leader.state();
-    let asked = request(&state, 5, late).expect("there is need");
-    let whole = answer(&other, &other.state(), &asked);
+    let asked = request_if_needed(&state, 5, late).expect("there is need");
+    let whole = own_read_index(&other, &other.state(), &asked);
     let empty = ReadIndex { cancelled: Vec::new(), truncated: true, ..whole.clone() };
-    assert_eq!(take(&mut state, "n-1", &asked, empty, late, late), Word::Void);
+    assert_eq!(
+        apply_read_index(&mut state, sent("n-1", &asked, late), empty, late),
+        ReadIndexOutcome::Inconclusive
+    );
     let again = ReadIndexRequest { nonce: 5, after: 14 };
     let stuck = ReadIndex { truncated: true, ..whole };
-    assert_eq!(take(&mut state, "n-1", &again, stuck, late, late), Word::Void);
+    assert_eq!(
+        apply_read_index(&mut state, sent("n-1", &again, late), stuck, late),
+        ReadIndexOutcome::Inconclusive
+    );
 }
 
 /// Over HTTP; a controller of the version in production answers 404.
 #[tokio::test]
-async fn controllers_ask_each_other_over_their_own_path() {
+async fn read_indexes_are_served_over_their_own_path() {
     use net::Request;
     let [_, other, _] = three();
     confirm(&other, "j-1", 4);
