--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -21,10 +21,10 @@
 use crate::controller::{Controller, wall_ms};
 use crate::fleet_duty::Fleet;
 use crate::operators::Operators;
-use crate::peers;
+use crate::peer_status;
 use crate::scheduler;
 use crate::settings::Settings;
-use crate::worker::{Worker, first_token};
+use crate::worker::{FencingToken, Worker};
 
 const EPOCH: u64 = 7;
 /// Tasks of a job, and on a machine.
@@ -257,7 +257,7 @@
             spot: false,
             incarnation: 1,
             sequence: self.seq,
-            fencing_token: first_token(EPOCH),
+            fencing_token: FencingToken::first_of_epoch(EPOCH).get(),
             spot_notice_s: None,
             tasks: on.collect(),
             machine: id,
@@ -274,8 +274,8 @@
             let report = self.report(n, 0);
             let now = Instant::now();
             let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
-            worker.ingest(report, true, now);
-            worker.renew(now);
+            worker.receive_heartbeat(report, now);
+            worker.renew_lease(now);
             self.controller.state().machines.workers.insert(machine_id(n).into(), worker);
         }
     }
@@ -304,7 +304,7 @@
     }
 
     pub fn hear_peer(&self, count: u64) {
-        peers::take(&self.controller, self.rows(count));
+        peer_status::receive_status(&self.controller, self.rows(count));
     }
 
     pub fn new(machines: usize, jobs: usize) -> Self {
@@ -498,12 +498,12 @@
                 (0..4).for_each(|_| drop(black_box(api::shard_choice::choose_shard(&controller, &new))))
             });
             case_over(&mut done, "part for a new job", 4);
-            measured(|| peer::encode(&Message::PeerStatus(peers::summary(&controller))));
+            measured(|| peer::encode(&Message::PeerStatus(peer_status::own_status(&controller))));
             case_over(&mut done, "summary told", 1);
             let told = peer::encode(&Message::PeerStatus(self.rows(self.seq * 10)));
             measured(|| {
                 if let Some(Message::PeerStatus(s)) = peer::decode(&told) {
-                    peers::take(&controller, s);
+                    peer_status::receive_status(&controller, s);
                 }
             });
             case_over(&mut done, "summary heard", 1);
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -23,7 +23,7 @@
 use crate::settings::Settings;
 use crate::state::ControllerState;
 pub use crate::timeouts::MEMBER_TTL;
-use crate::worker::Limits;
+use crate::worker::WorkerLimits;
 
 /// Least and longest pause between two requests for changes, in seconds.
 const MIN_WATCH_INTERVAL_S: f64 = 0.02;
@@ -234,12 +234,13 @@
 
     /// The limits that workers are reconciled by. `fresh_at`: when the copy of the records was
     /// last known to be complete.
-    pub fn worker_limits(&self, fresh_at: Option<Instant>) -> Limits {
+    pub fn worker_limits(&self, fresh_at: Option<Instant>) -> WorkerLimits {
         let workers = &self.settings.facts.workers;
-        Limits {
+        WorkerLimits {
             gang_peer: wire::seconds(workers.gang_peer_s),
             lease: wire::seconds(workers.lease_s * CLOCK_DRIFT + TIMER_SLACK_S),
             fresh_at,
+            max_launch_replica_age: MEMBER_TTL,
         }
     }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -38,7 +38,9 @@
 mod logging;
 mod membership;
 mod operators;
-mod peers;
+mod peer_client;
+mod peer_server;
+mod peer_status;
 #[cfg(test)]
 #[path = "../tests/unit/pipelines.rs"]
 mod pipelines;
@@ -66,6 +68,7 @@
 mod state;
 mod timeouts;
 mod worker;
+mod worker_client;
 
 pub use cli::main;
 pub use process::run_controller;
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -11,13 +11,13 @@
 use crate::controller::Controller;
 use crate::logging::LogLevelError;
 use crate::operators::Operators;
+use crate::peer_client::MAX_MESSAGE_BYTES;
 use crate::settings::{Settings, SettingsError};
 use crate::{
-    api, change_feed, drains, fleet_duty, freshness_checks, load_log, membership, peers, prober, scheduler,
+    api, change_feed, drains, fleet_duty, freshness_checks, load_log, membership, peer_server, peer_status,
+    prober, scheduler,
 };
 
-/// Largest body of a request from a peer, in bytes.
-const MAX_PEER_REQUEST_BYTES: usize = 1 << 20;
 /// How long tasks that are under way may take to finish when the process stops.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 /// How many random bits an incarnation has.
@@ -99,7 +99,7 @@
     controller.spawn_task(membership::keep_membership(controller.clone()));
     controller.spawn_task(scheduler::detect_pauses(controller.clone()));
     controller.spawn_task(scheduler::run_scheduler(controller.clone()));
-    controller.spawn_task(prober::prober(controller.clone()));
+    controller.spawn_task(prober::probe_silent_workers(controller.clone()));
     controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
     controller.spawn_task(load_log::log_regularly(controller.clone()));
@@ -112,18 +112,18 @@
             let (name, address) = (peer.node_name.clone(), peer.address.clone());
             controller.spawn_task(drains::observe::ask_peer(controller.clone(), name, address));
         }
-        controller.spawn_task(peers::exchange_summaries(controller.clone(), peer.address.clone()));
+        controller.spawn_task(peer_status::exchange_statuses(controller.clone(), peer.address.clone()));
     }
 }
 
 /// Serves the other controllers.
 fn serve_peers(controller: &Arc<Controller>, listener: TcpListener) {
     let context = controller.clone();
-    let handler = move |request| peers::serve(context.clone(), request);
+    let handler = move |request| peer_server::serve(context.clone(), request);
     controller.spawn_task(net::serve(
         listener,
         controller.peer_connections.clone(),
-        MAX_PEER_REQUEST_BYTES,
+        MAX_MESSAGE_BYTES,
         handler,
         controller.shutdown.clone(),
         controller.task_tracker.clone(),
--- a/crates/daemon/src/scheduler/commands.rs
+++ b/crates/daemon/src/scheduler/commands.rs
@@ -10,6 +10,7 @@
 use crate::clock;
 use crate::controller::Controller;
 use crate::state::ControllerState;
+use crate::worker::FencingToken;
 
 /// How long a worker has to answer commands.
 const COMMANDS_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -21,7 +22,7 @@
     let task_tracker = controller.task_tracker.clone();
     task_tracker.spawn(async move {
         let OutgoingCommands { machine, address, commands } = outgoing;
-        let token = commands.fencing_token;
+        let token = FencingToken::from(commands.fencing_token);
         let heartbeat = request_commands(&controller, &machine, &address, &commands).await;
         record_response(&mut controller.state(), &machine, token, heartbeat, clock::now());
         controller.wake_scheduler.notify_one();
@@ -62,14 +63,17 @@
 pub(crate) fn record_response(
     state: &mut ControllerState,
     machine: &str,
-    token: u64,
+    token: FencingToken,
     heartbeat: Option<Heartbeat>,
     now: Instant,
 ) {
     let heartbeat = heartbeat.filter(|heartbeat| heartbeat.machine == machine);
     let Some(worker) = state.machines.workers.get_mut(machine) else { return };
-    worker.finish(token, heartbeat.is_some(), now);
-    if let Some(heartbeat) = heartbeat {
-        worker.ingest(heartbeat, false, now);
+    match heartbeat {
+        Some(heartbeat) => {
+            worker.commands_answered(token);
+            worker.receive_response(heartbeat, now);
+        }
+        None => worker.commands_failed(token, now),
     }
 }
--- a/crates/daemon/src/scheduler/proof_forwarding.rs
+++ b/crates/daemon/src/scheduler/proof_forwarding.rs
@@ -6,7 +6,7 @@
 
 use crate::clock;
 use crate::controller::Controller;
-use crate::peers;
+use crate::peer_client;
 
 /// Most proofs in one message, so that it stays far below what a peer reads, however much is
 /// lost at once.
@@ -19,7 +19,8 @@
     let task_tracker = controller.task_tracker.clone();
     task_tracker.spawn(async move {
         for chunk in proofs.chunks(MAX_PROOFS_PER_MESSAGE) {
-            if !peers::hand_over(&controller, &scheduler, epoch, chunk.to_vec()).await {
+            if !peer_client::forward_termination_proofs(&controller, &scheduler, epoch, chunk.to_vec()).await
+            {
                 // This controller writes the proofs itself for the back-off.
                 controller.state().peers.note_unreachable(scheduler, clock::now());
                 controller.wake_scheduler.notify_one();
--- a/crates/daemon/src/scheduler/terminations.rs
+++ b/crates/daemon/src/scheduler/terminations.rs
@@ -11,7 +11,7 @@
 use super::events::SchedulingEvent;
 use crate::controller::Controller;
 use crate::state::{ControllerState, PendingProof};
-use crate::worker::Key;
+use crate::worker::AssignmentId;
 
 /// How long a job avoids a machine on which one of its tasks has failed, in seconds.
 const FAILED_MACHINE_BACKOFF_S: u64 = 60;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Termination<'a> {
     /// The assignment.
-    pub(super) key: &'a Key,
+    pub(super) assignment: &'a AssignmentId,
     /// The machine that it was on.
     pub(super) machine: &'a str,
     /// How it ended.
@@ -36,7 +36,8 @@
     termination: Termination,
     now_ms: u64,
 ) {
-    let Termination { key: (job, task, attempt), machine, reason } = termination;
+    let Termination { assignment, machine, reason } = termination;
+    let AssignmentId { job, task, attempt } = assignment;
     if cycle.has_no_room_for_termination(job) {
         return;
     }
@@ -102,14 +103,14 @@
     let ControllerState { records, proofs, .. } = state;
     let replica = &records.replica;
     proofs.retain_valid(replica, &controller.identity.name, epoch, context.now);
-    let mut proofs_by_job: BTreeMap<&str, Vec<(&Key, &PendingProof)>> = BTreeMap::new();
-    for (key, proof) in proofs.iter() {
-        proofs_by_job.entry(&key.0).or_default().push((key, proof));
+    let mut proofs_by_job: BTreeMap<&str, Vec<(&AssignmentId, &PendingProof)>> = BTreeMap::new();
+    for (assignment, proof) in proofs.iter() {
+        proofs_by_job.entry(&assignment.job).or_default().push((assignment, proof));
     }
     // One write holds all proofs of a job. Where writes are short, those come first that
     // complete a job, hold many proofs, or have waited long: in the order of names, some would
     // wait while others are written for each single task.
-    let mut order: Vec<(f64, Vec<(&Key, &PendingProof)>)> = proofs_by_job
+    let mut order: Vec<(f64, Vec<(&AssignmentId, &PendingProof)>)> = proofs_by_job
         .into_iter()
         .filter_map(|(id, proofs)| {
             let job = &replica.jobs.get(id)?.value;
@@ -120,14 +121,14 @@
         })
         .collect();
     order.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (key, proof) in order.into_iter().flat_map(|(_, proofs)| proofs) {
-        let termination = Termination { key, machine: &proof.machine, reason: proof.reason };
+    for (assignment, proof) in order.into_iter().flat_map(|(_, proofs)| proofs) {
+        let termination = Termination { assignment, machine: &proof.machine, reason: proof.reason };
         terminate(cycle, replica, termination, context.now_ms);
     }
 }
 
 /// How urgent it is to write these proofs of a job.
-fn write_urgency(job: &JobRecord, proofs: &[(&Key, &PendingProof)], now: Instant) -> f64 {
+fn write_urgency(job: &JobRecord, proofs: &[(&AssignmentId, &PendingProof)], now: Instant) -> f64 {
     let done = proofs.iter().filter(|(_, p)| p.reason == TerminationReason::Done).count() as u32;
     let tasks = job.spec.as_ref().map_or(0, |s| s.tasks);
     let is_gang = job.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang);
--- a/crates/daemon/src/scheduler/worker_reconciliation.rs
+++ b/crates/daemon/src/scheduler/worker_reconciliation.rs
@@ -13,7 +13,7 @@
 use super::terminations::{Termination, terminate};
 use crate::controller::Controller;
 use crate::state::{ControllerState, FORWARDED_PROOF_TIMEOUT, PeerTable, PendingProof, PendingProofs};
-use crate::worker::{Key, Limits, Worker};
+use crate::worker::{AssignmentId, Worker, WorkerLimits};
 
 /// Commands that only make a worker forget tasks are sent at once beyond this number.
 const MAX_DELAYED_FORGETS: usize = 12;
@@ -40,7 +40,7 @@
     };
     for (machine, worker) in &mut machines.workers {
         worker.enter_epoch(epoch);
-        if worker.due(context.now) {
+        if worker.is_reconciliation_due(context.now) {
             reconciliation.reconcile(machine, worker);
         }
     }
@@ -55,7 +55,7 @@
         Some(changed) => changed.into_iter().collect(),
         None => {
             workers.retain(|id, worker| {
-                replica.owner_of(id) == Some(me) && !worker.lapsed(replica.owned_since_epoch(id))
+                replica.owner_of(id) == Some(me) && !worker.predates_ownership(replica.owned_since_epoch(id))
             });
             replica.owned_by(me).cloned().collect()
         }
@@ -64,7 +64,7 @@
         match replica.machines.get(&id).filter(|_| replica.owner_of(&id) == Some(me)) {
             Some(record) => {
                 let new = || Worker::new(record.value.addr.clone(), epoch, now);
-                workers.entry(id).or_insert_with(new).look_again();
+                workers.entry(id).or_insert_with(new).request_reconciliation();
             }
             None => {
                 workers.remove(&id);
@@ -75,7 +75,7 @@
 
 /// The end of an assignment, proven by its worker's heartbeats.
 struct ProvenTermination<'a> {
-    key: Key,
+    assignment: AssignmentId,
     machine: &'a Name,
     reason: TerminationReason,
     /// When it was first proven.
@@ -88,7 +88,7 @@
     me: &'a str,
     /// The epoch of the cluster map.
     epoch: u64,
-    limits: Limits,
+    limits: WorkerLimits,
     context: CycleContext,
     replica: &'a Replica,
     peers: &'a PeerTable,
@@ -100,34 +100,34 @@
     fn reconcile(&mut self, machine: &Name, worker: &mut Worker) {
         let now = self.context.now;
         let plan = worker.reconcile(machine, self.replica, &self.limits, now);
-        for (key, reason) in plan.ends {
-            let Some(job) = self.replica.jobs.get(&key.0) else { continue };
+        for (assignment, reason) in plan.terminations {
+            let Some(job) = self.replica.jobs.get(&assignment.job) else { continue };
             let scheduler = self.replica.scheduler_of(&job.value).unwrap_or_default();
-            let proven_at = worker.ended_since(&key, now);
-            self.route_proof(scheduler, ProvenTermination { key, machine, reason, proven_at });
+            let proven_at = worker.first_proven_at(&assignment, now);
+            self.route_proof(scheduler, ProvenTermination { assignment, machine, reason, proven_at });
         }
-        if let Some(until) = worker.notice_until {
+        if let Some(until) = worker.spot_notice_until() {
             self.stop_on_spot_notice(machine, until);
         }
-        self.send_commands(machine, worker, plan.commands, plan.poke);
+        self.send_commands(machine, worker, plan.commands, plan.needs_token_acknowledgement);
     }
 
     /// Passes the proof of a termination to the job's scheduler, or writes it in its place. There
     /// is one writer for each job: two owners that write the same record at the same time only
     /// make each other's transactions fail.
     fn route_proof(&mut self, scheduler: &str, termination: ProvenTermination) {
-        let ProvenTermination { key, machine, reason, proven_at } = termination;
+        let ProvenTermination { assignment, machine, reason, proven_at } = termination;
         let now = self.context.now;
         if scheduler == self.me {
             // Written with all other proofs of its job.
             let (machine, epoch) = (machine.to_string(), self.epoch);
             let proof = PendingProof { machine, reason, epoch, received_at: now, proven_at };
-            self.proofs.insert(key, proof);
+            self.proofs.insert(assignment, proof);
         } else if self.must_write_for(scheduler, proven_at) {
-            let termination = Termination { key: &key, machine, reason };
+            let termination = Termination { assignment: &assignment, machine, reason };
             terminate(self.cycle, self.replica, termination, self.context.now_ms);
         } else if proven_at == now {
-            let (job, task, attempt) = key;
+            let AssignmentId { job, task, attempt } = assignment;
             let machine = machine.to_string();
             let proof = TerminationProof { job, task, attempt, machine, reason_code: reason.code() };
             self.cycle.forwarded_proofs.entry(scheduler.to_owned()).or_default().push(proof);
@@ -169,12 +169,12 @@
             !commands.is_empty() && commands.iter().all(|c| matches!(c, Command::Forget { .. }));
         let is_urgent =
             probes || !commands.is_empty() && (!only_forgets || commands.len() > MAX_DELAYED_FORGETS);
-        let is_due = only_forgets && worker.clear_due(now);
-        if !(is_urgent || is_due) || !worker.may_send(now) {
+        let is_due = only_forgets && worker.is_cleanup_due(now);
+        if !(is_urgent || is_due) || !worker.may_send_commands(now) {
             return;
         }
-        let Some(token) = worker.begin(&commands, now) else { return };
-        let commands = Commands { fencing_token: token, incarnation: worker.session, commands };
+        let Some(token) = worker.begin_commands(&commands, now) else { return };
+        let commands = Commands { fencing_token: token.get(), incarnation: worker.incarnation(), commands };
         let outgoing = OutgoingCommands { machine: machine.clone(), address: worker.addr.clone(), commands };
         self.cycle.commands.push(outgoing);
     }
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -23,7 +23,9 @@
     "commit",
     "controller",
     "fleet_duty",
-    "peers",
+    "peer_client",
+    "peer_server",
+    "peer_status",
     "placer",
     "prober",
     "read_index",
@@ -33,6 +35,7 @@
     "membership",
     "read_barrier",
     "worker",
+    "worker_client",
 ];
 
 fn crates() -> PathBuf {
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -176,7 +176,7 @@
         scheduler::record_response(
             &mut self.nodes[n].state(),
             machine,
-            commands.fencing_token,
+            commands.fencing_token.into(),
             report,
             self.now,
         );
@@ -236,7 +236,7 @@
         host.live(self.now);
         let report = host.report();
         if let Some(w) = self.nodes[n].state().machines.workers.get_mut(host.id) {
-            w.ingest(report, false, self.now);
+            w.receive_response(report, self.now);
         }
     }
 
