--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
-use crate::placer;
+use crate::scheduler;
 use crate::state::{ControllerState, RecentAssignments, SchedulingState};
 pub(crate) use reports::{arrivals, report};
 
@@ -122,7 +122,7 @@
 pub(crate) fn choose_part(controller: &Controller, spec: &JobSpec) -> Option<String> {
     let mut guard = controller.state();
     let state = &mut *guard;
-    if placer::collected_for(&state.records.replica, spec, wall_ms()) {
+    if scheduler::capacity_is_collected_for(&state.records.replica, spec, wall_ms()) {
         return None;
     }
     let now = clock::now();
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -33,7 +33,6 @@
 #[cfg(test)]
 #[path = "../tests/unit/pipelines.rs"]
 mod pipelines;
-mod placer;
 mod prober;
 #[cfg(test)]
 #[path = "../tests/unit/production.rs"]
--- a/crates/daemon/src/scheduler/decisions.rs
+++ b/crates/daemon/src/scheduler/decisions.rs
@@ -5,11 +5,11 @@
 
 use super::cycle::{CycleContext, SchedulingCycle, record_for_update};
 use super::events::SchedulingEvent;
+use super::placement::place_pending_jobs;
 use super::rescheduling::evict_replicas;
 use super::terminations::{terminate_on_released_machines, terminate_proven};
 use super::worker_reconciliation::reconcile_workers;
 use crate::controller::Controller;
-use crate::placer;
 use crate::state::ControllerState;
 
 /// Decides what is to be done now. None: this controller is not live, or its records are being
@@ -49,7 +49,7 @@
         return Some(cycle);
     }
     terminate_proven(controller, state, &mut cycle, context);
-    placer::place(controller, state, &mut cycle, max_changes, now, now_ms);
+    place_pending_jobs(controller, state, &mut cycle, context);
     if runs_rescheduler && state.is_leader(&controller.identity) {
         evict_replicas(controller, state, &mut cycle, context);
     }
--- a/crates/daemon/src/scheduler/mod.rs
+++ b/crates/daemon/src/scheduler/mod.rs
@@ -9,6 +9,7 @@
 mod cycle;
 mod decisions;
 mod events;
+mod placement;
 mod proof_forwarding;
 mod rescheduling;
 mod run;
@@ -24,8 +25,8 @@
 pub(crate) use commit::commit;
 #[cfg(test)]
 pub(crate) use cycle::OutgoingCommands;
-pub(crate) use cycle::{SchedulingCycle, record_for_update};
-pub(crate) use events::SchedulingEvent;
+pub(crate) use cycle::SchedulingCycle;
+pub(crate) use placement::capacity_is_collected_for;
 #[cfg(any(test, feature = "bench"))]
 pub(crate) use {
     cycle::CycleContext,
--- a/crates/daemon/src/placer/holds.rs
+++ b/crates/daemon/src/scheduler/placement/drain_holds.rs
@@ -1,4 +1,4 @@
-//! Room that is held for what drains have stopped.
+//! Capacity that is held for the tasks that drains have stopped.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -9,19 +9,19 @@
 use crate::drains::state::Hold;
 use crate::state::Reservation;
 
-/// Keeps the room that was found for what drains have stopped from all other jobs. For a job
-/// that waits it is like room that was made for it.
-pub(super) fn hold_for_drains(
-    world: &Replica,
+/// Keeps the capacity that was found for what drains have stopped from all other jobs, and drops
+/// holds that are over. For a job in the queue, a hold becomes a reservation.
+pub(super) fn reserve_held_capacity(
+    replica: &Replica,
     inventory: &mut Inventory,
     holds: &mut BTreeMap<String, Hold>,
     reservations: &mut HashMap<String, Reservation>,
     queue: &[String],
     now: Instant,
 ) {
-    holds.retain(|job, hold| now < hold.until && hold.is_needed(world, job));
+    holds.retain(|job, hold| now < hold.until && hold.is_needed(replica, job));
     for (job, hold) in holds.iter() {
-        let Some(spec) = world.jobs.get(job).and_then(|j| j.value.spec.as_deref()) else { continue };
+        let Some(spec) = replica.jobs.get(job).and_then(|j| j.value.spec.as_deref()) else { continue };
         if reservations.contains_key(job) {
             continue;
         }
--- /dev/null
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -0,0 +1,296 @@
+//! One pass over the queue: the placement of each job.
+
+use sched::hash::HashSet;
+use sched::placement::{self, Inventory, Slot, pending_task_count};
+use sched::preempt::Running;
+use sched::records::{Assignment, JobRecord, Name};
+use sched::replica::{Replica, Resources, Team};
+use store::{KeyWrite, key};
+use tracing::info;
+use wire::{JobKind, JobSpec, Priority};
+
+use super::gang_capacity::competes_with_any;
+use super::quota_claims::{QuotaClaim, claim_quota, release_quota};
+use crate::controller::Controller;
+use crate::scheduler::cycle::{CycleContext, SchedulingCycle};
+use crate::scheduler::events::SchedulingEvent;
+use crate::state::{Reservation, SchedulingState};
+
+/// Most bytes that a gang's record has for each of its tasks.
+const MAX_GANG_TASK_BYTES: f64 = 5.0;
+
+/// What a pass reads and changes.
+pub(super) struct PlacementPass<'a, 'r> {
+    pub(super) controller: &'a Controller,
+    pub(super) replica: &'r Replica,
+    pub(super) inventory: &'a mut Inventory,
+    pub(super) cycle: &'a mut SchedulingCycle,
+    pub(super) context: CycleContext,
+    /// Whether this controller is the leader, which places jobs on machines of all shards.
+    pub(super) is_leader: bool,
+    /// Quota that services and gangs wait for.
+    pub(super) quota_claims: Vec<QuotaClaim>,
+    /// The gangs that have waited longest, for which capacity is collected.
+    pub(super) longest_waiting: HashSet<&'r str>,
+    /// What is remembered from one cycle to the next.
+    pub(super) scheduling: &'a mut SchedulingState,
+    /// All running tasks, once victims were looked for.
+    pub(super) running: Option<Running<'r>>,
+    /// Services to be expected with their tasks, until capacity is reserved for them: they are to
+    /// start within seconds, on capacity that is there.
+    pub(super) expected_services: Option<(JobSpec, u32)>,
+}
+
+/// A job that a pass tries to place.
+pub(super) struct Candidate<'a> {
+    pub(super) id: &'a str,
+    pub(super) spec: &'a JobSpec,
+    pub(super) team: &'a Team,
+    pub(super) priority: Priority,
+    /// What one task takes.
+    pub(super) size: Resources,
+    /// Whether the job belongs to this controller's shard, and so goes on its machines only.
+    pub(super) is_in_shard: bool,
+}
+
+/// The outcome of looking for machines.
+struct PlacementAttempt {
+    /// The new assignments; none if there is no capacity.
+    assignments: Vec<Assignment>,
+    /// Whether the capacity of GPU jobs may be taken.
+    may_displace_gpu_jobs: bool,
+}
+
+impl PlacementPass<'_, '_> {
+    /// Places a job, or preempts or collects capacity for it.
+    pub(super) fn place_job(&mut self, id: String) {
+        let replica = self.replica;
+        let Some(known) = self.cycle.jobs.get(&id).or_else(|| replica.jobs.get(&id).map(|job| &job.value))
+        else {
+            return;
+        };
+        let Some(spec) = known.spec.as_deref() else { return };
+        let controller = self.controller;
+        let Some(team) = controller.team(&spec.team) else { return };
+        if !self.may_write(&id, spec) {
+            return;
+        }
+        let mut job = known.clone();
+        let spec = spec.clone();
+        let candidate = Candidate {
+            id: &id,
+            spec: &spec,
+            team,
+            priority: job.priority().unwrap_or(spec.priority),
+            size: Resources::of_task(&spec),
+            is_in_shard: job.shard.as_deref() == Some(controller.identity.name.as_str()),
+        };
+        self.reserve_for_expected_services(&spec);
+        let reservation = self.scheduling.reservations.get(&id);
+        let reserved = reservation.map(|r| r.machines.clone()).unwrap_or_default();
+        self.inventory.reserve(&reserved, candidate.size, -1.0);
+        let attempt = self.find_machines(&candidate, &mut job, &reserved);
+        if !attempt.assignments.is_empty() {
+            self.accept(&candidate, job, attempt.assignments);
+            return;
+        }
+        self.inventory.reserve(&reserved, candidate.size, 1.0);
+        if !candidate.is_in_shard {
+            self.preempt_for(&candidate, &job, attempt.may_displace_gpu_jobs);
+            self.collect_capacity(&candidate);
+        } else if placement::retry_at_ms(&job) <= self.context.now_ms {
+            self.escalate(id, job);
+        }
+    }
+
+    /// Whether the cycle's transaction has room for the job. One that is written in this cycle
+    /// anyway costs no further change.
+    fn may_write(&self, id: &str, spec: &JobSpec) -> bool {
+        let writes = usize::from(!self.cycle.jobs.contains_key(id))
+            + usize::from(!self.cycle.teams.contains(&spec.team));
+        self.cycle.write_count() + writes <= self.context.max_changes
+    }
+
+    /// Leaves a job that its shard cannot place to the leader.
+    fn escalate(&mut self, id: String, mut job: Box<JobRecord>) {
+        job.shard = None;
+        self.cycle.events.push(SchedulingEvent::Escalated { job: id.clone() });
+        self.cycle.jobs.insert(id, job);
+    }
+
+    /// Reserves capacity for expected services before the first job that is none.
+    fn reserve_for_expected_services(&mut self, next: &JobSpec) {
+        if next.kind == JobKind::Service {
+            return;
+        }
+        let Some((service, tasks)) = self.expected_services.take() else { return };
+        let machines =
+            placement::capacity_for(self.replica, self.inventory, &service, tasks, self.context.now_ms);
+        self.inventory.reserve(&machines, Resources::of_task(&service), 1.0);
+    }
+
+    /// Looks for machines. `reserved`: the capacity that was freed for the job.
+    fn find_machines(
+        &mut self,
+        candidate: &Candidate,
+        job: &mut JobRecord,
+        reserved: &[Name],
+    ) -> PlacementAttempt {
+        let limits = placement::Limits {
+            max_tasks: self.controller.max_assignments_per_record().saturating_sub(job.assignments.len()),
+            task_window: self.controller.task_window(),
+            may_strand_gpus: false,
+            gang_wait_s: self.controller.settings.facts.workers.gang_wait_s,
+            now_ms: self.context.now_ms,
+        };
+        let assignments = self.place_within_claims(candidate, job, limits);
+        if assignments.is_empty() && candidate.spec.kind == JobKind::Service && !candidate.is_in_shard {
+            let limits = placement::Limits { may_strand_gpus: true, ..limits };
+            return self.place_service_anywhere(candidate, job, reserved, limits);
+        }
+        PlacementAttempt { assignments, may_displace_gpu_jobs: candidate.spec.gpus > 0.0 }
+    }
+
+    /// Places a job on free capacity, beside the quota that others claim.
+    fn place_within_claims(
+        &mut self,
+        candidate: &Candidate,
+        job: &mut JobRecord,
+        limits: placement::Limits,
+    ) -> Vec<Assignment> {
+        let Candidate { spec, team, is_in_shard, .. } = *candidate;
+        let claimed = self.quota_claimed_against(candidate, job);
+        claim_quota(self.inventory, &spec.team, claimed);
+        // What the leader collects capacity for comes first.
+        let gangs = self.longest_waiting.iter().copied();
+        let assignments = if is_in_shard && competes_with_any(self.replica, spec, gangs) {
+            Vec::new()
+        } else {
+            let may_use = self.usable_slots(candidate);
+            placement::place(self.replica, self.inventory, job, team, may_use, limits)
+        };
+        release_quota(self.inventory, &spec.team, claimed);
+        assignments
+    }
+
+    /// Places a service that finds no other capacity. It takes, in this order: capacity that was
+    /// freed for it, that of array tasks, that which GPU jobs could use, and at last that of a GPU
+    /// job.
+    fn place_service_anywhere(
+        &mut self,
+        candidate: &Candidate,
+        job: &mut JobRecord,
+        reserved: &[Name],
+        limits: placement::Limits,
+    ) -> PlacementAttempt {
+        let Candidate { spec, team, .. } = *candidate;
+        let mut may_displace_gpu_jobs = spec.gpus > 0.0;
+        let mut assignments = Vec::new();
+        if !reserved.is_empty() {
+            assignments = placement::place_at(self.replica, self.inventory, job, team, reserved, limits);
+        } else if !self.arrays_could_make_way(candidate) {
+            let may_use = self.usable_slots(candidate);
+            assignments = placement::place(self.replica, self.inventory, job, team, may_use, limits);
+            may_displace_gpu_jobs = assignments.is_empty();
+        }
+        PlacementAttempt { assignments, may_displace_gpu_jobs }
+    }
+
+    /// Tells on which machines the job may be placed.
+    fn usable_slots(&self, candidate: &Candidate) -> impl Fn(&Slot) -> bool + use<> {
+        let all_shards = self.is_leader && !candidate.is_in_shard;
+        let me = self.controller.identity.incarnation;
+        move |slot| all_shards || slot.owner == me
+    }
+
+    /// The part of its team's quota that others claim against an array.
+    fn quota_claimed_against(&self, candidate: &Candidate, job: &JobRecord) -> Resources {
+        if candidate.spec.kind != JobKind::Array {
+            return Resources::default();
+        }
+        let is_pressing = placement::is_deadline_pressing(job, self.context.now_ms);
+        let holds = |claim: &&QuotaClaim| {
+            claim.team == candidate.spec.team
+                && claim.priority >= candidate.priority
+                && !(claim.is_gang && is_pressing)
+        };
+        let claims = self.quota_claims.iter().filter(holds);
+        claims.fold(Resources::default(), |sum, claim| sum.plus_scaled(claim.amount, 1.0))
+    }
+
+    /// Records the new assignments of a job.
+    fn accept(&mut self, candidate: &Candidate, job: Box<JobRecord>, assignments: Vec<Assignment>) {
+        let Candidate { id, spec, size, .. } = *candidate;
+        if spec.kind == JobKind::Gang && !may_be_stored(self.controller, id, &job) {
+            info!(job = id, "gang record too large until all controllers are upgraded; backing off");
+            self.scheduling.hold_back(id.to_owned(), self.context.now);
+            // Nobody else is to wait for capacity that the gang cannot take.
+            self.undo(spec, &assignments);
+            return;
+        }
+        let (tasks, attempt) = (assignments.len(), job.attempt);
+        self.cycle.events.push(SchedulingEvent::Placed { job: id.to_owned(), tasks, attempt });
+        self.cycle.teams.insert(spec.team.clone());
+        self.cycle.placed_jobs.insert(id.to_owned());
+        // The rest of what was freed for the job stays reserved: given to others, it would be
+        // freed again and again (recorded: a task was preempted eight times).
+        if let Some(Reservation { machines, until }) = self.scheduling.reservations.remove(id) {
+            let machines = still_reserved(machines, &assignments, pending_task_count(&job));
+            if !machines.is_empty() {
+                self.inventory.reserve(&machines, size, 1.0);
+                let rest = Reservation { machines, until };
+                self.scheduling.reservations.insert(id.to_owned(), rest);
+            }
+        }
+        self.cycle.jobs.insert(id.to_owned(), job);
+    }
+
+    /// Frees the capacity and quota of assignments that are not to be.
+    fn undo(&mut self, spec: &JobSpec, assignments: &[Assignment]) {
+        let size = Resources::of_task(spec);
+        let machines: Vec<Name> = assignments.iter().map(|a| a.machine.clone()).collect();
+        self.inventory.reserve(&machines, size, -1.0);
+        if let Some(used) = self.inventory.team_usage.get_mut(&spec.team) {
+            *used = used.plus_scaled(size, -(machines.len() as f64));
+        }
+    }
+
+    /// Reserves free capacity for a gang that has waited long until the rest is free, too: it
+    /// would never start if smaller jobs took all that comes free.
+    fn collect_capacity(&mut self, candidate: &Candidate) {
+        let Candidate { id, spec, team, size, .. } = *candidate;
+        if !self.longest_waiting.contains(id) || self.scheduling.reservations.contains_key(id) {
+            return;
+        }
+        let in_use = self.inventory.team_usage.get(&spec.team).copied().unwrap_or_default();
+        let quota = team.limit().plus_scaled(in_use.without_memory(), -1.0);
+        if size.count_fitting_in(quota) < spec.tasks {
+            return;
+        }
+        let (is_leader, me) = (self.is_leader, self.controller.identity.incarnation);
+        let machines =
+            placement::collectable_capacity(self.inventory, spec, |slot| is_leader || slot.owner == me);
+        self.inventory.reserve(&machines, size, 1.0);
+    }
+}
+
+/// Whether a gang's record fits into a value, or may be stored in chunks.
+fn may_be_stored(controller: &Controller, id: &str, job: &JobRecord) -> bool {
+    let limits = controller.state_limits();
+    // With fewer assignments it surely fits, and need not be encoded.
+    let surely_fitting = (limits.value_bytes / MAX_GANG_TASK_BYTES) as usize / 2;
+    limits.chunked
+        || job.assignments.len() < surely_fitting
+        || KeyWrite::new(key::job(id), job).value_len() as f64 <= limits.value_bytes
+}
+
+/// The machines that stay reserved for a job of which some tasks were placed.
+pub(super) fn still_reserved(mut machines: Vec<Name>, placed: &[Assignment], pending: u32) -> Vec<Name> {
+    for assignment in placed {
+        if let Some(i) = machines.iter().position(|machine| *machine == assignment.machine) {
+            machines.swap_remove(i);
+        }
+    }
+    machines.truncate(pending as usize);
+    machines
+}
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -3,6 +3,7 @@
 //! Plain state and questions about it, without input or output; tasks change it. What needs
 //! several owners at once is a method of [`ControllerState`].
 
+mod guaranteed_jobs;
 mod machine_view;
 mod membership;
 mod owned_machines;
--- a/crates/daemon/src/state/scheduling.rs
+++ b/crates/daemon/src/state/scheduling.rs
@@ -6,7 +6,7 @@
 use sched::placement::Inventory;
 use sched::records::Name;
 
-use crate::placer::Guaranteed;
+use super::guaranteed_jobs::GuaranteedJobs;
 
 /// Least time between two writes of a record that is stored in chunks, as each write costs one
 /// change per chunk.
@@ -50,7 +50,7 @@
     /// When it was last asked of each machine whether it may be used.
     pub usability_checked_at: Option<Instant>,
     /// Jobs within their teams' guaranteed quota.
-    pub guaranteed: Guaranteed,
+    pub guaranteed: GuaranteedJobs,
     /// Jobs lately assigned to shards.
     pub recent_assignments: RecentAssignments,
     chunked_writes: HashMap<String, Instant>,
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -24,7 +24,6 @@
     "controller",
     "fleet_duty",
     "peers",
-    "placer",
     "prober",
     "read_index",
     "scheduler",
--- a/crates/daemon/tests/unit/placer.rs
+++ b/crates/daemon/tests/unit/scheduler_placement.rs
@@ -1,9 +1,18 @@
-use super::*;
-use crate::worker::tests::spec;
 use std::collections::BTreeMap;
+use std::time::Instant;
+
+use sched::records::{
+    Assignment, ClusterMap, DesiredState, JobRecord, MachineRecord, MachineTypesRecord, Name,
+};
+use wire::JobKind;
+
+use super::pass::still_reserved;
+use super::preemption::{MAX_PATIENCE_MS, is_patient};
+use crate::controller::Controller;
+use crate::worker::tests::spec;
 
 #[test]
-fn room_made_for_an_array_stays_its_own_until_its_tasks_are_placed() {
+fn capacity_freed_for_an_array_stays_reserved_until_its_tasks_are_placed() {
     let on = |task, machine: &str| Assignment {
         task,
         attempt: 1,
@@ -12,15 +21,15 @@
     };
     let made = || ["a", "a", "b", "c"].map(Name::from).to_vec();
     let placed = [on(0, "a"), on(1, "x")];
-    let mut left = still_held(made(), &placed, 9);
+    let mut left = still_reserved(made(), &placed, 9);
     left.sort_unstable();
     assert_eq!(left.iter().map(|m| &**m).collect::<Vec<_>>(), ["a", "b", "c"]);
-    assert_eq!(still_held(made(), &placed, 1).len(), 1);
-    assert!(still_held(made(), &placed, 0).is_empty());
+    assert_eq!(still_reserved(made(), &placed, 1).len(), 1);
+    assert!(still_reserved(made(), &placed, 0).is_empty());
 }
 
 #[test]
-fn steps_with_time_left_do_not_stop_others_at_once() {
+fn arrays_of_a_pipeline_with_time_left_do_not_preempt_at_once() {
     let mut s = spec("j-1", JobKind::Array);
     (s.estimated_runtime_s, s.deadline_s) = (10.0, Some(60.0));
     let mut job = JobRecord::new(s, None, 0);
@@ -29,7 +38,7 @@
     assert!(!is_patient(&job, 1000), "the last step");
     job.urgency.priority = Some(wire::Priority::High);
     assert!(is_patient(&job, 1000));
-    assert!(!is_patient(&job, PATIENCE_MS), "it has waited");
+    assert!(!is_patient(&job, MAX_PATIENCE_MS), "it has waited");
     job.urgency.deadline_ms = Some(20_000);
     assert!(!is_patient(&job, 1000), "those after it would be late");
 }
@@ -89,7 +98,7 @@
 /// the team's limit must not keep the array out of the very room that was made: the gang
 /// would be placed there and stopped again, twice a second, and nothing would ever be done.
 #[test]
-fn what_makes_way_has_no_claim_before_what_it_made_way_for() {
+fn a_preempted_gang_claims_no_quota_against_its_preemptor() {
     let array = waiting("j-1", JobKind::Array, wire::Priority::High, 2);
     let gang = waiting("j-2", JobKind::Gang, wire::Priority::Low, LIMIT);
     let run = placed(vec![array, gang]);
@@ -101,7 +110,7 @@
 /// they are called off, perhaps for good. Its claim kept arrays out of what they left for
 /// the whole day (found by the drawn days: no array of a team ever started).
 #[test]
-fn a_gang_that_cannot_fit_claims_nothing() {
+fn a_gang_that_cannot_fit_claims_no_quota() {
     let mut service = waiting("j-1", JobKind::Service, wire::Priority::Low, 3);
     service.attempt = 1;
     let on = |task| Assignment { task, attempt: 1, machine: "host-1".into(), desired: DesiredState::Running };
