--- a/crates/daemon/src/drains/eviction.rs
+++ b/crates/daemon/src/drains/eviction_budget.rs
@@ -1,58 +1,60 @@
-//! The budget of the rescheduler's evictions, where drains are switched on: both stop replicas
-//! by choice, and neither may stop any beyond the budgets because of the other.
+//! The disruption budget of the rescheduler's evictions, where drains are switched on: both
+//! disrupt services voluntarily, and neither may exceed the budgets because of the other.
 
 use drain::budget::{Ledger, UnitId};
 use drain::view::{self, ByRecords};
 use sched::drain_records::{Disruption, DisruptionRecord, Stopper};
+use sched::records::JobRecord;
 use sched::replica::Replica;
 use sched::rescheduler::Eviction;
 use wire::JobKind;
 
+use super::support::{team_name, unsupporting_controller};
 use crate::controller::Controller;
 use crate::state::ControllerState;
 
-/// What may be evicted in one round.
+/// What may be evicted in one scheduling cycle.
 pub struct EvictionBudget<'c> {
     ledger: Ledger<'c>,
 }
 
 impl<'c> EvictionBudget<'c> {
-    /// For the evictions of a round. None: drains are switched off, or some controller knows
-    /// none. What it sees running nobody would be told, and entries would stay for good.
-    pub fn of_round(
+    /// For the evictions of a cycle. None: drains are switched off, or some controller does not
+    /// support them. It would not say what it sees running, and disruptions would stay open.
+    pub fn for_cycle(
         controller: &'c Controller,
         state: &ControllerState,
         evictions: &[Eviction],
     ) -> Option<Self> {
         let applies = controller.operators.drains.enabled
-            && super::paused(controller, &state.records.replica).is_none();
+            && unsupporting_controller(controller, &state.records.replica).is_none();
         applies.then(|| Self::new(controller, state, evictions))
     }
 
     /// For these evictions, by the records.
     fn new(controller: &'c Controller, state: &ControllerState, evictions: &[Eviction]) -> Self {
-        let world = &state.records.replica;
+        let replica = &state.records.replica;
         let budgets = &controller.operators.drains.budgets;
         let evicted = |id: &str| evictions.iter().any(|e| e.job == id);
-        let concerned = |(id, job): &(&String, &sched::records::JobRecord)| {
+        let concerned = |(id, job): &(&String, &JobRecord)| {
             let service = job.spec.as_deref().filter(|s| s.kind == JobKind::Service);
             service.is_some_and(|s| evicted(id) || budgets.teams.contains_key(&s.team))
         };
-        let services: Vec<_> = world.open_jobs().filter(concerned).collect();
+        let services: Vec<_> = replica.open_jobs().filter(concerned).collect();
         let capacity = DisruptionRecord::capacity(controller.state_limits().value_bytes);
-        let team_of = |id: &str| super::team_of(controller, id);
-        Self { ledger: view::ledger(world, &services, budgets, &ByRecords, team_of, capacity) }
+        let team_of = |id: &str| team_name(controller, id);
+        Self { ledger: view::ledger(replica, &services, budgets, &ByRecords, team_of, capacity) }
     }
 
-    /// Debits an eviction; None if the budgets do not allow it. Gives the entry for the team's
-    /// record, and the team.
+    /// Debits an eviction. Returns the team and the entry for its record; None if the budgets do
+    /// not allow the eviction.
     pub fn debit(
         &mut self,
-        world: &Replica,
+        replica: &Replica,
         eviction: &Eviction,
         now_ms: u64,
     ) -> Option<(String, Disruption)> {
-        let job = &world.jobs.get(&eviction.job)?.value;
+        let job = &replica.jobs.get(&eviction.job)?.value;
         let team = job.spec.as_ref()?.team.clone();
         let unit = UnitId { job: eviction.job.as_str().into(), task: eviction.task };
         self.ledger.check(&team, &unit).ok()?;
--- a/crates/daemon/src/drains/observe.rs
+++ b/crates/daemon/src/drains/running_tasks.rs
@@ -1,5 +1,5 @@
-//! Which tasks run, by the words of the machines' owners. The records tell what is to run;
-//! whether a replica is up, its owner knows from its machine's reports.
+//! Which tasks run, as the machines' owners observe it. The records say what is to run; whether a
+//! replica is up, only its machine's owner knows, from heartbeats.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,32 +8,42 @@
 use net::Reply;
 use peer::{RunningTask, RunningTasks, RunningTasksOfJob, RunningTasksRequest};
 use rand::RngExt;
+use sched::records::Assignment;
 use tokio::time::sleep;
 
-use super::state::PeerAnswer;
+use super::state::PeerObservation;
 use crate::clock;
 use crate::controller::Controller;
-use crate::peers::LARGE;
 use crate::state::ControllerState;
 
-/// Where peers ask.
+/// The path of the peers' requests.
 pub const PATH: &str = "/running-tasks";
-const ASK_EVERY: Duration = Duration::from_millis(1000);
-const DEADLINE: Duration = Duration::from_millis(900);
-/// How long an answer counts from when it was asked for.
-const ANSWER_FOR: Duration = Duration::from_secs(4);
+/// How often each peer is asked.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(1000);
+/// How long a peer has to answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long an answer counts, from its request.
+const MAX_ANSWER_AGE: Duration = Duration::from_secs(4);
+/// Most bytes of an answer.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// The tasks of the jobs that were asked for that are seen running, by this controller and by
-/// those of its peers whose words are of now and of the present map. What nobody sees running
-/// counts as down.
-pub fn running(controller: &Controller, state: &ControllerState, now: Instant) -> ObservedTasks {
+/// The tasks of the observed jobs that are seen running, by this controller and by the peers
+/// whose answers are recent and of the present cluster map. What nobody sees running counts as
+/// down.
+pub(super) fn observed_tasks(
+    controller: &Controller,
+    state: &ControllerState,
+    now: Instant,
+) -> ObservedTasks {
     let mut all = ObservedTasks::default();
     let Some(map) = state.cluster_map() else { return all };
-    for of_job in own(controller, state, state.drains.asked.iter().map(String::as_str), now) {
-        note(&mut all, &of_job);
+    for of_job in
+        tasks_on_owned_machines(controller, state, state.drains.observed_jobs.iter().map(String::as_str), now)
+    {
+        add(&mut all, &of_job);
     }
-    for (name, answer) in &state.drains.answers {
-        let recent = now.saturating_duration_since(answer.asked_at) < ANSWER_FOR;
+    for (name, answer) in &state.drains.peer_observations {
+        let recent = now.saturating_duration_since(answer.requested_at) < MAX_ANSWER_AGE;
         if recent && answer.epoch == map.epoch && map.contains(name, answer.incarnation) {
             all.extend(answer.tasks.clone());
         }
@@ -41,21 +51,21 @@
     all
 }
 
-fn note(tasks: &mut ObservedTasks, of_job: &RunningTasksOfJob) {
+fn add(tasks: &mut ObservedTasks, of_job: &RunningTasksOfJob) {
     for RunningTask { task, attempt } in &of_job.tasks {
         tasks.note(&of_job.job, *task, *attempt);
     }
 }
 
 /// The tasks of some jobs that run on machines of this controller.
-fn own<'a>(
+fn tasks_on_owned_machines<'a>(
     controller: &Controller,
     state: &ControllerState,
     jobs: impl Iterator<Item = &'a str>,
     now: Instant,
 ) -> Vec<RunningTasksOfJob> {
     let silent = controller.heartbeat_interval() * 5 / 2;
-    let runs = |job: &str, a: &sched::records::Assignment| {
+    let runs = |job: &str, a: &Assignment| {
         let mine = state.records.replica.owner_of(&a.machine) == Some(&controller.identity);
         let worker = state.machines.workers.get(&a.machine).filter(|w| mine && w.silent_for(now) <= silent);
         worker.is_some_and(|w| w.is_running(&format!("{job}/{}", a.task), a.attempt))
@@ -70,55 +80,62 @@
     jobs.filter_map(of_job).collect()
 }
 
-/// Asks one peer, for as long as there is something to ask for.
-pub async fn ask_peer(controller: Arc<Controller>, name: String, address: String) {
+/// Asks one peer regularly which tasks run on its machines, while there are jobs to observe.
+pub async fn observe_peer(controller: Arc<Controller>, name: String, address: String) {
     loop {
-        sleep(ASK_EVERY).await;
-        let asked_at = clock::now();
+        sleep(REQUEST_INTERVAL).await;
+        let requested_at = clock::now();
         let Some(request) = request(&controller) else { continue };
         let Some(answer) = exchange(&controller, &address, &request).await else { continue };
-        take(&mut controller.state(), &name, &request, answer, asked_at);
+        record_answer(&mut controller.state(), &name, &request, answer, requested_at);
     }
 }
 
 fn request(controller: &Controller) -> Option<RunningTasksRequest> {
     let state = controller.state();
-    if state.drains.asked.is_empty() || !state.is_leader(&controller.identity) {
+    if state.drains.observed_jobs.is_empty() || !state.is_leader(&controller.identity) {
         return None;
     }
     let epoch = state.cluster_map()?.epoch;
-    let jobs = state.drains.asked.iter().cloned().collect();
+    let jobs = state.drains.observed_jobs.iter().cloned().collect();
     Some(RunningTasksRequest { nonce: rand::rng().random(), epoch, jobs })
 }
 
-/// Sends a request. A controller without drains answers 404: nothing that runs on its machines
-/// is known to.
+/// Sends a request. A controller without drains answers 404: nothing is
+/// known to run on its machines.
 async fn exchange(
     controller: &Controller,
     address: &str,
     request: &RunningTasksRequest,
 ) -> Option<RunningTasks> {
     let body = peer::encode_running_request(request);
-    let answer =
-        controller.peer_and_cloud_http.request(address, "POST", PATH, body, LARGE, DEADLINE).await.ok()?;
+    let answer = controller
+        .peer_and_cloud_http
+        .request(address, "POST", PATH, body, MAX_RESPONSE_BYTES, REQUEST_TIMEOUT)
+        .await
+        .ok()?;
     (answer.status == 200).then(|| peer::decode_running(&answer.body)).flatten()
 }
 
-/// Takes in an answer, if it is one to this request from the peer that was asked.
-pub(crate) fn take(
+/// Records an answer. Returns false if it is not one to this request from the peer that was
+/// asked.
+pub(crate) fn record_answer(
     state: &mut ControllerState,
     name: &str,
     request: &RunningTasksRequest,
     answer: RunningTasks,
-    asked_at: Instant,
+    requested_at: Instant,
 ) -> bool {
     if answer.nonce != request.nonce || answer.name != name || answer.epoch != request.epoch {
         return false;
     }
     let mut tasks = ObservedTasks::default();
-    answer.jobs.iter().for_each(|of_job| note(&mut tasks, of_job));
+    answer.jobs.iter().for_each(|of_job| add(&mut tasks, of_job));
     let RunningTasks { incarnation, epoch, .. } = answer;
-    state.drains.answers.insert(name.to_owned(), PeerAnswer { incarnation, epoch, asked_at, tasks });
+    state
+        .drains
+        .peer_observations
+        .insert(name.to_owned(), PeerObservation { incarnation, epoch, requested_at, tasks });
     true
 }
 
@@ -138,7 +155,7 @@
         name: controller.identity.name.clone(),
         incarnation: controller.identity.incarnation,
         epoch,
-        jobs: own(controller, &state, jobs, clock::now()),
+        jobs: tasks_on_owned_machines(controller, &state, jobs, clock::now()),
     };
     Reply { status: 200, body: peer::encode_running(&answer), retry_after: None }
 }
--- a/crates/daemon/src/drains/state.rs
+++ b/crates/daemon/src/drains/state.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of drains beside the records: plain state, which the duty changes.
+//! What a controller knows of drains beside the records: plain state.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Instant;
@@ -8,32 +8,32 @@
 use sched::records::{Name, Phase};
 use sched::replica::Replica;
 
-/// What a peer said of the tasks that run on its machines.
+/// The tasks that run on a peer's machines, as it said.
 #[derive(Debug)]
-pub struct PeerAnswer {
-    /// The process that said it.
+pub struct PeerObservation {
+    /// The incarnation of the peer.
     pub incarnation: u64,
-    /// The epoch of the map by which it owns its machines.
+    /// The epoch of the cluster map by which it owns its machines.
     pub epoch: u64,
-    /// When it was asked.
-    pub asked_at: Instant,
+    /// When it was requested.
+    pub requested_at: Instant,
     /// The tasks.
     pub tasks: ObservedTasks,
 }
 
-/// Room that is held for a job of which something was stopped.
+/// Capacity that is held for a job of which something was stopped.
 #[derive(Debug, Clone)]
 pub struct Hold {
-    /// The machines, each as often as it has a place.
+    /// The machines, each as often as it is to hold a task.
     pub machines: Vec<Name>,
     /// Until when it is held at the latest.
     pub until: Instant,
 }
 
 impl Hold {
-    /// Whether the job has not got its places yet.
-    pub fn is_needed(&self, world: &Replica, job: &str) -> bool {
-        let Some(job) = world.jobs.get(job).map(|j| &j.value) else { return false };
+    /// Whether tasks of the job are still to be placed.
+    pub fn is_needed(&self, replica: &Replica, job: &str) -> bool {
+        let Some(job) = replica.jobs.get(job).map(|j| &j.value) else { return false };
         let stopping = job.assignments.iter().any(|a| !job.should_run(a));
         job.phase == Phase::Active && (stopping || sched::placement::pending_task_count(job) > 0)
     }
@@ -42,22 +42,22 @@
 /// What a controller knows of drains beside the records.
 #[derive(Debug, Default)]
 pub struct DrainState {
-    /// The jobs whose running tasks have to be known for the next step.
-    pub asked: BTreeSet<String>,
-    /// What each peer last said of them.
-    pub answers: HashMap<String, PeerAnswer>,
-    /// Machines whose work waits for room that should be rented.
-    pub wants_room: NameSet<Name>,
-    /// Room held for what was stopped, by job.
+    /// The jobs whose running tasks have to be observed for the next step.
+    pub observed_jobs: BTreeSet<String>,
+    /// What each peer last said of them, by the peer's name.
+    pub peer_observations: HashMap<String, PeerObservation>,
+    /// Machines whose tasks wait for capacity that is to be scaled out.
+    pub machines_awaiting_capacity: NameSet<Name>,
+    /// Capacity held for what was stopped, by job.
     pub holds: BTreeMap<String, Hold>,
-    /// The orders of drains' machines that a solver has found.
+    /// The orders of machines that a solver has found, by drain.
     pub orders: view::Orders,
     /// Drains that a solver has been asked about.
     pub planned: HashSet<String>,
-    /// When each drain's record was last written.
-    pub told: HashMap<String, Instant>,
-    /// Cordons that were first seen without a drain, and when.
-    pub abandoned: HashMap<String, Instant>,
-    /// Drains that cannot be read, as already told in the log.
+    /// When each drain's record was last written for its progress.
+    pub progress_recorded_at: HashMap<String, Instant>,
+    /// Since when drains have had cordons without a record, by drain.
+    pub orphaned_since: HashMap<String, Instant>,
+    /// Drains that cannot be read and that were logged.
     pub unreadable: HashSet<String>,
 }
--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/fleet_duty/rentals.rs
@@ -84,7 +84,8 @@
 /// How many tasks of an array or a gang a drain would move if there were room for them: a gang
 /// as a whole.
 fn tasks_to_move(state: &ControllerState, job: &JobRecord, spec: &JobSpec) -> u32 {
-    let waits = |a: &&Assignment| state.drains.wants_room.contains(&a.machine) && job.should_run(a);
+    let waits =
+        |a: &&Assignment| state.drains.machines_awaiting_capacity.contains(&a.machine) && job.should_run(a);
     let there = job.assignments.iter().filter(waits).count() as u32;
     if spec.kind == JobKind::Gang && there > 0 { spec.tasks } else { there }
 }
@@ -114,7 +115,7 @@
     fn pass_over_late(&mut self, controller: &Controller, late: &[Name]) {
         let kinds: Vec<MachineOffer> = {
             let state = controller.state();
-            if state.drains.wants_room.is_empty() {
+            if state.drains.machines_awaiting_capacity.is_empty() {
                 return;
             }
             let rentals = state.records.replica.fleet.iter().flat_map(|f| &f.value.scale_outs);
@@ -251,7 +252,7 @@
     ) -> Vec<(&'c JobRecord, Demand<'c>)> {
         let mut lost = self.about_to_go(controller, state, now);
         // Room for what is to be moved off machines that are drained, before it is stopped.
-        lost.extend(state.drains.wants_room.iter().cloned());
+        lost.extend(state.drains.machines_awaiting_capacity.iter().cloned());
         let mut demands = Vec::new();
         let mut left: HashMap<&str, Resources> = HashMap::default();
         for (_, job) in state.records.replica.open_jobs() {
@@ -262,7 +263,7 @@
             let replaced = match spec.kind {
                 JobKind::Service if !lost.is_empty() => job.assignments.iter().filter(there).count() as u32,
                 // Only where a drain waits for room.
-                _ if !state.drains.wants_room.is_empty() => tasks_to_move(state, job, spec),
+                _ if !state.drains.machines_awaiting_capacity.is_empty() => tasks_to_move(state, job, spec),
                 _ => 0,
             };
             let waiting = placement::pending_task_count(job);
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/fleet_duty/returns.rs
@@ -62,7 +62,9 @@
 /// The machines to give back as soon as nothing is left on them. Nothing can be placed there
 /// meanwhile, unless a controller knows no drains.
 fn drained<'c>(controller: &Controller, state: &'c ControllerState) -> HashSet<&'c Name> {
-    if !controller.operators.drains.enabled || drains::paused(controller, &state.records.replica).is_some() {
+    if !controller.operators.drains.enabled
+        || drains::unsupporting_controller(controller, &state.records.replica).is_some()
+    {
         return HashSet::default();
     }
     state.records.replica.drains.machines_to_give_back()
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -250,12 +250,12 @@
     controller.spawn_task(fleet_duty::fleet(controller.clone()));
     controller.spawn_task(load::log_regularly(controller.clone()));
     if controller.operators.drains.enabled {
-        controller.spawn_task(drains::duty(controller.clone()));
+        controller.spawn_task(drains::run_drains(controller.clone()));
     }
     for peer in &controller.settings.peers {
         if controller.operators.drains.enabled {
             let (name, address) = (peer.node_name.clone(), peer.address.clone());
-            controller.spawn_task(drains::observe::ask_peer(controller.clone(), name, address));
+            controller.spawn_task(drains::running_tasks::observe_peer(controller.clone(), name, address));
         }
         controller.spawn_task(peers::exchange_summaries(controller.clone(), peer.address.clone()));
     }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -12,7 +12,7 @@
 use crate::api;
 use crate::clock;
 use crate::controller::Controller;
-use crate::drains::observe;
+use crate::drains::running_tasks;
 use crate::read_index;
 use crate::state::{ControllerState, ReceivedStatus, accepts_work};
 
@@ -178,7 +178,7 @@
 
 /// Serves the peers.
 pub async fn serve(controller: Arc<Controller>, request: Request) -> Reply {
-    if !matches!(request.path.as_str(), "/peer" | read_index::PATH | observe::PATH) {
+    if !matches!(request.path.as_str(), "/peer" | read_index::PATH | running_tasks::PATH) {
         return Reply::error(404, "unknown path");
     }
     if request.method != "POST" {
@@ -187,8 +187,8 @@
     if request.path == read_index::PATH {
         return read_index::serve(&controller, &request.body);
     }
-    if request.path == observe::PATH {
-        return observe::serve(&controller, &request.body);
+    if request.path == running_tasks::PATH {
+        return running_tasks::serve(&controller, &request.body);
     }
     let answer = match peer::decode(&request.body) {
         Some(Message::PeerStatus(s)) => {
--- a/crates/daemon/src/scheduler/rescheduling.rs
+++ b/crates/daemon/src/scheduler/rescheduling.rs
@@ -23,7 +23,7 @@
     if evictions.is_empty() {
         return;
     }
-    let mut budget = EvictionBudget::of_round(controller, state, &evictions);
+    let mut budget = EvictionBudget::for_cycle(controller, state, &evictions);
     // With a budget, the team's record of disruptions is written, too.
     let writes = 1 + usize::from(budget.is_some());
     for eviction in evictions {
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -1,4 +1,13 @@
-use super::*;
+use std::time::Duration;
+
+use sched::drain_records::{DisruptionRecord, DrainPhase, DrainRecord, ObstacleKind};
+use store::key;
+
+use super::running_tasks::{observed_tasks, record_answer};
+use super::unit_stops::{UnitStops, stop_units};
+use super::{EvictionBudget, unsupporting_controller};
+use crate::clock;
+use crate::controller::Controller;
 use crate::operators::Operators;
 use crate::scheduler::{self, CycleTransaction, SchedulingCycle};
 use crate::settings::tests::EXAMPLE;
@@ -42,20 +51,20 @@
 }
 
 /// A service of two replicas on two machines, one of which is drained.
-fn site(core: &mut ControllerState, me: &Member) {
-    let world = &mut core.records.replica;
+fn site(state: &mut ControllerState, me: &Member) {
+    let replica = &mut state.records.replica;
     let other = Member { name: "n-1".into(), zone: "a".into(), incarnation: 2 };
     let live = vec![me.clone(), other.clone()];
-    world.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
-    world.apply(RecordChange::Leader(Some(me.clone())), 1);
+    replica.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
+    replica.apply(RecordChange::Leader(Some(me.clone())), 1);
     for member in [me, &other] {
-        world.apply(RecordChange::Member(member.name.clone(), Some(member.clone())), 1);
-        world.apply(RecordChange::SchemaMarker(member.name.clone(), Some(DRAINS_SCHEMA_VERSION)), 1);
+        replica.apply(RecordChange::Member(member.name.clone(), Some(member.clone())), 1);
+        replica.apply(RecordChange::SchemaMarker(member.name.clone(), Some(DRAINS_SCHEMA_VERSION)), 1);
     }
     for machine in ["m-1", "m-2"] {
         let (machine_type, zone) = ("m".into(), "a".into());
         let record = MachineRecord { addr: "x".into(), machine_type, zone, spot: false, release: false };
-        world.apply(RecordChange::Machine(machine.into(), Some(record)), 2);
+        replica.apply(RecordChange::Machine(machine.into(), Some(record)), 2);
     }
     let mut job = JobRecord::new(wire::JobSpec { tasks: 2, ..spec("j-1", JobKind::Service) }, None, 0);
     let place = |(task, machine): (u32, &str)| Assignment {
@@ -66,11 +75,11 @@
     };
     job.assignments = [(0, "m-1"), (1, "m-2")].map(place).into();
     job.attempt = 1;
-    world.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 3);
-    world.apply(RecordChange::Cordon(("d".into(), 0), Some(CordonRecord::new(vec!["m-1".into()]))), 4);
-    world.apply(RecordChange::CordonFence(Some(CordonFence { generation: 1 })), 4);
-    world.apply(RecordChange::Drain("d".into(), Some(record())), 5);
-    core.records.is_loaded = true;
+    replica.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 3);
+    replica.apply(RecordChange::Cordon(("d".into(), 0), Some(CordonRecord::new(vec!["m-1".into()]))), 4);
+    replica.apply(RecordChange::CordonFence(Some(CordonFence { generation: 1 })), 4);
+    replica.apply(RecordChange::Drain("d".into(), Some(record())), 5);
+    state.records.is_loaded = true;
 }
 
 fn unit() -> Unit {
@@ -82,33 +91,33 @@
     conditions.iter().find(|c| c.key == key).map(|c| c.version)
 }
 
-fn eviction_round(controller: &Arc<Controller>, core: &ControllerState) -> SchedulingCycle {
+fn eviction_cycle(controller: &Arc<Controller>, state: &ControllerState) -> SchedulingCycle {
     let eviction = Eviction { job: "j-1".into(), task: 1, machine: "m-2".into(), reason: "crowded machine" };
     let evictions = std::slice::from_ref(&eviction);
-    let mut budget = EvictionBudget::of_round(controller, core, evictions).expect("all know drains");
-    let disruption = budget.debit(&core.records.replica, &eviction, 9).expect("nothing is down");
-    let mut round = SchedulingCycle::default();
-    round.jobs.insert("j-1".into(), core.records.replica.jobs["j-1"].value.clone());
-    round.disruptions.insert("j-1".into(), disruption);
-    round
+    let mut budget = EvictionBudget::for_cycle(controller, state, evictions).expect("all know drains");
+    let disruption = budget.debit(&state.records.replica, &eviction, 9).expect("nothing is down");
+    let mut cycle = SchedulingCycle::default();
+    cycle.jobs.insert("j-1".into(), state.records.replica.jobs["j-1"].value.clone());
+    cycle.disruptions.insert("j-1".into(), disruption);
+    cycle
 }
 
 /// A drain and the rescheduler decide by the same view: whichever is committed second fails.
 #[test]
-fn all_that_stops_by_choice_changes_the_same_record() {
+fn all_voluntary_disruptions_change_the_record_of_the_team() {
     let controller = controller(ON);
-    let mut core = controller.state();
-    site(&mut core, &controller.identity);
+    let mut state = controller.state();
+    site(&mut state, &controller.identity);
     let open =
         vec![Disruption { job: "j-9".into(), task: 0, attempt: 1, by: Stopper::Rescheduler, since_ms: 1 }];
-    core.records.replica.apply(RecordChange::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
+    state.records.replica.apply(RecordChange::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
     let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
-    let (transaction, taken) = transactions::stop(&controller, &core, &moves, 9).expect("one to stop");
-    assert_eq!((taken, transaction.puts()), (1, 3), "the job, the team's record and the drain's");
+    let UnitStops { transaction, count } = stop_units(&controller, &state, &moves, 9).expect("one to stop");
+    assert_eq!((count, transaction.write_count()), (1, 3), "the job, the team's record and the drain's");
     let (conditions, puts) = transaction.parts();
-    let round = eviction_round(&controller, &core);
+    let cycle = eviction_cycle(&controller, &state);
     let assembled =
-        scheduler::build_transaction(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
+        scheduler::build_transaction(&state.records.replica, &cycle, &controller.state_limits(), usize::MAX);
     for (conditions, puts) in [(conditions, puts), (&assembled.conditions[..], &assembled.writes[..])] {
         assert_eq!(version_of(conditions, &key::disruptions("t")), Some(7));
         assert_eq!(version_of(conditions, &key::job("j-1")), Some(3));
@@ -125,32 +134,32 @@
 
 /// The least that a state service may take in a transaction is two changes.
 #[test]
-fn a_unit_is_stopped_with_two_changes_where_there_are_no_more() {
+fn a_unit_is_stopped_with_two_writes_where_a_transaction_has_no_more() {
     let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
     settings.facts.state.txn_ops = 2;
     let controller = Controller::new(settings, Operators::parse("o.hcl", ON).expect("valid"), 1);
-    let mut core = controller.state();
-    site(&mut core, &controller.identity);
+    let mut state = controller.state();
+    site(&mut state, &controller.identity);
     let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
-    let (transaction, taken) = transactions::stop(&controller, &core, &moves, 2).expect("one to stop");
+    let UnitStops { transaction, count } = stop_units(&controller, &state, &moves, 2).expect("one to stop");
     let (conditions, puts) = transaction.parts();
-    assert_eq!((taken, puts.len()), (1, 2), "the job and the team's record");
+    assert_eq!((count, puts.len()), (1, 2), "the job and the team's record");
     assert_eq!(version_of(conditions, &key::drain("d")), Some(5));
 }
 
 #[test]
-fn a_round_is_conditional_on_the_cordons_only_where_drains_are_on() {
+fn a_cycle_is_conditional_on_the_cordon_fence_only_where_drains_are_enabled() {
     for (operators, fence) in [(ON, Some(4)), ("", None)] {
         let controller = controller(operators);
-        let mut core = controller.state();
-        site(&mut core, &controller.identity);
+        let mut state = controller.state();
+        site(&mut state, &controller.identity);
         let cordon_fence = controller.operators.drains.enabled;
-        let mut round = SchedulingCycle { fences_cordons: cordon_fence, ..SchedulingCycle::default() };
-        round.jobs.insert("j-1".into(), core.records.replica.jobs["j-1"].value.clone());
-        round.placed_jobs.insert("j-1".into());
+        let mut cycle = SchedulingCycle { fences_cordons: cordon_fence, ..SchedulingCycle::default() };
+        cycle.jobs.insert("j-1".into(), state.records.replica.jobs["j-1"].value.clone());
+        cycle.placed_jobs.insert("j-1".into());
         let CycleTransaction { conditions, writes: puts, .. } = scheduler::build_transaction(
-            &core.records.replica,
-            &round,
+            &state.records.replica,
+            &cycle,
             &controller.state_limits(),
             usize::MAX,
         );
@@ -160,26 +169,26 @@
 }
 
 #[test]
-fn nothing_is_placed_on_a_cordoned_machine_and_all_is_paused_by_an_old_controller() {
+fn nothing_is_placed_on_cordoned_machines_and_an_old_controller_pauses_drains() {
     let controller = controller(ON);
-    let mut core = controller.state();
-    site(&mut core, &controller.identity);
+    let mut state = controller.state();
+    site(&mut state, &controller.identity);
     let types = vec![crate::worker::tests::kind(40.0, 90.0, &["a"])];
-    core.records.replica.apply(RecordChange::Types(Some(MachineTypesRecord { types })), 8);
-    let inventory = sched::placement::Inventory::new(&core.records.replica, |_| true);
+    state.records.replica.apply(RecordChange::Types(Some(MachineTypesRecord { types })), 8);
+    let inventory = sched::placement::Inventory::new(&state.records.replica, |_| true);
     assert!(inventory.find("m-1").is_none());
-    assert!(paused(&controller, &core.records.replica).is_none());
+    assert!(unsupporting_controller(&controller, &state.records.replica).is_none());
     // One that comes back without drains says so with its entry among the members.
-    core.records.replica.apply(RecordChange::SchemaMarker("n-1".into(), Some(SCHEMA_VERSION)), 9);
-    let obstacle = paused(&controller, &core.records.replica).expect("paused");
+    state.records.replica.apply(RecordChange::SchemaMarker("n-1".into(), Some(SCHEMA_VERSION)), 9);
+    let obstacle = unsupporting_controller(&controller, &state.records.replica).expect("paused");
     // Its machines' replicas would never be seen running: evictions go on as without drains.
-    assert!(EvictionBudget::of_round(&controller, &core, &[]).is_none());
+    assert!(EvictionBudget::for_cycle(&controller, &state, &[]).is_none());
     assert_eq!((obstacle.kind, &*obstacle.job), (ObstacleKind::OldController, "n-1"));
 }
 
 /// The version in production, and any without drains, pass the records over.
 #[test]
-fn versions_without_drains_pass_the_records_over() {
+fn versions_without_drains_ignore_their_records() {
     let puts = [
         KeyWrite::new(key::drain("d"), &record()),
         KeyWrite::new(key::cordon("d", 0), &CordonRecord::new(vec!["m-1".into()])),
@@ -197,26 +206,26 @@
 #[test]
 fn a_drain_of_a_later_schema_is_unreadable_and_its_machines_stay_cordoned() {
     let controller = controller(ON);
-    let mut core = controller.state();
-    site(&mut core, &controller.identity);
+    let mut state = controller.state();
+    site(&mut state, &controller.identity);
     let later = KeyWrite::new(key::drain("d"), &DrainRecord { schema: DRAIN_SCHEMA + 1, ..record() });
     let (change, bad) = decode_change(&later.key, later.value);
     assert!(bad);
-    core.records.replica.mark_unreadable(change);
-    assert!(core.records.replica.drains.unreadable.contains("d"));
-    assert!(core.records.replica.drains.is_cordoned("m-1"));
+    state.records.replica.mark_unreadable(change);
+    assert!(state.records.replica.drains.unreadable.contains("d"));
+    assert!(state.records.replica.drains.is_cordoned("m-1"));
 }
 
 /// What an owner says of its machines counts only by reports of now, only for the map that it
 /// was asked under, and only as the answer to the request.
 #[test]
-fn only_what_is_seen_now_counts_as_running() {
+fn only_tasks_observed_recently_count_as_running() {
     let controller = controller(ON);
     let now = clock::now();
-    let mut core = controller.state();
-    site(&mut core, &controller.identity);
-    core.drains.asked = ["j-1".to_owned()].into();
-    let mine = |m: &&str| core.records.replica.owner_of(m) == Some(&controller.identity);
+    let mut state = controller.state();
+    site(&mut state, &controller.identity);
+    state.drains.observed_jobs = ["j-1".to_owned()].into();
+    let mine = |m: &&str| state.records.replica.owner_of(m) == Some(&controller.identity);
     let machine = ["m-1", "m-2"].into_iter().find(mine).expect("one of two machines is its own");
     let task = if machine == "m-1" { 0 } else { 1 };
     let mut worker = Worker::new("x".into(), 4, now);
@@ -239,15 +248,15 @@
         }],
     };
     worker.ingest(report(1, TaskState::Fetching), true, now);
-    core.machines.workers.insert(machine.into(), worker);
-    let seen = |core: &ControllerState, at| {
-        drain::view::Running::is_running(&observe::running(&controller, core, at), "j-1", task, 1)
+    state.machines.workers.insert(machine.into(), worker);
+    let seen = |state: &ControllerState, at| {
+        drain::view::Running::is_running(&observed_tasks(&controller, state, at), "j-1", task, 1)
     };
-    assert!(!seen(&core, now), "it fetches its image");
-    let worker = core.machines.workers.get_mut(machine).expect("there");
+    assert!(!seen(&state, now), "it fetches its image");
+    let worker = state.machines.workers.get_mut(machine).expect("there");
     worker.ingest(report(2, TaskState::Running), true, now);
-    assert!(seen(&core, now));
-    assert!(!seen(&core, now + Duration::from_secs(9)), "nothing was heard for three reports");
+    assert!(seen(&state, now));
+    assert!(!seen(&state, now + Duration::from_secs(9)), "nothing was heard for three reports");
     let request = RunningTasksRequest { nonce: 7, epoch: 4, jobs: vec!["j-1".into()] };
     let answer = |nonce, epoch, incarnation| peer::RunningTasks {
         nonce,
@@ -259,13 +268,13 @@
             tasks: vec![peer::RunningTask { task: 9, attempt: 3 }],
         }],
     };
-    let other = |core: &ControllerState| {
-        drain::view::Running::is_running(&observe::running(&controller, core, now), "j-1", 9, 3)
+    let other = |state: &ControllerState| {
+        drain::view::Running::is_running(&observed_tasks(&controller, state, now), "j-1", 9, 3)
     };
-    assert!(!observe::take(&mut core, "n-1", &request, answer(8, 4, 2), now), "another's answer");
-    assert!(!observe::take(&mut core, "n-1", &request, answer(7, 3, 2), now), "of another map");
-    assert!(observe::take(&mut core, "n-1", &request, answer(7, 4, 1), now));
-    assert!(!other(&core), "of an earlier process");
-    assert!(observe::take(&mut core, "n-1", &request, answer(7, 4, 2), now));
-    assert!(other(&core));
+    assert!(!record_answer(&mut state, "n-1", &request, answer(8, 4, 2), now), "another's answer");
+    assert!(!record_answer(&mut state, "n-1", &request, answer(7, 3, 2), now), "of another map");
+    assert!(record_answer(&mut state, "n-1", &request, answer(7, 4, 1), now));
+    assert!(!other(&state), "of an earlier process");
+    assert!(record_answer(&mut state, "n-1", &request, answer(7, 4, 2), now));
+    assert!(other(&state));
 }
