--- a/crates/daemon/src/api/shard_choice.rs
+++ b/crates/daemon/src/api/shard_choice.rs
@@ -7,7 +7,7 @@
 
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
-use crate::placer;
+use crate::scheduler;
 use crate::state::{ControllerState, RecentAssignments, SchedulingState};
 
 /// How long the CPUs of new jobs are counted against their shard before they are taken to show on
@@ -19,7 +19,7 @@
 pub(crate) fn choose_shard(controller: &Controller, spec: &JobSpec) -> Option<String> {
     let mut guard = controller.state();
     let state = &mut *guard;
-    if placer::collected_for(&state.records.replica, spec, wall_ms()) {
+    if scheduler::capacity_is_collected_for(&state.records.replica, spec, wall_ms()) {
         return None;
     }
     refresh_recent_assignments(controller, state)?;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -44,7 +44,6 @@
 #[cfg(test)]
 #[path = "../tests/unit/pipelines.rs"]
 mod pipelines;
-mod placer;
 mod prober;
 mod process;
 #[cfg(test)]
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -8,7 +8,7 @@
 use crate::api::heartbeats::{HeartbeatRoute, handle_heartbeat};
 use crate::clock;
 use crate::controller::Controller;
-use crate::drains::observe;
+use crate::drains::running_tasks;
 use crate::peer_client::MESSAGE_PATH;
 use crate::peer_status;
 use crate::read_index;
@@ -16,7 +16,7 @@
 /// Answers a request of a peer.
 pub async fn serve(controller: Arc<Controller>, request: Request) -> Reply {
     let path = request.path.as_str();
-    if !matches!(path, MESSAGE_PATH | read_index::PATH | observe::PATH) {
+    if !matches!(path, MESSAGE_PATH | read_index::PATH | running_tasks::PATH) {
         return Reply::error(404, "unknown path");
     }
     if request.method != "POST" {
@@ -24,7 +24,7 @@
     }
     match path {
         read_index::PATH => read_index::serve(&controller, &request.body),
-        observe::PATH => observe::serve(&controller, &request.body),
+        running_tasks::PATH => running_tasks::serve(&controller, &request.body),
         _ => answer_message(&controller, &request.body).await,
     }
 }
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -105,12 +105,12 @@
     controller.spawn_task(load_log::log_regularly(controller.clone()));
     let drains_enabled = controller.operators.drains.enabled;
     if drains_enabled {
-        controller.spawn_task(drains::duty(controller.clone()));
+        controller.spawn_task(drains::run_drains(controller.clone()));
     }
     for peer in &controller.settings.peers {
         if drains_enabled {
             let (name, address) = (peer.node_name.clone(), peer.address.clone());
-            controller.spawn_task(drains::observe::ask_peer(controller.clone(), name, address));
+            controller.spawn_task(drains::running_tasks::observe_peer(controller.clone(), name, address));
         }
         controller.spawn_task(peer_status::exchange_statuses(controller.clone(), peer.address.clone()));
     }
