--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -17,9 +17,9 @@
 };
 
 use crate::api;
+use crate::autoscaler::Autoscaler;
 use crate::change_feed;
 use crate::controller::{Controller, wall_ms};
-use crate::fleet_duty::Fleet;
 use crate::operators::Operators;
 use crate::peers;
 use crate::scheduler;
@@ -479,7 +479,7 @@
             self.add_waiting(3_000_100, 32, 1000.0);
             self.round(&mut done, "round with 32 jobs without room", 8, 16);
             let now = Instant::now();
-            let mut fleet = Fleet::leading_since(now - Duration::from_secs(60));
+            let mut fleet = Autoscaler::leading_since(now - Duration::from_secs(60));
             controller.state().refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
             measured(|| fleet.wanted(&controller, &controller.state(), now));
             case_over(&mut done, "rentals planned for 32 jobs", 1);
--- a/crates/daemon/src/fleet_duty.rs
+++ b/crates/daemon/src/autoscaler/mod.rs
@@ -19,11 +19,11 @@
 use crate::load::Purpose;
 use crate::state::ControllerState;
 
-mod rentals;
-mod returns;
+mod scale_in;
+mod scale_out;
 
 #[derive(Default)]
-pub(crate) struct Fleet {
+pub(crate) struct Autoscaler {
     /// Offers without capacity, until when, and the pause that follows.
     blocked: HashMap<MachineOffer, (Instant, Duration)>,
     idle_since: HashMap<Name, Instant>,
@@ -71,14 +71,14 @@
 const LEAVE: u32 = 8;
 /// Room is kept ready for this long after the latest GPU job.
 const SPARE_FOR: Duration = Duration::from_secs(300);
-pub async fn fleet(controller: Arc<Controller>) {
-    let mut fleet = Fleet::default();
+pub async fn run_autoscaler(controller: Arc<Controller>) {
+    let mut fleet = Autoscaler::default();
     let mut cost = Duration::ZERO;
     loop {
         sleep(TICK.max(cost * LEAVE)).await;
         cost = Duration::ZERO;
         if !controller.state().is_leader(&controller.identity) {
-            fleet = Fleet { requests: fleet.requests, ..Fleet::default() };
+            fleet = Autoscaler { requests: fleet.requests, ..Autoscaler::default() };
             continue;
         }
         fleet.led_since.get_or_insert_with(clock::now);
@@ -86,7 +86,7 @@
     }
 }
 
-impl Fleet {
+impl Autoscaler {
     /// One that has led for long enough to rent.
     #[cfg(feature = "bench")]
     pub(crate) fn leading_since(then: Instant) -> Self {
--- a/crates/daemon/src/fleet_duty/returns.rs
+++ b/crates/daemon/src/autoscaler/scale_in.rs
@@ -15,7 +15,7 @@
 use tracing::{debug, info, warn};
 use wire::{Condition, JobKind, JobSpec, MachineStatus};
 
-use super::{Fleet, Silent, is_half_full, names, names_left, spare_spec, write};
+use super::{Autoscaler, Silent, is_half_full, names, names_left, spare_spec, write};
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 use crate::drains;
@@ -118,7 +118,7 @@
     }
 }
 
-impl Fleet {
+impl Autoscaler {
     /// Which machines to give back, and why. The inventory has to be up to date.
     pub(crate) fn surplus(
         &mut self,
@@ -473,5 +473,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/fleet_duty_returns.rs"]
+#[path = "../../tests/unit/autoscaler_scale_in.rs"]
 mod tests;
--- a/crates/daemon/src/fleet_duty/rentals.rs
+++ b/crates/daemon/src/autoscaler/scale_out.rs
@@ -14,7 +14,7 @@
 use tracing::{debug, info};
 use wire::{Condition, JobKind, JobSpec, MachineStatus, MachineType, RentRequest};
 
-use super::{Fleet, names, names_left, spare_spec, write};
+use super::{Autoscaler, names, names_left, spare_spec, write};
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 use crate::load::sample_names;
@@ -89,7 +89,7 @@
     if spec.kind == JobKind::Gang && there > 0 { spec.tasks } else { there }
 }
 
-impl Fleet {
+impl Autoscaler {
     /// Drops rentals whose machines are all up, and gives up on those that are not.
     pub(super) async fn settle_rentals(&mut self, controller: &Controller) {
         let settled = self.settled(&controller.state(), clock::now(), wall_ms());
@@ -501,5 +501,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/fleet_duty_rentals.rs"]
+#[path = "../../tests/unit/autoscaler_scale_out.rs"]
 mod tests;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -5,6 +5,7 @@
 //! them, `cli` on top.
 
 mod api;
+mod autoscaler;
 #[cfg(feature = "bench")]
 #[path = "../benches/load/cases.rs"]
 pub mod cases;
@@ -26,7 +27,6 @@
 #[cfg(test)]
 #[path = "../tests/unit/faults_users.rs"]
 mod faults_users;
-mod fleet_duty;
 mod forwarded_proofs;
 #[cfg(test)]
 #[path = "../tests/unit/large_site.rs"]
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -12,7 +12,7 @@
 use crate::logging::LogLevelError;
 use crate::operators::Operators;
 use crate::settings::{Settings, SettingsError};
-use crate::{api, change_feed, drains, fleet_duty, load, membership, peers, prober, read_barrier, scheduler};
+use crate::{api, autoscaler, change_feed, drains, load, membership, peers, prober, read_barrier, scheduler};
 
 /// Largest body of a request from a peer, in bytes.
 const MAX_PEER_REQUEST_BYTES: usize = 1 << 20;
@@ -99,7 +99,7 @@
     controller.spawn_task(scheduler::run_scheduler(controller.clone()));
     controller.spawn_task(prober::prober(controller.clone()));
     controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
-    controller.spawn_task(fleet_duty::fleet(controller.clone()));
+    controller.spawn_task(autoscaler::run_autoscaler(controller.clone()));
     controller.spawn_task(load::log_regularly(controller.clone()));
     let drains_enabled = controller.operators.drains.enabled;
     if drains_enabled {
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -22,7 +22,7 @@
     "api",
     "commit",
     "controller",
-    "fleet_duty",
+    "autoscaler",
     "peers",
     "placer",
     "prober",
--- a/crates/daemon/tests/unit/fleet_duty_returns.rs
+++ b/crates/daemon/tests/unit/autoscaler_scale_in.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fleet_duty::rentals::RENT_ROOM;
+use crate::autoscaler::scale_out::RENT_ROOM;
 use crate::scale;
 use cloud::RENT_MAX;
 use sched::replica::RecordChange;
@@ -30,8 +30,11 @@
             .for_each(|(_, w)| w.heard = Some(at));
     };
     hear(&mut state, later);
-    let mut fleet =
-        Fleet { led_since: Some(now - Duration::from_secs(60)), listed_at: Some(now), ..Fleet::default() };
+    let mut fleet = Autoscaler {
+        led_since: Some(now - Duration::from_secs(60)),
+        listed_at: Some(now),
+        ..Autoscaler::default()
+    };
     let replicas = |state: &ControllerState, ids: &[Name]| {
         let of = |id: &Name| {
             let service = |j: &JobRecord| j.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service);
@@ -84,7 +87,7 @@
     let now = Instant::now();
     scale::fill(&controller, now);
     let mut state = controller.state();
-    let mut fleet = Fleet::default();
+    let mut fleet = Autoscaler::default();
     state.tick(now);
     let woken = now + Duration::from_secs(32);
     // Some reports are taken in before anything else runs.
--- a/crates/daemon/tests/unit/fleet_duty_rentals.rs
+++ b/crates/daemon/tests/unit/autoscaler_scale_out.rs
@@ -41,7 +41,7 @@
     };
     let record = FleetRecord { scale_outs: vec![rental], removed_machines: None };
     state.records.replica.apply(RecordChange::Fleet(Some(record)), 1 << 40);
-    let fleet = Fleet::default();
+    let fleet = Autoscaler::default();
     let late = |state: &ControllerState, now: Instant, now_ms: u64| {
         fleet.settled(state, now, now_ms).map_or(0, |(_, _, late)| late.len())
     };
