--- /dev/null
+++ b/crates/daemon/src/autoscaler/cluster_log.rs
@@ -0,0 +1,68 @@
+//! The regular log line on what waits and how full the machines are.
+
+use std::collections::BTreeMap;
+
+use sched::placement;
+use sched::replica::Replica;
+use tracing::info;
+
+use crate::state::ControllerState;
+
+/// The open jobs of a service class.
+#[derive(Default)]
+struct ClassLoad {
+    /// Jobs with tasks that wait.
+    waiting_jobs: u32,
+    /// Tasks that wait.
+    waiting_tasks: u32,
+    /// Tasks that are assigned to machines.
+    assigned_tasks: u32,
+}
+
+/// The machines of a type, spot instances apart from others.
+#[derive(Default)]
+struct TypeUsage {
+    machines: u32,
+    used_cpus: f64,
+    cpus: f64,
+}
+
+/// Logs what waits, by class, and how full the machines are, by type.
+pub fn log_cluster(state: &ControllerState) {
+    let waiting = waiting_by_class(&state.records.replica);
+    let machines = usage_by_type(&state.records.replica);
+    info!(waiting = waiting.join("; "), machines = machines.join("; "), "cluster");
+}
+
+fn waiting_by_class(replica: &Replica) -> Vec<String> {
+    let mut classes: BTreeMap<&str, ClassLoad> = BTreeMap::new();
+    for job in replica.open_job_ids.iter().filter_map(|id| replica.jobs.get(id)) {
+        let Some(spec) = job.value.spec.as_deref() else { continue };
+        let waiting_tasks = placement::pending_task_count(&job.value);
+        let load = classes.entry(&spec.class).or_default();
+        load.waiting_jobs += u32::from(waiting_tasks > 0);
+        load.waiting_tasks += waiting_tasks;
+        load.assigned_tasks += job.value.assignments.len() as u32;
+    }
+    let line = |(class, load): (&&str, &ClassLoad)| {
+        let ClassLoad { waiting_jobs, waiting_tasks, assigned_tasks } = load;
+        format!("{class}: {waiting_jobs} jobs, {waiting_tasks} tasks, {assigned_tasks} running")
+    };
+    classes.iter().map(line).collect()
+}
+
+fn usage_by_type(replica: &Replica) -> Vec<String> {
+    let mut types: BTreeMap<String, TypeUsage> = BTreeMap::new();
+    for (id, machine) in &replica.machines {
+        let Some(machine_type) = replica.machine_types.get(&*machine.value.machine_type) else { continue };
+        let prefix = if machine.value.spot { "spot " } else { "" };
+        let usage = types.entry(format!("{prefix}{}", machine.value.machine_type)).or_default();
+        usage.machines += 1;
+        usage.used_cpus += replica.machine_usage.get(id).map_or(0.0, |used| used.cpus);
+        usage.cpus += machine_type.cpus;
+    }
+    let line = |(name, usage): (&String, &TypeUsage)| {
+        format!("{name}: {}, {:.0}/{:.0} CPUs", usage.machines, usage.used_cpus, usage.cpus)
+    };
+    types.iter().map(line).collect()
+}
--- /dev/null
+++ b/crates/daemon/src/autoscaler/expected_capacity.rs
@@ -0,0 +1,78 @@
+//! The capacity that is there or will be without further scale-out.
+
+use sched::autoscaling::{ExpectedCapacity, MachineOffer};
+use sched::hash::HashSet;
+use sched::records::Name;
+use sched::replica::{Replica, Resources, SortedLookup};
+use wire::MachineStatus;
+
+use super::Autoscaler;
+use super::machine_offers::offer_of_scale_out;
+use crate::state::ControllerState;
+
+impl Autoscaler {
+    /// All capacity that may be used: of machines that were requested and are not up yet, of those
+    /// that the cloud lists and nobody has heard from, and what is free on those that are up.
+    pub(super) fn expected_capacity(&self, state: &ControllerState) -> Vec<ExpectedCapacity> {
+        let replica = &state.records.replica;
+        let mut expected = Vec::with_capacity(state.scheduling.inventory.slots.len());
+        let mut requested: HashSet<&Name> = HashSet::default();
+        for scale_out in replica.fleet.iter().flat_map(|fleet| fleet.value.scale_outs.iter()) {
+            let count = match &scale_out.machines {
+                Some(machines) => {
+                    requested.extend(machines);
+                    machines.iter().filter(|machine| !replica.machines.contains_key(*machine)).count()
+                }
+                None => scale_out.count as usize,
+            };
+            let machine = empty_machine(replica, offer_of_scale_out(scale_out));
+            expected.extend(std::iter::repeat_n(machine, count));
+        }
+        expected.extend(self.listed_capacity(replica, &requested));
+        expected.extend(state.scheduling.inventory.usable().map(|slot| ExpectedCapacity {
+            machine_type: slot.machine_type.clone(),
+            zone: slot.zone.clone(),
+            spot: slot.spot,
+            free: slot.free(),
+            gpus: slot.capacity.gpus,
+            is_up: true,
+        }));
+        expected
+    }
+
+    /// The capacity of machines that the cloud lists, without those that have a record, belong to a
+    /// scale-out or have been released.
+    fn listed_capacity<'a>(
+        &'a self,
+        replica: &'a Replica,
+        requested: &'a HashSet<&Name>,
+    ) -> impl Iterator<Item = ExpectedCapacity> + 'a {
+        let mut recorded = SortedLookup::new(&replica.machines);
+        self.listing.machines().iter().filter_map(move |(id, machine)| {
+            let is_known =
+                recorded.get(id).is_some() || requested.contains(id) || self.released.contains_key(id);
+            if is_known || machine.status == MachineStatus::Failed {
+                return None;
+            }
+            let offer = MachineOffer {
+                machine_type: machine.machine_type.as_str().into(),
+                zone: machine.zone.as_str().into(),
+                spot: machine.spot,
+            };
+            Some(empty_machine(replica, offer))
+        })
+    }
+}
+
+/// The capacity of a machine of an offer that is not up yet.
+fn empty_machine(replica: &Replica, offer: MachineOffer) -> ExpectedCapacity {
+    let free = replica.machine_types.get(&*offer.machine_type).map(Resources::of_type).unwrap_or_default();
+    ExpectedCapacity {
+        machine_type: offer.machine_type,
+        zone: offer.zone,
+        spot: offer.spot,
+        free,
+        gpus: free.gpus,
+        is_up: false,
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/autoscaler/scale_out_plan.rs
@@ -0,0 +1,107 @@
+//! Which machines to request.
+
+use std::time::{Duration, Instant};
+
+use cloud::RENT_MAX;
+use sched::autoscaling::{Demand, MachineOffer, plan_scale_out};
+use sched::forecast;
+use sched::placement;
+use sched::records::JobRecord;
+use sched::replica::Resources;
+use wire::{JobKind, JobSpec};
+
+use super::Autoscaler;
+use super::demand::{JobDemand, demand_for, job_demands, unsuitable_types};
+use super::headroom::headroom_spec;
+use crate::controller::{Controller, wall_ms};
+use crate::state::ControllerState;
+
+/// How long a new leader waits before it plans: until then peers have told of their machines.
+const MIN_LEADERSHIP: Duration = Duration::from_secs(2);
+
+impl Autoscaler {
+    /// The machines to request: what is in demand beyond the capacity that is there or expected.
+    /// The inventory has to be up to date.
+    pub(crate) fn plan_scale_out(
+        &mut self,
+        controller: &Controller,
+        state: &ControllerState,
+        now: Instant,
+    ) -> Vec<MachineOffer> {
+        let replica = &state.records.replica;
+        if !self.may_plan(now) || replica.machine_types.is_empty() {
+            return Vec::new();
+        }
+        let now_ms = wall_ms();
+        let waiting = waiting_demands(controller, state, now, now_ms);
+        // The next steps of pipelines, before they are ready.
+        let next_steps: Vec<&JobSpec> = forecast::next_steps(replica).collect();
+        self.remember_waiting(waiting.iter().map(|job| job.demand.spec).chain(next_steps.iter().copied()));
+        let service_count = waiting.partition_point(|job| job.demand.spec.kind == JobKind::Service);
+        let mut demands: Vec<Demand> = waiting.into_iter().map(|job| job.demand).collect();
+        // After what waits, as they may be late.
+        demands.extend(next_steps.into_iter().map(|spec| Demand {
+            unsuitable_types: unsuitable_types(controller, state, spec),
+            ..demand_for(spec, spec.tasks)
+        }));
+        let expected_services = forecast::expected_services(replica, now_ms);
+        if let Some((spec, tasks)) = &expected_services {
+            demands.insert(service_count, demand_for(spec, *tasks));
+        }
+        let headroom = headroom_spec(controller, state).map(|s| JobSpec { one_zone: false, ..s.clone() });
+        if let Some(spec) = &headroom {
+            demands.push(demand_for(spec, self.headroom_tasks(controller, now)));
+        }
+        if demands.is_empty() {
+            return Vec::new();
+        }
+        plan_scale_out(
+            &demands,
+            &self.expected_capacity(state),
+            &replica.machine_types,
+            replica.latest_gpu_job.as_deref(),
+            |offer| self.backoffs.is_active(offer, now),
+            RENT_MAX as usize,
+        )
+    }
+
+    /// Whether the controller has been the leader for long enough and the listing has begun.
+    fn may_plan(&self, now: Instant) -> bool {
+        let is_long_enough = |since: Instant| now.saturating_duration_since(since) > MIN_LEADERSHIP;
+        self.leader_since.is_some_and(is_long_enough) && self.listing.has_started()
+    }
+
+    /// Remembers one job of each shape that waits: machines that suit it are not released.
+    fn remember_waiting<'s>(&mut self, specs: impl Iterator<Item = &'s JobSpec>) {
+        self.waiting_specs.clear();
+        for spec in specs {
+            if !self.waiting_specs.iter().any(|known| has_same_shape(known, spec)) {
+                self.waiting_specs.push(spec.clone());
+            }
+        }
+    }
+}
+
+/// Whether the same machines suit tasks of two jobs.
+fn has_same_shape(a: &JobSpec, b: &JobSpec) -> bool {
+    (a.kind, a.spot, &a.types, &a.zone) == (b.kind, b.spot, &b.types, &b.zone)
+        && Resources::of_task(a) == Resources::of_task(b)
+}
+
+/// The demands of jobs, in the order in which they are served.
+fn waiting_demands<'a>(
+    controller: &Controller,
+    state: &'a ControllerState,
+    now: Instant,
+    now_ms: u64,
+) -> Vec<JobDemand<'a>> {
+    let mut demands = job_demands(controller, state, now, now_ms);
+    // Jobs that are to start within a time of their class come before others.
+    let rank = |job: &JobRecord| {
+        let starts_in_time = |spec: &JobSpec| controller.settings.starts_in_time(&spec.class);
+        let is_deferred = !job.spec.as_deref().is_some_and(starts_in_time);
+        placement::QueueRank { is_deferred, ..Default::default() }
+    };
+    demands.sort_by(|a, b| placement::queue_order((a.job, rank(a.job)), (b.job, rank(b.job))));
+    demands
+}
