--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -17,9 +17,9 @@
 };
 
 use crate::api;
+use crate::autoscaler::Autoscaler;
 use crate::change_feed;
 use crate::controller::{Controller, wall_ms};
-use crate::fleet_duty::Fleet;
 use crate::operators::Operators;
 use crate::peer_status;
 use crate::scheduler;
@@ -479,16 +479,16 @@
             self.add_waiting(3_000_100, 32, 1000.0);
             self.round(&mut done, "round with 32 jobs without room", 8, 16);
             let now = Instant::now();
-            let mut fleet = Fleet::leading_since(now - Duration::from_secs(60));
+            let mut autoscaler = Autoscaler::leading_since(now - Duration::from_secs(60));
             controller.state().refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
-            measured(|| fleet.wanted(&controller, &controller.state(), now));
+            measured(|| autoscaler.plan_scale_out(&controller, &controller.state(), now));
             case_over(&mut done, "rentals planned for 32 jobs", 1);
             self.drop_jobs(3_000_100, 32);
-            measured(|| fleet.wanted(&controller, &controller.state(), now));
+            measured(|| autoscaler.plan_scale_out(&controller, &controller.state(), now));
             case_over(&mut done, "rentals planned for none", 1);
             controller.state().records.fresh_at = Some(now);
             controller.state().tick(now);
-            measured(|| fleet.surplus(&controller, &controller.state(), now));
+            measured(|| autoscaler.release_candidates(&controller, &controller.state(), now));
             case_over(&mut done, "returns planned", 1);
             controller.state().scheduling.recent_assignments.since = None;
             let new = spec(4_000_000, JobKind::Array, 1);
--- /dev/null
+++ b/crates/daemon/src/autoscaler/scale_out.rs
@@ -0,0 +1,204 @@
+//! Scale-out: requests for machines to the cloud.
+
+use std::time::{Duration, Instant};
+
+use cloud::{CloudError, RENT_MAX};
+use sched::autoscaling::MachineOffer;
+use sched::records::{Name, ScaleOut};
+use tokio::time::sleep;
+use tracing::{debug, info};
+use wire::RentRequest;
+
+use super::Autoscaler;
+use super::fleet_record::{free_names, update_scale_outs};
+use super::machine_offers::offer_of_scale_out;
+use super::scale_out_records::{ScaleOutResult, add_requests, record_results};
+use crate::clock;
+use crate::controller::{Controller, wall_ms};
+
+/// Most offers that machines are requested of before the demand is looked at again.
+const MAX_OFFERS_PER_STEP: usize = 6;
+/// How many names of machines the record of a request takes as much space as, until the machines
+/// themselves are known.
+pub(super) const REQUEST_RECORD_NAMES: usize = 60;
+/// How often a request is repeated whose response was lost.
+const MAX_REQUEST_RETRIES: usize = 2;
+/// The pause before a request is repeated.
+const REQUEST_RETRY_BACKOFF: Duration = Duration::from_millis(500);
+/// The pause after a request that failed for another reason than missing capacity.
+const REQUEST_FAILURE_BACKOFF: Duration = Duration::from_secs(1);
+
+/// Machines to request of one offer.
+struct OfferCount {
+    offer: MachineOffer,
+    count: u32,
+}
+
+impl Autoscaler {
+    /// Requests the machines that are needed. Returns how long the planning took.
+    pub(super) async fn scale_out(&mut self, controller: &Controller) -> Duration {
+        let now = clock::now();
+        let planned = {
+            let mut state = controller.state();
+            state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+            self.gpu_demand.note(&state.records.replica, now);
+            self.plan_scale_out(controller, &state, now)
+        };
+        let planning_time = clock::since(now);
+        let mut offers = count_by_offer(planned);
+        offers.truncate(MAX_OFFERS_PER_STEP);
+        offers.truncate(max_recordable_offers(controller));
+        if !offers.is_empty() {
+            self.request_offers(controller, offers, now).await;
+        }
+        planning_time
+    }
+
+    /// Requests machines of some offers: with two changes of the fleet's record for all of them, as
+    /// each costs more where the record is larger than a value of the key-value store.
+    async fn request_offers(&mut self, controller: &Controller, offers: Vec<OfferCount>, now: Instant) {
+        let requests: Vec<ScaleOut> =
+            offers.into_iter().map(|offer| self.new_request(controller, offer)).collect();
+        // Recorded first, so that the next leader knows which machines may still come.
+        if !update_scale_outs(controller, |scale_outs| add_requests(scale_outs, &requests)).await {
+            return;
+        }
+        let results = self.send_requests(controller, &requests, now).await;
+        update_scale_outs(controller, |scale_outs| record_results(scale_outs, &results)).await;
+    }
+
+    fn new_request(&mut self, controller: &Controller, offer_count: OfferCount) -> ScaleOut {
+        let OfferCount { offer, count } = offer_count;
+        self.request_count += 1;
+        ScaleOut {
+            request: format!("{:x}-{:x}", controller.identity.incarnation, self.request_count),
+            machine_type: offer.machine_type,
+            zone: offer.zone,
+            spot: offer.spot,
+            count,
+            requested_ms: wall_ms(),
+            machines: None,
+        }
+    }
+
+    /// Sends requests to the cloud. A request whose outcome is unknown has no result.
+    async fn send_requests(
+        &mut self,
+        controller: &Controller,
+        requests: &[ScaleOut],
+        now: Instant,
+    ) -> Vec<ScaleOutResult> {
+        let mut results = Vec::new();
+        let mut cloud_fails = false;
+        for request in requests {
+            let result = |machines| ScaleOutResult { request: request.request.clone(), machines };
+            if cloud_fails {
+                // Not sent: it would fail after as long a wait.
+                results.push(result(None));
+                continue;
+            }
+            match self.send_request(controller, request, now).await {
+                Ok(machines) => results.push(result(Some(machines))),
+                Err(error) => {
+                    cloud_fails = !matches!(error, CloudError::NoCapacity);
+                    if !matches!(error, CloudError::Net(_) | CloudError::Answer(_)) {
+                        results.push(result(None));
+                    }
+                }
+            }
+        }
+        results
+    }
+
+    /// Sends a request to the cloud. Returns the machines that it granted.
+    async fn send_request(
+        &mut self,
+        controller: &Controller,
+        scale_out: &ScaleOut,
+        now: Instant,
+    ) -> Result<Vec<Name>, CloudError> {
+        match send_with_retries(controller, scale_out).await {
+            Ok(machines) => {
+                let machines: Vec<Name> = machines.iter().map(|machine| machine.as_str().into()).collect();
+                self.note_granted(scale_out, &machines, now);
+                Ok(machines)
+            }
+            Err(error) => {
+                self.note_failed(scale_out, &error, now).await;
+                Err(error)
+            }
+        }
+    }
+
+    fn note_granted(&mut self, scale_out: &ScaleOut, machines: &[Name], now: Instant) {
+        let ScaleOut { request, machine_type, zone, spot, count, .. } = scale_out;
+        info!(
+            request,
+            kind = &**machine_type,
+            zone = &**zone,
+            spot,
+            asked = count,
+            got = machines.len(),
+            first = machines.first().map(|machine| &**machine),
+            "scale-out granted"
+        );
+        let offer = offer_of_scale_out(scale_out);
+        if (machines.len() as u32) < *count {
+            self.backoffs.start(offer, now);
+        } else {
+            self.backoffs.clear(&offer);
+        }
+    }
+
+    async fn note_failed(&mut self, scale_out: &ScaleOut, error: &CloudError, now: Instant) {
+        let ScaleOut { request, machine_type, zone, spot, .. } = scale_out;
+        debug!(request, kind = &**machine_type, zone = &**zone, spot, %error, "scale-out not granted");
+        if matches!(error, CloudError::NoCapacity) {
+            self.backoffs.start(offer_of_scale_out(scale_out), now);
+        } else {
+            sleep(REQUEST_FAILURE_BACKOFF).await;
+        }
+    }
+}
+
+/// Counts machines by their offer, in the order in which the offers come first.
+fn count_by_offer(planned: Vec<MachineOffer>) -> Vec<OfferCount> {
+    let mut counts: Vec<OfferCount> = Vec::new();
+    for offer in planned {
+        match counts.iter_mut().find(|known| known.offer == offer) {
+            Some(known) => known.count = (known.count + 1).min(RENT_MAX),
+            None => counts.push(OfferCount { offer, count: 1 }),
+        }
+    }
+    counts
+}
+
+/// For how many requests the fleet's record has space: it may be full until some of the machines
+/// are up.
+fn max_recordable_offers(controller: &Controller) -> usize {
+    let state = controller.state();
+    let fleet = state.records.replica.fleet.as_ref();
+    let names = fleet.map_or(usize::MAX, |fleet| free_names(&fleet.value, controller));
+    names / (REQUEST_RECORD_NAMES + RENT_MAX as usize)
+}
+
+/// Sends a request, again if its response was lost. The id stays the same, so that the cloud does
+/// not grant it twice.
+async fn send_with_retries(controller: &Controller, scale_out: &ScaleOut) -> Result<Vec<String>, CloudError> {
+    let request = RentRequest {
+        request: scale_out.request.clone(),
+        machine_type: scale_out.machine_type.to_string(),
+        zone: scale_out.zone.to_string(),
+        spot: scale_out.spot,
+        count: scale_out.count,
+    };
+    let mut response = controller.cloud.rent(&request).await;
+    for _ in 0..MAX_REQUEST_RETRIES {
+        if !matches!(response, Err(CloudError::Net(_))) {
+            break;
+        }
+        sleep(REQUEST_RETRY_BACKOFF).await;
+        response = controller.cloud.rent(&request).await;
+    }
+    response
+}
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -14,7 +14,7 @@
 use crate::peer_client::MAX_MESSAGE_BYTES;
 use crate::settings::{Settings, SettingsError};
 use crate::{
-    api, change_feed, drains, fleet_duty, freshness_checks, load_log, membership, peer_server, peer_status,
+    api, autoscaler, change_feed, drains, freshness_checks, load_log, membership, peer_server, peer_status,
     prober, scheduler,
 };
 
@@ -101,7 +101,7 @@
     controller.spawn_task(scheduler::run_scheduler(controller.clone()));
     controller.spawn_task(prober::probe_silent_workers(controller.clone()));
     controller.spawn_task(api::machine_registration::register_machines(controller.clone()));
-    controller.spawn_task(fleet_duty::fleet(controller.clone()));
+    controller.spawn_task(autoscaler::run_autoscaler(controller.clone()));
     controller.spawn_task(load_log::log_regularly(controller.clone()));
     let drains_enabled = controller.operators.drains.enabled;
     if drains_enabled {
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -1,11 +1,11 @@
-//! The layers of docs/design.md: a lower package does not depend on a higher one, and modules of
-//! `daemon` that hold plain state or settings do not name a duty.
+//! The layers of docs/architecture.md: a package depends on packages below it only, and a module
+//! of `daemon` or `sched` names modules below it only.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
 /// Packages from the lowest layer up; those of one line do not depend on each other.
-const LAYERS: &[&[&str]] = &[
+const PACKAGES: &[&[&str]] = &[
     &["wire", "peer", "model"],
     &["net", "sched"],
     &["store", "cloud", "drain"],
@@ -13,35 +13,47 @@
     &["daemon"],
 ];
 
-/// Modules of `daemon` without input and output of their own.
-const PLAIN: &[&str] =
-    &["clock.rs", "limits.rs", "settings.rs", "operators.rs", "read_records.rs", "drains/state.rs"];
-
-/// What only a duty, or what all duties share, may name.
-const DUTIES: &[&str] = &[
-    "api",
-    "commit",
-    "controller",
-    "fleet_duty",
-    "peer_client",
-    "peer_server",
-    "peer_status",
-    "placer",
-    "prober",
-    "read_index",
-    "scheduler",
-    "state",
-    "change_feed",
-    "membership",
-    "read_barrier",
-    "worker",
-    "worker_client",
+/// Modules of `sched` from the lowest layer up.
+const SCHED: &[&[&str]] = &[
+    &["hash", "versioned", "assignment"],
+    &["compact"],
+    &["records"],
+    &["drain_records", "pipeline", "spot_notice"],
+    &["drains"],
+    &["replica"],
+    &["inventory"],
+    &["placement"],
+    &["autoscaling", "forecast", "preempt", "rescheduler"],
+];
+
+/// Modules of `daemon` from the lowest layer up: settings and plain state, then what the tasks
+/// share, then the tasks, then the composition of a process, and the command line on top.
+const DAEMON: &[&[&str]] = &[
+    &["clock", "timeouts", "logging", "load", "read_records", "read_barrier", "settings", "client"],
+    &["limits", "operators", "public_connections", "worker"],
+    &["state"],
+    &["controller"],
+    &["load_log", "commit", "change_feed", "peer_client", "chunk_collector"],
+    &["freshness_checks", "membership", "prober", "read_index", "peer_status", "forwarded_proofs"],
+    &["drains"],
+    &["scheduler", "autoscaler"],
+    &["api"],
+    &["peer_server"],
+    &["process"],
+    &["emulated"],
+    &["cli"],
 ];
 
 fn crates() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
+/// The layer of each name, counted from the lowest.
+fn layer_of<'n>(layers: &[&[&'n str]]) -> BTreeMap<&'n str, usize> {
+    let numbered = layers.iter().enumerate();
+    numbered.flat_map(|(layer, names)| names.iter().map(move |name| (*name, layer))).collect()
+}
+
 /// The workspace's packages that a package's manifest names, those for its tests left out.
 fn dependencies(package: &str) -> Vec<String> {
     let manifest = std::fs::read_to_string(crates().join(package).join("Cargo.toml")).expect("a manifest");
@@ -52,13 +64,13 @@
 
 #[test]
 fn no_package_depends_on_a_higher_one() {
-    let layer: BTreeMap<&str, usize> =
-        LAYERS.iter().enumerate().flat_map(|(i, packages)| packages.iter().map(move |p| (*p, i))).collect();
+    let layer = layer_of(PACKAGES);
     let folders = std::fs::read_dir(crates()).expect("packages");
     let names = folders.map(|f| f.expect("a folder").file_name().into_string().expect("a name"));
     for package in names {
         let own = layer.get(package.as_str());
-        let own = own.unwrap_or_else(|| unreachable!("{package} has no layer here and in docs/design.md"));
+        let own =
+            own.unwrap_or_else(|| unreachable!("{package} has no layer here and in docs/architecture.md"));
         for other in dependencies(&package) {
             if let Some(theirs) = layer.get(other.as_str()) {
                 assert!(theirs < own, "{package} depends on {other}");
@@ -67,15 +79,130 @@
     }
 }
 
-#[test]
-fn plain_modules_name_no_duty() {
-    for module in PLAIN {
-        let path = crates().join("daemon/src").join(module);
-        let text = std::fs::read_to_string(&path).unwrap_or_else(|e| unreachable!("{module}: {e}"));
-        for duty in DUTIES {
-            for name in [format!("crate::{duty}::"), format!("super::{duty}::")] {
-                assert!(!text.contains(&name), "{module} names {name}");
+/// The source files of a package by their top-level module, without `lib.rs` and `main.rs`.
+fn sources_by_module(source: &Path) -> BTreeMap<String, Vec<PathBuf>> {
+    let mut modules: BTreeMap<String, Vec<PathBuf>> = BTreeMap::new();
+    for entry in std::fs::read_dir(source).expect("sources") {
+        let path = entry.expect("an entry").path();
+        let name = path.file_stem().and_then(|s| s.to_str()).expect("a name").to_owned();
+        if !matches!(name.as_str(), "lib" | "main") {
+            collect_files(&path, modules.entry(name).or_default());
+        }
+    }
+    modules
+}
+
+fn collect_files(path: &Path, files: &mut Vec<PathBuf>) {
+    if path.is_file() {
+        files.push(path.to_owned());
+        return;
+    }
+    for entry in std::fs::read_dir(path).expect("a folder") {
+        collect_files(&entry.expect("an entry").path(), files);
+    }
+}
+
+/// The source without comments, and without what is compiled for tests and measurements only.
+fn code_of(file: &Path) -> String {
+    let text = std::fs::read_to_string(file).expect("a source");
+    let mut code = String::new();
+    let mut is_skipped = false;
+    for line in text.lines() {
+        let line = line.split("//").next().unwrap_or_default();
+        if line.trim_start().starts_with("#[cfg(test)]")
+            || line.trim_start().starts_with("#[cfg(any(test")
+            || line.trim_start().starts_with("#[cfg(feature = \"bench\")]")
+        {
+            is_skipped = true;
+            continue;
+        }
+        if is_skipped {
+            // One item: a declaration, or a block up to its closing brace.
+            is_skipped = !(line.ends_with(';') || line.ends_with('}'));
+            continue;
+        }
+        code.push_str(line);
+        code.push('\n');
+    }
+    code
+}
+
+/// The top-level modules that some code names by `crate::…`.
+fn modules_named(code: &str) -> BTreeSet<String> {
+    let mut names = BTreeSet::new();
+    for (at, marker) in code.match_indices("crate::") {
+        let rest = &code[at + marker.len()..];
+        match rest.strip_prefix('{') {
+            Some(group) => names.extend(first_segments(group)),
+            None => names.extend(identifier(rest)),
+        }
+    }
+    names
+}
+
+/// The identifier that a text begins with.
+fn identifier(text: &str) -> Option<String> {
+    let name: String = text.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect();
+    (!name.is_empty()).then_some(name)
+}
+
+/// The first segments of the paths in a group, up to its closing brace.
+fn first_segments(group: &str) -> Vec<String> {
+    let mut names = Vec::new();
+    let mut depth = 0;
+    let mut is_start = true;
+    for (at, c) in group.char_indices() {
+        match c {
+            '{' => depth += 1,
+            '}' if depth == 0 => break,
+            '}' => depth -= 1,
+            ',' if depth == 0 => is_start = true,
+            c if c.is_alphabetic() && depth == 0 && is_start => {
+                names.extend(identifier(&group[at..]));
+                is_start = false;
+            }
+            _ => {}
+        }
+    }
+    names
+}
+
+/// What breaks the layers of a package's modules.
+fn violations(package: &str, layers: &[&[&str]]) -> Vec<String> {
+    let layer = layer_of(layers);
+    let modules = sources_by_module(&crates().join(package).join("src"));
+    let mut violations = Vec::new();
+    for name in layer.keys().filter(|name| !modules.contains_key(**name)) {
+        violations.push(format!("{package} has no module {name}"));
+    }
+    for (module, files) in &modules {
+        let Some(own) = layer.get(module.as_str()) else {
+            violations.push(format!("{package}::{module} has no layer"));
+            continue;
+        };
+        let named: BTreeSet<String> = files.iter().flat_map(|f| modules_named(&code_of(f))).collect();
+        for other in named.iter().filter(|other| *other != module) {
+            if layer.get(other.as_str()).is_some_and(|theirs| theirs >= own) {
+                violations.push(format!("{package}::{module} names {other}, which is not below it"));
             }
         }
     }
+    violations
+}
+
+#[test]
+fn no_module_of_sched_names_a_higher_one() {
+    assert_eq!(violations("sched", SCHED), Vec::<String>::new());
+}
+
+#[test]
+fn no_module_of_daemon_names_a_higher_one() {
+    assert_eq!(violations("daemon", DAEMON), Vec::<String>::new());
+}
+
+#[test]
+fn paths_are_found_in_groups_too() {
+    let code = "use crate::{api, drains::{self, state}, load};\nfn f() { crate::clock::now() }";
+    let expected = ["api", "clock", "drains", "load"].map(str::to_owned);
+    assert_eq!(modules_named(code), BTreeSet::from(expected));
 }
