--- a/crates/daemon/src/drains/report.rs
+++ b/crates/daemon/src/drains/report.rs
@@ -1,4 +1,4 @@
-//! What operators are told of drains.
+//! The texts that `sageloom drain` prints.
 
 use std::fmt::Write;
 
@@ -15,13 +15,13 @@
 use crate::controller::wall_ms;
 
 /// Most waves that a plan shows one by one.
-const WAVES_SHOWN: usize = 20;
+const MAX_WAVES_SHOWN: usize = 20;
 
-fn seconds(from_ms: u64, now_ms: u64) -> u64 {
+fn elapsed_s(from_ms: u64, now_ms: u64) -> u64 {
     now_ms.saturating_sub(from_ms) / 1000
 }
 
-fn end(end: DrainEnd) -> &'static str {
+fn end_text(end: DrainEnd) -> &'static str {
     match end {
         DrainEnd::Finished => "finished",
         DrainEnd::ByOperator => "stopped by its operator",
@@ -31,15 +31,15 @@
     }
 }
 
-fn phase(phase: DrainPhase) -> String {
+fn phase_text(phase: DrainPhase) -> String {
     match phase {
         DrainPhase::Active => "active".into(),
-        DrainPhase::Closing(how) => format!("{} (cordons are being lifted)", end(how)),
-        DrainPhase::Closed(how) => end(how).into(),
+        DrainPhase::Closing(how) => format!("{} (cordons are being lifted)", end_text(how)),
+        DrainPhase::Closed(how) => end_text(how).into(),
     }
 }
 
-fn kind(kind: ObstacleKind) -> &'static str {
+fn obstacle_kind_text(kind: ObstacleKind) -> &'static str {
     match kind {
         ObstacleKind::ServiceBudget => "the service's budget",
         ObstacleKind::TeamBudget => "the team's budget",
@@ -51,8 +51,8 @@
     }
 }
 
-fn obstacle(o: &Obstacle, now_ms: u64) -> String {
-    let mut text = kind(o.kind).to_owned();
+fn obstacle_text(o: &Obstacle, now_ms: u64) -> String {
+    let mut text = obstacle_kind_text(o.kind).to_owned();
     let named = match o.kind {
         ObstacleKind::OldController => [("controller", &o.job), ("", &o.team), ("", &o.machine)],
         _ => [("team", &o.team), ("job", &o.job), ("machine", &o.machine)],
@@ -60,18 +60,18 @@
     for (what, name) in named.into_iter().filter(|(_, name)| !name.is_empty()) {
         let _ = write!(text, ", {what} {name}");
     }
-    let _ = write!(text, ", since {} s", seconds(o.since_ms, now_ms));
+    let _ = write!(text, ", since {} s", elapsed_s(o.since_ms, now_ms));
     text
 }
 
-/// How many of a drain's machines there are of each kind.
-struct Machines {
+/// How many of a drain's machines were released, were lost, and are left.
+struct MachineCounts {
     given_back: usize,
     lost: usize,
     left: usize,
 }
 
-impl Machines {
+impl MachineCounts {
     fn of(drains: &Drains, name: &str) -> Self {
         let mut of = Self { given_back: 0, lost: 0, left: 0 };
         for (_, cordon) in drains.cordons_of(name) {
@@ -85,29 +85,29 @@
     }
 }
 
-/// A drain in one line.
-pub fn line(world: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
-    let Machines { given_back, lost, left } = Machines::of(&world.drains, name);
+/// A drain in one line, without its end.
+pub fn summary(replica: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
+    let MachineCounts { given_back, lost, left } = MachineCounts::of(&replica.drains, name);
     let mut text = format!(
         "{name}: {}; of {} machines {given_back} given back, {lost} lost, {left} left; {} moved",
-        phase(record.phase),
+        phase_text(record.phase),
         record.machines,
         record.moved
     );
     if let Some(o) = &record.obstacle {
-        let _ = write!(text, "; waits for {}", obstacle(o, now_ms));
+        let _ = write!(text, "; waits for {}", obstacle_text(o, now_ms));
     }
     text
 }
 
-/// All about a drain.
-pub fn status(world: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
-    let mut text = line(world, name, record, now_ms) + "\n";
-    let _ = writeln!(text, "started {} s ago", seconds(record.started_ms, now_ms));
+/// All about a drain, in lines.
+pub fn status(replica: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
+    let mut text = summary(replica, name, record, now_ms) + "\n";
+    let _ = writeln!(text, "started {} s ago", elapsed_s(record.started_ms, now_ms));
     if record.room.failed > 0 {
         let _ = writeln!(text, "{} attempts to get room have failed", record.room.failed);
     }
-    for (_, cordon) in world.drains.cordons_of(name) {
+    for (_, cordon) in replica.drains.cordons_of(name) {
         let c = &cordon.value;
         for machine in c.machines() {
             let what = match (c.gone().contains(machine), c.emptied().contains(machine)) {
@@ -117,26 +117,26 @@
                 (false, false) if c.active => "cordoned",
                 (false, false) => "kept",
             };
-            let tasks = world.assignments(machine).count();
+            let tasks = replica.assignments(machine).count();
             let _ = writeln!(text, "  {machine}: {what}, {tasks} tasks");
         }
     }
-    let by_choice = drain::view::all_open(&world.drains);
+    let by_choice = drain::view::all_open(&replica.drains);
     for (team, d) in by_choice {
         let _ = writeln!(
             text,
             "down by choice: team {team}, {}/{}, since {} s",
             d.job,
             d.task,
-            seconds(d.since_ms, now_ms)
+            elapsed_s(d.since_ms, now_ms)
         );
     }
     text
 }
 
 /// What a drain of these machines would do, and what stands in its way.
-pub fn plan(world: &Replica, machines: &[Machine], budgets: &Budgets, blockers: &[Blocker]) -> String {
-    let problem = waves::problem(world, machines, budgets);
+pub fn plan(replica: &Replica, machines: &[Machine], budgets: &Budgets, blockers: &[Blocker]) -> String {
+    let problem = waves::problem(replica, machines, budgets);
     let (order, waves, method) = waves::plan(&problem, &Effort::PLAN);
     let after = waves::emptied_after(&problem, &waves);
     let mut text = String::new();
@@ -151,7 +151,7 @@
             Method::Solver => "a linear programme",
         }
     );
-    for wave in 0..=waves.len().min(WAVES_SHOWN) {
+    for wave in 0..=waves.len().min(MAX_WAVES_SHOWN) {
         let emptied: Vec<&str> =
             order.iter().filter(|m| after[**m] == wave).map(|m| &*machines[*m].name).collect();
         let moved = wave.checked_sub(1).and_then(|w| waves.get(w)).map_or(0, Vec::len);
@@ -160,10 +160,10 @@
             let _ = writeln!(text, "  {when}: {moved} moved, empty then: {}", names(&emptied));
         }
     }
-    if waves.len() > WAVES_SHOWN {
-        let _ = writeln!(text, "  and {} waves more", waves.len() - WAVES_SHOWN);
+    if waves.len() > MAX_WAVES_SHOWN {
+        let _ = writeln!(text, "  and {} waves more", waves.len() - MAX_WAVES_SHOWN);
     }
-    let missing = without_room(world, machines);
+    let missing = units_without_capacity(replica, machines);
     if missing > 0 {
         let _ = writeln!(text, "{missing} find no room now: machines will be rented for them");
     }
@@ -177,13 +177,13 @@
     if list.is_empty() { "none".into() } else { crate::load::sample_names(list) }
 }
 
-/// How many of what is to be moved has no room on the machines that stay.
-fn without_room(world: &Replica, machines: &[Machine]) -> usize {
+/// The number of units to be moved that do not fit on the machines that stay.
+fn units_without_capacity(replica: &Replica, machines: &[Machine]) -> usize {
     let drained: Vec<&str> = machines.iter().map(|m| &*m.name).collect();
-    let mut inventory = Inventory::new(world, |id| !drained.contains(&id));
-    let teams: Vec<Team> = unlimited_teams(world);
+    let mut inventory = Inventory::new(replica, |id| !drained.contains(&id));
+    let teams: Vec<Team> = unlimited_teams(replica);
     let mut room = InventoryRoom {
-        world,
+        world: replica,
         inventory: &mut inventory,
         teams: &teams,
         gang_wait_s: 0.0,
@@ -195,10 +195,10 @@
     units.into_iter().filter(|u| room.find(&u.id).is_none()).count()
 }
 
-/// What is moved takes no more of its team's limit than before.
-fn unlimited_teams(world: &Replica) -> Vec<Team> {
+/// The teams without limits: what is moved takes no more of its team's quota than before.
+fn unlimited_teams(replica: &Replica) -> Vec<Team> {
     let names: std::collections::BTreeSet<&str> =
-        world.open_jobs().filter_map(|(_, job)| job.spec.as_deref()).map(|s| s.team.as_str()).collect();
+        replica.open_jobs().filter_map(|(_, job)| job.spec.as_deref()).map(|s| s.team.as_str()).collect();
     let limit = f64::INFINITY;
     let team =
         |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: limit, gpus: 0.0, gpus_max: limit };
--- a/crates/daemon/tests/unit/fault_days/drains.rs
+++ b/crates/daemon/tests/unit/fault_days/drains.rs
@@ -19,7 +19,7 @@
 use super::troubles::{Event, Trouble, Who};
 use super::users::kind_of;
 use super::*;
-use crate::drains::command::{DrainError, Request as DrainRequest, Service};
+use crate::drains::command::{DrainError, Feasibility, Request as DrainRequest, Service};
 use crate::operators::Operators;
 
 /// How long one obstacle may stand before a drain stops by itself.
@@ -138,7 +138,7 @@
                 operators: operators(),
             };
             for _ in 0..40 {
-                let outcome = site.operator().start(&name, &request, true).await;
+                let outcome = site.operator().start(&name, &request, Feasibility::NotRequired).await;
                 site.note(|| {
                     format!("drain start {name}: {:?}", outcome.as_ref().err().map(ToString::to_string))
                 });
