--- a/crates/daemon/src/drains/execution.rs
+++ b/crates/daemon/src/drains/execution.rs
@@ -7,12 +7,11 @@
 use sched::drain_records::{DrainPhase, DrainRecord};
 use tracing::info;
 
-use super::state::Hold;
 use super::transaction::Transaction;
 use super::unit_stops::{UnitStops, stop_units};
 use crate::clock;
 use crate::controller::Controller;
-use crate::state::ControllerState;
+use crate::state::{CapacityHold, ControllerState};
 
 /// Least time between two writes of an active drain's record for what it waits for.
 const MIN_PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
@@ -64,7 +63,7 @@
         let save_s = job.spec.as_ref().map_or(0.0, |spec| spec.checkpoint_save_s.min(MAX_CHECKPOINT_SAVE_S));
         let until = now + HOLD_PERIOD + wire::seconds(save_s);
         let hold = drains.holds.entry(unit.id.job.to_string());
-        let hold = hold.or_insert_with(|| Hold { machines: Vec::new(), until });
+        let hold = hold.or_insert_with(|| CapacityHold { machines: Vec::new(), until });
         hold.machines.extend(room.iter().cloned());
         hold.until = until;
     }
--- a/crates/daemon/src/drains/mod.rs
+++ b/crates/daemon/src/drains/mod.rs
@@ -16,7 +16,6 @@
 mod report;
 mod run;
 pub mod running_tasks;
-pub mod state;
 mod step;
 mod support;
 mod transaction;
--- a/crates/daemon/src/drains/run.rs
+++ b/crates/daemon/src/drains/run.rs
@@ -10,11 +10,10 @@
 use super::execution::carry_out;
 use super::housekeeping::{close_disruptions, lift_cordons, record_machine_outcomes};
 use super::machine_order::plan_machine_order;
-use super::state::DrainState;
 use super::step::{DrainStep, decide};
 use crate::clock;
 use crate::controller::Controller;
-use crate::state::ControllerState;
+use crate::state::{ControllerState, DrainState};
 
 /// Least time between two steps.
 const MIN_STEP_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/daemon/src/drains/running_tasks.rs
+++ b/crates/daemon/src/drains/running_tasks.rs
@@ -11,10 +11,9 @@
 use sched::records::Assignment;
 use tokio::time::sleep;
 
-use super::state::PeerObservation;
 use crate::clock;
 use crate::controller::Controller;
-use crate::state::ControllerState;
+use crate::state::{ControllerState, PeerObservation};
 
 /// The path of the peers' requests.
 pub const PATH: &str = "/running-tasks";
--- a/crates/daemon/src/scheduler/placement/drain_holds.rs
+++ b/crates/daemon/src/scheduler/placement/drain_holds.rs
@@ -6,15 +6,14 @@
 use sched::placement::Inventory;
 use sched::replica::{Replica, Resources};
 
-use crate::drains::state::Hold;
-use crate::state::Reservation;
+use crate::state::{CapacityHold, Reservation};
 
 /// Keeps the capacity that was found for what drains have stopped from all other jobs, and drops
 /// holds that are over. For a job in the queue, a hold becomes a reservation.
 pub(super) fn reserve_held_capacity(
     replica: &Replica,
     inventory: &mut Inventory,
-    holds: &mut BTreeMap<String, Hold>,
+    holds: &mut BTreeMap<String, CapacityHold>,
     reservations: &mut HashMap<String, Reservation>,
     queue: &[String],
     now: Instant,
--- a/crates/daemon/src/drains/state.rs
+++ b/crates/daemon/src/state/drains.rs
@@ -23,14 +23,14 @@
 
 /// Capacity that is held for a job of which something was stopped.
 #[derive(Debug, Clone)]
-pub struct Hold {
+pub struct CapacityHold {
     /// The machines, each as often as it is to hold a task.
     pub machines: Vec<Name>,
     /// Until when it is held at the latest.
     pub until: Instant,
 }
 
-impl Hold {
+impl CapacityHold {
     /// Whether tasks of the job are still to be placed.
     pub fn is_needed(&self, replica: &Replica, job: &str) -> bool {
         let Some(job) = replica.jobs.get(job).map(|j| &j.value) else { return false };
@@ -49,7 +49,7 @@
     /// Machines whose tasks wait for capacity that is to be scaled out.
     pub machines_awaiting_capacity: NameSet<Name>,
     /// Capacity held for what was stopped, by job.
-    pub holds: BTreeMap<String, Hold>,
+    pub holds: BTreeMap<String, CapacityHold>,
     /// The orders of machines that a solver has found, by drain.
     pub orders: view::Orders,
     /// Drains that a solver has been asked about.
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -3,6 +3,7 @@
 //! Plain state and questions about it, without input or output; tasks change it. What needs
 //! several owners at once is a method of [`ControllerState`].
 
+mod drains;
 mod guaranteed_jobs;
 mod machine_view;
 mod membership;
@@ -19,8 +20,8 @@
 use sched::records::{ClusterMap, Member};
 use sched::replica::SortedLookup;
 
-use crate::drains::state::DrainState;
 use crate::worker::Worker;
+pub use drains::{CapacityHold, DrainState, PeerObservation};
 pub use machine_view::{MachineHealth, MachineView};
 pub use membership::Membership;
 pub use owned_machines::OwnedMachines;
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -15,7 +15,7 @@
 
 /// Modules of `daemon` without input and output of their own.
 const PLAIN: &[&str] =
-    &["clock.rs", "limits.rs", "settings.rs", "operators.rs", "read_records.rs", "drains/state.rs"];
+    &["clock.rs", "limits.rs", "settings.rs", "operators.rs", "read_records.rs", "state/drains.rs"];
 
 /// What only a duty, or what all duties share, may name.
 const DUTIES: &[&str] = &[
