--- a/crates/daemon/src/worker/command_channel.rs
+++ b/crates/daemon/src/worker/command_channel.rs
@@ -8,7 +8,6 @@
 use wire::Command;
 
 use super::FencingToken;
-use super::reconcile::is_launch;
 
 /// Pause after the first failure; each further one adds as much.
 const RETRY_BACKOFF: Duration = Duration::from_millis(400);
@@ -189,3 +188,8 @@
         true
     }
 }
+
+/// Whether a command starts a task.
+pub(super) fn is_launch(command: &Command) -> bool {
+    matches!(command, Command::Start { .. })
+}
--- a/crates/daemon/src/worker/reconcile.rs
+++ b/crates/daemon/src/worker/reconcile.rs
@@ -7,6 +7,7 @@
 use sched::replica::Replica;
 use wire::{Command, JobState, TaskState, TaskStatus};
 
+use super::command_channel::is_launch;
 use super::tracked_tasks::{Context, Findings};
 use super::{AssignmentId, Worker, WorkerLimits};
 
@@ -124,7 +125,3 @@
     let stop = |t: &TaskStatus| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 };
     tasks.iter().filter(is_cancelled).map(stop).collect()
 }
-
-pub(super) fn is_launch(command: &Command) -> bool {
-    matches!(command, Command::Start { .. })
-}
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -1,3 +1,4 @@
+use super::error::Rejection;
 use super::heartbeats::{HeartbeatOutcome, process_heartbeat, redirect};
 use super::machine_registration::confirms_name;
 use super::*;
@@ -160,3 +161,58 @@
     );
     assert!(!confirms_name(&controller, "host-1", &record("127.0.0.1:1")).await, "nobody is there");
 }
+
+#[test]
+fn each_error_is_answered_with_its_status_text_and_retry_time() {
+    let cases = [
+        (ApiError::UnknownPath, 404, "unknown path", None),
+        (ApiError::MethodNotAllowed, 405, "method not allowed", None),
+        (ApiError::InvalidDescription("not a map".into()), 400, "not a map", None),
+        (ApiError::DescriptionTooLong, 400, "the description is too long to be kept", None),
+        (ApiError::InvalidHeartbeat("end of input".into()), 400, "end of input", None),
+        (ApiError::InvalidMachineName, 400, "frame: not a machine's name", None),
+        (ApiError::UnknownJob, 404, "no such job", None),
+        (Rejection::UnknownTeam.into(), 422, "unknown team", None),
+        (Rejection::ExceedsTeamQuota.into(), 422, "beyond the team's limit", None),
+        (Rejection::DependsOnItself.into(), 422, "awaits: the job itself", None),
+        (Rejection::NoSuitableMachineType.into(), 422, "no allowed machine type can hold a task", None),
+        (Rejection::UnknownDependency.into(), 422, "awaits: a job that was never accepted", None),
+        (Rejection::DependsOnService.into(), 422, "awaits: a service is never done", None),
+        (ApiError::NotReady, 503, "not ready", Some(1)),
+        (ApiError::DeadlineExceeded, 503, "the state service takes too long", Some(1)),
+        (ApiError::StoreUnavailable, 503, "the state service cannot be asked", Some(1)),
+        (ApiError::WriteFailed, 503, "the state service did not take it", Some(1)),
+        (ApiError::ConcurrentWrite, 503, "try again", Some(1)),
+        (ApiError::JobChanging, 503, "the job is changing; try again", Some(1)),
+        (ApiError::UnknownMachineTypes, 503, "the machine types are not known yet", Some(1)),
+        (ApiError::UnreadableRecord, 503, "the job's record cannot be read", Some(5)),
+        (ApiError::UnreadableDependency, 503, "the record of a job that it awaits cannot be read", Some(5)),
+        (ApiError::OlderVersionLive, 503, "a controller of an older version is live", Some(5)),
+    ];
+    for (error, status, text, retry_after) in cases {
+        let reply = Reply::from(error);
+        let body = wire::encode(&wire::ErrorBody { error: text.to_owned() });
+        assert_eq!((reply.status, reply.retry_after), (status, retry_after), "{text}");
+        assert_eq!(reply.body, body, "{text}");
+    }
+}
+
+#[test]
+fn a_path_names_one_resource_whatever_its_query_is() {
+    let cases = [
+        ("/hello", Some(Resource::Heartbeats)),
+        ("/healthz?verbose", Some(Resource::Health)),
+        ("/v1/jobs", Some(Resource::Jobs)),
+        ("/v1/jobs/", Some(Resource::Job { id: "" })),
+        ("/v1/jobs/j-1?x=/y", Some(Resource::Job { id: "j-1" })),
+        ("/v1/jobs/j-1/withdraw", Some(Resource::JobCancellation { id: "j-1" })),
+        ("/v1/jobs/j-1/withdraw/", None),
+        ("/v1/jobs/j-1/other", None),
+        ("/v1/jobsx", None),
+        ("/", None),
+        ("", None),
+    ];
+    for (path, resource) in cases {
+        assert_eq!(Resource::parse(path), resource, "{path}");
+    }
+}
