--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -27,8 +27,9 @@
 use crate::worker::{FencingToken, Worker};
 
 const EPOCH: u64 = 7;
-/// Tasks of a job, and on a machine.
+/// Tasks of a job.
 pub const TASKS: u32 = 8;
+/// Tasks on a machine.
 pub const ON_EACH: usize = 4;
 /// How often most cases are repeated.
 const TIMES: usize = 64;
@@ -75,6 +76,7 @@
 
 /// A controller that leads two, with its half of the machines and all the jobs.
 pub struct Site {
+    /// The controller that is measured.
     pub controller: Arc<Controller>,
     machines: usize,
     open: usize,
@@ -192,6 +194,7 @@
         state.records.replica.revision = version;
     }
 
+    /// A site without machines and jobs.
     pub fn empty() -> Self {
         let settings = Settings::parse("benchmark", SETTINGS).expect("valid");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -217,6 +220,7 @@
         site
     }
 
+    /// Adds records of machines.
     pub fn add_machines(&mut self, machines: usize) {
         self.machines = machines;
         for n in 0..machines {
@@ -224,6 +228,7 @@
         }
     }
 
+    /// Adds jobs that run.
     pub fn add_open(&mut self, jobs: usize) {
         self.open = jobs;
         for n in 0..jobs {
@@ -231,6 +236,7 @@
         }
     }
 
+    /// Adds jobs that are done.
     pub fn add_finished(&self, jobs: usize) {
         for n in 0..jobs {
             self.apply(KeyWrite::new(key::job(&job_id(1_000_000 + n)), &finished(n)));
@@ -269,6 +275,7 @@
         (0..self.machines).filter(|n| n.is_multiple_of(2)).collect()
     }
 
+    /// Has the workers of owned machines send their first heartbeats.
     pub fn add_workers(&mut self) {
         for n in self.owned() {
             let report = self.report(n, 0);
@@ -303,10 +310,12 @@
         }
     }
 
+    /// Has the peer send its status.
     pub fn hear_peer(&self, count: u64) {
         peer_status::receive_status(&self.controller, self.rows(count));
     }
 
+    /// A site of this size.
     pub fn new(machines: usize, jobs: usize) -> Self {
         let mut site = Self::empty();
         site.add_machines(machines);
@@ -443,117 +452,153 @@
     /// Runs each case once and tells in which order.
     pub fn run(&mut self) -> Vec<Case> {
         let mut cases = Vec::new();
-        let controller = self.controller.clone();
         let handle = self._runtime.handle().clone();
         let _inside = handle.enter();
         // The first time warms up what is filled lazily.
         for _ in 0..2 {
             let mut done = Vec::new();
-            let bodies = self.reports(0);
-            let n = bodies.len();
-            measured(|| bodies.into_iter().for_each(|b| self.hello(b)));
-            case_over(&mut done, "report without news", n);
-            self.round(&mut done, "quiet round", 16, 16);
-            measured(|| (0..TIMES).for_each(|i| self.ask(1_000_000 + i)));
-            case_over(&mut done, "question, final job", TIMES);
-            measured(|| (0..TIMES).for_each(|i| self.ask(i % self.open)));
-            case_over(&mut done, "question, running job", TIMES);
-            self.add_waiting(3_000_000, 1, 1.0);
-            self.round(&mut done, "round that places one task", 8, 16);
-            self.add_waiting(3_000_001, 31, 1.0);
-            self.round(&mut done, "round that places 32 tasks", 8, 64);
-            let round = self.decide(16);
-            measured(|| {
-                let scheduler::CycleTransaction { conditions, writes: puts, .. } =
-                    scheduler::build_transaction(
-                        &controller.state().records.replica,
-                        &round,
-                        &controller.state_limits(),
-                        usize::MAX,
-                    );
-                let put = |p: KeyWrite| p.value.map(|value| Op::Put { put: p.key, value, lease: p.lease });
-                wire::encode(&Txn { conditions, ops: puts.into_iter().filter_map(put).collect() })
-            });
-            case_over(&mut done, "transaction, a job of it", round.jobs.len());
-            self.drop_jobs(3_000_000, 32);
-            self.add_waiting(3_000_100, 32, 1000.0);
-            self.round(&mut done, "round with 32 jobs without room", 8, 16);
-            let now = Instant::now();
-            let mut autoscaler = Autoscaler::leading_since(now - Duration::from_secs(60));
-            controller.state().refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
-            measured(|| autoscaler.plan_scale_out(&controller, &controller.state(), now));
-            case_over(&mut done, "rentals planned for 32 jobs", 1);
-            self.drop_jobs(3_000_100, 32);
-            measured(|| autoscaler.plan_scale_out(&controller, &controller.state(), now));
-            case_over(&mut done, "rentals planned for none", 1);
-            controller.state().records.fresh_at = Some(now);
-            controller.state().tick(now);
-            measured(|| autoscaler.release_candidates(&controller, &controller.state(), now));
-            case_over(&mut done, "returns planned", 1);
-            controller.state().scheduling.recent_assignments.since = None;
-            let new = spec(4_000_000, JobKind::Array, 1);
-            measured(|| api::shard_choice::choose_shard(&controller, &new));
-            case_over(&mut done, "part for a first new job", 1);
-            measured(|| {
-                (0..4).for_each(|_| drop(black_box(api::shard_choice::choose_shard(&controller, &new))))
-            });
-            case_over(&mut done, "part for a new job", 4);
-            measured(|| peer::encode(&Message::PeerStatus(peer_status::own_status(&controller))));
-            case_over(&mut done, "summary told", 1);
-            let told = peer::encode(&Message::PeerStatus(self.rows(self.seq * 10)));
-            measured(|| {
-                if let Some(Message::PeerStatus(s)) = peer::decode(&told) {
-                    peer_status::receive_status(&controller, s);
-                }
-            });
-            case_over(&mut done, "summary heard", 1);
-            measured(|| {
-                let mut state = controller.state();
-                state.tick(Instant::now());
-                state.update_isolation(&controller.identity, controller.heartbeat_interval(), Instant::now())
-            });
-            case_over(&mut done, "pulse and membership", 1);
-            measured(|| {
-                let mut state = controller.state();
-                controller
-                    .update_write_share(&mut state, Instant::now() + Duration::from_secs(self.seq * 10));
-            });
-            case_over(&mut done, "shares of the changes", 1);
-            self.over_http(&mut done);
-            let bodies = self.reports(1);
-            let n = bodies.len();
-            measured(|| bodies.into_iter().for_each(|b| self.hello(b)));
-            case_over(&mut done, "report with news", n);
-            self.round(&mut done, "round after 64 ends", 1, 64);
-            controller.state().proofs = Default::default();
-            let jobs = self.open.min(TIMES);
-            let news = self.news(jobs);
-            measured(|| change_feed::apply_changes(&controller, wire::decode(&news).expect("changes")));
-            case_over(&mut done, "watch event", jobs);
-            let page = self.page();
-            let mut world = sched::replica::Replica::default();
-            let mut reader = store::RecordReader::default();
-            measured(|| {
-                let page: Items<Value> = wire::decode(&page).expect("a page");
-                for i in page.items {
-                    let (change, _, version) = reader.apply(&i.key, Some(i.value), i.version);
-                    world.apply(change, version);
-                }
-            });
-            case_over(&mut done, "record of a page", 400);
-            // As it was before the news.
-            for n in 0..jobs {
-                self.apply(KeyWrite::new(key::job(&job_id(n)), &running(n, self.machines)));
-            }
-            let bodies = self.reports(0);
-            bodies.into_iter().for_each(|b| self.hello(b));
-            controller.state().proofs = Default::default();
-            self.settle();
-            assert!(self.decide(16).jobs.is_empty(), "nothing is open");
+            self.measure_quiet_site(&mut done);
+            self.measure_placement(&mut done);
+            self.measure_autoscaler(&mut done);
+            self.measure_shards_and_peers(&mut done);
+            self.measure_terminations(&mut done);
+            self.measure_change_feed(&mut done);
+            self.restore();
             cases.extend(done);
         }
         cases
     }
+
+    /// Heartbeats and questions while nothing changes.
+    fn measure_quiet_site(&mut self, done: &mut Vec<Case>) {
+        let bodies = self.reports(0);
+        let n = bodies.len();
+        measured(|| bodies.into_iter().for_each(|b| self.hello(b)));
+        case_over(done, "report without news", n);
+        self.round(done, "quiet round", 16, 16);
+        measured(|| (0..TIMES).for_each(|i| self.ask(1_000_000 + i)));
+        case_over(done, "question, final job", TIMES);
+        measured(|| (0..TIMES).for_each(|i| self.ask(i % self.open)));
+        case_over(done, "question, running job", TIMES);
+    }
+
+    /// Scheduling cycles that place tasks, or find no capacity for them.
+    fn measure_placement(&mut self, done: &mut Vec<Case>) {
+        let controller = self.controller.clone();
+        self.add_waiting(3_000_000, 1, 1.0);
+        self.round(done, "round that places one task", 8, 16);
+        self.add_waiting(3_000_001, 31, 1.0);
+        self.round(done, "round that places 32 tasks", 8, 64);
+        let round = self.decide(16);
+        measured(|| {
+            let scheduler::CycleTransaction { conditions, writes: puts, .. } = scheduler::build_transaction(
+                &controller.state().records.replica,
+                &round,
+                &controller.state_limits(),
+                usize::MAX,
+            );
+            let put = |p: KeyWrite| p.value.map(|value| Op::Put { put: p.key, value, lease: p.lease });
+            wire::encode(&Txn { conditions, ops: puts.into_iter().filter_map(put).collect() })
+        });
+        case_over(done, "transaction, a job of it", round.jobs.len());
+        self.drop_jobs(3_000_000, 32);
+        self.add_waiting(3_000_100, 32, 1000.0);
+        self.round(done, "round with 32 jobs without room", 8, 16);
+    }
+
+    /// What the autoscaler plans.
+    fn measure_autoscaler(&mut self, done: &mut Vec<Case>) {
+        let controller = self.controller.clone();
+        let now = Instant::now();
+        let mut autoscaler = Autoscaler::leading_since(now - Duration::from_secs(60));
+        controller.state().refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
+        measured(|| autoscaler.plan_scale_out(&controller, &controller.state(), now));
+        case_over(done, "rentals planned for 32 jobs", 1);
+        self.drop_jobs(3_000_100, 32);
+        measured(|| autoscaler.plan_scale_out(&controller, &controller.state(), now));
+        case_over(done, "rentals planned for none", 1);
+        controller.state().records.fresh_at = Some(now);
+        controller.state().tick(now);
+        measured(|| autoscaler.release_candidates(&controller, &controller.state(), now));
+        case_over(done, "returns planned", 1);
+    }
+
+    /// The choice of a shard, statuses of peers, membership and shares of the changes.
+    fn measure_shards_and_peers(&mut self, done: &mut Vec<Case>) {
+        let controller = self.controller.clone();
+        controller.state().scheduling.recent_assignments.since = None;
+        let new = spec(4_000_000, JobKind::Array, 1);
+        measured(|| api::shard_choice::choose_shard(&controller, &new));
+        case_over(done, "part for a first new job", 1);
+        measured(|| (0..4).for_each(|_| drop(black_box(api::shard_choice::choose_shard(&controller, &new)))));
+        case_over(done, "part for a new job", 4);
+        measured(|| peer::encode(&Message::PeerStatus(peer_status::own_status(&controller))));
+        case_over(done, "summary told", 1);
+        let told = peer::encode(&Message::PeerStatus(self.rows(self.seq * 10)));
+        measured(|| {
+            if let Some(Message::PeerStatus(s)) = peer::decode(&told) {
+                peer_status::receive_status(&controller, s);
+            }
+        });
+        case_over(done, "summary heard", 1);
+        measured(|| {
+            let mut state = controller.state();
+            state.tick(Instant::now());
+            state.update_isolation(&controller.identity, controller.heartbeat_interval(), Instant::now())
+        });
+        case_over(done, "pulse and membership", 1);
+        measured(|| {
+            let mut state = controller.state();
+            controller.update_write_share(&mut state, Instant::now() + Duration::from_secs(self.seq * 10));
+        });
+        case_over(done, "shares of the changes", 1);
+    }
+
+    /// Requests over HTTP, and tasks that end.
+    fn measure_terminations(&mut self, done: &mut Vec<Case>) {
+        let controller = self.controller.clone();
+        self.over_http(done);
+        let bodies = self.reports(1);
+        let n = bodies.len();
+        measured(|| bodies.into_iter().for_each(|b| self.hello(b)));
+        case_over(done, "report with news", n);
+        self.round(done, "round after 64 ends", 1, 64);
+        controller.state().proofs = Default::default();
+    }
+
+    /// Changes and pages of the records.
+    fn measure_change_feed(&mut self, done: &mut Vec<Case>) {
+        let controller = self.controller.clone();
+        let jobs = self.open.min(TIMES);
+        let news = self.news(jobs);
+        measured(|| change_feed::apply_changes(&controller, wire::decode(&news).expect("changes")));
+        case_over(done, "watch event", jobs);
+        let page = self.page();
+        let mut world = sched::replica::Replica::default();
+        let mut reader = store::RecordReader::default();
+        measured(|| {
+            let page: Items<Value> = wire::decode(&page).expect("a page");
+            for i in page.items {
+                let (change, _, version) = reader.apply(&i.key, Some(i.value), i.version);
+                world.apply(change, version);
+            }
+        });
+        case_over(done, "record of a page", 400);
+    }
+
+    /// Brings the site back to what it was before the cases.
+    fn restore(&mut self) {
+        let controller = self.controller.clone();
+        // As it was before the news.
+        for n in 0..self.open.min(TIMES) {
+            self.apply(KeyWrite::new(key::job(&job_id(n)), &running(n, self.machines)));
+        }
+        let bodies = self.reports(0);
+        bodies.into_iter().for_each(|b| self.hello(b));
+        controller.state().proofs = Default::default();
+        self.settle();
+        assert!(self.decide(16).jobs.is_empty(), "nothing is open");
+    }
 }
 
 /// A server that has little to say; its address.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -4,6 +4,9 @@
 //! and decisions, the tasks of a controller that do input and output, `process` that composes
 //! them, `cli` on top.
 
+#![deny(missing_docs)]
+#![cfg_attr(not(test), deny(clippy::too_many_lines))]
+
 mod api;
 mod autoscaler;
 #[cfg(feature = "bench")]
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -3,6 +3,7 @@
 //! The order of fields and variants is part of the encoding: they may be renamed, but not moved.
 
 #![deny(missing_docs)]
+#![cfg_attr(not(test), deny(clippy::too_many_lines))]
 
 mod codec;
 mod message;
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -2,6 +2,7 @@
 //! known and what time it is.
 
 #![deny(missing_docs)]
+#![cfg_attr(not(test), deny(clippy::too_many_lines))]
 
 mod assignment;
 pub mod autoscaling;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -2,6 +2,7 @@
 //! requests.
 
 #![deny(missing_docs)]
+#![cfg_attr(not(test), deny(clippy::too_many_lines))]
 
 mod chunks;
 mod client;
