--- a/crates/daemon/src/worker/command_channel.rs
+++ b/crates/daemon/src/worker/command_channel.rs
@@ -84,6 +84,7 @@
     }
 
     /// Whether a token is from since this controller owns the machine.
+    #[inline]
     pub(super) fn is_of_this_owner(&self, token: FencingToken) -> bool {
         token >= FencingToken::first_of_epoch(self.owned_epoch)
     }
@@ -96,6 +97,7 @@
     /// Whether requests reach the worker, as far as they tell. The worker has to have shown a
     /// token from since this controller owns it: a delayed duplicate of a heartbeat, of a machine
     /// that may be long gone, cannot.
+    #[inline]
     pub(super) fn is_usable(&self) -> bool {
         self.failures < MAX_FAILURES && self.is_of_this_owner(self.seen)
     }
--- a/crates/daemon/src/worker/liveness.rs
+++ b/crates/daemon/src/worker/liveness.rs
@@ -119,6 +119,7 @@
     }
 
     /// Whether responses reach the worker, as far as its heartbeats tell.
+    #[inline]
     pub(super) fn is_reachable(&self) -> bool {
         self.unreachable_since.is_none()
     }
@@ -135,6 +136,7 @@
     }
 
     /// How long the worker has not sent heartbeats by itself.
+    #[inline]
     pub(super) fn without_heartbeats_for(&self, now: Instant) -> Duration {
         self.unexcused_time(self.reported_at, now)
     }
@@ -142,6 +144,7 @@
     /// How long nothing was heard from the worker, or nothing reached it. One that was never heard
     /// from is not silent before a probe has failed: an owner that takes over thousands of
     /// machines at once needs time to probe them all, and would give up those at the end.
+    #[inline]
     pub(super) fn silent_for(&self, now: Instant) -> Duration {
         if self.last_heartbeat_at.is_none() && !self.probe_failed {
             return Duration::ZERO;
@@ -153,6 +156,7 @@
     }
 
     /// The time since an event, or since a later pause of this controller.
+    #[inline]
     fn unexcused_time(&self, since: Instant, now: Instant) -> Duration {
         let since = self.paused_until.map_or(since, |pause| pause.max(since));
         now.saturating_duration_since(since)
--- a/crates/daemon/src/worker/mod.rs
+++ b/crates/daemon/src/worker/mod.rs
@@ -210,12 +210,14 @@
     }
 
     /// Whether commands reach the worker, as far as is known.
+    #[inline]
     pub fn receives_commands(&self) -> bool {
         self.liveness.is_reachable() && self.commands.is_usable()
     }
 
     /// Whether the worker has sent no heartbeat by itself for longer than this limit, though it may
     /// answer requests: nobody renews its lease, and whatever is started there will be killed.
+    #[inline]
     pub fn sends_no_heartbeats(&self, limit: Duration, now: Instant) -> bool {
         self.liveness.without_heartbeats_for(now) > limit
     }
@@ -287,6 +289,7 @@
     }
 
     /// How long nothing was heard from the worker, or nothing reached it.
+    #[inline]
     pub fn silent_for(&self, now: Instant) -> Duration {
         self.liveness.silent_for(now)
     }
