--- a/crates/sched/src/assignment.rs
+++ b/crates/sched/src/assignment.rs
@@ -1,32 +1,32 @@
-//! The assignment of one task to one machine, which job records are made of.
+//! Assignments of tasks to machines, as stored in job records.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The name of a machine, a machine type, a zone or a job. Many values share one allocation.
+/// The name of a machine, machine type, zone or job. Clones share one allocation.
 pub type Name = Arc<str>;
 
-/// Whether an assignment is to go on.
+/// Whether an assigned task should run or stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DesiredState {
-    /// The task is to run.
+    /// The task should run.
     #[serde(rename = "r")]
     Running,
-    /// The task is to stop, with enough time to save a checkpoint.
+    /// The task should stop, with enough time to save a checkpoint.
     #[serde(rename = "s")]
     Stopped,
 }
 
-/// The machine that a task is assigned to. A task has at most one assignment at a time.
+/// The assignment of a task to a machine. A task has at most one assignment at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
     /// The number of the task within its job.
     pub task: u32,
-    /// The attempt at the task that this assignment is.
+    /// The number of this attempt to run the task.
     pub attempt: u64,
-    /// The machine.
+    /// The machine that the task is assigned to.
     pub machine: Name,
-    /// Whether the task is to run or to stop.
+    /// Whether the task should run or stop.
     pub desired: DesiredState,
 }
--- a/crates/sched/src/compact/assignments.rs
+++ b/crates/sched/src/compact/assignments.rs
@@ -1,9 +1,8 @@
-//! Lists of assignments, grouped by what they have in common.
+//! Compact encoding of assignment lists, grouped by the values that assignments share.
 //!
-//! Within a group the machines follow in the order of their numbers. Each is written as the
-//! difference of its number to the one before, the count of its tasks with a flag for consecutive
-//! ones, the step to its first task, and the differences between its tasks unless they are
-//! consecutive.
+//! Within a group, machines are sorted by number. Each machine is encoded as the difference from
+//! the previous machine's number, its task count with a flag for consecutive tasks, the step to its
+//! first task and, unless its tasks are consecutive, the differences between them.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -11,32 +10,32 @@
 use super::numbered_name::{MAX_MACHINE_DIGITS, NumberedName};
 use crate::assignment::{Assignment, DesiredState};
 
-/// Assignments of one attempt and desired state, to machines whose names have one stem and one
-/// number of digits.
+/// Assignments with the same attempt and desired state, to machines whose names have the same
+/// prefix and number of digits.
 #[derive(Serialize, Deserialize)]
 struct AssignmentGroup(
-    /// The stem of the machines' names.
+    /// The prefix of the machine names.
     String,
-    /// The number of digits of the machines' names.
+    /// The number of digits at the end of the machine names.
     usize,
     /// The attempt.
     u64,
     /// The desired state.
     DesiredState,
-    /// The machines and their tasks.
+    /// The encoded machines and their tasks.
     String,
 );
 
-/// The key of a group. Groups are written in the order of their keys.
+/// The key of a group. Groups are sorted by key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupKey<'a> {
-    stem: &'a str,
+    prefix: &'a str,
     digits: usize,
     attempt: u64,
     desired: DesiredState,
 }
 
-/// One assignment, in the order in which they are written.
+/// An assignment with its machine name parsed. Entries are encoded in their derived sort order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry<'a> {
     key: GroupKey<'a>,
@@ -46,28 +45,29 @@
 
 impl<'a> Entry<'a> {
     fn new(assignment: &'a Assignment) -> Self {
-        let NumberedName { stem, digits, number } =
+        let NumberedName { prefix, digits, number } =
             NumberedName::parse(&assignment.machine, MAX_MACHINE_DIGITS);
         let Assignment { task, attempt, desired, .. } = *assignment;
-        Self { key: GroupKey { stem, digits, attempt, desired }, machine_number: number, task }
+        Self { key: GroupKey { prefix, digits, attempt, desired }, machine_number: number, task }
     }
 }
 
-/// The step from the task that would continue the machine before to a machine's first one, with
-/// the sign in the lowest bit: 0 for a gang, whose tasks go on from machine to machine.
+/// Encodes the step from `expected_task`, the task after the previous machine's last one, to a
+/// machine's first task, with the sign in the lowest bit. The step is 0 in a gang whose task numbers
+/// continue from machine to machine.
 fn encode_step(expected_task: u32, task: u32) -> u64 {
     let difference = i64::from(task) - i64::from(expected_task);
     (difference.unsigned_abs() << 1) | u64::from(difference < 0)
 }
 
-/// The task that a step from [`encode_step`] leads to; `None` if there is no such task.
+/// The task that a step encoded by [`encode_step`] leads to; `None` if its number is out of range.
 fn apply_step(expected_task: u32, step: u64) -> Option<u32> {
     let distance = i64::try_from(step >> 1).ok()?;
     let difference = if step & 1 == 1 { -distance } else { distance };
     u32::try_from(i64::from(expected_task) + difference).ok()
 }
 
-/// Writes the machines and tasks of one group.
+/// Encodes the machines and tasks of one group.
 fn encode_group(group: &[Entry]) -> String {
     let mut text = String::new();
     let mut previous_machine = 0;
@@ -88,37 +88,38 @@
     text
 }
 
-/// Writes a list of assignments.
+/// Serializes a list of assignments.
 ///
 /// # Errors
 ///
-/// Those of the serializer.
+/// Returns the errors of the serializer.
 pub fn serialize<S: Serializer>(assignments: &[Assignment], serializer: S) -> Result<S::Ok, S::Error> {
     let mut entries: Vec<Entry> = assignments.iter().map(Entry::new).collect();
     entries.sort_unstable();
     let groups: Vec<AssignmentGroup> = entries
         .chunk_by(|a, b| a.key == b.key)
         .map(|group| {
-            let GroupKey { stem, digits, attempt, desired } = group[0].key;
-            AssignmentGroup(stem.to_owned(), digits, attempt, desired, encode_group(group))
+            let GroupKey { prefix, digits, attempt, desired } = group[0].key;
+            AssignmentGroup(prefix.to_owned(), digits, attempt, desired, encode_group(group))
         })
         .collect();
     groups.serialize(serializer)
 }
 
 impl AssignmentGroup {
-    /// Appends the assignments of the group; `None` if it is malformed.
+    /// Decodes the group and appends its assignments; `None` if the group is malformed.
     fn append_to(&self, assignments: &mut Vec<Assignment>) -> Option<()> {
-        let Self(stem, digits, attempt, desired, text) = self;
+        let Self(prefix, digits, attempt, desired, text) = self;
         let mut text = text.bytes().peekable();
         let mut number = 0u64;
         let mut expected_task = 0u32;
         while text.peek().is_some() {
             number = number.checked_add(read_number(&mut text)?)?;
-            let machine = NumberedName { stem, digits: *digits, number }.to_name()?;
+            let machine = NumberedName { prefix, digits: *digits, number }.to_name()?;
             let count_and_flag = read_number(&mut text)?;
             let (count, is_consecutive) = (count_and_flag / 2, count_and_flag % 2 == 1);
-            // No job has more tasks: a malformed record must not take all memory.
+            // No job has more than `MAX_TASKS` tasks. Without this limit, a malformed record could
+            // exhaust memory.
             if assignments.len() as u64 + count > u64::from(wire::MAX_TASKS) {
                 return None;
             }
@@ -138,18 +139,18 @@
     }
 }
 
-/// Reads a list of assignments, sorted by task.
+/// Deserializes a list of assignments, sorted by task.
 ///
 /// # Errors
 ///
-/// Those of the deserializer, and that a group is malformed.
+/// Returns the errors of the deserializer, and an error if a group is malformed.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Assignment>, D::Error> {
     let groups = Vec::<AssignmentGroup>::deserialize(deserializer)?;
     let mut assignments = Vec::new();
     for group in groups {
         group
             .append_to(&mut assignments)
-            .ok_or_else(|| serde::de::Error::custom("a list of assignments is malformed"))?;
+            .ok_or_else(|| serde::de::Error::custom("malformed assignment list"))?;
     }
     assignments.sort_unstable_by_key(|assignment| assignment.task);
     Ok(assignments)
--- a/crates/sched/src/compact/bitmap.rs
+++ b/crates/sched/src/compact/bitmap.rs
@@ -1,8 +1,8 @@
-//! Sets of numbers as text, six bits a character.
+//! Sets of numbers as bitmaps in text, six bits per character.
 
 use super::digits::{BITS_PER_DIGIT, digit_char, digit_value};
 
-/// Writes half-open ranges of numbers as a bitmap.
+/// Encodes half-open ranges of numbers as a bitmap.
 pub fn encode(ranges: impl Iterator<Item = (u32, u32)>) -> String {
     let mut digits: Vec<u8> = Vec::new();
     for number in ranges.flat_map(|(from, to)| from..to) {
@@ -15,8 +15,8 @@
     digits.into_iter().map(digit_char).collect()
 }
 
-/// Calls a function with each number of a bitmap, in ascending order. A character that is not a
-/// digit counts as an empty one.
+/// Calls `visit` with each number in a bitmap, in ascending order. A character that is not a digit
+/// counts as six unset bits.
 pub fn for_each_number(bitmap: &str, mut visit: impl FnMut(u32)) {
     for (position, digit) in (0u32..).zip(bitmap.bytes().map(digit_value)) {
         let digit = digit.unwrap_or(0);
--- a/crates/sched/src/compact/digits.rs
+++ b/crates/sched/src/compact/digits.rs
@@ -1,25 +1,25 @@
-//! Digits to the base of 64, and numbers of variable length that are written in them.
+//! Base-64 digits, and variable-length integers composed of them.
 
-/// Bits that one digit holds.
+/// Bits per digit.
 pub(super) const BITS_PER_DIGIT: u32 = 6;
 
-/// Bits of a number that one digit holds; the remaining bit tells that more digits follow.
+/// Bits of a variable-length integer per digit; the remaining bit is the continuation flag.
 const NUMBER_BITS_PER_DIGIT: usize = 5;
 
-/// The flag of a digit that is not the last one of its number.
+/// Flag that is set in every digit of a number except the last.
 const CONTINUATION: u64 = 1 << NUMBER_BITS_PER_DIGIT;
 
-/// Most bits of a number that can be read.
+/// Maximum size of a variable-length integer, in bits.
 const MAX_NUMBER_BITS: usize = 60;
 
 const DIGITS: &[u8; 64] = b"0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-_";
 
-/// The character of a digit below 64.
+/// The character for a digit value, which must be below 64.
 pub(super) fn digit_char(value: u8) -> char {
     char::from(DIGITS[usize::from(value)])
 }
 
-/// The value of a digit's character; `None` if it is not one.
+/// The value of a digit character; `None` if the character is not a digit.
 pub(super) fn digit_value(character: u8) -> Option<u32> {
     let value = match character {
         b'0'..=b'9' => character - b'0',
@@ -32,7 +32,7 @@
     Some(value.into())
 }
 
-/// Appends a number, its lowest bits first.
+/// Appends a variable-length integer, least significant digit first.
 pub(super) fn write_number(out: &mut String, mut number: u64) {
     while number >= CONTINUATION {
         out.push(digit_char((number % CONTINUATION + CONTINUATION) as u8));
@@ -41,7 +41,8 @@
     out.push(digit_char(number as u8));
 }
 
-/// Reads the number that comes next; `None` if the text ends within it or has another character.
+/// Reads the next variable-length integer; `None` if it is truncated, too long or contains a
+/// character that is not a digit.
 pub(super) fn read_number(text: &mut impl Iterator<Item = u8>) -> Option<u64> {
     let mut number = 0u64;
     for shift in (0..MAX_NUMBER_BITS).step_by(NUMBER_BITS_PER_DIGIT) {
--- a/crates/sched/src/compact/mod.rs
+++ b/crates/sched/src/compact/mod.rs
@@ -1,7 +1,8 @@
-//! The dense encoding of the lists in records.
+//! Compact encodings of the lists in records.
 //!
-//! A record is one value of the key-value store, so that one version guards the whole job; an
-//! array of more than a thousand tasks has to fit into a few KiB of text.
+//! A job's record is a single value in the key-value store, so that one version guards the whole
+//! job. The record of an array with more than a thousand tasks must therefore fit into a few KiB of
+//! text.
 
 pub mod assignments;
 pub mod bitmap;
--- a/crates/sched/src/compact/numbered_name.rs
+++ b/crates/sched/src/compact/numbered_name.rs
@@ -1,21 +1,21 @@
-//! Names that end in a number, as those of machines and jobs mostly do.
+//! Names that end in a number, as most machine names and job ids do.
 
 use crate::assignment::Name;
 
-/// Most digits of the number at the end of a machine's name that are read as a number.
+/// Maximum number of digits at the end of a machine name that are parsed as a number.
 pub(super) const MAX_MACHINE_DIGITS: usize = 15;
 
-/// Most digits of the number at the end of a job's id that are read as a number.
+/// Maximum number of digits at the end of a job id that are parsed as a number.
 pub(super) const MAX_JOB_DIGITS: usize = 18;
 
-/// Most digits of a number that is ever written.
+/// Maximum number of digits in any encoded name.
 const MAX_DIGITS: usize = MAX_JOB_DIGITS;
 
-/// A name, taken apart. Names are ordered by stem, then number of digits, then number.
+/// A parsed name. Names are ordered by prefix, then number of digits, then number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct NumberedName<'a> {
-    /// What precedes the digits.
-    pub(super) stem: &'a str,
+    /// The part before the number.
+    pub(super) prefix: &'a str,
     /// How many digits the number has, leading zeros included.
     pub(super) digits: usize,
     /// The number; 0 if there are no digits.
@@ -23,20 +23,20 @@
 }
 
 impl<'a> NumberedName<'a> {
-    /// Takes a name apart, of which at most so many digits are read as the number.
+    /// Splits a name into its prefix and its number, which has at most `max_digits` digits.
     pub(super) fn parse(name: &'a str, max_digits: usize) -> Self {
         let digits = name.bytes().rev().take_while(u8::is_ascii_digit).take(max_digits).count();
-        let (stem, number) = name.split_at(name.len() - digits);
-        Self { stem, digits, number: number.parse().unwrap_or(0) }
+        let (prefix, number) = name.split_at(name.len() - digits);
+        Self { prefix, digits, number: number.parse().unwrap_or(0) }
     }
 
-    /// The name. `None` where the number of digits is not one that is ever written: a malformed
-    /// record must not take all memory.
+    /// Formats the name; `None` if it has more than [`MAX_DIGITS`] digits, so that a malformed record
+    /// cannot exhaust memory.
     pub(super) fn to_name(self) -> Option<Name> {
-        let Self { stem, digits, number } = self;
+        let Self { prefix, digits, number } = self;
         match digits {
-            0 => Some(stem.into()),
-            1..=MAX_DIGITS => Some(format!("{stem}{number:0digits$}").into()),
+            0 => Some(prefix.into()),
+            1..=MAX_DIGITS => Some(format!("{prefix}{number:0digits$}").into()),
             _ => None,
         }
     }
--- a/crates/sched/src/drain_records.rs
+++ b/crates/sched/src/drain_records.rs
@@ -1,43 +1,43 @@
-//! Records of drains: which machines are cordoned, how far each drain is, and which voluntary
+//! Records of drains: which machines are cordoned, the progress of each drain, and which voluntary
 //! disruptions are open.
 //!
-//! The machines of a drain are kept apart from its progress, in simple records of their own: if the
-//! progress cannot be read, the machines stay cordoned.
+//! The machines of a drain are stored separately from its progress, in simple records of their own,
+//! so that they stay cordoned even if the progress record cannot be read.
 
 use serde::{Deserialize, Serialize};
 
 use crate::compact;
 use crate::records::Name;
 
-/// The schema of [`DrainRecord`] that this version writes and reads.
+/// The schema version of [`DrainRecord`] that this release writes and reads.
 pub const DRAIN_SCHEMA: u32 = 1;
 
-/// Changes with every change of the cordons. Placements are conditional on its version, so that none
-/// that was decided before a cordon is committed after it.
+/// A record that is rewritten with every change to the cordons. Placements are conditional on its
+/// version, so that no placement decided before a cordon is committed after it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CordonFence {
-    /// Counts the changes of the cordons.
+    /// The number of changes to the cordons.
     pub generation: u64,
 }
 
-/// Some of a drain's machines. A drain has as many of these records as its machines need.
+/// Some of the machines of a drain. A drain with many machines has several of these records.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CordonRecord {
-    /// Whether nothing may be placed on the machines.
+    /// Whether placement on the machines is forbidden.
     pub active: bool,
-    /// The machines.
+    /// The machines of this cordon.
     #[serde(with = "compact::names")]
     pub machines: Option<Vec<Name>>,
-    /// Those on which nothing was left, before they are scaled in.
+    /// Machines that had no tasks left; recorded before they are scaled in.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "compact::names")]
     pub emptied: Option<Vec<Name>>,
-    /// Those that are gone.
+    /// Machines that are gone from the cluster.
     #[serde(default, skip_serializing_if = "Option::is_none", with = "compact::names")]
     pub gone: Option<Vec<Name>>,
 }
 
 impl CordonRecord {
-    /// A cordon of these machines.
+    /// An active cordon of these machines.
     pub fn new(machines: Vec<Name>) -> Self {
         Self { active: true, machines: Some(machines), emptied: None, gone: None }
     }
@@ -47,34 +47,34 @@
         self.machines.as_deref().unwrap_or_default()
     }
 
-    /// The machines on which nothing was left.
+    /// The machines that had no tasks left.
     pub fn emptied(&self) -> &[Name] {
         self.emptied.as_deref().unwrap_or_default()
     }
 
-    /// The machines that are gone.
+    /// The machines that are gone from the cluster.
     pub fn gone(&self) -> &[Name] {
         self.gone.as_deref().unwrap_or_default()
     }
 
-    /// The machines that are not gone.
+    /// The machines that are still in the cluster.
     pub fn remaining(&self) -> impl Iterator<Item = &Name> {
         self.machines().iter().filter(|m| !self.gone().contains(m))
     }
 
-    /// Notes that nothing is left on a machine. True if that is new.
+    /// Records that a machine has no tasks left. Returns whether this was not yet recorded.
     pub fn note_emptied(&mut self, machine: &Name) -> bool {
-        add_once(&mut self.emptied, machine)
+        insert_if_absent(&mut self.emptied, machine)
     }
 
-    /// Notes that a machine is gone. True if that is new.
+    /// Records that a machine is gone. Returns whether this was not yet recorded.
     pub fn note_gone(&mut self, machine: &Name) -> bool {
-        add_once(&mut self.gone, machine)
+        insert_if_absent(&mut self.gone, machine)
     }
 }
 
-/// Adds a machine to a list unless it is there already. True if it is new.
-fn add_once(list: &mut Option<Vec<Name>>, machine: &Name) -> bool {
+/// Adds a machine to a list unless the list contains it. Returns whether the machine was added.
+fn insert_if_absent(list: &mut Option<Vec<Name>>, machine: &Name) -> bool {
     let list = list.get_or_insert_default();
     let is_new = !list.contains(machine);
     if is_new {
@@ -83,10 +83,10 @@
     is_new
 }
 
-/// What becomes of tasks that cannot save a checkpoint, once the drain's patience is over.
+/// What happens to tasks that cannot save a checkpoint when the drain's `patience_ms` has elapsed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnsavedWork {
-    /// They run on, and their machines are kept.
+    /// They keep running, and their machines are not scaled in.
     #[default]
     #[serde(rename = "leave")]
     Leave,
@@ -98,129 +98,129 @@
 /// How a drain ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainEnd {
-    /// All its machines are gone.
+    /// All machines of the drain are gone.
     #[serde(rename = "finished")]
     Finished,
-    /// An operator stopped it.
+    /// An operator stopped the drain.
     #[serde(rename = "operator")]
     ByOperator,
-    /// No capacity was found for what is to be moved, after all retries.
+    /// No capacity was found for the tasks to be moved, after all retries.
     #[serde(rename = "no-room")]
     NoCapacity,
-    /// What is left cannot save a checkpoint and was to be left running.
+    /// The remaining tasks cannot save a checkpoint, and the drain leaves such tasks running.
     #[serde(rename = "work-left")]
     WorkLeft,
-    /// An obstacle persisted for longer than the operator allows.
+    /// An obstacle persisted for longer than `give_up_ms`.
     #[serde(rename = "gave-up")]
     GaveUp,
 }
 
-/// How far a drain is.
+/// The phase of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainPhase {
-    /// It moves tasks and scales in machines.
+    /// The drain moves tasks and scales in machines.
     #[serde(rename = "active")]
     Active,
-    /// Nothing is stopped for it any more; its cordons are being lifted.
+    /// The drain no longer stops tasks; its cordons are being lifted.
     #[serde(rename = "closing")]
     Closing(DrainEnd),
-    /// It is over.
+    /// The drain has ended.
     #[serde(rename = "closed")]
     Closed(DrainEnd),
 }
 
-/// What a drain waits for.
+/// The kinds of obstacles that a drain waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObstacleKind {
-    /// As many replicas of the service are down as may be.
+    /// The maximum number of replicas of the service is already down.
     #[serde(rename = "service-budget")]
     ServiceBudget,
-    /// As many voluntary disruptions of the team are open as may be.
+    /// The team already has the maximum number of open voluntary disruptions.
     #[serde(rename = "team-budget")]
     TeamBudget,
-    /// There is no capacity for it elsewhere.
+    /// There is no capacity for the task or gang on other machines.
     #[serde(rename = "no-room")]
     NoCapacity,
-    /// It cannot save a checkpoint, and the drain's patience is not over.
+    /// The task cannot save a checkpoint, and the drain's `patience_ms` has not elapsed.
     #[serde(rename = "cannot-save")]
     CannotSave,
-    /// It was told to stop and has not ended yet.
+    /// The task has been requested to stop and has not ended yet.
     #[serde(rename = "stopping")]
     Stopping,
-    /// A controller does not know drains, or has them disabled.
+    /// A controller does not support drains, or has them disabled.
     #[serde(rename = "old-controller")]
     OldController,
-    /// Nothing is left on the machine; it is about to be scaled in.
+    /// The machine has no tasks left and is about to be scaled in.
     #[serde(rename = "giving-back")]
     ScalingIn,
 }
 
-/// The first thing that a drain waits for.
+/// The first obstacle that a drain waits for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Obstacle {
-    /// What kind of obstacle it is.
+    /// The kind of obstacle.
     pub kind: ObstacleKind,
-    /// The team of the job; empty if there is none.
+    /// The team of the job; empty if no job is involved.
     #[serde(default)]
     pub team: String,
-    /// The job, or the controller in the case of an old one; empty if there is none.
+    /// The job, or the controller for [`ObstacleKind::OldController`]; empty if there is neither.
     #[serde(default)]
     pub job: String,
-    /// The machine that it is on.
+    /// The machine with the obstacle.
     #[serde(default)]
     pub machine: String,
-    /// Since when the drain waits for it, in milliseconds of the time of day.
+    /// When the drain began to wait, in Unix milliseconds.
     #[serde(default)]
     pub since_ms: u64,
 }
 
 impl Obstacle {
-    /// Whether both are the same, since whenever.
+    /// Whether both have the same kind, team and job, regardless of machine and time.
     pub fn is_same(&self, other: &Self) -> bool {
         (self.kind, &self.team, &self.job) == (other.kind, &other.team, &other.job)
     }
 }
 
-/// The search for capacity for what is to be moved next.
+/// The search for capacity for the tasks to be moved next.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacitySearch {
-    /// Attempts that found no capacity.
+    /// The number of attempts that found no capacity.
     pub failed: u32,
-    /// When the current attempt began, or will, in milliseconds of the time of day; 0: none is needed.
+    /// When the current attempt began or will begin, in Unix milliseconds; 0 if none is needed.
     pub since_ms: u64,
 }
 
-/// A drain: what its operator requested, and how far it is.
+/// A drain: its operator's request and its progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
-    /// The schema of the record, [`DRAIN_SCHEMA`].
+    /// The schema version of the record, [`DRAIN_SCHEMA`].
     pub schema: u32,
-    /// How far it is.
+    /// The phase of the drain.
     pub phase: DrainPhase,
-    /// How many [`CordonRecord`]s it has.
+    /// The number of [`CordonRecord`]s of the drain.
     pub cordons: u32,
-    /// How many machines there were to drain.
+    /// The number of machines that the drain had when it was created.
     pub machines: u32,
-    /// When it was started or resumed, in milliseconds of the time of day.
+    /// When the drain was started or resumed, in Unix milliseconds.
     pub started_ms: u64,
-    /// How long tasks that cannot save a checkpoint may run on, in milliseconds.
+    /// How long tasks that cannot save a checkpoint may keep running, in milliseconds.
     pub patience_ms: u64,
-    /// What becomes of such tasks then.
+    /// What happens to such tasks afterwards.
     pub unsaved: UnsavedWork,
     /// How long one obstacle may persist before the drain ends, in milliseconds.
     pub give_up_ms: u64,
-    /// Replicas, array tasks and gangs that it has stopped.
+    /// The number of replicas, array tasks and gangs that the drain has stopped.
     pub moved: u32,
-    /// The search for capacity for what is to be moved next.
+    /// The search for capacity for the tasks to be moved next.
     #[serde(rename = "room", default)]
     pub capacity_search: CapacitySearch,
-    /// What it waits for, if anything.
+    /// What the drain waits for, if anything.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub obstacle: Option<Obstacle>,
 }
 
 impl DrainRecord {
-    /// Whether it may still stop tasks and scale in machines.
+    /// Whether the drain may still stop tasks and scale in machines.
     pub fn is_active(&self) -> bool {
         self.phase == DrainPhase::Active
     }
@@ -229,7 +229,7 @@
 /// What caused a voluntary disruption.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DisruptionCause {
-    /// The drain of this name.
+    /// The drain with this name.
     #[serde(rename = "d")]
     Drain(String),
     /// The rescheduler.
@@ -237,8 +237,8 @@
     Rescheduler,
 }
 
-/// A voluntary disruption: a task, or a whole gang, that was stopped and whose replacement has not
-/// been seen running.
+/// A voluntary disruption: a task or a whole gang that was stopped and whose replacement has not
+/// been seen running yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Disruption {
     /// The id of the job.
@@ -250,10 +250,10 @@
     /// The attempt that was stopped. The replacement has a higher one.
     #[serde(rename = "a")]
     pub attempt: u64,
-    /// What caused it.
+    /// What caused the disruption.
     #[serde(rename = "b")]
     pub cause: DisruptionCause,
-    /// When it was stopped, in milliseconds of the time of day.
+    /// When the task or gang was stopped, in Unix milliseconds.
     #[serde(rename = "s")]
     pub since_ms: u64,
 }
@@ -262,19 +262,19 @@
 /// is conditional on its version, so that the budget cannot be exceeded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DisruptionRecord {
-    /// The disruptions whose replacements have not been seen running.
+    /// The disruptions whose replacements have not been seen running yet.
     pub open: Vec<Disruption>,
 }
 
-/// Most bytes that one entry of a [`DisruptionRecord`] takes of a value.
+/// Maximum size of an encoded entry of a [`DisruptionRecord`], in bytes.
 const MAX_DISRUPTION_BYTES: f64 = 200.0;
 
-/// The share of a value that the entries may take.
+/// The fraction of a value that the entries may occupy.
 const USABLE_VALUE_SHARE: f64 = 0.9;
 
 impl DisruptionRecord {
-    /// How many entries fit into a value of this size. It bounds the open disruptions of a team,
-    /// whatever its budget is.
+    /// How many entries fit into a value of `value_bytes`. This limits the open disruptions of a
+    /// team in addition to its budget.
     pub fn capacity(value_bytes: f64) -> usize {
         ((value_bytes * USABLE_VALUE_SHARE / MAX_DISRUPTION_BYTES) as usize).max(1)
     }
--- a/crates/sched/src/drains.rs
+++ b/crates/sched/src/drains.rs
@@ -1,4 +1,4 @@
-//! The replica of the records of drains.
+//! In-memory replica of the records of drains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use crate::records::Name;
 use crate::versioned::{Versioned, is_newer};
 
-/// The key of a cordon: the name of its drain, and its number among the drain's cordons.
+/// The key of a cordon: the name of its drain and its number within the drain.
 pub type CordonId = (String, u32);
 
 /// All records of drains, and the cordoned machines.
@@ -17,28 +17,28 @@
 pub struct Drains {
     /// The version of the cordon fence; 0 if there has never been a cordon.
     pub fence: u64,
-    /// How often cordons have changed, by the fence's record.
+    /// The number of changes to the cordons, from the record of the fence.
     pub generation: u64,
-    /// Drains by their names.
+    /// Drains by name.
     pub records: BTreeMap<String, Versioned<DrainRecord>>,
-    /// Cordons by their keys.
+    /// Cordons by key.
     pub cordons: BTreeMap<CordonId, Versioned<CordonRecord>>,
-    /// Voluntary disruptions, by the team's name as its key has it.
+    /// Voluntary disruptions, by the team's name as encoded in its key.
     pub disruptions: BTreeMap<String, Versioned<DisruptionRecord>>,
     /// Drains whose records cannot be read.
     pub unreadable: BTreeSet<String>,
-    /// The machines that nothing may be placed on.
+    /// The machines on which placement is forbidden.
     cordoned: HashSet<Name>,
 }
 
 impl Drains {
-    /// Applies a change of the cordon fence.
+    /// Applies a change to the cordon fence.
     pub fn apply_fence(&mut self, record: Option<CordonFence>, version: u64) {
         self.fence = if record.is_some() { version } else { 0 };
         self.generation = record.map_or(0, |fence| fence.generation);
     }
 
-    /// Applies a change of a drain's record, `None` being its deletion.
+    /// Applies a change to a drain's record; `None` deletes it.
     pub fn apply_drain(&mut self, name: String, record: Option<DrainRecord>, version: u64) {
         if is_newer(self.records.get(&name), version) {
             return;
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Applies a change of a cordon, `None` being its deletion. True if the set of cordoned machines
-    /// is a different one now.
+    /// Applies a change to a cordon; `None` deletes it. Returns whether the set of cordoned machines
+    /// has changed.
     pub fn apply_cordon(&mut self, id: CordonId, record: Option<CordonRecord>, version: u64) -> bool {
         if is_newer(self.cordons.get(&id), version) {
             return false;
@@ -67,7 +67,7 @@
         changed
     }
 
-    /// Applies a change of a team's voluntary disruptions, `None` being their deletion.
+    /// Applies a change to a team's voluntary disruptions; `None` deletes them.
     pub fn apply_disruptions(&mut self, team: String, record: Option<DisruptionRecord>, version: u64) {
         if is_newer(self.disruptions.get(&team), version) {
             return;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether nothing may be placed on a machine.
+    /// Whether placement on a machine is forbidden.
     pub fn is_cordoned(&self, machine: &str) -> bool {
         !self.cordoned.is_empty() && self.cordoned.contains(machine)
     }
@@ -101,15 +101,15 @@
         has_disruptions || self.records.values().any(|drain| !is_closed(&drain.value))
     }
 
-    /// The machines that an active drain is to scale in, as nothing is left on them. That is
-    /// recorded first: the record tells these from machines that were lost.
+    /// The machines that active drains should scale in because they are recorded as emptied. The
+    /// record is written first, to distinguish these machines from lost ones.
     pub fn machines_to_scale_in(&self) -> HashSet<&Name> {
         let is_active = |(name, _): &CordonId| self.records.get(name).is_some_and(|d| d.value.is_active());
         let active = self.cordons.iter().filter(|(id, cordon)| cordon.value.active && is_active(id));
         active.flat_map(|(_, cordon)| cordon.value.emptied()).collect()
     }
 
-    /// The open voluntary disruptions of a team, by its name as its key has it.
+    /// The open voluntary disruptions of a team, given its name as encoded in its key.
     pub fn open_disruptions(&self, team_id: &str) -> &[Disruption] {
         self.disruptions.get(team_id).map_or(&[], |d| &d.value.open)
     }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decisions of the cluster scheduler, without any input or output: callers pass in what is
-//! known and what time it is.
+//! The scheduler's records and decisions. This crate performs no I/O: callers pass in the cluster
+//! state and the current time.
 
 #![deny(missing_docs)]
 #![cfg_attr(not(test), deny(clippy::too_many_lines))]
--- a/crates/sched/src/pipeline.rs
+++ b/crates/sched/src/pipeline.rs
@@ -1,8 +1,8 @@
-//! The dependency graph of the jobs that wait for others.
+//! The dependency graph of jobs that wait for other jobs.
 //!
-//! All of it follows from the records of jobs, so that every controller comes to the same
-//! conclusions, also after a restart. Done and cancelled are final: what is concluded from them
-//! stands, however old the replica is.
+//! The graph is derived entirely from job records, so that every controller reaches the same
+//! conclusions, even after a restart. The phases done and cancelled are final, so conclusions drawn
+//! from them stay valid even on a stale replica.
 
 use std::collections::BTreeSet;
 
@@ -12,24 +12,24 @@
 #[derive(Debug, Default)]
 struct WaitingJob {
     dependencies: Vec<Name>,
-    /// How many of them are not known to be done.
+    /// The number of dependencies that are not known to be done.
     unfinished: usize,
 }
 
-/// The jobs that wait, and for which others.
+/// The waiting jobs and their dependencies.
 #[derive(Debug, Default)]
 pub struct Pipelines {
     waiting: HashMap<Name, WaitingJob>,
-    /// The jobs that wait for a job, directly.
+    /// The jobs that directly depend on a job.
     dependents: HashMap<Name, BTreeSet<Name>>,
-    /// Jobs that wait although one that they depend on is cancelled: they are cancelled, too, and
-    /// their records are still to say so.
+    /// Waiting jobs with a cancelled direct or transitive dependency. They count as cancelled, but
+    /// their records have not been updated yet.
     cancelled_by_dependency: BTreeSet<Name>,
 }
 
 impl Pipelines {
-    /// Adds a waiting job; `is_done` tells which of its dependencies are done. True if all are: then
-    /// the job may start and is not added.
+    /// Adds a waiting job unless all its dependencies are done according to `is_done`. Returns
+    /// whether they are, in which case the job may start.
     pub fn add_waiting(&mut self, id: &Name, dependencies: &[Name], is_done: impl Fn(&Name) -> bool) -> bool {
         let mut unfinished = 0;
         for dependency in dependencies.iter().filter(|dependency| !is_done(dependency)) {
@@ -42,7 +42,7 @@
         unfinished == 0
     }
 
-    /// Removes a job that waits no longer, for whatever reason. Returns its dependencies.
+    /// Removes a job that no longer waits. Returns its dependencies.
     pub fn remove_waiting(&mut self, id: &str) -> Vec<Name> {
         let Some(job) = self.waiting.remove(id) else { return Vec::new() };
         self.cancelled_by_dependency.remove(id);
@@ -57,9 +57,9 @@
         job.dependencies
     }
 
-    /// Notes that a job is done. Returns the jobs of which it was the last dependency; they no
+    /// Records that a job is done. Returns the jobs whose last unfinished dependency it was; they no
     /// longer wait.
-    pub fn note_done(&mut self, id: &str) -> Vec<Name> {
+    pub fn mark_done(&mut self, id: &str) -> Vec<Name> {
         let mut ready = Vec::new();
         for dependent in self.dependents.remove(id).unwrap_or_default() {
             let Some(job) = self.waiting.get_mut(&dependent) else { continue };
@@ -72,9 +72,9 @@
         ready
     }
 
-    /// Notes that a job is cancelled, and with it all that depend on it, directly or through
-    /// others. Chains may be thousands long: they are walked without recursion, and each job once.
-    pub fn note_cancelled(&mut self, id: &str) {
+    /// Records that a job is cancelled, which cancels all its direct and transitive dependents.
+    /// Chains may be thousands of jobs long, so the traversal is iterative and visits each job once.
+    pub fn mark_cancelled(&mut self, id: &str) {
         let mut next: Vec<Name> = self.dependents(id).cloned().collect();
         while let Some(id) = next.pop() {
             if self.cancelled_by_dependency.insert(id.clone()) {
@@ -83,17 +83,17 @@
         }
     }
 
-    /// Whether a waiting job is cancelled with one that it depends on.
+    /// Whether a waiting job counts as cancelled because a direct or transitive dependency is.
     pub fn is_cancelled_by_dependency(&self, id: &str) -> bool {
         self.cancelled_by_dependency.contains(id)
     }
 
-    /// Jobs that are cancelled with one that they depend on, as their records do not say yet.
+    /// Jobs that count as cancelled because of a dependency, but whose records do not say so yet.
     pub fn cancelled_by_dependency(&self) -> impl Iterator<Item = &Name> {
         self.cancelled_by_dependency.iter()
     }
 
-    /// The jobs that wait for a job, directly.
+    /// The jobs that directly depend on a job.
     pub fn dependents(&self, id: &str) -> impl Iterator<Item = &Name> {
         self.dependents.get(id).into_iter().flatten()
     }
@@ -103,7 +103,7 @@
         self.waiting.get(id).map_or(&[], |job| &job.dependencies)
     }
 
-    /// The jobs that wait, those left out that are cancelled with one that they depend on.
+    /// The waiting jobs, without those cancelled because of a dependency.
     pub fn waiting(&self) -> impl Iterator<Item = &Name> {
         self.waiting.keys().filter(|id| !self.cancelled_by_dependency.contains(*id))
     }
--- a/crates/sched/src/records/cluster_map.rs
+++ b/crates/sched/src/records/cluster_map.rs
@@ -1,19 +1,19 @@
-//! The live controllers, and which of them owns a machine.
+//! The cluster map: the live controllers, and which of them owns each machine.
 
 use serde::{Deserialize, Serialize};
 
-/// A controller's entry in the cluster map and among the members.
+/// A controller's entry in the cluster map and its membership record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The controller's name.
     pub name: String,
     /// The controller's zone.
     pub zone: String,
-    /// Drawn at random when the process starts.
+    /// A random number chosen when the process starts.
     pub incarnation: u64,
 }
 
-/// The controllers that may act. Every fencing token carries the epoch of the map.
+/// The controllers that may act. Every fencing token contains the epoch of the map.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterMap {
     /// Increases with every change of the map.
@@ -23,9 +23,9 @@
 }
 
 impl ClusterMap {
-    /// The owner of a machine: a hash over the live controllers of its zone, or over all of them
-    /// where the zone has none. Its owner can then reach a worker while zones are partitioned
-    /// from each other. `None` if no controller is live.
+    /// The owner of a machine, chosen by rendezvous hashing among the live controllers of its zone,
+    /// or among all live controllers if its zone has none. An owner in the same zone can reach the
+    /// machine's worker during a network partition between zones. `None` if no controller is live.
     pub fn owner(&self, machine: &str, zone: &str) -> Option<&Member> {
         let in_zone = self.live.iter().any(|member| member.zone == zone);
         let candidates = self.live.iter().filter(|member| !in_zone || member.zone == zone);
@@ -42,7 +42,7 @@
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 const FINAL_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
 
-/// A rendezvous hash (FNV-1a with a final mix), the same on every controller.
+/// A rendezvous hash (FNV-1a with a final mixing step) that is the same on every controller.
 fn rendezvous_hash(machine: &str, member: &str) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
     for byte in machine.bytes().chain([0]).chain(member.bytes()) {
--- a/crates/sched/src/records/fleet.rs
+++ b/crates/sched/src/records/fleet.rs
@@ -5,10 +5,10 @@
 use crate::assignment::Name;
 use crate::compact;
 
-/// A scale-out that has been requested and whose machines are not all up yet.
+/// A requested scale-out whose machines have not all started yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOut {
-    /// The id of the request, by which the cloud recognizes a repeated one.
+    /// The id of the request, by which the cloud recognizes retries.
     #[serde(rename = "r")]
     pub request: String,
     /// The machine type.
@@ -20,10 +20,10 @@
     /// Whether spot instances are requested.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// How many machines are requested.
+    /// The number of requested machines.
     #[serde(rename = "n")]
     pub count: u32,
-    /// When it was requested, in milliseconds of the time of day.
+    /// When the scale-out was requested, in Unix milliseconds.
     #[serde(rename = "a")]
     pub requested_ms: u64,
     /// The machines that the cloud has granted; `None` until it has answered.
@@ -31,14 +31,14 @@
     pub machines: Option<Vec<Name>>,
 }
 
-/// What is changing about the set of machines.
+/// Pending changes to the set of machines.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetRecord {
     /// The scale-outs in progress.
     #[serde(rename = "rentals")]
     pub scale_outs: Vec<ScaleOut>,
-    /// Machines whose release the cloud has confirmed, while their own records are still to be
-    /// deleted. One change of this record removes hundreds of machines.
+    /// Machines whose release the cloud has confirmed but whose own records are not deleted yet. One
+    /// change to this record can remove hundreds of machines.
     #[serde(rename = "gone", default, skip_serializing_if = "Option::is_none", with = "compact::names")]
     pub removed_machines: Option<Vec<Name>>,
 }
--- a/crates/sched/src/records/job.rs
+++ b/crates/sched/src/records/job.rs
@@ -7,10 +7,10 @@
 use crate::assignment::{Assignment, DesiredState, Name};
 use crate::compact;
 
-/// How far a job is.
+/// The phase of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Its tasks run, or are to.
+    /// Its tasks run or wait to be placed.
     #[serde(rename = "a")]
     Active,
     /// All its tasks are done. The phase is final.
@@ -19,26 +19,26 @@
     /// It was cancelled. The phase is final.
     #[serde(rename = "c")]
     Cancelled,
-    /// It waits for its dependencies. The version before pipelines cannot read it, and so answers
-    /// 503 and starts nothing of it.
+    /// It waits for its dependencies. Releases without pipelines cannot read this phase, so they
+    /// answer 503 and do not start the job.
     #[serde(rename = "w")]
     Waiting,
 }
 
-/// What a job inherits from the jobs that depend on it. Each controller derives it from the
-/// records; it is never written.
+/// The priority and deadline that a job inherits from its dependents. Each controller derives them
+/// from the records; they are never stored.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Urgency {
-    /// The highest priority among them.
+    /// The highest priority of the dependents.
     pub priority: Option<Priority>,
-    /// When it has to be done at the latest, so that they meet their deadlines, in milliseconds
-    /// of the time of day.
+    /// The latest time at which the job may end for its dependents to meet their deadlines, in Unix
+    /// milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
 impl Urgency {
-    /// The more urgent of both in each respect.
-    pub fn and(self, other: Self) -> Self {
+    /// The higher priority and the earlier deadline of both.
+    pub fn combine(self, other: Self) -> Self {
         let earlier = self.deadline_ms.into_iter().chain(other.deadline_ms).min();
         Self { priority: self.priority.max(other.priority), deadline_ms: earlier }
     }
@@ -47,21 +47,21 @@
 /// A job: its specification, progress and assignments.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// How far it is.
+    /// The phase of the job.
     pub phase: Phase,
-    /// Dropped once the job is final and has no assignments.
+    /// The specification; removed once the job is final and has no assignments.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Box<JobSpec>>,
-    /// The controller that places the job's tasks; `None`: the leader.
+    /// The controller that places the job's tasks; the leader if `None`.
     #[serde(rename = "part", default, skip_serializing_if = "Option::is_none")]
     pub shard: Option<String>,
-    /// When it was submitted, in milliseconds of the time of day; for a job that had to wait for
-    /// its dependencies, when the last of them was done.
+    /// When the job was submitted, in Unix milliseconds. For a job that had to wait for its
+    /// dependencies, when the last of them was done.
     #[serde(default)]
     pub submitted_ms: u64,
-    /// For a gang, the number that precedes that of its next placement; for other jobs, the
-    /// attempt that placements have now. A task that ends without being done raises it, so that
-    /// no task ever gets the same number twice.
+    /// For a gang, the number of its last attempt; the next attempt gets the number after it. For
+    /// other jobs, the number that placements get now. It is increased when a task ends without
+    /// being done, so that no task ever gets the same attempt number twice.
     #[serde(default)]
     pub attempt: u64,
     /// The tasks that are done.
@@ -70,34 +70,34 @@
     /// The assignments, sorted by task.
     #[serde(rename = "run", default, skip_serializing_if = "Vec::is_empty", with = "compact::assignments")]
     pub assignments: Vec<Assignment>,
-    /// Machines that placement avoids, and until when, in milliseconds of the time of day.
+    /// Machines that placement avoids, and until when, in Unix milliseconds.
     #[serde(rename = "avoid", default, skip_serializing_if = "Vec::is_empty")]
     pub avoided_machines: Vec<(String, u64)>,
-    /// Machines that a task of the gang's current attempt was on and is no longer. No task of that
-    /// attempt is placed there again: a delayed duplicate of the proof of its termination would
-    /// otherwise be taken for that of the later one.
+    /// Machines that tasks of the gang's current attempt have left. No task of that attempt is placed
+    /// on them again, because a delayed duplicate of the first assignment's termination proof would
+    /// be taken for a proof that the second one has ended.
     #[serde(rename = "left", default, skip_serializing_if = "Vec::is_empty")]
     pub vacated_machines: Vec<Name>,
-    /// When the rescheduler last used the disruption budget, in milliseconds of the time of day.
+    /// When the rescheduler last used the job's disruption budget, in Unix milliseconds.
     #[serde(rename = "evicted_ms", default)]
     pub last_eviction_ms: u64,
-    /// Consecutive starts that failed by an error.
+    /// The number of consecutive starts that failed with an error.
     #[serde(rename = "errors", default)]
     pub failed_starts: u32,
-    /// When the last one failed, in milliseconds of the time of day.
+    /// When the last start failed, in Unix milliseconds.
     #[serde(rename = "error_ms", default)]
     pub last_failure_ms: u64,
-    /// The dependencies of a waiting job, but for those that were done before.
+    /// The dependencies of a waiting job, without those that were done when it was submitted.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty", with = "compact::job_ids")]
     pub dependencies: Vec<Name>,
-    /// When a job that had to wait was accepted, in milliseconds of the time of day: its deadline
-    /// counts from then, everything else from `submitted_ms`. 0 if it did not have to wait.
+    /// When a job that had to wait was accepted, in Unix milliseconds. Its deadline counts from this
+    /// time, everything else from `submitted_ms`. 0 if the job did not have to wait.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub accepted_ms: u64,
-    /// When the last task was done, in milliseconds of the time of day; 0 before.
+    /// When the last task was done, in Unix milliseconds; 0 until then.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub ended_ms: u64,
-    /// What it inherits from the jobs that depend on it.
+    /// The priority and deadline inherited from the job's dependents.
     #[serde(skip)]
     pub urgency: Urgency,
 }
@@ -106,26 +106,27 @@
     *n == 0
 }
 
-/// About how long fetching an image and reporting a start and an end take together.
+/// Estimated total time to fetch an image and to report the start and the end of a task.
 const STEP_OVERHEAD_S: f64 = 5.0;
 
-/// Longest deadline or runtime that is counted with.
+/// Upper limit for deadlines and runtimes in calculations.
 const MAX_DURATION_S: f64 = 1e9;
 
-/// Longest list of avoided machines in a job's record.
+/// Maximum number of avoided machines in a job's record.
 pub const MAX_AVOIDED_MACHINES: usize = 8;
 
-/// Most machines that the tasks of one attempt of a gang may vacate before the gang is restarted.
+/// Maximum number of machines that tasks of one attempt of a gang may vacate before the gang is
+/// restarted.
 pub const MAX_VACATED_MACHINES: usize = 8;
 
 impl JobRecord {
-    /// An active job of which nothing is placed.
+    /// An active job without assignments.
     pub fn new(spec: JobSpec, shard: Option<String>, submitted_ms: u64) -> Self {
         Self {
             spec: Some(Box::new(spec)),
             shard,
             submitted_ms,
-            // The disruption budget fills from the submission on.
+            // The disruption budget accrues from the time of submission.
             last_eviction_ms: submitted_ms,
             ..Self::empty(Phase::Active)
         }
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Makes a waiting job active whose last dependency was done at this time. Ageing, queue
-    /// ranks, guarantees and the disruption budget count from then on.
+    /// Activates a waiting job whose last dependency was done at `ready_ms`. Ageing, queue ranks,
+    /// guarantees and the disruption budget count from that time.
     pub fn activate(&mut self, ready_ms: u64) {
         self.phase = Phase::Active;
         self.dependencies = Vec::new();
@@ -167,19 +168,18 @@
         self.last_eviction_ms = self.submitted_ms;
     }
 
-    /// The job's priority, or that of a job that depends on it if that is higher.
+    /// The job's own priority or the highest priority of its dependents, whichever is higher.
     pub fn priority(&self) -> Option<Priority> {
         self.spec.as_ref().map(|spec| spec.priority).max(self.urgency.priority)
     }
 
-    /// When the job was accepted, in milliseconds of the time of day: its deadline counts from
-    /// then.
+    /// When the job was accepted, in Unix milliseconds. Its deadline counts from this time.
     pub(crate) fn deadline_start_ms(&self) -> u64 {
         if self.accepted_ms > 0 { self.accepted_ms } else { self.submitted_ms }
     }
 
-    /// When the job should be done, in milliseconds of the time of day: by its own deadline and by
-    /// those of the jobs that depend on it.
+    /// When the job should be done, in Unix milliseconds, to meet its own deadline and those of its
+    /// dependents.
     pub fn deadline_ms(&self) -> Option<u64> {
         let own = self.spec.as_ref().and_then(|spec| spec.deadline_s).map(|deadline_s| {
             self.deadline_start_ms().saturating_add((deadline_s.clamp(0.0, MAX_DURATION_S) * 1000.0) as u64)
@@ -187,7 +187,7 @@
         own.into_iter().chain(self.urgency.deadline_ms).min()
     }
 
-    /// When the job should start at the latest, in milliseconds of the time of day.
+    /// When the job should start at the latest, in Unix milliseconds.
     pub fn latest_start_ms(&self) -> Option<u64> {
         let runtime_s =
             self.spec.as_ref().map_or(0.0, |spec| spec.estimated_runtime_s.clamp(0.0, MAX_DURATION_S));
@@ -195,7 +195,7 @@
         self.deadline_ms().map(|deadline_ms| deadline_ms.saturating_sub((duration_s * 1000.0) as u64))
     }
 
-    /// What the dependencies of this job inherit from it.
+    /// The urgency that the dependencies of this job inherit from it.
     pub fn urgency_for_dependencies(&self) -> Urgency {
         Urgency { priority: self.priority(), deadline_ms: self.latest_start_ms() }
     }
@@ -216,14 +216,14 @@
         }
     }
 
-    /// Whether an assignment of this job should be on its machine.
+    /// Whether an assignment of this job should be running on its machine.
     pub fn should_run(&self, assignment: &Assignment) -> bool {
         self.phase == Phase::Active && assignment.desired == DesiredState::Running
     }
 
-    /// Removes an assignment that is proven to be over. After an error, placement avoids its
-    /// machine for `avoid_s` seconds. Nothing is changed if the task has no assignment of this
-    /// attempt.
+    /// Removes an assignment that is proven to have ended. After an error, placement avoids its
+    /// machine for `avoid_s` seconds. Does nothing if the task has no assignment with this attempt
+    /// number.
     pub fn end_assignment(
         &mut self,
         task: u32,
@@ -244,9 +244,9 @@
             self.attempt = self.attempt.max(attempt + 1);
         }
         if is_done {
-            self.note_done(task, kind, tasks, now_ms);
+            self.record_done(task, kind, tasks, now_ms);
         } else if kind == JobKind::Gang {
-            self.note_gang_task_ended(&ended, reason);
+            self.handle_ended_gang_task(&ended, reason);
         }
         if reason == TerminationReason::Error {
             self.failed_starts = self.failed_starts.saturating_add(1);
@@ -256,9 +256,9 @@
         self.compact_if_final();
     }
 
-    fn note_done(&mut self, task: u32, kind: JobKind, tasks: u32, now_ms: u64) {
+    fn record_done(&mut self, task: u32, kind: JobKind, tasks: u32, now_ms: u64) {
         if kind == JobKind::Gang {
-            // The tasks of a gang complete together: one done means all are.
+            // The tasks of a gang complete together: if one is done, all are.
             self.done = Ranges::all(tasks);
         } else {
             self.done.insert(task);
@@ -270,11 +270,15 @@
         }
     }
 
-    /// A gang whose task is only lost, or stopped waiting for others that still fetch their image,
-    /// may take another machine for it; if the gang runs, the ends of its other tasks show that it
-    /// broke up. Were the others stopped, they would abort their fetches, and each further attempt
-    /// would take as long and fail alike.
-    fn note_gang_task_ended(&mut self, ended: &Assignment, reason: TerminationReason) {
+    /// Records that a task of a gang ended without being done, and decides whether the gang's other
+    /// tasks must stop.
+    ///
+    /// If the task was lost or rejected, or timed out while other tasks were still fetching their
+    /// images, only that task is placed again on another machine, for up to [`MAX_VACATED_MACHINES`]
+    /// machines per attempt. If the gang was already running, the other tasks end as well and thereby
+    /// show that it broke up. Stopping the other tasks here would abort their image fetches, and each
+    /// further attempt would take as long and fail again.
+    fn handle_ended_gang_task(&mut self, ended: &Assignment, reason: TerminationReason) {
         let is_replaceable = matches!(
             reason,
             TerminationReason::Lost | TerminationReason::Rejected | TerminationReason::GangIncomplete
@@ -289,8 +293,8 @@
         }
     }
 
-    /// Makes placement avoid a machine for a while. The oldest entries are dropped if there are
-    /// more than [`MAX_AVOIDED_MACHINES`].
+    /// Makes placement avoid a machine for `duration_ms`. The oldest entries are dropped if there
+    /// are more than [`MAX_AVOIDED_MACHINES`].
     pub(crate) fn avoid_machine(&mut self, machine: &str, now_ms: u64, duration_ms: u64) {
         self.avoided_machines.retain(|(m, until_ms)| *until_ms > now_ms && **m != *machine);
         self.avoided_machines.push((machine.to_owned(), now_ms + duration_ms));
@@ -298,16 +302,16 @@
         self.avoided_machines.drain(..surplus);
     }
 
-    /// Drops everything but the final state, once the job is final and has no assignments.
+    /// Removes everything except the final state if the job is final and has no assignments.
     pub fn compact_if_final(&mut self) {
         if !matches!(self.phase, Phase::Done | Phase::Cancelled) || !self.assignments.is_empty() {
             return;
         }
         let done = std::mem::take(&mut self.done);
         *self = Self {
-            // The count is still shown to users who ask later.
+            // The number of done tasks is still shown to users.
             done: if done.range_count() <= 1 { done } else { Ranges::all(done.len()) },
-            // The start of the jobs that depend on it counts from then.
+            // The submission time of dependents is derived from it.
             ended_ms: self.ended_ms,
             ..Self::empty(self.phase)
         };
--- a/crates/sched/src/records/machine.rs
+++ b/crates/sched/src/records/machine.rs
@@ -5,18 +5,18 @@
 
 use crate::assignment::Name;
 
-/// A machine that has registered.
+/// A machine whose worker has registered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The address of its worker.
+    /// The address of the machine's worker.
     pub addr: String,
-    /// The name of its machine type.
+    /// The name of the machine type.
     pub machine_type: Name,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: Name,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Whether the machine is to be drained and scaled in.
+    /// Whether the machine should be drained and scaled in.
     #[serde(default)]
     pub release: bool,
 }
--- a/crates/sched/src/records/mod.rs
+++ b/crates/sched/src/records/mod.rs
@@ -1,5 +1,5 @@
 //! The records in the key-value store. They are the source of truth: a task is assigned to a
-//! machine exactly as long as its job's record holds the assignment.
+//! machine exactly as long as its job's record contains the assignment.
 
 mod cluster_map;
 mod fleet;
--- a/crates/sched/src/records/ranges.rs
+++ b/crates/sched/src/records/ranges.rs
@@ -6,7 +6,8 @@
 
 /// A set of task numbers as sorted, disjoint, half-open ranges.
 ///
-/// It is encoded as the number of leading members and a bitmap of what follows.
+/// It is encoded as the number of consecutive members from 0 on and a bitmap of the numbers after
+/// them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, String)", into = "(u32, String)")]
 pub struct Ranges(pub(crate) Vec<(u32, u32)>);
@@ -15,7 +16,7 @@
     fn from((prefix, bits): (u32, String)) -> Self {
         let mut ranges = Self(if prefix > 0 { vec![(0, prefix)] } else { Vec::new() });
         bitmap::for_each_number(&bits, |offset| {
-            // The end of a range is a number, too: the largest one cannot be a member.
+            // `u32::MAX` cannot be a member, because the exclusive end of its range would overflow.
             if let Some(number) = prefix.checked_add(offset).filter(|number| *number < u32::MAX) {
                 ranges.insert(number);
             }
@@ -33,7 +34,7 @@
 }
 
 impl Ranges {
-    /// Adds a number to the set, unless it is a member already.
+    /// Adds a number to the set if it is not a member yet.
     pub fn insert(&mut self, number: u32) {
         let i = self.0.partition_point(|range| range.1 < number);
         match self.0.get_mut(i) {
@@ -54,7 +55,7 @@
         self.0.get(i).is_some_and(|range| range.0 <= number)
     }
 
-    /// How many members the set has.
+    /// The number of members.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|range| range.1 - range.0).sum()
     }
@@ -74,7 +75,7 @@
         Self(vec![(0, count)])
     }
 
-    /// How many ranges the set consists of.
+    /// The number of ranges that the set consists of.
     pub fn range_count(&self) -> usize {
         self.0.len()
     }
--- a/crates/sched/src/records/schema.rs
+++ b/crates/sched/src/records/schema.rs
@@ -1,9 +1,10 @@
-//! Versions of the schema of the records.
+//! Schema versions of the records.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of the records' schema that a controller knows. A controller leaves it under its
-/// name for good. Versions before [`SCHEMA_VERSION`] do not write any.
+/// The schema version of the records that a controller supports. Each controller writes this record
+/// under its name, and the record is never deleted. Releases with a schema older than
+/// [`SCHEMA_VERSION`] do not write it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SchemaMarker {
     /// The schema version.
@@ -11,9 +12,9 @@
     pub schema_version: u32,
 }
 
-/// The schema with pipelines and chunked records.
+/// The schema version with pipelines and chunked records.
 pub const SCHEMA_VERSION: u32 = 2;
 
-/// The schema with drains, of a controller that has them enabled: it places nothing on cordoned
-/// machines.
+/// The schema version of a controller that supports drains and has them enabled. Such a controller
+/// places nothing on cordoned machines.
 pub const DRAINS_SCHEMA_VERSION: u32 = 3;
--- a/crates/sched/src/records/team.rs
+++ b/crates/sched/src/records/team.rs
@@ -2,10 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Written by every placement that uses a team's quota. Placements are conditional on its version,
-/// so that two of them cannot exceed the quota together.
+/// A record that is rewritten by every placement that uses the team's quota. Placements are
+/// conditional on its version, so that concurrent placements cannot exceed the quota together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamRecord {
-    /// Counts the placements.
+    /// The number of placements.
     pub placements: u64,
 }
--- a/crates/sched/src/records/termination.rs
+++ b/crates/sched/src/records/termination.rs
@@ -5,15 +5,15 @@
 pub enum TerminationReason {
     /// The task completed.
     Done,
-    /// It was stopped, or its gang broke up.
+    /// The task was stopped, or its gang broke up.
     Stopped,
-    /// The machine did not accept it.
+    /// The machine did not accept the task.
     Rejected,
     /// The task failed.
     Error,
-    /// It is proven gone without a status of its own.
+    /// The task is proven to have ended, but did not report a status.
     Lost,
-    /// Its gang was not complete in time.
+    /// The task's gang was not complete in time.
     GangIncomplete,
 }
 
@@ -21,7 +21,7 @@
     const ALL: [Self; 6] =
         [Self::Done, Self::Stopped, Self::Error, Self::Lost, Self::Rejected, Self::GangIncomplete];
 
-    /// The code that stands for the reason in messages between controllers.
+    /// The code of the reason in messages between controllers.
     pub fn code(self) -> u8 {
         match self {
             Self::Done => 0,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The reason that a code stands for; `None` if there is none.
+    /// The reason with a code; `None` if the code is unknown.
     pub fn from_code(code: u8) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.code() == code)
     }
--- a/crates/sched/src/replica/apply.rs
+++ b/crates/sched/src/replica/apply.rs
@@ -1,4 +1,4 @@
-//! Applying changes of records to the replica.
+//! Applies record changes to the replica.
 
 use super::{RecordChange, Replica};
 use crate::records::{
@@ -7,7 +7,8 @@
 use crate::versioned::{Versioned, is_newer};
 
 impl Replica {
-    /// Notes that a record cannot be read. That proves nothing: what was known of it stands.
+    /// Marks a record as unreadable. Its last known value is kept, because an unreadable record proves
+    /// nothing about a change.
     pub fn mark_unreadable(&mut self, change: RecordChange) {
         match change {
             RecordChange::Job(id, _) => _ = self.unreadable.insert(id),
@@ -16,7 +17,7 @@
         }
     }
 
-    /// Applies a change and the version at which it happened.
+    /// Applies a change that happened at a version of the key-value store.
     pub fn apply(&mut self, change: RecordChange, version: u64) {
         match change {
             RecordChange::Job(id, record) => self.apply_job(id, record, version),
@@ -75,7 +76,7 @@
         if phase != old_phase {
             match phase {
                 Some(Phase::Done) => self.activate_dependents(&id),
-                Some(Phase::Cancelled) => self.pipelines.note_cancelled(&id),
+                Some(Phase::Cancelled) => self.pipelines.mark_cancelled(&id),
                 _ => {}
             }
         }
@@ -145,8 +146,8 @@
         }
         let removed = fleet.iter().flat_map(|fleet| fleet.removed_machines.iter().flatten());
         self.removed_machine_names = removed.cloned().collect();
-        // The record names them again with each of its changes: only those count that were still
-        // there.
+        // Every version of the record lists all removed machines; only those that the replica still
+        // has must be removed.
         let still_known: Vec<Name> =
             self.removed_machine_names.iter().filter(|id| self.machines.contains_key(*id)).cloned().collect();
         for id in still_known {
--- a/crates/sched/src/replica/change.rs
+++ b/crates/sched/src/replica/change.rs
@@ -1,4 +1,4 @@
-//! Changes of records.
+//! Changes to records.
 
 use crate::drain_records::{CordonFence, CordonRecord, DisruptionRecord, DrainRecord};
 use crate::drains::CordonId;
@@ -6,14 +6,14 @@
     ClusterMap, FleetRecord, JobRecord, MachineRecord, MachineTypesRecord, Member, TeamRecord,
 };
 
-/// The change of one record; `None` in place of the record is its deletion.
+/// A change to one record; `None` in place of the record means that it was deleted.
 #[derive(Debug, Clone)]
 pub enum RecordChange {
     /// The job with this id.
     Job(String, Option<Box<JobRecord>>),
     /// The machine with this name.
     Machine(String, Option<MachineRecord>),
-    /// The team, by its name as its key has it.
+    /// The team with this name, as encoded in its key.
     Team(String, Option<TeamRecord>),
     /// The live controller with this name.
     Member(String, Option<Member>),
@@ -25,17 +25,17 @@
     Types(Option<MachineTypesRecord>),
     /// The scale-outs in progress and the machines that are gone.
     Fleet(Option<FleetRecord>),
-    /// The controller of this name knows the records' schema of this version. The record lasts,
-    /// whether the controller is live or not.
+    /// The schema version that the controller with this name supports. The record remains when the
+    /// controller is no longer live.
     SchemaMarker(String, Option<u32>),
     /// The drain with this name.
     Drain(String, Option<DrainRecord>),
-    /// Some of the machines of a drain.
+    /// A cordon: some of the machines of a drain.
     Cordon(CordonId, Option<CordonRecord>),
-    /// The fence that changes with every cordon.
+    /// The fence that changes with every change to the cordons.
     CordonFence(Option<CordonFence>),
-    /// The voluntary disruptions of a team, by its name as its key has it.
+    /// The voluntary disruptions of the team with this name, as encoded in its key.
     Disruptions(String, Option<DisruptionRecord>),
-    /// A key that holds no record that this version knows.
+    /// A key whose kind of record is unknown to this release.
     Other,
 }
--- a/crates/sched/src/replica/image_caches.rs
+++ b/crates/sched/src/replica/image_caches.rs
@@ -1,4 +1,4 @@
-//! An estimate of which images the machines have in their caches.
+//! An estimate of which images are in the caches of the machines.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -12,18 +12,18 @@
     size_gb: f64,
 }
 
-/// Which images the machines have, as far as it can be told from the assignments.
+/// The images in the caches of the machines, estimated from the assignments.
 #[derive(Debug, Default)]
 pub(super) struct ImageCaches {
-    /// The images of each machine, the most recently used one last.
+    /// The images of each machine, ordered from least to most recently used.
     images_by_machine: HashMap<Name, VecDeque<CachedImage>>,
     machines_by_image: HashMap<String, BTreeSet<Name>>,
 }
 
 impl ImageCaches {
-    /// Notes that a machine whose cache has this size uses an image. Those that were used least
-    /// recently are evicted until the others fit, though never the last one.
-    pub(super) fn note_use(&mut self, machine: &Name, image: &str, size_gb: f64, cache_gb: f64) {
+    /// Records that a machine with a cache of `cache_gb` uses an image. The least recently used
+    /// images are evicted until the others fit; the most recent image is always kept.
+    pub(super) fn record_use(&mut self, machine: &Name, image: &str, size_gb: f64, cache_gb: f64) {
         let images = self.images_by_machine.entry(machine.clone()).or_default();
         images.retain(|cached| cached.image != image);
         images.push_back(CachedImage { image: image.to_owned(), size_gb });
@@ -37,7 +37,7 @@
         evicted.iter().for_each(|cached| self.remove_from_index(&cached.image, machine));
     }
 
-    /// Forgets a machine.
+    /// Removes a machine and its images.
     pub(super) fn remove_machine(&mut self, machine: &str) {
         for cached in self.images_by_machine.remove(machine).into_iter().flatten() {
             self.remove_from_index(&cached.image, machine);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The machines that have an image, in the order of their names.
+    /// The machines that have an image, sorted by name.
     pub(super) fn machines_with(&self, image: &str) -> impl Iterator<Item = &Name> {
         self.machines_by_image.get(image).into_iter().flatten()
     }
--- a/crates/sched/src/replica/mod.rs
+++ b/crates/sched/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! A replica of the records, with what is derived from them.
+//! An in-memory replica of the records, with indexes derived from them.
 
 mod apply;
 mod change;
@@ -27,75 +27,76 @@
 pub use resources::{Resources, Team};
 pub use sorted_lookup::SortedLookup;
 
-/// The next generation. They are numbered across all replicas of the process, so that no two
-/// replicas share one.
+/// The next generation number. Generations are numbered across all replicas of the process, so that
+/// no two replicas share one.
 static NEXT_GENERATION: AtomicU64 = AtomicU64::new(1);
 
-/// All records, and the indexes that are derived from them.
+/// All records and the indexes derived from them.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// The revision of the key-value store up to which all changes are applied.
+    /// The revision of the key-value store up to which all changes have been applied.
     pub revision: u64,
-    /// All jobs by their ids.
+    /// All jobs by id.
     pub jobs: HashMap<String, Versioned<Box<JobRecord>>>,
-    /// Jobs that are active, or still have assignments.
+    /// Jobs that are active or still have assignments.
     pub open_job_ids: BTreeSet<String>,
-    /// The machines by their names.
+    /// The machines by name.
     pub machines: BTreeMap<Name, Versioned<MachineRecord>>,
-    /// The records of teams, by their names as their keys have them.
+    /// The records of teams, by the team's name as encoded in its key.
     pub teams: HashMap<String, Versioned<TeamRecord>>,
-    /// The controllers that hold a lease, by their names.
+    /// The controllers that hold a lease, by name.
     pub members: BTreeMap<String, Versioned<Member>>,
     /// The leader.
     pub leader: Option<Versioned<Member>>,
-    /// The controllers that may act.
+    /// The cluster map, with the controllers that may act.
     pub cluster_map: Option<Versioned<ClusterMap>>,
-    /// The machine types by their names.
+    /// The machine types by name.
     pub machine_types: HashMap<String, MachineType>,
-    /// The version of the record of the machine types.
+    /// The version of the machine types record.
     pub machine_types_version: u64,
     /// The scale-outs in progress and the machines that are gone.
     pub fleet: Option<Versioned<FleetRecord>>,
-    /// Records of machines that are gone by the fleet's record.
+    /// Records of machines that are listed as removed in the fleet record.
     pub removed_machines: BTreeMap<Name, Versioned<MachineRecord>>,
-    /// All machines that are gone by the fleet's record.
+    /// All machines that are listed as removed in the fleet record, with or without their own record.
     removed_machine_names: HashSet<Name>,
-    /// Jobs whose records cannot be read. That they exist is known all the same.
+    /// Jobs that exist but whose records cannot be read.
     pub unreadable: HashSet<String>,
-    /// What the assignments of each team use.
+    /// The resources that the assignments of each team use.
     pub team_usage: HashMap<String, Resources>,
-    /// What the assignments on each machine use.
+    /// The resources that the assignments on each machine use.
     pub machine_usage: BTreeMap<Name, Resources>,
-    /// The jobs with assignments on a machine, and their tasks.
+    /// The jobs with assignments on each machine, and their tasks there.
     pub jobs_by_machine: HashMap<Name, BTreeMap<Name, Vec<u32>>>,
-    /// Machines that have assignments and no record.
+    /// Machines that have assignments but no record.
     pub machines_without_record: BTreeSet<Name>,
     image_caches: ImageCaches,
-    /// Each machine's owner by the cluster map. Hashing all of them again for each query takes
-    /// too long.
+    /// The owner of each machine according to the cluster map, cached because hashing all machines
+    /// for each query takes too long.
     owners: BTreeMap<Name, Ownership>,
-    /// Machines of which anything has changed since [`Replica::take_changed_machines`].
+    /// Machines that have changed since the last call of [`Replica::take_changed_machines`].
     changed_machines: BTreeSet<Name>,
     all_machines_changed: bool,
-    /// Machines whose usage has changed since [`Replica::take_machines_with_changed_usage`].
+    /// Machines whose usage has changed since the last call of
+    /// [`Replica::take_machines_with_changed_usage`].
     machines_with_changed_usage: BTreeSet<Name>,
     topology_generation: u64,
     open_jobs_generation: u64,
-    /// The job with GPUs that was submitted last: what capacity on GPU machines is kept for.
+    /// The GPU job that was submitted last. Spare capacity on GPU machines is kept for jobs like it.
     pub latest_gpu_job: Option<Box<JobSpec>>,
-    /// When it was submitted, in milliseconds of the time of day.
+    /// When [`Replica::latest_gpu_job`] was submitted, in Unix milliseconds.
     pub latest_gpu_job_ms: u64,
-    /// The jobs that wait for others.
+    /// The jobs that wait for other jobs.
     pub pipelines: Pipelines,
-    /// The schema version that each controller last had, by its name. A controller with an entry
-    /// does not restart with a version that writes none.
+    /// The schema version that each controller last wrote, by controller name. A controller with an
+    /// entry is never restarted with a release that writes none.
     pub schema_versions: BTreeMap<String, u32>,
     /// The drains.
     pub drains: Drains,
 }
 
 impl Replica {
-    /// The jobs that are active, or still have assignments, in the order of their ids.
+    /// The jobs that are active or still have assignments, sorted by id.
     pub fn open_jobs(&self) -> impl Iterator<Item = (&String, &JobRecord)> {
         self.open_job_ids.iter().filter_map(|id| Some((id, self.jobs.get(id)?.value.as_ref())))
     }
@@ -119,17 +120,17 @@
             })
     }
 
-    /// The machines that most likely have an image, in the order of their names.
+    /// The machines that most likely have an image in their cache, sorted by name.
     pub fn machines_with_image(&self, image: &str) -> impl Iterator<Item = &Name> {
         self.image_caches.machines_with(image)
     }
 
-    /// Whether a machine most likely has an image.
+    /// Whether a machine most likely has an image in its cache.
     pub fn has_image(&self, machine: &str, image: &str) -> bool {
         self.image_caches.has(machine, image)
     }
 
-    /// The machines of which anything has changed since the last call; `None` if that may be any.
+    /// The machines that have changed since the last call; `None` if any machine may have changed.
     pub fn take_changed_machines(&mut self) -> Option<BTreeSet<Name>> {
         let all = std::mem::take(&mut self.all_machines_changed);
         let changed = std::mem::take(&mut self.changed_machines);
@@ -141,13 +142,13 @@
         std::mem::take(&mut self.machines_with_changed_usage)
     }
 
-    /// A number that stands for the set of machines, their owners, cordons and types: a different
-    /// one after each change of these, also in another replica.
+    /// A number that identifies a state of the machines, their owners, cordons and types. Each change
+    /// to these sets it to a value that no replica of the process has had before.
     pub fn topology_generation(&self) -> u64 {
         self.topology_generation
     }
 
-    /// A number that stands for the set of open jobs and their phases, like
+    /// A number that identifies a state of the set of open jobs and their phases, like
     /// [`Replica::topology_generation`].
     pub fn open_jobs_generation(&self) -> u64 {
         self.open_jobs_generation
--- a/crates/sched/src/replica/ownership.rs
+++ b/crates/sched/src/replica/ownership.rs
@@ -1,4 +1,4 @@
-//! Which controller owns a machine, and which places the tasks of a job.
+//! Which controller owns each machine, and which controller places the tasks of each job.
 
 use super::{Replica, SortedLookup};
 use crate::records::{ClusterMap, JobRecord, MachineRecord, Member, Name};
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Ownership {
     owner: Member,
-    /// The epoch since which it has been that without a break.
+    /// The epoch since which the owner has owned the machine without interruption.
     since_epoch: u64,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl Replica {
-    /// Determines the owners of all machines anew.
+    /// Recomputes the owners of all machines.
     pub(super) fn assign_owners(&mut self) {
         self.renew_topology_generation();
         self.all_machines_changed = true;
@@ -38,7 +38,7 @@
             .collect();
     }
 
-    /// Determines the owner of one machine.
+    /// Recomputes the owner of one machine.
     pub(super) fn assign_owner(&mut self, id: &Name, zone: &str) {
         if let Some(map) = self.cluster_map.as_ref().map(|map| &map.value)
             && let Some(owner) = map.owner(id, zone)
@@ -53,7 +53,7 @@
         self.cluster_map.as_ref().map(|map| &map.value)
     }
 
-    /// All machines that have an owner, in the order of their names.
+    /// All machines that have an owner, sorted by name.
     pub fn owned_machines(&self) -> impl Iterator<Item = (&Name, &Versioned<MachineRecord>, &Member)> {
         let mut owners = SortedLookup::new(&self.owners);
         self.machines.iter().filter_map(move |(id, machine)| Some((id, machine, &owners.get(id)?.owner)))
@@ -64,19 +64,20 @@
         self.owners.get(machine).map(|ownership| &ownership.owner)
     }
 
-    /// The epoch since which a machine's owner has been that; 0 if it has none. Several maps may
-    /// become known at a time, and an owner between them may have acted on the machine.
+    /// The epoch since which a machine's owner has owned it without interruption; 0 if it has no
+    /// owner. Several cluster maps may be received at once, and the owner in an intermediate map may
+    /// have acted on the machine.
     pub fn owned_since_epoch(&self, machine: &str) -> u64 {
         self.owners.get(machine).map_or(0, |ownership| ownership.since_epoch)
     }
 
-    /// The machines that a controller owns, in the order of their names.
+    /// The machines that a controller owns, sorted by name.
     pub fn owned_by<'a>(&'a self, member: &'a Member) -> impl Iterator<Item = &'a Name> {
         self.owners.iter().filter(move |(_, ownership)| ownership.owner == *member).map(|(id, _)| id)
     }
 
-    /// The name of the controller that places the tasks of a job: that of its shard while it is
-    /// live, otherwise the leader.
+    /// The name of the controller that places the tasks of a job: the controller of its shard while
+    /// that is live, otherwise the leader.
     pub fn scheduler_of<'a>(&'a self, job: &'a JobRecord) -> Option<&'a str> {
         let is_live =
             |name: &str| self.current_map().is_some_and(|map| map.live.iter().any(|m| m.name == name));
--- a/crates/sched/src/replica/pipelines.rs
+++ b/crates/sched/src/replica/pipelines.rs
@@ -1,5 +1,5 @@
-//! Jobs that wait for others: when they become active, what urgency their dependencies inherit
-//! from them, and when they are cancelled with one of these.
+//! Jobs that wait for other jobs: when they become active, which urgency their dependencies inherit
+//! from them, and when they are cancelled because a dependency is.
 
 use wire::JobState;
 
@@ -7,8 +7,8 @@
 use crate::records::{JobRecord, Name, Phase, Urgency};
 
 impl Replica {
-    /// A job's record as it counts now: a waiting job whose dependencies are all done is active,
-    /// though its record does not say so before it is next written.
+    /// Returns a job's record with its effective phase and urgency. A waiting job whose dependencies
+    /// are all done counts as active, although the stored record says so only after its next write.
     pub(super) fn resolve_dependencies(
         &mut self,
         id: &str,
@@ -30,20 +30,20 @@
             phase_of(id) == Some(Phase::Cancelled) || self.pipelines.is_cancelled_by_dependency(id)
         };
         if let Some(cancelled) = record.dependencies.iter().find(is_cancelled) {
-            self.pipelines.note_cancelled(cancelled);
+            self.pipelines.mark_cancelled(cancelled);
         }
         record
     }
 
-    /// When the last of these jobs was done; 0 if none is known.
+    /// When the last of these jobs was done, in Unix milliseconds; 0 if none of them is known.
     fn last_end_ms(&self, ids: &[Name]) -> u64 {
         let jobs = ids.iter().filter_map(|id| self.jobs.get(&**id));
         jobs.map(|job| job.value.ended_ms).max().unwrap_or(0)
     }
 
-    /// Activates the jobs whose last dependency was this one, which is done.
+    /// Activates the jobs whose last unfinished dependency was this job, which is now done.
     pub(super) fn activate_dependents(&mut self, id: &str) {
-        for ready in self.pipelines.note_done(id) {
+        for ready in self.pipelines.mark_done(id) {
             let Some(mut job) = self.jobs.remove(&*ready) else { continue };
             let ready_ms = self.last_end_ms(&job.value.dependencies);
             job.value.activate(ready_ms);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What a job inherits from those that depend on it.
+    /// The urgency that a job inherits from its dependents.
     fn inherited_urgency(&self, id: &str) -> Urgency {
         let urgency_from = |dependent: &Name| match self.jobs.get(&**dependent) {
             Some(job) if !self.pipelines.is_cancelled_by_dependency(dependent) => {
@@ -61,11 +61,11 @@
             }
             _ => Urgency::default(),
         };
-        self.pipelines.dependents(id).map(urgency_from).fold(Urgency::default(), Urgency::and)
+        self.pipelines.dependents(id).map(urgency_from).fold(Urgency::default(), Urgency::combine)
     }
 
-    /// Makes the jobs that a waiting job depends on, directly or through others, as urgent as it
-    /// is.
+    /// Raises the urgency of the direct and transitive dependencies of a waiting job to at least its
+    /// own.
     pub(super) fn propagate_urgency(&mut self, id: &str) {
         let mut next: Vec<Name> = vec![id.into()];
         while let Some(id) = next.pop() {
@@ -76,7 +76,7 @@
             let inherited = job.value.urgency_for_dependencies();
             for dependency in self.pipelines.dependencies(&id).to_vec() {
                 let Some(job) = self.jobs.get_mut(&*dependency) else { continue };
-                let urgency = job.value.urgency.and(inherited);
+                let urgency = job.value.urgency.combine(inherited);
                 if job.value.spec.is_some() && urgency != job.value.urgency {
                     job.value.urgency = urgency;
                     next.push(dependency);
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Determines anew what a job inherits, as one that depended on it no longer does, and so for
-    /// all that it depends on.
+    /// Recomputes the urgency that a job inherits after it has lost a dependent, and then that of its
+    /// direct and transitive dependencies.
     pub(super) fn recompute_urgency(&mut self, id: &Name) {
         let mut next: Vec<Name> = vec![id.clone()];
         while let Some(id) = next.pop() {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The job's state as its user is shown it: a job is cancelled with any of its dependencies.
+    /// The state of a job as shown to users: a job counts as cancelled if any of its dependencies is.
     pub fn state_of(&self, id: &str) -> Option<JobState> {
         let job = self.jobs.get(id)?;
         Some(if self.pipelines.is_cancelled_by_dependency(id) {
--- a/crates/sched/src/replica/resources.rs
+++ b/crates/sched/src/replica/resources.rs
@@ -2,7 +2,7 @@
 
 use wire::{JobSpec, MachineType};
 
-/// What a task requires, or what a machine has.
+/// Resources that a task requires or that a machine has.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
     /// CPUs.
@@ -13,21 +13,22 @@
     pub memory_gb: f64,
 }
 
-/// By how much a requirement may exceed what is free: sums of decimal fractions are not exact.
+/// How much a requirement may exceed the free resources, because floating-point sums of decimal
+/// fractions are not exact.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// What one task of a job requires.
+    /// The resources that one task of a job requires.
     pub fn of_task(spec: &JobSpec) -> Self {
         Self { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// What a machine of a type has.
+    /// The resources of a machine of this type.
     pub fn of_type(machine_type: &MachineType) -> Self {
         Self { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb }
     }
 
-    /// The sum of this and a multiple of another amount, which may be negative.
+    /// Adds `other` multiplied by `factor`, which may be negative.
     pub fn plus_scaled(self, other: Self, factor: f64) -> Self {
         Self {
             cpus: self.cpus + other.cpus * factor,
@@ -36,19 +37,19 @@
         }
     }
 
-    /// The same without memory, which teams' quotas do not count.
+    /// The same resources without memory, which does not count towards team quotas.
     pub fn without_memory(self) -> Self {
         Self { memory_gb: 0.0, ..self }
     }
 
-    /// Whether this fits into what is free.
+    /// Whether this requirement fits into the free resources.
     pub fn fits(self, free: Self) -> bool {
         self.cpus <= free.cpus + ROUNDING_TOLERANCE
             && self.gpus <= free.gpus + ROUNDING_TOLERANCE
             && self.memory_gb <= free.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// How many tasks of this size fit into what is free.
+    /// How many tasks of this size fit into the free resources.
     pub fn count_fitting_in(self, free: Self) -> u32 {
         let count = |required: f64, free: f64| {
             if required <= 0.0 {
@@ -62,7 +63,7 @@
             .min(count(self.memory_gb, free.memory_gb)) as u32
     }
 
-    /// The share that this is of a capacity, of the resource with the largest one.
+    /// The dominant share: the largest fraction of a capacity that this takes of any resource.
     pub fn share_of(self, capacity: Self) -> f64 {
         let share = |used: f64, capacity: f64| if capacity > 0.0 { used / capacity } else { 0.0 };
         share(self.cpus, capacity.cpus)
@@ -76,23 +77,23 @@
 pub struct Team {
     /// The team's name.
     pub name: String,
-    /// CPUs that are guaranteed.
+    /// Guaranteed CPUs.
     pub cpus: f64,
-    /// CPUs that it may use at most.
+    /// Maximum CPUs.
     pub cpus_max: f64,
-    /// GPUs that are guaranteed.
+    /// Guaranteed GPUs.
     pub gpus: f64,
-    /// GPUs that it may use at most.
+    /// Maximum GPUs.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// What the team may use at most.
+    /// The maximum quota of the team.
     pub fn limit(&self) -> Resources {
         Resources { cpus: self.cpus_max, gpus: self.gpus_max, memory_gb: f64::INFINITY }
     }
 
-    /// What the team is guaranteed.
+    /// The guaranteed quota of the team.
     pub fn guarantee(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: f64::INFINITY }
     }
--- a/crates/sched/src/replica/sorted_lookup.rs
+++ b/crates/sched/src/replica/sorted_lookup.rs
@@ -1,34 +1,35 @@
-//! Looking up many names in ascending order.
+//! Lookup of many names in ascending order.
 
 use std::collections::{BTreeMap, btree_map};
 use std::iter::Peekable;
 
 use crate::records::Name;
 
-/// Looks up names in a table in ascending order, walking the table alongside: searching it for
-/// each machine of several tables costs more than what is done with the machines.
+/// Looks up names in ascending order by iterating over the table in parallel. Searching several
+/// tables separately for each machine would cost more than the work done with the machines.
 pub struct SortedLookup<'a, V> {
-    rest: Peekable<btree_map::Iter<'a, Name, V>>,
+    remaining: Peekable<btree_map::Iter<'a, Name, V>>,
 }
 
 impl<'a, V> SortedLookup<'a, V> {
-    /// A lookup in this table, at its start.
+    /// A lookup that starts at the beginning of a table.
     pub fn new(table: &'a BTreeMap<Name, V>) -> Self {
-        Self { rest: table.iter().peekable() }
+        Self { remaining: table.iter().peekable() }
     }
 
-    /// What the table has for a name, which must come after all that were looked up before.
+    /// The value of a name. The name must sort after all names that were looked up before.
     pub fn get(&mut self, name: &Name) -> Option<&'a V> {
-        // Equality first: names are mostly shared, and then compared by their address.
-        while let Some((other, value)) = self.rest.peek().copied() {
+        // Equality is checked first because names usually share one allocation, and equality of such
+        // names is decided by comparing their addresses.
+        while let Some((other, value)) = self.remaining.peek().copied() {
             if other == name {
-                self.rest.next();
+                self.remaining.next();
                 return Some(value);
             }
             if other > name {
                 return None;
             }
-            self.rest.next();
+            self.remaining.next();
         }
         None
     }
--- a/crates/sched/src/replica/usage.rs
+++ b/crates/sched/src/replica/usage.rs
@@ -1,4 +1,4 @@
-//! Accounting of the resources that assignments use, by team and by machine.
+//! Accounting of the resources that assignments use, per team and per machine.
 
 use wire::JobSpec;
 
@@ -10,13 +10,13 @@
     id: Name,
     spec: &'a JobSpec,
     task_size: Resources,
-    /// Whether the job's phase changes, which decides what should run.
+    /// Whether the job's phase has changed, which determines whether its tasks should run.
     phase_changed: bool,
 }
 
 impl Replica {
-    /// Accounts for the change of a job's record. Only the difference counts: arrays hold more
-    /// than a thousand assignments, and a few of them end at a time.
+    /// Accounts for a change to a job's record. Only the differences are processed, because an array
+    /// may have more than a thousand assignments of which only a few end at a time.
     pub(super) fn account(&mut self, id: &str, old: Option<&JobRecord>, new: Option<&JobRecord>) {
         let Some(spec) = new.and_then(|j| j.spec.as_deref()).or(old.and_then(|j| j.spec.as_deref())) else {
             return;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Walks both lists, which are sorted by task, side by side.
+    /// Compares both lists, which are sorted by task, in one pass.
     fn account_assignments(&mut self, job: &AccountedJob, before: &[Assignment], after: &[Assignment]) {
         let (mut i, mut k) = (0, 0);
         while i < before.len() || k < after.len() {
@@ -71,9 +71,9 @@
             if !self.machines.contains_key(machine) {
                 self.machines_without_record.insert(machine.clone());
             }
-            self.note_image_use(machine, job.spec);
+            self.record_image_use(machine, job.spec);
         }
-        self.note_changed_usage(machine);
+        self.mark_usage_changed(machine);
     }
 
     fn release(&mut self, job: &AccountedJob, assignment: &Assignment) {
@@ -94,18 +94,18 @@
                 self.machine_usage.remove(machine);
             }
         }
-        self.note_changed_usage(machine);
+        self.mark_usage_changed(machine);
     }
 
-    fn note_changed_usage(&mut self, machine: &Name) {
+    fn mark_usage_changed(&mut self, machine: &Name) {
         self.machines_with_changed_usage.insert(machine.clone());
         self.changed_machines.insert(machine.clone());
     }
 
-    /// Notes that a machine uses the image of a job, which it then has.
-    fn note_image_use(&mut self, machine: &Name, spec: &JobSpec) {
+    /// Records that a machine uses the image of a job, and so has it in its cache.
+    fn record_image_use(&mut self, machine: &Name, spec: &JobSpec) {
         let Some(record) = self.machines.get(machine) else { return };
         let cache_gb = self.machine_types.get(&*record.value.machine_type).map_or(0.0, |t| t.cache_gb);
-        self.image_caches.note_use(machine, &spec.image, spec.image_gb, cache_gb);
+        self.image_caches.record_use(machine, &spec.image, spec.image_gb, cache_gb);
     }
 }
--- a/crates/sched/src/versioned.rs
+++ b/crates/sched/src/versioned.rs
@@ -9,8 +9,8 @@
     pub version: u64,
 }
 
-/// Whether the record that is known is newer than a change. What this controller wrote itself may
-/// be known before the changes that precede it.
+/// Whether the known record is newer than a change. A controller's own writes may be applied before
+/// it receives the changes that precede them.
 pub(crate) fn is_newer<T>(known: Option<&Versioned<T>>, version: u64) -> bool {
     known.is_some_and(|known| known.version > version)
 }
