--- a/crates/daemon/src/drains/housekeeping.rs
+++ b/crates/daemon/src/drains/housekeeping.rs
@@ -109,9 +109,9 @@
         let mut has_changed = false;
         for machine in cordon.value.remaining() {
             if !replica.machines.contains_key(machine) {
-                has_changed |= record.note_gone(machine);
+                has_changed |= record.mark_gone(machine);
             } else if !replica.jobs_by_machine.contains_key(machine) {
-                has_changed |= record.note_emptied(machine);
+                has_changed |= record.mark_emptied(machine);
             }
         }
         if has_changed && transaction.write_count() < controller.state_limits().txn_ops {
--- a/crates/drain/examples/measure.rs
+++ b/crates/drain/examples/measure.rs
@@ -286,7 +286,7 @@
             self.changes -= 2.0;
             self.outcome.changes += 2;
             let mut cordon = self.world.drains.cordons[&("d".to_owned(), 0)].value.clone();
-            cordon.note_gone(&machine);
+            cordon.mark_gone(&machine);
             self.world.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), self.version);
             self.put(RecordChange::Machine(machine.to_string(), None));
         }
--- a/crates/drain/tests/unit/view.rs
+++ b/crates/drain/tests/unit/view.rs
@@ -21,7 +21,7 @@
     w.apply(RecordChange::Machine("m-1".into(), None), 6);
     assert!(drains(&w, &Orders::default()).is_empty());
     let mut cordon = w.drains.cordons[&("d".to_owned(), 0)].value.clone();
-    assert!(cordon.note_gone(&"m-1".into()));
+    assert!(cordon.mark_gone(&"m-1".into()));
     w.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), 7);
     let over = drains(&w, &Orders::default());
     assert!(over.len() == 1 && over[0].machines.is_empty());
--- a/crates/sched/src/drain_records.rs
+++ b/crates/sched/src/drain_records.rs
@@ -63,12 +63,12 @@
     }
 
     /// Records that a machine has no tasks left. Returns whether this was not yet recorded.
-    pub fn note_emptied(&mut self, machine: &Name) -> bool {
+    pub fn mark_emptied(&mut self, machine: &Name) -> bool {
         insert_if_absent(&mut self.emptied, machine)
     }
 
     /// Records that a machine is gone. Returns whether this was not yet recorded.
-    pub fn note_gone(&mut self, machine: &Name) -> bool {
+    pub fn mark_gone(&mut self, machine: &Name) -> bool {
         insert_if_absent(&mut self.gone, machine)
     }
 }
--- a/crates/sched/tests/unit/drain_records.rs
+++ b/crates/sched/tests/unit/drain_records.rs
@@ -4,8 +4,8 @@
 fn a_cordon_keeps_its_machines_and_their_outcomes() {
     let names = |n: std::ops::Range<u32>| n.map(|i| Name::from(format!("host-{i:06}"))).collect::<Vec<_>>();
     let mut record = CordonRecord::new(names(0..9));
-    assert!(record.note_emptied(&names(2..3)[0]) && !record.note_emptied(&names(2..3)[0]));
-    assert!(record.note_gone(&names(2..3)[0]) && record.note_gone(&names(4..5)[0]));
+    assert!(record.mark_emptied(&names(2..3)[0]) && !record.mark_emptied(&names(2..3)[0]));
+    assert!(record.mark_gone(&names(2..3)[0]) && record.mark_gone(&names(4..5)[0]));
     let bytes = rmp_serde::to_vec_named(&record).expect("written");
     let read: CordonRecord = rmp_serde::from_slice(&bytes).expect("read");
     assert_eq!(read, record);
