--- a/crates/daemon/src/scheduler/placement/preemption.rs
+++ b/crates/daemon/src/scheduler/placement/preemption.rs
@@ -167,7 +167,7 @@
     let inherits_priority =
         |spec: &JobSpec| spec.kind == JobKind::Array && job.priority() > Some(spec.priority);
     job.spec.as_deref().is_some_and(inherits_priority)
-        && job.in_pipeline()
+        && job.has_pipeline_deadline()
         && now_ms.saturating_sub(job.submitted_ms) < MAX_PATIENCE_MS
         && job.latest_start_ms().is_some_and(|latest_ms| latest_ms > now_ms + MIN_SLACK_MS)
 }
--- a/crates/sched/src/placement/queue.rs
+++ b/crates/sched/src/placement/queue.rs
@@ -72,7 +72,7 @@
 pub fn queue_order(a: (&JobRecord, QueueRank), b: (&JobRecord, QueueRank)) -> Ordering {
     let ((job_a, rank_a), (job_b, rank_b)) = (a, b);
     let latest_start_ms = |job: &JobRecord| {
-        let latest_start_ms = if job.in_pipeline() { job.latest_start_ms() } else { None };
+        let latest_start_ms = if job.has_pipeline_deadline() { job.latest_start_ms() } else { None };
         latest_start_ms.unwrap_or(u64::MAX)
     };
     (job_b.priority().cmp(&job_a.priority()))
--- a/crates/sched/src/records/job.rs
+++ b/crates/sched/src/records/job.rs
@@ -201,7 +201,7 @@
     }
 
     /// Whether the job is a step of a pipeline with a deadline.
-    pub fn in_pipeline(&self) -> bool {
+    pub fn has_pipeline_deadline(&self) -> bool {
         (self.accepted_ms > 0 || self.urgency != Urgency::default()) && self.deadline_ms().is_some()
     }
 
