--- a/crates/daemon/src/drains/command/changes.rs
+++ b/crates/daemon/src/drains/command/changes.rs
@@ -107,7 +107,7 @@
 /// The condition that no cordon has changed, and the write that tells that one does.
 fn cordon_fence(replica: &Replica) -> (Condition, KeyWrite) {
     let next = CordonFence { generation: replica.drains.generation + 1 };
-    let condition = Condition { key: key::CORDON_FENCE.into(), version: replica.drains.fence };
+    let condition = Condition { key: key::CORDON_FENCE.into(), version: replica.drains.fence_version };
     (condition, KeyWrite::new(key::CORDON_FENCE.into(), &next))
 }
 
--- a/crates/daemon/src/drains/transaction.rs
+++ b/crates/daemon/src/drains/transaction.rs
@@ -71,7 +71,7 @@
     /// Advances the cordon fence: placements that were decided by the cordons before fail.
     pub(super) fn write_fence(&mut self, replica: &Replica) {
         let fence = CordonFence { generation: replica.drains.generation + 1 };
-        self.condition(key::CORDON_FENCE.into(), replica.drains.fence);
+        self.condition(key::CORDON_FENCE.into(), replica.drains.fence_version);
         self.writes.push(KeyWrite::new(key::CORDON_FENCE.into(), &fence));
         self.changes.push(RecordChange::CordonFence(Some(fence)));
     }
--- a/crates/daemon/src/scheduler/transaction.rs
+++ b/crates/daemon/src/scheduler/transaction.rs
@@ -194,7 +194,7 @@
         if self.has_placements && self.cycle.fences_cordons {
             // A cordon that is committed meanwhile makes the transaction fail: the cycle is
             // decided anew without the cordoned machines.
-            let version = self.replica.drains.fence;
+            let version = self.replica.drains.fence_version;
             self.conditions.push(Condition { key: key::CORDON_FENCE.into(), version });
         }
         CycleTransaction {
--- a/crates/daemon/tests/unit/drains_command.rs
+++ b/crates/daemon/tests/unit/drains_command.rs
@@ -46,7 +46,7 @@
         sched::replica::RecordChange::Cordon(id, _) => {
             replica.drains.cordons.get(&id).map_or(0, |c| c.version)
         }
-        _ => replica.drains.fence,
+        _ => replica.drains.fence_version,
     };
     if conditions.iter().any(|c| of(&c.key) != c.version) {
         return false;
--- a/crates/drain/tests/state_machine.rs
+++ b/crates/drain/tests/state_machine.rs
@@ -354,7 +354,7 @@
             let team = test_records::team(TEAM);
             let placed = placement::place(world, &mut inventory, &mut job, &team, |_| true, limits);
             if !placed.is_empty() {
-                let (job_version, fence) = (known.version, world.drains.fence);
+                let (job_version, fence) = (known.version, world.drains.fence_version);
                 chosen.push(Placement { job, id: id.clone(), job_version, fence });
             }
         }
@@ -364,7 +364,7 @@
     fn place(&mut self, n: usize) {
         for p in std::mem::take(&mut self.leaders[n].placements) {
             let version = self.store.jobs.get(&p.id).map_or(0, |j| j.version);
-            let fenced = p.fence != self.store.drains.fence && self.without != Without::Fence;
+            let fenced = p.fence != self.store.drains.fence_version && self.without != Without::Fence;
             if version != p.job_version || fenced {
                 continue;
             }
--- a/crates/sched/src/drains.rs
+++ b/crates/sched/src/drains.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub struct Drains {
     /// The version of the cordon fence; 0 if there has never been a cordon.
-    pub fence: u64,
+    pub fence_version: u64,
     /// The number of changes to the cordons, from the record of the fence.
     pub generation: u64,
     /// Drains by name.
@@ -34,7 +34,7 @@
 impl Drains {
     /// Applies a change to the cordon fence.
     pub fn apply_fence(&mut self, record: Option<CordonFence>, version: u64) {
-        self.fence = if record.is_some() { version } else { 0 };
+        self.fence_version = if record.is_some() { version } else { 0 };
         self.generation = record.map_or(0, |fence| fence.generation);
     }
 
