--- a/crates/sched/tests/golden.rs
+++ b/crates/sched/tests/golden.rs
@@ -1,14 +1,12 @@
-//! Golden data: files with the bytes of every record of the state service. The code has to write
-//! and to read just these.
+//! Golden tests: files contain the encoded bytes of every kind of record in the key-value store, and
+//! the code must write and read exactly these bytes.
 //!
-//! A file is only replaced where the form of a record is changed on purpose.
+//! A file is replaced only if the encoding of a record is changed on purpose.
 
 extern crate sageloom_sched as sched;
 
 #[path = "golden/drain_records.rs"]
 mod drain_records;
-#[path = "golden/end_codes.rs"]
-mod end_codes;
 #[path = "../../wire/tests/golden/files.rs"]
 mod files;
 #[path = "golden/fixture.rs"]
@@ -25,3 +23,5 @@
 mod records;
 #[path = "golden/stored.rs"]
 mod stored;
+#[path = "golden/termination_codes.rs"]
+mod termination_codes;
--- a/crates/sched/tests/golden/drain_records.rs
+++ b/crates/sched/tests/golden/drain_records.rs
@@ -1,4 +1,4 @@
-//! Records of drains, with another value in every field.
+//! Records of drains, with a distinct value in every field.
 
 use sched::drain_records::{
     CapacitySearch, CordonFence, CordonRecord, DRAIN_SCHEMA, Disruption, DisruptionCause, DisruptionRecord,
@@ -7,7 +7,7 @@
 
 use crate::fixture::{Fixture, fixture};
 
-/// Fences of cordons.
+/// Cordon fences.
 pub fn cordon_fences() -> Vec<Fixture<CordonFence>> {
     vec![fixture("cordon-fence", CordonFence { generation: 74_001 })]
 }
@@ -61,26 +61,26 @@
     }
 }
 
-/// Drains in every phase and with every way to end, every kind of obstacle and every choice for
-/// unsaved work.
+/// Drains in every phase, with every outcome, every kind of obstacle and every choice for unsaved
+/// work.
 pub fn drain_records() -> Vec<Fixture<DrainRecord>> {
     let mut all = vec![
         fixture("drain-leave-unsaved-work", drain_record(DrainPhase::Active, UnsavedWork::Leave, None)),
         fixture("drain-stop-unsaved-work", drain_record(DrainPhase::Active, UnsavedWork::Stop, None)),
-        fixture("drain-without-room-search", without_room_search()),
+        fixture("drain-without-room-search", without_capacity_search()),
     ];
-    all.extend(of_every_end());
-    all.extend(of_every_obstacle());
+    all.extend(with_every_outcome());
+    all.extend(with_every_obstacle());
     all
 }
 
-fn without_room_search() -> DrainRecord {
+fn without_capacity_search() -> DrainRecord {
     let mut record = drain_record(DrainPhase::Active, UnsavedWork::Leave, None);
     record.capacity_search = CapacitySearch { failed: 0, since_ms: 0 };
     record
 }
 
-fn of_every_end() -> impl Iterator<Item = Fixture<DrainRecord>> {
+fn with_every_outcome() -> impl Iterator<Item = Fixture<DrainRecord>> {
     let ends = [
         (DrainEnd::Finished, "finished"),
         (DrainEnd::ByOperator, "by-operator"),
@@ -95,7 +95,7 @@
     })
 }
 
-fn of_every_obstacle() -> impl Iterator<Item = Fixture<DrainRecord>> {
+fn with_every_obstacle() -> impl Iterator<Item = Fixture<DrainRecord>> {
     let kinds = [
         (ObstacleKind::ServiceBudget, "service-budget"),
         (ObstacleKind::TeamBudget, "team-budget"),
@@ -111,7 +111,7 @@
     })
 }
 
-/// What of a team's work is down by choice, by each that stops it.
+/// The open voluntary disruptions of a team, with each cause.
 pub fn disruption_records() -> Vec<Fixture<DisruptionRecord>> {
     let by_drain = Disruption {
         job: "j-000412".into(),
--- a/crates/sched/tests/golden/fixture.rs
+++ b/crates/sched/tests/golden/fixture.rs
@@ -1,6 +1,6 @@
-//! A record together with its golden data.
+//! A record together with the name of its golden file.
 
-/// A record, and the file that has it as it lies in the state service.
+/// A record and the golden file with its encoded bytes.
 pub struct Fixture<T> {
     /// The name of the file in `testdata`.
     pub file: String,
@@ -8,7 +8,7 @@
     pub record: T,
 }
 
-/// A record and the name of its file, without the suffix.
+/// Creates a fixture from the name of its golden file without the suffix, and a record.
 pub fn fixture<T>(name: &str, record: T) -> Fixture<T> {
     Fixture { file: format!("{name}.msgpack"), record }
 }
--- a/crates/sched/tests/golden/jobs.rs
+++ b/crates/sched/tests/golden/jobs.rs
@@ -1,4 +1,4 @@
-//! Records of jobs, with another value in every field.
+//! Records of jobs, with a distinct value in every field.
 
 use sched::records::{Assignment, DesiredState, JobRecord, Phase, Ranges, Urgency};
 use wire::{JobKind, JobSpec, Priority};
@@ -11,21 +11,24 @@
     let mut all = vec![
         fixture("job-active-full", full()),
         fixture("job-without-optional-fields", without_optional_fields()),
-        fixture("job-active-dense-assignments", with_run(JobKind::Array, dense_run())),
-        fixture("job-active-scattered-assignments", with_run(JobKind::Array, scattered_run())),
-        fixture("job-active-gang-assignments", with_run(JobKind::Gang, gang_run())),
-        fixture("job-active-service-without-assignments", with_run(JobKind::Service, Vec::new())),
-        fixture("job-waiting-for-needs", waiting_for_needs()),
-        fixture("job-done-shrunk", shrunk(Phase::Done)),
-        fixture("job-cancelled-shrunk", shrunk(Phase::Cancelled)),
+        fixture("job-active-dense-assignments", with_assignments(JobKind::Array, dense_assignments())),
+        fixture(
+            "job-active-scattered-assignments",
+            with_assignments(JobKind::Array, scattered_assignments()),
+        ),
+        fixture("job-active-gang-assignments", with_assignments(JobKind::Gang, gang_assignments())),
+        fixture("job-active-service-without-assignments", with_assignments(JobKind::Service, Vec::new())),
+        fixture("job-waiting-for-needs", waiting_for_dependencies()),
+        fixture("job-done-shrunk", compacted(Phase::Done)),
+        fixture("job-cancelled-shrunk", compacted(Phase::Cancelled)),
     ];
-    all.extend(of_every_phase());
-    all.extend(of_every_priority());
+    all.extend(in_every_phase());
+    all.extend(with_every_priority());
     all
 }
 
-fn assignment(task: u32, attempt: u64, machine: &str, want: DesiredState) -> Assignment {
-    Assignment { task, attempt, machine: machine.into(), desired: want }
+fn assignment(task: u32, attempt: u64, machine: &str, desired_state: DesiredState) -> Assignment {
+    Assignment { task, attempt, machine: machine.into(), desired: desired_state }
 }
 
 /// A set with several gaps.
@@ -35,14 +38,14 @@
     tasks
 }
 
-/// Each machine has ten tasks in a row, and each follows the one before.
-fn dense_run() -> Vec<Assignment> {
+/// Each machine has ten consecutive tasks, which continue those of the previous machine.
+fn dense_assignments() -> Vec<Assignment> {
     let machine = |task: u32| format!("host-{:06}", 100 + task / 10);
     (0..40).map(|task| assignment(task, 3, &machine(task), DesiredState::Running)).collect()
 }
 
-/// Machines with names of several forms, several attempts, and both states that are wanted.
-fn scattered_run() -> Vec<Assignment> {
+/// Machine names of several forms, several attempts and both desired states.
+fn scattered_assignments() -> Vec<Assignment> {
     vec![
         assignment(3, 12, "host-000205", DesiredState::Running),
         assignment(4, 11, "host-000017", DesiredState::Stopped),
@@ -55,8 +58,8 @@
     ]
 }
 
-/// The tasks of a gang go on from machine to machine, which are not in the order of their names.
-fn gang_run() -> Vec<Assignment> {
+/// The tasks of a gang continue from one machine to the next; the machines are not sorted by name.
+fn gang_assignments() -> Vec<Assignment> {
     let machine = |task: u32| format!("host-{:06}", 300 - task / 3);
     (0..12).map(|task| assignment(task, 5, &machine(task), DesiredState::Running)).collect()
 }
@@ -65,7 +68,7 @@
     Some(Box::new(spec))
 }
 
-/// Every field that is stored is set.
+/// A record with every stored field set.
 pub fn full() -> JobRecord {
     JobRecord {
         phase: Phase::Active,
@@ -74,7 +77,7 @@
         submitted_ms: 1_800_000_000_001,
         attempt: 12,
         done: scattered_tasks(),
-        assignments: scattered_run(),
+        assignments: scattered_assignments(),
         avoided_machines: vec![
             ("host-000092".into(), 1_800_000_000_011),
             ("host-000091".into(), 1_800_000_000_012),
@@ -111,7 +114,7 @@
     }
 }
 
-fn with_run(kind: JobKind, run: Vec<Assignment>) -> JobRecord {
+fn with_assignments(kind: JobKind, job_assignments: Vec<Assignment>) -> JobRecord {
     JobRecord {
         phase: Phase::Active,
         spec: boxed(job_specs::full(kind, Priority::Normal)),
@@ -119,7 +122,7 @@
         submitted_ms: 1_800_000_000_101,
         attempt: 13,
         done: Ranges::all(2),
-        assignments: run,
+        assignments: job_assignments,
         avoided_machines: Vec::new(),
         vacated_machines: Vec::new(),
         last_eviction_ms: 1_800_000_000_102,
@@ -132,7 +135,7 @@
     }
 }
 
-fn waiting_for_needs() -> JobRecord {
+fn waiting_for_dependencies() -> JobRecord {
     JobRecord {
         phase: Phase::Waiting,
         spec: boxed(job_specs::without_optional_fields()),
@@ -153,15 +156,15 @@
     }
 }
 
-/// What is left of a job that is final once nothing of it is on any machine.
-pub fn shrunk(phase: Phase) -> JobRecord {
+/// The compacted record of a final job that has no assignments.
+pub fn compacted(phase: Phase) -> JobRecord {
     JobRecord {
         phase,
         spec: None,
         shard: None,
         submitted_ms: 0,
         attempt: 0,
-        // The count of the scattered tasks.
+        // The number of tasks in `scattered_tasks`.
         done: Ranges::all(7),
         assignments: Vec::new(),
         avoided_machines: Vec::new(),
@@ -176,33 +179,33 @@
     }
 }
 
-fn of_every_phase() -> Vec<Fixture<JobRecord>> {
+fn in_every_phase() -> Vec<Fixture<JobRecord>> {
     let phases = [
         (Phase::Active, "active"),
         (Phase::Done, "done"),
         (Phase::Cancelled, "cancelled"),
         (Phase::Waiting, "waiting"),
     ];
-    let of_phase = |(phase, name)| {
+    let in_phase = |(phase, name)| {
         let mut record =
-            with_run(JobKind::Array, vec![assignment(1, 13, "host-000401", DesiredState::Stopped)]);
+            with_assignments(JobKind::Array, vec![assignment(1, 13, "host-000401", DesiredState::Stopped)]);
         record.phase = phase;
         fixture(&format!("job-phase-{name}"), record)
     };
-    phases.into_iter().map(of_phase).collect()
+    phases.into_iter().map(in_phase).collect()
 }
 
-fn of_every_priority() -> Vec<Fixture<JobRecord>> {
+fn with_every_priority() -> Vec<Fixture<JobRecord>> {
     let priorities = [
         (Priority::Low, "low"),
         (Priority::Normal, "normal"),
         (Priority::High, "high"),
         (Priority::Production, "production"),
     ];
-    let of_priority = |(priority, name)| {
-        let mut record = with_run(JobKind::Array, Vec::new());
+    let with_priority = |(priority, name)| {
+        let mut record = with_assignments(JobKind::Array, Vec::new());
         record.spec = boxed(job_specs::full(JobKind::Array, priority));
         fixture(&format!("job-priority-{name}"), record)
     };
-    priorities.into_iter().map(of_priority).collect()
+    priorities.into_iter().map(with_priority).collect()
 }
--- a/crates/sched/tests/golden/records.rs
+++ b/crates/sched/tests/golden/records.rs
@@ -1,4 +1,4 @@
-//! Records other than those of jobs and drains, with another value in every field.
+//! Records other than those of jobs and drains, with a distinct value in every field.
 
 use sched::records::{
     ClusterMap, FleetRecord, MachineRecord, MachineTypesRecord, Member, ScaleOut, SchemaMarker, TeamRecord,
@@ -8,7 +8,7 @@
 use crate::fixture::{Fixture, fixture};
 use crate::machine_types;
 
-/// Records of machines. The two tell the flags from each other.
+/// Records of machines, each with a different flag set.
 pub fn machine_records() -> Vec<Fixture<MachineRecord>> {
     let spot = MachineRecord {
         addr: "10.1.0.232:9000".into(),
@@ -31,28 +31,28 @@
     Member { name: "controller-1".into(), zone: "zone-a".into(), incarnation: 7_300_000_000_000_000_001 }
 }
 
-/// Entries of controllers.
+/// Membership records of controllers.
 pub fn members() -> Vec<Fixture<Member>> {
     vec![fixture("member", member())]
 }
 
-/// What controllers leave for good.
-pub fn upgraded_records() -> Vec<Fixture<SchemaMarker>> {
+/// The schema markers that controllers write permanently.
+pub fn schema_markers() -> Vec<Fixture<SchemaMarker>> {
     vec![fixture("upgraded", SchemaMarker { schema_version: 73_002 })]
 }
 
-/// Maps of controllers.
-pub fn map_records() -> Vec<Fixture<ClusterMap>> {
-    let other = Member { name: "controller-2".into(), zone: "zone-b".into(), incarnation: 73_003 };
+/// Cluster maps.
+pub fn cluster_maps() -> Vec<Fixture<ClusterMap>> {
+    let other_member = Member { name: "controller-2".into(), zone: "zone-b".into(), incarnation: 73_003 };
     vec![
-        fixture("map-full", ClusterMap { epoch: 73_004, live: vec![other, member()] }),
+        fixture("map-full", ClusterMap { epoch: 73_004, live: vec![other_member, member()] }),
         fixture("map-empty", ClusterMap { epoch: 0, live: Vec::new() }),
     ]
 }
 
-/// Machine types, as the cloud last told them.
-pub fn types_records() -> Vec<Fixture<MachineTypesRecord>> {
-    let smaller = MachineType {
+/// Machine types, as last read from the cloud.
+pub fn machine_types_records() -> Vec<Fixture<MachineTypesRecord>> {
+    let smaller_type = MachineType {
         name: "type-e".into(),
         cpus: 4.5,
         gpus: 0.5,
@@ -65,17 +65,17 @@
         zones: Vec::new(),
     };
     vec![
-        fixture("types-full", MachineTypesRecord { types: vec![machine_types::full(), smaller] }),
+        fixture("types-full", MachineTypesRecord { types: vec![machine_types::full(), smaller_type] }),
         fixture("types-empty", MachineTypesRecord { types: Vec::new() }),
     ]
 }
 
-/// Fences of teams.
+/// Records of teams.
 pub fn team_records() -> Vec<Fixture<TeamRecord>> {
     vec![fixture("team", TeamRecord { placements: 73_005 })]
 }
 
-fn answered_rental() -> ScaleOut {
+fn granted_scale_out() -> ScaleOut {
     ScaleOut {
         request: "request-a".into(),
         machine_type: "type-b".into(),
@@ -93,7 +93,7 @@
     }
 }
 
-fn rental_without_answer() -> ScaleOut {
+fn pending_scale_out() -> ScaleOut {
     ScaleOut {
         request: "request-d".into(),
         machine_type: "type-e".into(),
@@ -105,14 +105,14 @@
     }
 }
 
-/// Rentals under way and machines that are gone.
+/// Scale-outs in progress and removed machines.
 pub fn fleet_records() -> Vec<Fixture<FleetRecord>> {
     let full = FleetRecord {
-        scale_outs: vec![rental_without_answer(), answered_rental()],
+        scale_outs: vec![pending_scale_out(), granted_scale_out()],
         removed_machines: Some(vec!["host-000007".into(), "host-000070".into(), "host-000700".into()]),
     };
     let without_optional_fields =
-        FleetRecord { scale_outs: vec![rental_without_answer()], removed_machines: None };
+        FleetRecord { scale_outs: vec![pending_scale_out()], removed_machines: None };
     vec![
         fixture("fleet-full", full),
         fixture("fleet-without-optional-fields", without_optional_fields),
@@ -121,9 +121,9 @@
     ]
 }
 
-/// Lists that are there and empty, other than those that are not there.
+/// Empty lists, which are encoded differently from absent ones.
 fn with_empty_lists() -> FleetRecord {
-    let mut rental = rental_without_answer();
-    rental.machines = Some(Vec::new());
-    FleetRecord { scale_outs: vec![rental], removed_machines: Some(Vec::new()) }
+    let mut scale_out = pending_scale_out();
+    scale_out.machines = Some(Vec::new());
+    FleetRecord { scale_outs: vec![scale_out], removed_machines: Some(Vec::new()) }
 }
--- a/crates/sched/tests/golden/stored.rs
+++ b/crates/sched/tests/golden/stored.rs
@@ -38,18 +38,18 @@
 }
 
 #[test]
-fn upgraded_records() {
-    check_all(&records::upgraded_records());
+fn schema_markers() {
+    check_all(&records::schema_markers());
 }
 
 #[test]
-fn map_records() {
-    check_all(&records::map_records());
+fn cluster_maps() {
+    check_all(&records::cluster_maps());
 }
 
 #[test]
-fn types_records() {
-    check_all(&records::types_records());
+fn machine_types_records() {
+    check_all(&records::machine_types_records());
 }
 
 #[test]
@@ -82,27 +82,27 @@
     check_all(&drain_records::disruption_records());
 }
 
-/// What a job inherits from others is derived and never written.
+/// The urgency that a job inherits from its dependents is derived and never stored.
 #[test]
-fn urgency_of_a_job_is_not_written() {
+fn urgency_of_a_job_is_not_stored() {
     let mut urgent = jobs::full();
     urgent.urgency = Urgency { priority: Some(Priority::Production), deadline_ms: Some(75_001) };
     assert_eq!(wire::encode(&urgent), wire::encode(&jobs::full()));
 }
 
 #[test]
-fn final_jobs_shrink_to_the_golden_record() {
+fn final_jobs_are_compacted_to_the_golden_record() {
     for phase in [Phase::Done, Phase::Cancelled] {
         let mut record = jobs::full();
         record.phase = phase;
         record.assignments = Vec::new();
         record.compact_if_final();
-        assert_eq!(record, jobs::shrunk(phase));
+        assert_eq!(record, jobs::compacted(phase));
     }
 }
 
 #[test]
-fn job_record_with_nothing_but_its_phase() {
+fn job_record_with_only_a_phase_gets_default_values() {
     let expected = JobRecord {
         phase: Phase::Cancelled,
         spec: None,
@@ -124,10 +124,10 @@
     check_read(&json!({ "phase": "c", "unknown": 1 }), &expected);
 }
 
-/// The dense form of lists, written out.
+/// Guards the compact encoding of lists against changes, with literal values.
 #[test]
-fn lists_of_a_job_are_read_from_their_dense_form() {
-    let mut expected = jobs::shrunk(Phase::Done);
+fn lists_of_a_job_are_decoded_from_their_compact_encoding() {
+    let mut expected = jobs::compacted(Phase::Done);
     expected.done = jobs::scattered_tasks();
     expected.dependencies = vec!["j-000007".into(), "j-000009".into()];
     let message = json!({ "phase": "d", "done": [3, "4300002"], "needs": [["j-", 6, "72"]], "ended_ms": 1_800_000_000_005_u64 });
@@ -151,7 +151,7 @@
 
 #[test]
 fn fleet_record_without_optional_fields() {
-    let rental = ScaleOut {
+    let scale_out = ScaleOut {
         request: "request-a".into(),
         machine_type: "type-b".into(),
         zone: "zone-c".into(),
@@ -163,7 +163,7 @@
     let message = json!({
         "rentals": [{ "r": "request-a", "t": "type-b", "z": "zone-c", "s": true, "n": 4, "a": 5, "m": null }],
     });
-    check_read(&message, &FleetRecord { scale_outs: vec![rental], removed_machines: None });
+    check_read(&message, &FleetRecord { scale_outs: vec![scale_out], removed_machines: None });
 }
 
 #[test]
--- a/crates/sched/tests/golden/end_codes.rs
+++ b/crates/sched/tests/golden/termination_codes.rs
@@ -1,8 +1,8 @@
-//! How an assignment ended, as controllers tell each other.
+//! The codes of termination reasons in messages between controllers.
 
 use sched::records::TerminationReason;
 
-/// All ways to end, with their codes.
+/// All termination reasons with their codes.
 const CODES: [(TerminationReason, u8); 6] = [
     (TerminationReason::Done, 0),
     (TerminationReason::Stopped, 1),
@@ -13,15 +13,15 @@
 ];
 
 #[test]
-fn every_end_has_its_code() {
-    for (end, code) in CODES {
-        assert_eq!(end.code(), code, "{end:?}");
-        assert_eq!(TerminationReason::from_code(code), Some(end), "{code}");
+fn every_termination_reason_has_a_fixed_code() {
+    for (reason, code) in CODES {
+        assert_eq!(reason.code(), code, "{reason:?}");
+        assert_eq!(TerminationReason::from_code(code), Some(reason), "{code}");
     }
 }
 
 #[test]
-fn other_codes_are_of_no_end() {
+fn unknown_codes_have_no_termination_reason() {
     for code in 6..=u8::MAX {
         assert_eq!(TerminationReason::from_code(code), None, "{code}");
     }
