--- a/crates/store/tests/golden/changes.rs
+++ b/crates/store/tests/golden/changes.rs
@@ -80,13 +80,13 @@
 
 #[test]
 fn map_by_key() {
-    check("sageloom/map", &records::map_records(), RecordChange::Map);
+    check("sageloom/map", &records::cluster_maps(), RecordChange::Map);
     check_unreadable("sageloom/map", &RecordChange::Map(None));
 }
 
 #[test]
 fn types_by_key() {
-    check("sageloom/types", &records::types_records(), RecordChange::Types);
+    check("sageloom/types", &records::machine_types_records(), RecordChange::Types);
     check_unreadable("sageloom/types", &RecordChange::Types(None));
 }
 
@@ -101,7 +101,7 @@
 fn upgraded_by_key() {
     let key = "sageloom/upgraded/controller-1";
     let upgraded = |schema| RecordChange::SchemaMarker("controller-1".into(), schema);
-    check(key, &records::upgraded_records(), |record| upgraded(record.map(|r| r.schema_version)));
+    check(key, &records::schema_markers(), |record| upgraded(record.map(|r| r.schema_version)));
     assert_eq!(SCHEMA_VERSION, 2);
     check_change(key, Some(Value::from("no record")), &upgraded(Some(2)), false);
 }
