--- a/crates/sched/src/pipeline.rs
+++ b/crates/sched/src/pipeline.rs
@@ -75,10 +75,10 @@
     /// Records that a job is cancelled, which cancels all its direct and transitive dependents.
     /// Chains may be thousands of jobs long, so the traversal is iterative and visits each job once.
     pub fn mark_cancelled(&mut self, id: &str) {
-        let mut next: Vec<Name> = self.dependents(id).cloned().collect();
-        while let Some(id) = next.pop() {
+        let mut pending: Vec<Name> = self.dependents(id).cloned().collect();
+        while let Some(id) = pending.pop() {
             if self.cancelled_by_dependency.insert(id.clone()) {
-                next.extend(self.dependents.get(&id).into_iter().flatten().cloned());
+                pending.extend(self.dependents.get(&id).into_iter().flatten().cloned());
             }
         }
     }
--- a/crates/sched/src/records/ranges.rs
+++ b/crates/sched/src/records/ranges.rs
@@ -28,8 +28,9 @@
 impl From<Ranges> for (u32, String) {
     fn from(ranges: Ranges) -> Self {
         let prefix = ranges.first_missing();
-        let rest = ranges.0.into_iter().filter(|r| r.0 >= prefix).map(|r| (r.0 - prefix, r.1 - prefix));
-        (prefix, bitmap::encode(rest))
+        let ranges_after_prefix =
+            ranges.0.into_iter().filter(|r| r.0 >= prefix).map(|r| (r.0 - prefix, r.1 - prefix));
+        (prefix, bitmap::encode(ranges_after_prefix))
     }
 }
 
--- a/crates/sched/src/replica/pipelines.rs
+++ b/crates/sched/src/replica/pipelines.rs
@@ -67,8 +67,8 @@
     /// Raises the urgency of the direct and transitive dependencies of a waiting job to at least its
     /// own.
     pub(super) fn propagate_urgency(&mut self, id: &str) {
-        let mut next: Vec<Name> = vec![id.into()];
-        while let Some(id) = next.pop() {
+        let mut pending: Vec<Name> = vec![id.into()];
+        while let Some(id) = pending.pop() {
             let Some(job) = self.jobs.get(&*id) else { continue };
             if self.pipelines.is_cancelled_by_dependency(&id) {
                 continue;
@@ -79,7 +79,7 @@
                 let urgency = job.value.urgency.combine(inherited);
                 if job.value.spec.is_some() && urgency != job.value.urgency {
                     job.value.urgency = urgency;
-                    next.push(dependency);
+                    pending.push(dependency);
                 }
             }
         }
@@ -88,13 +88,13 @@
     /// Recomputes the urgency that a job inherits after it has lost a dependent, and then that of its
     /// direct and transitive dependencies.
     pub(super) fn recompute_urgency(&mut self, id: &Name) {
-        let mut next: Vec<Name> = vec![id.clone()];
-        while let Some(id) = next.pop() {
+        let mut pending: Vec<Name> = vec![id.clone()];
+        while let Some(id) = pending.pop() {
             let urgency = self.inherited_urgency(&id);
             let Some(job) = self.jobs.get_mut(&*id) else { continue };
             if job.value.spec.is_some() && urgency != job.value.urgency {
                 job.value.urgency = urgency;
-                next.extend(self.pipelines.dependencies(&id).iter().cloned());
+                pending.extend(self.pipelines.dependencies(&id).iter().cloned());
             }
         }
     }
