--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -2,7 +2,7 @@
 
 use sched::hash::HashSet;
 use sched::placement::{self, Inventory, Slot, pending_task_count};
-use sched::preempt::Running;
+use sched::preempt::RunningTasks;
 use sched::records::{Assignment, JobRecord, Name};
 use sched::replica::{Replica, Resources, Team};
 use store::{KeyWrite, key};
@@ -35,7 +35,7 @@
     /// What is remembered from one cycle to the next.
     pub(super) scheduling: &'a mut SchedulingState,
     /// All running tasks, once victims were looked for.
-    pub(super) running: Option<Running<'r>>,
+    pub(super) running: Option<RunningTasks<'r>>,
     /// Services to be expected with their tasks, until capacity is reserved for them: they are to
     /// start within seconds, on capacity that is there.
     pub(super) expected_services: Option<(JobSpec, u32)>,
--- a/crates/daemon/src/scheduler/placement/preemption.rs
+++ b/crates/daemon/src/scheduler/placement/preemption.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use sched::placement::{Slot, gpu_slots_lost, pending_task_count, retry_at_ms};
-use sched::preempt::{self, Running, Victim};
+use sched::preempt::{self, RunningTasks, Victim};
 use sched::records::{JobRecord, Name};
 use sched::replica::Replica;
 use wire::{JobKind, JobSpec};
@@ -150,7 +150,7 @@
         let replica: &Replica = self.replica;
         let strands_no_gpus = |slot: &Slot| may_displace_gpu_jobs || gpu_slots_lost(replica, spec, slot) == 0;
         preempt::find_victims(
-            self.running.get_or_insert_with(|| Running::new(replica, self.inventory)),
+            self.running.get_or_insert_with(|| RunningTasks::new(replica, self.inventory)),
             self.inventory,
             (spec, priority),
             self.scheduling.guaranteed.ids(),
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -73,11 +73,11 @@
 
 /// What runs on each machine of an inventory, gathered once for all the searches of a scheduling
 /// cycle.
-pub struct Running<'a> {
+pub struct RunningTasks<'a> {
     tasks_by_slot: Vec<Vec<RunningTask<'a>>>,
 }
 
-impl<'a> Running<'a> {
+impl<'a> RunningTasks<'a> {
     /// What the records assign to the usable machines of the inventory.
     pub fn new(replica: &'a Replica, inventory: &Inventory) -> Self {
         let tasks_on = |slot: &Slot| {
@@ -127,7 +127,7 @@
 /// guarantee. `guaranteed` names the jobs that are within their teams' guarantees. That a whole
 /// team is beyond is not enough: its oldest jobs are still within, and would be stopped in turns.
 pub fn find_victims(
-    running: &Running,
+    running: &RunningTasks,
     inventory: &Inventory,
     (spec, priority): (&JobSpec, Priority),
     guaranteed: &HashSet<String>,
--- a/crates/sched/tests/unit/preempt.rs
+++ b/crates/sched/tests/unit/preempt.rs
@@ -12,7 +12,7 @@
     let find = |within: &[&str]| {
         let within = within.iter().map(|s| (*s).to_owned()).collect();
         find_victims(
-            &Running::new(&w, &inventory(&w)),
+            &RunningTasks::new(&w, &inventory(&w)),
             &inventory(&w),
             (&s, s.priority),
             &within,
@@ -38,7 +38,7 @@
     s.priority = Priority::High;
     let found = |chosen: &[Victim]| {
         find_victims(
-            &Running::new(&w, &inventory(&w)),
+            &RunningTasks::new(&w, &inventory(&w)),
             &inventory(&w),
             (&s, s.priority),
             &HashSet::default(),
@@ -52,7 +52,7 @@
     s.cpus = 4.0;
     assert!(
         find_victims(
-            &Running::new(&w, &inventory(&w)),
+            &RunningTasks::new(&w, &inventory(&w)),
             &inventory(&w),
             (&s, s.priority),
             &HashSet::default(),
@@ -75,7 +75,7 @@
     let mut s = spec("j-3", JobKind::Service, 1);
     (s.priority, s.cpus) = (Priority::Production, 7.0);
     let found = find_victims(
-        &Running::new(&w, &inventory(&w)),
+        &RunningTasks::new(&w, &inventory(&w)),
         &inventory(&w),
         (&s, s.priority),
         &HashSet::default(),
