--- a/crates/daemon/src/autoscaler/scale_out_plan.rs
+++ b/crates/daemon/src/autoscaler/scale_out_plan.rs
@@ -35,7 +35,7 @@
         let now_ms = wall_ms();
         let waiting = waiting_demands(controller, state, now, now_ms);
         // The next steps of pipelines, before they are ready.
-        let next_steps: Vec<&JobSpec> = forecast::next_steps(replica).collect();
+        let next_steps: Vec<&JobSpec> = forecast::next_pipeline_steps(replica).collect();
         self.remember_waiting(waiting.iter().map(|job| job.demand.spec).chain(next_steps.iter().copied()));
         let service_count = waiting.partition_point(|job| job.demand.spec.kind == JobKind::Service);
         let mut demands: Vec<Demand> = waiting.into_iter().map(|job| job.demand).collect();
--- a/crates/sched/src/forecast.rs
+++ b/crates/sched/src/forecast.rs
@@ -43,7 +43,7 @@
 
 /// The waiting jobs that will be ready about when a machine requested now is up: all their
 /// dependencies run their last tasks, and take no longer than that.
-pub fn next_steps(replica: &Replica) -> impl Iterator<Item = &JobSpec> {
+pub fn next_pipeline_steps(replica: &Replica) -> impl Iterator<Item = &JobSpec> {
     let ends_soon = |id: &Name| replica.jobs.get(&**id).is_some_and(|job| ends_within_horizon(&job.value));
     let waiting = replica.pipelines.waiting().filter_map(|id| replica.jobs.get(&**id));
     waiting
--- a/crates/sched/tests/unit/forecast.rs
+++ b/crates/sched/tests/unit/forecast.rs
@@ -18,7 +18,7 @@
     let next =
         crate::records::JobRecord::waiting(spec("j-2", JobKind::Array, 3), None, 0, vec!["j-1".into()]);
     w.apply(crate::replica::RecordChange::Job("j-2".into(), Some(Box::new(next))), 3);
-    let foreseen = |w: &Replica| next_steps(w).map(|s| s.id.clone()).collect::<Vec<_>>();
+    let foreseen = |w: &Replica| next_pipeline_steps(w).map(|s| s.id.clone()).collect::<Vec<_>>();
     assert!(foreseen(&w).is_empty(), "one task before it has no place yet");
     add(&mut w, spec("j-1", JobKind::Array, 2), &[(0, "a1"), (1, "a1")]);
     assert_eq!(foreseen(&w), ["j-2"]);
