--- a/crates/daemon/src/autoscaler/scale_out.rs
+++ b/crates/daemon/src/autoscaler/scale_out.rs
@@ -41,7 +41,7 @@
         let planned = {
             let mut state = controller.state();
             state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
-            self.gpu_demand.note(&state.records.replica, now);
+            self.gpu_demand.sample(&state.records.replica, now);
             self.plan_scale_out(controller, &state, now)
         };
         let planning_time = clock::since(now);
--- a/crates/sched/src/forecast.rs
+++ b/crates/sched/src/forecast.rs
@@ -76,7 +76,7 @@
 
 impl GpuDemand {
     /// Samples what runs and waits now.
-    pub fn note(&mut self, replica: &Replica, now: Instant) {
+    pub fn sample(&mut self, replica: &Replica, now: Instant) {
         let age = |sample: &GpuSample| now.saturating_duration_since(sample.at);
         if self.samples.back().is_some_and(|sample| age(sample) < GPU_SAMPLE_INTERVAL) {
             return;
--- a/crates/sched/tests/unit/forecast.rs
+++ b/crates/sched/tests/unit/forecast.rs
@@ -35,15 +35,15 @@
     gang.gpus = 1.0;
     add(&mut w, gang.clone(), &[]);
     let (start, mut demand) = (Instant::now(), GpuDemand::default());
-    demand.note(&w, start);
+    demand.sample(&w, start);
     gang.id = "j-2".into();
     gang.tasks = 8;
     add(&mut w, gang, &[]);
-    demand.note(&w, start + FORECAST_HORIZON / 2);
+    demand.sample(&w, start + FORECAST_HORIZON / 2);
     assert_eq!(demand.growth(start + FORECAST_HORIZON / 2), 0);
-    demand.note(&w, start + FORECAST_HORIZON);
+    demand.sample(&w, start + FORECAST_HORIZON);
     assert_eq!(demand.growth(start + FORECAST_HORIZON), 8);
     let later = start + FORECAST_HORIZON * 3;
-    demand.note(&w, later);
+    demand.sample(&w, later);
     assert_eq!(demand.growth(later), 0);
 }
