--- a/crates/daemon/src/autoscaler/idle_machines.rs
+++ b/crates/daemon/src/autoscaler/idle_machines.rs
@@ -124,7 +124,9 @@
     let Some((spec, tasks)) = forecast::expected_services(replica, now_ms) else {
         return HashSet::default();
     };
-    placement::capacity_for(replica, &state.scheduling.inventory, &spec, tasks, now_ms).into_iter().collect()
+    placement::simulate_placement(replica, &state.scheduling.inventory, &spec, tasks, now_ms)
+        .into_iter()
+        .collect()
 }
 
 fn is_allowed_on(spec: &JobSpec, machine: &MachineRecord) -> bool {
--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -125,7 +125,7 @@
         }
         let Some((service, tasks)) = self.expected_services.take() else { return };
         let machines =
-            placement::capacity_for(self.replica, self.inventory, &service, tasks, self.context.now_ms);
+            placement::simulate_placement(self.replica, self.inventory, &service, tasks, self.context.now_ms);
         self.inventory.reserve(&machines, Resources::of_task(&service), 1.0);
     }
 
--- a/crates/sched/src/placement/choice.rs
+++ b/crates/sched/src/placement/choice.rs
@@ -237,7 +237,7 @@
 }
 
 /// The machines that would be chosen for this many tasks of a job that is yet to be submitted.
-pub fn capacity_for(
+pub fn simulate_placement(
     replica: &Replica,
     inventory: &Inventory,
     spec: &JobSpec,
--- a/crates/sched/src/placement/mod.rs
+++ b/crates/sched/src/placement/mod.rs
@@ -9,7 +9,7 @@
 mod queue;
 
 pub use crate::inventory::{Inventory, Slot};
-pub use choice::capacity_for;
+pub use choice::simulate_placement;
 pub(crate) use eligibility::is_allowed_on;
 pub use eligibility::{
     fits_entire_job, is_allowed, pending_task_count, pending_tasks, retry_at_ms, zone_limit,
