--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -187,7 +187,8 @@
         let mut may_displace_gpu_jobs = spec.gpus > 0.0;
         let mut assignments = Vec::new();
         if !reserved.is_empty() {
-            assignments = placement::place_at(self.replica, self.inventory, job, team, reserved, limits);
+            assignments =
+                placement::place_on_machines(self.replica, self.inventory, job, team, reserved, limits);
         } else if !self.arrays_could_make_way(candidate) {
             let may_use = self.usable_slots(candidate);
             assignments = placement::place(self.replica, self.inventory, job, team, may_use, limits);
--- a/crates/sched/src/placement/mod.rs
+++ b/crates/sched/src/placement/mod.rs
@@ -17,7 +17,7 @@
 pub use gang::{collectable_capacity, competes_for_capacity, longest_waiting};
 pub use gpu_capacity::{gpu_slots_lost, gpu_slots_lost_at};
 pub use image_fetch::image_fetch_too_slow;
-pub use place::{Limits, place, place_at};
+pub use place::{Limits, place, place_on_machines};
 pub use queue::{QueueRank, QueueStanding, is_deadline_pressing, queue_order, queue_rank};
 
 #[cfg(test)]
--- a/crates/sched/src/placement/place.rs
+++ b/crates/sched/src/placement/place.rs
@@ -46,7 +46,7 @@
 }
 
 /// The same on these machines only.
-pub fn place_at(
+pub fn place_on_machines(
     replica: &Replica,
     inventory: &mut Inventory,
     job: &mut JobRecord,
--- a/crates/sched/tests/unit/alike.rs
+++ b/crates/sched/tests/unit/alike.rs
@@ -100,7 +100,7 @@
             // Twice, as what was placed changes who is alike.
             for _ in 0..2 {
                 let a = place(&w, &mut inventory, &mut by_kind, &team(), within, limits);
-                let b = place_at(&w, &mut other, &mut by_each, &team(), &all, limits);
+                let b = place_on_machines(&w, &mut other, &mut by_each, &team(), &all, limits);
                 assert_eq!(a, b);
                 assert_eq!(by_kind, by_each);
                 placed += a.len();
