--- a/crates/daemon/src/api/shard_choice.rs
+++ b/crates/daemon/src/api/shard_choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sched::placement::{fits_entire_job, gpu_slots_lost};
+use sched::placement::{fits_entire_job, stranded_gpu_tasks};
 use wire::JobSpec;
 
 use crate::clock;
@@ -30,7 +30,7 @@
         let slots = || {
             inventory
                 .slot_classes_of(member.incarnation)
-                .filter(|(s, _)| gpu_slots_lost(replica, spec, s) == 0)
+                .filter(|(s, _)| stranded_gpu_tasks(replica, spec, s) == 0)
         };
         let assigned = recent_assignments.cpus.get(&member.incarnation).copied().unwrap_or(0.0);
         let free_cpus =
--- a/crates/daemon/src/scheduler/placement/preemption.rs
+++ b/crates/daemon/src/scheduler/placement/preemption.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use sched::placement::{Slot, gpu_slots_lost, pending_task_count, retry_at_ms};
+use sched::placement::{Slot, pending_task_count, retry_at_ms, stranded_gpu_tasks};
 use sched::preempt::{self, RunningTasks, Victim};
 use sched::records::{JobRecord, Name};
 use sched::replica::Replica;
@@ -148,7 +148,8 @@
     ) -> Option<(Name, Vec<Victim>)> {
         let Candidate { spec, priority, .. } = *candidate;
         let replica: &Replica = self.replica;
-        let strands_no_gpus = |slot: &Slot| may_displace_gpu_jobs || gpu_slots_lost(replica, spec, slot) == 0;
+        let strands_no_gpus =
+            |slot: &Slot| may_displace_gpu_jobs || stranded_gpu_tasks(replica, spec, slot) == 0;
         preempt::find_victims(
             self.running.get_or_insert_with(|| RunningTasks::new(replica, self.inventory)),
             self.inventory,
--- a/crates/sched/src/placement/choice.rs
+++ b/crates/sched/src/placement/choice.rs
@@ -6,7 +6,7 @@
 use wire::JobSpec;
 
 use super::eligibility::{is_allowed_on, zone_limit};
-use super::gpu_capacity::gpu_slots_lost_at;
+use super::gpu_capacity::stranded_gpu_tasks_at_usage;
 use super::image_fetch::fetch_class;
 use super::place::Limits;
 use crate::hash::HashMap;
@@ -207,7 +207,7 @@
             return None;
         }
         let has_gpus = machine.capacity.gpus > 0.0;
-        let loses_gpu_slots = has_gpus && gpu_slots_lost_at(replica, spec, machine, used) > 0;
+        let loses_gpu_slots = has_gpus && stranded_gpu_tasks_at_usage(replica, spec, machine, used) > 0;
         if loses_gpu_slots && !limits.may_strand_gpus {
             return None;
         }
--- a/crates/sched/src/placement/gpu_capacity.rs
+++ b/crates/sched/src/placement/gpu_capacity.rs
@@ -8,12 +8,12 @@
 
 /// How many tasks of the latest GPU job fit no more on a machine once a task that needs no GPU is
 /// placed there.
-pub fn gpu_slots_lost(replica: &Replica, spec: &JobSpec, slot: &Slot) -> u32 {
-    gpu_slots_lost_at(replica, spec, slot, slot.used)
+pub fn stranded_gpu_tasks(replica: &Replica, spec: &JobSpec, slot: &Slot) -> u32 {
+    stranded_gpu_tasks_at_usage(replica, spec, slot, slot.used)
 }
 
 /// The same if this much of the machine were in use.
-pub fn gpu_slots_lost_at(replica: &Replica, spec: &JobSpec, slot: &Slot, used: Resources) -> u32 {
+pub fn stranded_gpu_tasks_at_usage(replica: &Replica, spec: &JobSpec, slot: &Slot, used: Resources) -> u32 {
     if spec.gpus > 0.0 || slot.capacity.gpus <= 0.0 {
         return 0;
     }
--- a/crates/sched/src/placement/mod.rs
+++ b/crates/sched/src/placement/mod.rs
@@ -15,7 +15,7 @@
     fits_entire_job, is_allowed, pending_task_count, pending_tasks, retry_at_ms, zone_limit,
 };
 pub use gang::{collectable_capacity, competes_for_capacity, longest_waiting};
-pub use gpu_capacity::{gpu_slots_lost, gpu_slots_lost_at};
+pub use gpu_capacity::{stranded_gpu_tasks, stranded_gpu_tasks_at_usage};
 pub use image_fetch::image_fetch_too_slow;
 pub use place::{Limits, place, place_on_machines};
 pub use queue::{QueueRank, QueueStanding, is_deadline_pressing, queue_order, queue_rank};
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -8,7 +8,7 @@
 
 use crate::hash::HashMap;
 use crate::inventory::{Inventory, Slot};
-use crate::placement::{gpu_slots_lost_at, is_allowed_on};
+use crate::placement::{is_allowed_on, stranded_gpu_tasks_at_usage};
 use crate::records::{Assignment, DesiredState, JobRecord, Name};
 use crate::replica::{Replica, Resources};
 
@@ -250,7 +250,7 @@
             let keeps_spread =
                 *slot.zone == *from_zone || !spec.spread || tasks_in(tasks_by_zone, &slot.zone) < tasks_here;
             let loses_no_gpu_slots =
-                || gpu_slots_lost_at(self.replica, spec, slot, self.planned_usage[i]) == 0;
+                || stranded_gpu_tasks_at_usage(self.replica, spec, slot, self.planned_usage[i]) == 0;
             i != from
                 && self.takes(spec, size, i, slot)
                 && keeps_spread
