--- a/crates/daemon/src/autoscaler/demand.rs
+++ b/crates/daemon/src/autoscaler/demand.rs
@@ -29,7 +29,7 @@
 
 /// A demand for tasks that may run anywhere.
 pub fn demand_for(spec: &JobSpec, tasks: u32) -> Demand<'_> {
-    Demand { spec, tasks, in_zone: HashMap::default(), unsuitable_types: Vec::new() }
+    Demand { spec, tasks, tasks_by_zone: HashMap::default(), unsuitable_types: Vec::new() }
 }
 
 /// The types that fetch a gang's image too slowly, unless all do.
@@ -116,9 +116,9 @@
         if tasks == 0 {
             return None;
         }
-        let in_zone = self.staying_tasks_by_zone(job);
+        let tasks_by_zone = self.staying_tasks_by_zone(job);
         let unsuitable_types = unsuitable_types(self.controller, self.state, spec);
-        Some(JobDemand { job, demand: Demand { spec, tasks, in_zone, unsuitable_types } })
+        Some(JobDemand { job, demand: Demand { spec, tasks, tasks_by_zone, unsuitable_types } })
     }
 
     /// How many of a job's tasks get capacity elsewhere before they lose their machines: replicas
--- a/crates/sched/src/autoscaling/mod.rs
+++ b/crates/sched/src/autoscaling/mod.rs
@@ -20,7 +20,7 @@
     /// How many tasks wait.
     pub tasks: u32,
     /// How many of the job's tasks are on machines already, by zone.
-    pub in_zone: HashMap<Name, u32>,
+    pub tasks_by_zone: HashMap<Name, u32>,
     /// Machine types that do not suit the job, though it allows them.
     pub unsuitable_types: Vec<Name>,
 }
--- a/crates/sched/src/autoscaling/planner.rs
+++ b/crates/sched/src/autoscaling/planner.rs
@@ -80,7 +80,7 @@
             spec: demand.spec,
             size: Resources::of_task(demand.spec),
             zone_limit: zone_limit(demand.spec),
-            tasks_by_zone: demand.in_zone.clone(),
+            tasks_by_zone: demand.tasks_by_zone.clone(),
             remaining: demand.tasks,
             fixed_zone: None,
             next_well_suited: 0,
--- a/crates/sched/tests/unit/autoscaling.rs
+++ b/crates/sched/tests/unit/autoscaling.rs
@@ -4,7 +4,7 @@
 use crate::placement::tests::{replica_with, spec, team};
 
 fn demand(spec: &JobSpec, tasks: u32) -> Demand<'_> {
-    Demand { spec, tasks, in_zone: HashMap::default(), unsuitable_types: Vec::new() }
+    Demand { spec, tasks, tasks_by_zone: HashMap::default(), unsuitable_types: Vec::new() }
 }
 
 #[test]
