--- a/crates/daemon/src/scheduler/rescheduling.rs
+++ b/crates/daemon/src/scheduler/rescheduling.rs
@@ -19,7 +19,7 @@
     let policy = &controller.operators.rescheduler;
     state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
     let replica = &state.records.replica;
-    let evictions = rescheduler::scan(replica, &state.scheduling.inventory, policy, now_ms);
+    let evictions = rescheduler::find_evictions(replica, &state.scheduling.inventory, policy, now_ms);
     if evictions.is_empty() {
         return;
     }
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -67,7 +67,12 @@
 }
 
 /// Finds at most one eviction for each service.
-pub fn scan(replica: &Replica, inventory: &Inventory, policy: &Policy, now_ms: u64) -> Vec<Eviction> {
+pub fn find_evictions(
+    replica: &Replica,
+    inventory: &Inventory,
+    policy: &Policy,
+    now_ms: u64,
+) -> Vec<Eviction> {
     let planned_usage = inventory.slots.iter().map(|slot| slot.used).collect();
     let mut scan = Scan { replica, inventory, policy, planned_usage, least_used: Vec::new() };
     let mut evictions = Vec::new();
--- a/crates/sched/tests/unit/rescheduler.rs
+++ b/crates/sched/tests/unit/rescheduler.rs
@@ -12,7 +12,7 @@
 #[test]
 fn only_services_with_replicas_move_and_only_past_the_threshold() {
     let policy = Policy::default();
-    let scan = |w: &Replica| scan(w, &inventory(w), &policy, 1_000_000).len();
+    let scan = |w: &Replica| find_evictions(w, &inventory(w), &policy, 1_000_000).len();
     assert_eq!(scan(&crowded(JobKind::Service, 2)), 1);
     assert_eq!(scan(&crowded(JobKind::Service, 1)), 0, "single replicas stay put");
     assert_eq!(scan(&crowded(JobKind::Array, 2)), 0);
@@ -28,7 +28,7 @@
     let mut w = replica_with(&[("g1", "g", "a", false), ("g2", "g", "a", false), ("a1", "m", "a", false)]);
     let s = spec("j-1", JobKind::Service, 3);
     add(&mut w, s.clone(), &[(0, "g1"), (1, "g1"), (2, "g2")]);
-    let found = scan(&w, &inventory(&w), &policy, 1_000_000);
+    let found = find_evictions(&w, &inventory(&w), &policy, 1_000_000);
     assert_eq!(
         found.iter().map(|e| (e.task, e.reason)).collect::<Vec<_>>(),
         [(2, "holds a machine with GPUs")]
@@ -38,17 +38,17 @@
     let mut gang = spec("j-3", JobKind::Gang, 1);
     (gang.cpus, gang.gpus) = (14.0, 2.0);
     add(&mut w, gang, &[]);
-    let found = scan(&w, &inventory(&w), &policy, 1_000_000);
+    let found = find_evictions(&w, &inventory(&w), &policy, 1_000_000);
     assert_eq!(found.len(), 1, "g1 is lost to GPU jobs anyway");
     add(&mut w, s, &[(0, "g1"), (1, "g1"), (2, "a1")]);
-    assert!(scan(&w, &inventory(&w), &policy, 1_000_000).is_empty(), "no better room");
+    assert!(find_evictions(&w, &inventory(&w), &policy, 1_000_000).is_empty(), "no better room");
 }
 
 #[test]
 fn an_eviction_takes_the_budget_until_its_own_refill() {
     let w = crowded(JobKind::Service, 2);
     let policy = Policy::default();
-    let found = scan(&w, &inventory(&w), &policy, 1_000_000);
+    let found = find_evictions(&w, &inventory(&w), &policy, 1_000_000);
     let mut job: JobRecord = w.jobs["j-1"].value.as_ref().clone();
     evict(&mut job, &found[0], &policy, 1_000_000);
     assert_eq!(job.assignments.iter().filter(|a| a.desired == DesiredState::Stopped).count(), 1);
@@ -60,5 +60,5 @@
     let mut w2 = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     job.last_eviction_ms = 0;
     w2.apply(crate::replica::RecordChange::Job("j-1".into(), Some(Box::new(job))), 5);
-    assert!(scan(&w2, &inventory(&w2), &policy, 1_000_000).is_empty());
+    assert!(find_evictions(&w2, &inventory(&w2), &policy, 1_000_000).is_empty());
 }
