--- a/crates/sched/tests/unit/alike.rs
+++ b/crates/sched/tests/unit/alike.rs
@@ -1,7 +1,7 @@
 //! Machines that are alike are looked at together. That must choose just what a look at
 //! each of them does.
 
-use super::tests::{add, spec, team};
+use super::tests::{add_job, spec, team};
 use super::*;
 use std::collections::BTreeSet;
 
@@ -76,7 +76,7 @@
             if draw.one_in(3) {
                 let on: Vec<String> = (0..s.tasks).map(|_| name(draw.below(machines))).collect();
                 let run: Vec<(u32, &str)> = (0..).zip(on.iter().map(String::as_str)).collect();
-                add(&mut w, s, &run);
+                add_job(&mut w, s, &run);
                 continue;
             }
             let mut job = JobRecord::new(s, None, 0);
--- a/crates/sched/tests/unit/inventory.rs
+++ b/crates/sched/tests/unit/inventory.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::placement::alike::{Draw, site};
-use crate::placement::tests::{add, spec};
+use crate::placement::tests::{add_job, spec};
 use crate::records::{ClusterMap, JobRecord, Member, Phase};
 use crate::replica::RecordChange;
 use wire::JobKind;
@@ -38,7 +38,7 @@
                 s.cpus = [0.5, 1.0, 0.1][draw.below(3)];
                 let on: Vec<String> = (0..draw.below(4)).map(|_| name(draw.below(machines))).collect();
                 let run: Vec<(u32, &str)> = (0..).zip(on.iter().map(String::as_str)).collect();
-                add(&mut replica, s, &run);
+                add_job(&mut replica, s, &run);
             }
             6 => {
                 let id = format!("j-{}", draw.below(30));
--- a/crates/sched/tests/unit/placement.rs
+++ b/crates/sched/tests/unit/placement.rs
@@ -69,7 +69,7 @@
     w
 }
 
-pub fn add(w: &mut Replica, spec: JobSpec, run: &[(u32, &str)]) {
+pub fn add_job(w: &mut Replica, spec: JobSpec, run: &[(u32, &str)]) {
     let mut job = JobRecord::new(spec.clone(), None, 0);
     job.attempt = 1;
     job.assignments = run
@@ -101,10 +101,10 @@
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
     let mut s = spec("j-1", JobKind::Service, 3);
     s.spread = true;
-    add(&mut w, s.clone(), &[]);
+    add_job(&mut w, s.clone(), &[]);
     let zones = placed(&w, "j-1", &team()).iter().filter(|(_, m)| m.starts_with('a')).count();
     assert_eq!(zones, 2);
-    add(&mut w, s, &[(1, "a1"), (2, "a2")]);
+    add_job(&mut w, s, &[(1, "a1"), (2, "a2")]);
     assert_eq!(placed(&w, "j-1", &team()), [(0, "b1".to_owned())]);
 }
 
@@ -113,12 +113,12 @@
     let mut w = replica_with(&[("a1", "m", "a", false), ("b1", "m", "b", false)]);
     let mut s = spec("j-1", JobKind::Gang, 2);
     (s.one_zone, s.cpus) = (true, 6.0);
-    add(&mut w, s.clone(), &[]);
+    add_job(&mut w, s.clone(), &[]);
     assert!(placed(&w, "j-1", &team()).is_empty());
     s.cpus = 4.0;
-    add(&mut w, s.clone(), &[]);
+    add_job(&mut w, s.clone(), &[]);
     assert_eq!(placed(&w, "j-1", &team()).len(), 2);
-    add(&mut w, s, &[(0, "a1")]);
+    add_job(&mut w, s, &[(0, "a1")]);
     let mut old = w.jobs["j-1"].value.as_ref().clone();
     old.assignments[0].desired = DesiredState::Stopped;
     w.apply(RecordChange::Job("j-1".into(), Some(Box::new(old))), 3);
@@ -128,15 +128,15 @@
 #[test]
 fn a_teams_quota_bounds_what_is_placed() {
     let mut w = replica_with(&[("a1", "m", "a", false)]);
-    add(&mut w, spec("j-1", JobKind::Array, 9), &[]);
-    add(&mut w, spec("j-2", JobKind::Array, 1), &[(0, "a1")]);
+    add_job(&mut w, spec("j-1", JobKind::Array, 9), &[]);
+    add_job(&mut w, spec("j-2", JobKind::Array, 1), &[(0, "a1")]);
     assert_eq!(placed(&w, "j-1", &Team { cpus_max: 5.0, ..team() }).len(), 1);
 }
 
 #[test]
 fn avoided_machines_come_last_and_kinds_not_allowed_never() {
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", true)]);
-    add(&mut w, spec("j-2", JobKind::Array, 3), &[(0, "a2"), (1, "a2"), (2, "a2")]);
+    add_job(&mut w, spec("j-2", JobKind::Array, 3), &[(0, "a2"), (1, "a2"), (2, "a2")]);
     let mut job = JobRecord::new(spec("j-1", JobKind::Array, 6), None, 0);
     job.avoided_machines = vec![("a1".into(), 5000)];
     w.apply(RecordChange::Job("j-1".into(), Some(Box::new(job))), 3);
@@ -149,8 +149,8 @@
     let mut w = replica_with(&[("a1", "g", "a", false)]);
     let mut gpu = spec("j-9", JobKind::Gang, 1);
     (gpu.cpus, gpu.gpus) = (14.0, 2.0);
-    add(&mut w, gpu, &[]);
-    add(&mut w, spec("j-1", JobKind::Array, 8), &[]);
+    add_job(&mut w, gpu, &[]);
+    add_job(&mut w, spec("j-1", JobKind::Array, 8), &[]);
     assert_eq!(placed(&w, "j-1", &team()).len(), 1, "only what a GPU job leaves over");
 }
 
@@ -171,10 +171,10 @@
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
     let mut large = spec("j-1", JobKind::Gang, 2);
     (large.one_zone, large.cpus) = (true, 8.0);
-    add(&mut w, large.clone(), &[]);
+    add_job(&mut w, large.clone(), &[]);
     let mut small = spec("j-2", JobKind::Gang, 1);
     small.cpus = 8.0;
-    add(&mut w, small.clone(), &[(0, "a1")]);
+    add_job(&mut w, small.clone(), &[(0, "a1")]);
     let mut version = 10;
     let mut started = 0;
     for n in 3..9 {
@@ -185,7 +185,7 @@
             w.apply(RecordChange::Job(id, None), version);
         }
         small.id = format!("j-{n}");
-        add(&mut w, small.clone(), &[]);
+        add_job(&mut w, small.clone(), &[]);
         version += 1;
         let mut b = inventory(&w);
         for id in w.open_job_ids.clone() {
@@ -217,7 +217,7 @@
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("b1", "m", "b", false)]);
     let mut s = spec("j-1", JobKind::Gang, 2);
     (s.one_zone, s.cpus) = (true, 8.0);
-    add(&mut w, s, &[(0, "a1"), (1, "gone")]);
+    add_job(&mut w, s, &[(0, "a1"), (1, "gone")]);
     let mut job = w.jobs["j-1"].value.as_ref().clone();
     job.end_assignment(1, 1, TerminationReason::Lost, 0, 0);
     let limits =
@@ -257,9 +257,9 @@
 fn capacity_is_collected_only_for_the_oldest_few_gangs() {
     let mut w = replica_with(&[("a1", "m", "a", false)]);
     let run: Vec<(u32, &str)> = (0..40).map(|t| (t, "a1")).collect();
-    add(&mut w, spec("j-0", JobKind::Gang, 40), &run);
+    add_job(&mut w, spec("j-0", JobKind::Gang, 40), &run);
     for n in 1..6 {
-        add(&mut w, spec(&format!("j-{n}"), JobKind::Gang, 3), &[]);
+        add_job(&mut w, spec(&format!("j-{n}"), JobKind::Gang, 3), &[]);
     }
     assert!(longest_waiting(&w, 10_000).is_empty());
     assert_eq!(longest_waiting(&w, 115_000), ["j-1", "j-2"], "15% of 40 tasks");
@@ -274,9 +274,9 @@
     (s.cpus, s.image_gb) = (8.0, 40.0);
     let mut before = spec("j-1", JobKind::Array, 1);
     before.image_gb = 40.0;
-    add(&mut w, before.clone(), &[(0, "a1")]);
+    add_job(&mut w, before.clone(), &[(0, "a1")]);
     w.apply(RecordChange::Job("j-1".into(), None), 3);
-    add(&mut w, s.clone(), &[]);
+    add_job(&mut w, s.clone(), &[]);
     let on = |w: &Replica, now_ms| -> Vec<String> {
         let mut job = w.jobs["j-2"].value.as_ref().clone();
         let limits =
@@ -303,7 +303,7 @@
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false), ("a3", "m", "a", false)]);
     let mut s = spec("j-1", JobKind::Gang, 2);
     (s.one_zone, s.cpus) = (true, 8.0);
-    add(&mut w, s, &[(0, "a1"), (1, "a2")]);
+    add_job(&mut w, s, &[(0, "a1"), (1, "a2")]);
     let mut job = w.jobs["j-1"].value.as_ref().clone();
     job.attempt = 1;
     job.end_assignment(0, 1, TerminationReason::GangIncomplete, 0, 0);
@@ -345,7 +345,7 @@
     );
     let mut s = spec("j-1", JobKind::Service, 2);
     s.image_gb = 20.0;
-    add(&mut w, s, &[]);
+    add_job(&mut w, s, &[]);
     let machines: Vec<String> = placed(&w, "j-1", &team()).into_iter().map(|p| p.1).collect();
     assert_eq!(machines, ["a2", "a2"]);
 }
--- a/crates/sched/tests/unit/preempt.rs
+++ b/crates/sched/tests/unit/preempt.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::{add, inventory, replica_with, spec, team};
+use crate::placement::tests::{add_job, inventory, replica_with, spec, team};
 use wire::Priority;
 
 #[test]
@@ -7,7 +7,7 @@
     let mut w = replica_with(&[("a1", "m", "a", false)]);
     let mut old = spec("j-1", JobKind::Array, 4);
     old.team = "u".into();
-    add(&mut w, old, &[(0, "a1"), (1, "a1"), (2, "a1"), (3, "a1")]);
+    add_job(&mut w, old, &[(0, "a1"), (1, "a1"), (2, "a1"), (3, "a1")]);
     let s = spec("j-2", JobKind::Array, 1);
     let find = |within: &[&str]| {
         let within = within.iter().map(|s| (*s).to_owned()).collect();
@@ -32,8 +32,8 @@
     let mut w = replica_with(&[("a1", "m", "a", false)]);
     let mut service = spec("j-1", JobKind::Service, 3);
     service.priority = Priority::Production;
-    add(&mut w, service, &[(0, "a1"), (1, "a1"), (2, "a1")]);
-    add(&mut w, spec("j-2", JobKind::Array, 1), &[(0, "a1")]);
+    add_job(&mut w, service, &[(0, "a1"), (1, "a1"), (2, "a1")]);
+    add_job(&mut w, spec("j-2", JobKind::Array, 1), &[(0, "a1")]);
     let mut s = spec("j-3", JobKind::Service, 2);
     s.priority = Priority::High;
     let found = |chosen: &[Victim]| {
@@ -67,11 +67,11 @@
 #[test]
 fn a_gang_that_was_stopped_before_is_spared() {
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
-    add(&mut w, spec("j-1", JobKind::Gang, 1), &[(0, "a1")]);
+    add_job(&mut w, spec("j-1", JobKind::Gang, 1), &[(0, "a1")]);
     let mut often = w.jobs["j-1"].value.as_ref().clone();
     (often.attempt, often.assignments[0].attempt) = (5, 5);
     w.apply(crate::replica::RecordChange::Job("j-1".into(), Some(Box::new(often))), 3);
-    add(&mut w, spec("j-2", JobKind::Gang, 2), &[(0, "a2"), (1, "a2")]);
+    add_job(&mut w, spec("j-2", JobKind::Gang, 2), &[(0, "a2"), (1, "a2")]);
     let mut s = spec("j-3", JobKind::Service, 1);
     (s.priority, s.cpus) = (Priority::Production, 7.0);
     let found = find_victims(
@@ -89,7 +89,7 @@
 #[test]
 fn a_teams_own_arrays_are_preempted_within_its_quota() {
     let mut w = replica_with(&[("a1", "m", "a", false)]);
-    add(&mut w, spec("j-1", JobKind::Array, 3), &[(0, "a1"), (1, "a1"), (2, "a1")]);
+    add_job(&mut w, spec("j-1", JobKind::Array, 3), &[(0, "a1"), (1, "a1"), (2, "a1")]);
     let mut s = spec("j-2", JobKind::Service, 1);
     s.priority = Priority::Production;
     let limited = Team { cpus_max: 7.0, ..team() };
--- a/crates/sched/tests/unit/replica.rs
+++ b/crates/sched/tests/unit/replica.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::{add, replica_with, spec};
+use crate::placement::tests::{add_job, replica_with, spec};
 use crate::records::Phase;
 use wire::JobKind;
 
@@ -13,7 +13,7 @@
 #[test]
 fn machines_are_removed_by_the_fleet_record_in_any_order_of_changes() {
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
-    add(&mut w, spec("j-1", JobKind::Array, 1), &[(0, "a1")]);
+    add_job(&mut w, spec("j-1", JobKind::Array, 1), &[(0, "a1")]);
     w.apply(fleet(&["a1"]), 5);
     assert!(!w.machines.contains_key("a1") && w.machines.contains_key("a2"));
     assert!(w.owner_of("a1").is_none() && w.removed_machines.contains_key("a1"));
@@ -33,7 +33,7 @@
     w.apply(RecordChange::Job("j-1".into(), None), 8);
     assert!(w.machines_without_record.is_empty());
     // Read anew, a job may come before its machine.
-    add(&mut w, spec("j-2", JobKind::Array, 1), &[(0, "a3")]);
+    add_job(&mut w, spec("j-2", JobKind::Array, 1), &[(0, "a3")]);
     assert_eq!(w.machines_without_record.len(), 1);
     let record = w.machines["a2"].value.clone();
     w.apply(RecordChange::Machine("a3".into(), Some(record)), 9);
--- a/crates/sched/tests/unit/rescheduler.rs
+++ b/crates/sched/tests/unit/rescheduler.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::placement::tests::{add, inventory, replica_with, spec};
+use crate::placement::tests::{add_job, inventory, replica_with, spec};
 use crate::records::{DesiredState, JobRecord};
 
 fn crowded(kind: JobKind, tasks: u32) -> Replica {
     let mut w = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
     let run: Vec<(u32, &str)> = (0..tasks).map(|t| (t, "a1")).collect();
-    add(&mut w, spec("j-1", kind, tasks), &run);
+    add_job(&mut w, spec("j-1", kind, tasks), &run);
     w
 }
 
@@ -18,7 +18,7 @@
     assert_eq!(scan(&crowded(JobKind::Array, 2)), 0);
     assert_eq!(scan(&crowded(JobKind::Gang, 2)), 0);
     let mut even = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
-    add(&mut even, spec("j-1", JobKind::Service, 3), &[(0, "a1"), (1, "a1"), (2, "a2")]);
+    add_job(&mut even, spec("j-1", JobKind::Service, 3), &[(0, "a1"), (1, "a1"), (2, "a2")]);
     assert_eq!(scan(&even), 0, "a quarter more is below the threshold");
 }
 
@@ -27,20 +27,20 @@
     let policy = Policy::default();
     let mut w = replica_with(&[("g1", "g", "a", false), ("g2", "g", "a", false), ("a1", "m", "a", false)]);
     let s = spec("j-1", JobKind::Service, 3);
-    add(&mut w, s.clone(), &[(0, "g1"), (1, "g1"), (2, "g2")]);
+    add_job(&mut w, s.clone(), &[(0, "g1"), (1, "g1"), (2, "g2")]);
     let found = find_evictions(&w, &inventory(&w), &policy, 1_000_000);
     assert_eq!(
         found.iter().map(|e| (e.task, e.reason)).collect::<Vec<_>>(),
         [(2, "holds a machine with GPUs")]
     );
     let full: Vec<(u32, &str)> = (0..4).map(|t| (t, "a1")).collect();
-    add(&mut w, spec("j-2", JobKind::Array, 4), &full);
+    add_job(&mut w, spec("j-2", JobKind::Array, 4), &full);
     let mut gang = spec("j-3", JobKind::Gang, 1);
     (gang.cpus, gang.gpus) = (14.0, 2.0);
-    add(&mut w, gang, &[]);
+    add_job(&mut w, gang, &[]);
     let found = find_evictions(&w, &inventory(&w), &policy, 1_000_000);
     assert_eq!(found.len(), 1, "g1 is lost to GPU jobs anyway");
-    add(&mut w, s, &[(0, "g1"), (1, "g1"), (2, "a1")]);
+    add_job(&mut w, s, &[(0, "g1"), (1, "g1"), (2, "a1")]);
     assert!(find_evictions(&w, &inventory(&w), &policy, 1_000_000).is_empty(), "no better room");
 }
 
--- a/crates/sched/tests/unit/spot_notice.rs
+++ b/crates/sched/tests/unit/spot_notice.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::{add, replica_with, spec};
+use crate::placement::tests::{add_job, replica_with, spec};
 
 #[test]
 fn tasks_that_save_in_time_stop_and_those_that_cannot_run_on() {
@@ -16,7 +16,7 @@
 #[test]
 fn a_gang_stops_as_a_whole_and_once() {
     let mut w = replica_with(&[("a1", "m", "a", true), ("a2", "m", "a", true)]);
-    add(&mut w, spec("j-1", JobKind::Gang, 2), &[(0, "a1"), (1, "a2")]);
+    add_job(&mut w, spec("j-1", JobKind::Gang, 2), &[(0, "a1"), (1, "a2")]);
     let mut job = w.jobs["j-1"].value.as_ref().clone();
     assert!(mark_to_stop(&mut job, 0));
     assert!(job.assignments.iter().all(|a| a.desired == DesiredState::Stopped));
