--- a/crates/sched/src/autoscaling/mod.rs
+++ b/crates/sched/src/autoscaling/mod.rs
@@ -1,4 +1,4 @@
-//! Which machines to scale out by for the tasks that have no place.
+//! Scale-out: which machines to request for tasks that have no capacity.
 
 mod admission;
 mod planner;
@@ -12,16 +12,16 @@
 pub use admission::{fits_some_machine_type, within_quota};
 pub use planner::plan_scale_out;
 
-/// Tasks of one job that wait for capacity.
+/// The tasks of one job that wait for capacity.
 #[derive(Debug, Clone)]
 pub struct Demand<'a> {
     /// The job.
     pub spec: &'a JobSpec,
     /// How many tasks wait.
     pub tasks: u32,
-    /// How many of the job's tasks are on machines already, by zone.
+    /// How many tasks of the job are already on machines, by zone.
     pub tasks_by_zone: HashMap<Name, u32>,
-    /// Machine types that do not suit the job, though it allows them.
+    /// Machine types that the job allows but that do not suit it.
     pub unsuitable_types: Vec<Name>,
 }
 
@@ -34,22 +34,22 @@
     pub zone: Name,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// What is free, or will be.
+    /// The resources that are free, or will be once the machine is up.
     pub free: Resources,
-    /// How many GPUs the machine has, in use or not.
+    /// The number of GPUs of the machine, in use or not.
     pub gpus: f64,
     /// Whether the machine is up already.
     pub is_up: bool,
 }
 
-/// Machines that the cloud offers: a machine type in a zone, by one kind of purchase.
+/// An offer of the cloud: a machine type in a zone, on demand or as a spot instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MachineOffer {
     /// The machine type.
     pub machine_type: Name,
     /// The zone.
     pub zone: Name,
-    /// Whether spot instances are offered.
+    /// Whether it is for a spot instance.
     pub spot: bool,
 }
 
--- a/crates/sched/src/autoscaling/planner.rs
+++ b/crates/sched/src/autoscaling/planner.rs
@@ -1,5 +1,5 @@
-//! Planning a scale-out: each demand first uses up the capacity that is up or expected, then the
-//! offers that cost least for what the job can use of them.
+//! Plans a scale-out: each demand first uses the capacity that is up or expected, then the offers
+//! with the lowest cost per task of the job.
 
 use std::cmp::Ordering;
 
@@ -12,9 +12,9 @@
 use crate::records::Name;
 use crate::replica::Resources;
 
-/// Decides which machines to request for these demands, which are served in this order. `expected`
-/// is the capacity that is up or will be; capacity that `gpu_spec` could use is kept for GPU jobs;
-/// offers that are blocked are left out. At most `max_per_offer` machines of one offer are planned.
+/// Plans which machines to request for the demands, which are served in this order. `expected` is
+/// the capacity that is up or will be. Capacity that `gpu_spec` could use is reserved for GPU jobs.
+/// Blocked offers are left out, and at most `max_per_offer` machines of one offer are planned.
 pub fn plan_scale_out(
     demands: &[Demand],
     expected: &[ExpectedCapacity],
@@ -38,22 +38,22 @@
     planner.plan
 }
 
-/// What is planned so far.
+/// The state of the planning.
 struct Planner<'a, F> {
     offers: Vec<TypedOffer<'a>>,
     gpu_spec: Option<&'a JobSpec>,
     is_blocked: F,
-    /// How many machines of an offer there are is not known. One request's worth of each is planned
-    /// at a time, so that a large array does not plan without end with what is cheapest and leave
-    /// nothing to those behind it.
+    /// The most machines of one offer to plan. The number of machines that an offer has is not
+    /// known, so one request's worth of each is planned at a time; otherwise a large array would plan the
+    /// cheapest offer without limit and leave nothing to the demands after it.
     max_per_offer: usize,
-    /// The capacity that is up or expected, and after it that of the planned machines.
+    /// The capacity that is up or expected, followed by that of the planned machines.
     pool: Vec<ExpectedCapacity>,
     planned_per_offer: HashMap<MachineOffer, usize>,
     plan: Vec<MachineOffer>,
 }
 
-/// A demand of which some tasks are still to be planned for.
+/// A demand with tasks that are still to be planned for.
 struct OpenDemand<'a> {
     demand: &'a Demand<'a>,
     spec: &'a JobSpec,
@@ -62,14 +62,14 @@
     tasks_by_zone: HashMap<Name, u32>,
     /// How many tasks are still to be planned for.
     remaining: u32,
-    /// The only zone that the job may use, if any: the first choice determines it for a job that
-    /// needs all its tasks in one.
+    /// The only zone that the job may use, if any. For a job that needs all its tasks in one zone,
+    /// the first choice determines it.
     fixed_zone: Option<Name>,
-    /// Up to where in the pool there is no well suited capacity any more. Capacity only shrinks
-    /// while one demand is planned for, so that what was passed over once need not be looked at
+    /// No capacity before this index in the pool is well suited any more. Capacity only shrinks
+    /// while one demand is planned for, so capacity that was skipped once need not be checked
     /// again; planned machines are added at the end.
     next_well_suited: usize,
-    /// The same for any capacity.
+    /// Like `next_well_suited`, for any suitable capacity.
     next_suited: usize,
 }
 
@@ -97,13 +97,13 @@
     }
 
     /// Whether machines with this many GPUs suit the job well: a job that needs no GPU is placed on
-    /// a machine with GPUs only as a last resort, as another machine costs far less.
+    /// a machine with GPUs only as a last resort, because other machines cost far less.
     fn is_well_suited(&self, gpus: f64) -> bool {
         self.spec.gpus > 0.0 || gpus == 0.0
     }
 }
 
-/// Machines of a type and purchase in a zone.
+/// A machine type in a zone, on demand or as a spot instance.
 struct MachineKind<'a> {
     machine_type: &'a str,
     zone: &'a str,
@@ -125,8 +125,8 @@
         }
     }
 
-    /// The position of capacity in the pool that the demand uses next; `None` if a machine should be
-    /// requested, or nothing is left.
+    /// The index in the pool of the capacity that the demand uses next; `None` if a machine should
+    /// be requested, or no capacity is left.
     fn find_capacity(&self, open: &mut OpenDemand) -> Option<usize> {
         let mut position = open.next_well_suited;
         while position < self.pool.len() && !self.is_well_suited_capacity(&self.pool[position], open) {
@@ -154,9 +154,9 @@
         open.is_well_suited(capacity.gpus) && self.suits_capacity(capacity, open)
     }
 
-    /// Whether capacity with this many GPUs is kept from a job, as GPU jobs could use it. Services
-    /// may take it nevertheless.
-    fn is_kept_from(&self, spec: &JobSpec, gpus: f64, kind: MachineKind) -> bool {
+    /// Whether capacity with this many GPUs is reserved for GPU jobs and must not be used by the
+    /// job. Services may use it nevertheless.
+    fn is_reserved_for_gpu_jobs(&self, spec: &JobSpec, gpus: f64, kind: MachineKind) -> bool {
         let MachineKind { machine_type, zone, spot } = kind;
         spec.gpus == 0.0
             && gpus > 0.0
@@ -169,22 +169,34 @@
         open.size.fits(*free)
             && !open.demand.unsuitable_types.contains(machine_type)
             && is_allowed(open.spec, machine_type, zone, *spot)
-            && !self.is_kept_from(open.spec, free.gpus, MachineKind { machine_type, zone, spot: *spot })
+            && !self.is_reserved_for_gpu_jobs(
+                open.spec,
+                free.gpus,
+                MachineKind { machine_type, zone, spot: *spot },
+            )
             && open.may_use_zone(zone)
     }
 
-    fn suits_offer(&self, TypedOffer { offer, machine_type: t }: &TypedOffer, open: &OpenDemand) -> bool {
+    fn suits_offer(
+        &self,
+        TypedOffer { offer, machine_type: offered_type }: &TypedOffer,
+        open: &OpenDemand,
+    ) -> bool {
         let MachineOffer { machine_type, zone, spot } = offer;
         is_allowed(open.spec, machine_type, zone, *spot)
-            && open.size.fits(Resources::of_type(t))
+            && open.size.fits(Resources::of_type(offered_type))
             && !open.demand.unsuitable_types.contains(machine_type)
-            && !self.is_kept_from(open.spec, t.gpus, MachineKind { machine_type, zone, spot: *spot })
+            && !self.is_reserved_for_gpu_jobs(
+                open.spec,
+                offered_type.gpus,
+                MachineKind { machine_type, zone, spot: *spot },
+            )
             && open.may_use_zone(zone)
             && self.planned_per_offer.get(offer).is_none_or(|planned| *planned < self.max_per_offer)
             && !(self.is_blocked)(offer)
     }
 
-    /// Plans a machine of the best offer and returns its position in the pool; `None` if no offer
+    /// Plans a machine of the best offer and returns its index in the pool; `None` if no offer
     /// suits.
     fn plan_machine(&mut self, open: &OpenDemand) -> Option<usize> {
         let suiting = self.offers.iter().filter(|offer| self.suits_offer(offer, open));
@@ -203,7 +215,7 @@
         Some(self.pool.len() - 1)
     }
 
-    /// Uses capacity for as many tasks of the demand as it takes.
+    /// Uses capacity in the pool for as many tasks of the demand as fit.
     fn use_capacity(&mut self, position: usize, open: &mut OpenDemand) {
         let capacity = &mut self.pool[position];
         let zone = capacity.zone.clone();
@@ -216,8 +228,8 @@
         capacity.free = capacity.free.plus_scaled(open.size, -f64::from(tasks));
         let served = tasks.min(open.remaining);
         if !capacity.is_up && open.spec.kind == JobKind::Service && open.spec.gpus == 0.0 {
-            // Services do not wait for a machine to boot: they take capacity of GPU machines that
-            // is free now, which GPU jobs cannot use any more.
+            // Services do not wait for a machine to boot: they use capacity of GPU machines that is
+            // free now, which GPU jobs then cannot use.
             take_from_gpu_machines(&mut self.pool, open.spec, served);
         }
         *open.tasks_by_zone.entry(zone.clone()).or_default() += tasks;
@@ -228,9 +240,9 @@
     }
 }
 
-/// What makes one offer better than another: the least is best.
+/// The rank of an offer; the lowest is best.
 struct OfferRank {
-    /// How many tasks of the job the zone has, if these are to be spread.
+    /// The number of tasks of the job in the zone if they are to be spread, otherwise 0.
     tasks_in_zone: u32,
     has_unneeded_gpus: bool,
     cost_per_task: f64,
@@ -255,7 +267,7 @@
     }
 }
 
-/// Takes capacity for this many tasks off machines with GPUs that are up.
+/// Removes capacity for this many tasks from machines with GPUs that are up.
 fn take_from_gpu_machines(pool: &mut [ExpectedCapacity], spec: &JobSpec, tasks: u32) {
     let size = Resources::of_task(spec);
     let mut remaining = tasks;
--- a/crates/sched/src/autoscaling/zone_choice.rs
+++ b/crates/sched/src/autoscaling/zone_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of the zone for a job that needs all its tasks in one.
+//! Chooses the zone for a job that needs all its tasks in one.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,19 @@
 use crate::records::Name;
 use crate::replica::Resources;
 
-/// What a zone has for a job.
+/// The capacity of a zone for a job.
 #[derive(Default)]
 struct ZoneCapacity {
-    /// Whether all the tasks that wait fit into the capacity.
+    /// Whether all waiting tasks fit into the capacity that is up or expected.
     fits_all: bool,
-    /// Whether more machines can be requested.
-    is_open: bool,
-    /// How many tasks fit into the capacity.
+    /// Whether more machines can be requested in the zone.
+    can_scale_out: bool,
+    /// How many tasks fit into the capacity that is up or expected.
     tasks: u32,
 }
 
 /// The zone for a job that needs all its tasks in one: a zone where all of them fit, or else one
-/// where more machines can be requested, or else the one with most capacity.
+/// where more machines can be requested, or else the one with the most capacity.
 pub(super) fn best_zone(
     demand: &Demand,
     pool: &[ExpectedCapacity],
@@ -28,19 +28,19 @@
 ) -> Option<Name> {
     let zones = capacity_by_zone(demand, pool, offers, is_blocked);
     let (largest, capacity) = zones.iter().max_by_key(|(_, capacity)| (capacity.fits_all, capacity.tasks))?;
-    let open: Vec<&Name> =
-        zones.iter().filter(|(_, capacity)| capacity.is_open).map(|(zone, _)| zone).collect();
-    if capacity.fits_all || open.is_empty() {
+    let open_zones: Vec<&Name> =
+        zones.iter().filter(|(_, capacity)| capacity.can_scale_out).map(|(zone, _)| zone).collect();
+    if capacity.fits_all || open_zones.is_empty() {
         return Some(largest.clone());
     }
-    // Jobs that fit nowhere are spread over the zones that still have machines to request: each has
-    // its own limit.
+    // Jobs that fit nowhere are distributed over the zones where machines can still be requested,
+    // because each zone has its own limit.
     let id_hash = demand
         .spec
         .id
         .bytes()
         .fold(0usize, |hash, byte| hash.wrapping_mul(31).wrapping_add(usize::from(byte)));
-    Some(open[id_hash % open.len()].clone())
+    Some(open_zones[id_hash % open_zones.len()].clone())
 }
 
 fn capacity_by_zone(
@@ -57,7 +57,7 @@
             && is_allowed(spec, &offer.machine_type, &offer.zone, offer.spot)
             && size.fits(Resources::of_type(machine_type))
         {
-            zones.entry(offer.zone.clone()).or_default().is_open |= !is_blocked(offer);
+            zones.entry(offer.zone.clone()).or_default().can_scale_out |= !is_blocked(offer);
         }
     }
     let suits = |capacity: &&ExpectedCapacity| {
--- a/crates/sched/src/forecast.rs
+++ b/crates/sched/src/forecast.rs
@@ -1,4 +1,4 @@
-//! The demand to expect before a machine that is requested now could be up.
+//! Forecasts the demand until a machine that is requested now could be up.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,19 +9,19 @@
 use crate::records::{JobRecord, Name, Phase};
 use crate::replica::Replica;
 
-/// How far ahead demand is forecast: about what it takes to request and boot a machine.
+/// How far ahead demand is forecast: about the time to request and boot a machine.
 pub const FORECAST_HORIZON: Duration = Duration::from_secs(60);
-/// Most capacity kept ready for services, as a share of the service tasks that run: the services of
-/// a cluster's first minute do not indicate what comes.
+/// The most capacity kept ready for services, as a share of the service tasks that run: the
+/// services of a cluster's first minute say little about later demand.
 const MAX_SERVICE_SHARE: f64 = 0.08;
-/// Most capacity kept ready for GPU tasks, as a share of all that run or wait.
+/// The most capacity kept ready for GPU tasks, as a share of all that run or wait.
 const MAX_GPU_SHARE: f64 = 0.25;
-/// How often the demand for GPU tasks is sampled at most.
+/// The least time between two samples of the demand for GPU tasks.
 const GPU_SAMPLE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The service tasks to expect: as many as were submitted within the last [`FORECAST_HORIZON`], each
-/// like those of the latest service. Capacity for them has to be there when they are submitted, as
-/// they are to start within seconds; otherwise they preempt gangs.
+/// The service tasks to expect: as many as were submitted within the last [`FORECAST_HORIZON`],
+/// with the specification of the latest service. Capacity for them has to be ready when they are
+/// submitted, because services have to start within seconds; otherwise they preempt gangs.
 pub fn expected_services(replica: &Replica, now_ms: u64) -> Option<(JobSpec, u32)> {
     let since_ms = now_ms.saturating_sub(FORECAST_HORIZON.as_millis() as u64);
     let (mut submitted, mut running) = (0, 0);
@@ -41,8 +41,8 @@
     Some((JobSpec { spread: false, ..spec.clone() }, tasks))
 }
 
-/// The waiting jobs that will be ready about when a machine requested now is up: all their
-/// dependencies run their last tasks, and take no longer than that.
+/// The waiting jobs that will be ready at about the time when a machine requested now is up: the
+/// last tasks of all their dependencies are running and short enough.
 pub fn next_pipeline_steps(replica: &Replica) -> impl Iterator<Item = &JobSpec> {
     let ends_soon = |id: &Name| replica.jobs.get(&**id).is_some_and(|job| ends_within_horizon(&job.value));
     let waiting = replica.pipelines.waiting().filter_map(|id| replica.jobs.get(&**id));
@@ -61,21 +61,21 @@
     job.phase == Phase::Done || (job.phase == Phase::Active && runs_last_tasks())
 }
 
-/// The number of GPU tasks at a time.
+/// The number of GPU tasks, running or waiting, at one time.
 #[derive(Debug, Clone, Copy)]
 struct GpuSample {
     at: Instant,
     tasks: u32,
 }
 
-/// How the demand for GPU tasks has grown.
+/// The recent growth of the demand for GPU tasks.
 #[derive(Debug, Default)]
 pub struct GpuDemand {
     samples: VecDeque<GpuSample>,
 }
 
 impl GpuDemand {
-    /// Samples what runs and waits now.
+    /// Samples the number of GPU tasks that run or wait, unless the last sample is recent.
     pub fn sample(&mut self, replica: &Replica, now: Instant) {
         let age = |sample: &GpuSample| now.saturating_duration_since(sample.at);
         if self.samples.back().is_some_and(|sample| age(sample) < GPU_SAMPLE_INTERVAL) {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// By how many tasks the demand may grow until machines requested now are up. 0 as long as it is
-    /// not known how it has grown.
+    /// By how many tasks the demand may grow until machines requested now are up. 0 until samples
+    /// cover [`FORECAST_HORIZON`].
     pub fn growth(&self, now: Instant) -> u32 {
         let (Some(first), Some(last)) = (self.samples.front(), self.samples.back()) else { return 0 };
         if now.saturating_duration_since(first.at) < FORECAST_HORIZON {
--- a/crates/sched/src/hash.rs
+++ b/crates/sched/src/hash.rs
@@ -1,9 +1,9 @@
 //! Hash tables with a hash function that is fast for short keys.
 //!
-//! Jobs and machines are looked up by their names many thousand times a second; with the standard
-//! library's hash function that takes a quarter of a scheduling cycle. The hash is seeded anew in
-//! each process. It is not a cryptographic one: tables whose keys are chosen by untrusted users
-//! without limit should not use it.
+//! Jobs and machines are looked up by name many thousand times a second; with the hash function of
+//! the standard library, the lookups take a quarter of a scheduling cycle. The hash function is
+//! seeded at random in each process. It is not cryptographic: do not use it for tables whose keys
+//! untrusted users can choose without limit.
 
 use foldhash::fast::RandomState;
 
--- a/crates/sched/src/inventory.rs
+++ b/crates/sched/src/inventory.rs
@@ -1,4 +1,4 @@
-//! The machines as one scheduling cycle sees them.
+//! The machines that a scheduling cycle can place tasks on, and the resources in use on them.
 
 use std::collections::{BTreeMap, BTreeSet, btree_set};
 
@@ -8,7 +8,7 @@
 use crate::records::{JobRecord, MachineRecord, Member, Name};
 use crate::replica::{Replica, Resources, SortedLookup};
 
-/// A machine as placement sees it within one scheduling cycle.
+/// A machine in the inventory, with the resources in use on it during a scheduling cycle.
 #[derive(Debug, Clone)]
 pub struct Slot {
     /// The machine's name.
@@ -21,22 +21,24 @@
     pub zone: Name,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// What the machine has.
+    /// The total resources of the machine.
     pub capacity: Resources,
-    /// What is in use of it.
+    /// The resources in use, including those reserved in this cycle.
     pub used: Resources,
-    /// Whether anything may be placed there now, by the status of its owner.
+    /// Whether tasks may be placed on the machine now, by the status of its owner and unless it is
+    /// cordoned.
     pub(crate) usable: bool,
-    /// What the machine costs.
+    /// The price of the machine.
     pub(crate) price: f64,
-    /// The rate at which the machine fetches images.
-    pub(crate) gb_per_s: f64,
-    /// A number that all machines of the same owner, type, zone and purchase (spot or not) share.
+    /// The rate at which the machine fetches images, in GB/s.
+    pub(crate) fetch_gb_per_s: f64,
+    /// An identifier that all machines of the same owner, machine type, zone and purchase option
+    /// (on demand or spot) share.
     kind: usize,
 }
 
 impl Slot {
-    /// A machine of a kind that has not been seen yet.
+    /// Creates the first slot of a kind, with nothing in use and not yet usable.
     fn of_new_kind(
         id: &Name,
         machine: &MachineRecord,
@@ -54,7 +56,7 @@
             used: Resources::default(),
             usable: false,
             price: if machine.spot { machine_type.spot_price } else { machine_type.price },
-            gb_per_s: machine_type.fetch_gb_per_s,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
             kind,
         }
     }
@@ -78,38 +80,41 @@
     }
 }
 
-/// What machines have in common that are equivalent for placement, but for their names and the
-/// images that they have.
+/// A class of machines that are equivalent for placement, apart from their names and their cached
+/// images.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SlotClass {
     kind: usize,
-    /// What is in use, as the bits of the numbers.
+    /// CPUs, GPUs and memory in use, as the bit patterns of the floating-point values.
     used: [u64; 3],
 }
 
-/// The machines as placement sees them, and what the teams use.
+/// The machines, and the resources that each team uses.
 ///
-/// It is kept from cycle to cycle and brought up to date by what has changed; what a cycle reserves
-/// is rolled back after it, as the records will tell what of it was committed.
+/// The inventory is kept between scheduling cycles and updated with what has changed. Reservations
+/// of a cycle are rolled back at its end; those that were committed come back with the updated
+/// records.
 #[derive(Debug, Default)]
 pub struct Inventory {
     /// All machines that have an owner and are not being released, in the order of their names.
-    /// What is in use is changed by the methods only.
+    /// Only the methods of the inventory may change `used`.
     pub slots: Vec<Slot>,
-    /// What each team uses, by its name.
+    /// The resources that each team uses, by team name.
     pub team_usage: HashMap<String, Resources>,
-    /// The usable machines by class. Choosing looks at one of each class: with a look at every
-    /// machine for every job, a cycle costs millions of instructions on a site of a thousand.
+    /// The usable machines by class. Placement evaluates one machine of each class: evaluating
+    /// every machine for every job would cost millions of instructions per cycle on a site of a
+    /// thousand machines.
     pub(crate) slots_by_class: BTreeMap<SlotClass, BTreeSet<usize>>,
-    /// The positions of the machines among the slots.
+    /// The index of each machine in `slots`.
     positions: HashMap<Name, usize>,
-    /// The generation of the machines, owners and types that it was made of.
+    /// The generation of the machines, owners and machine types that the inventory was built from.
     topology_generation: u64,
-    /// What was in use of the slots that were changed since [`Inventory::begin`], in that order.
+    /// The previous usage of the slots that were changed since [`Inventory::begin`], in the order
+    /// of the changes.
     undo_log: Vec<UndoEntry>,
 }
 
-/// What was in use of a slot before a change.
+/// The resources that were in use on a slot before a change.
 #[derive(Debug)]
 struct UndoEntry {
     slot: usize,
@@ -117,18 +122,19 @@
 }
 
 impl Inventory {
-    /// All machines; those may be used that `is_usable` admits by their names.
+    /// Builds the inventory of all machines. `is_usable` tells by the name of a machine whether it
+    /// may be used.
     pub fn new(replica: &Replica, is_usable: impl Fn(&str) -> bool) -> Self {
         Self::from_replica(replica, |id, _| is_usable(id))
     }
 
-    /// The same, by the machines' names and owners' incarnations; `is_usable` is called in the order
-    /// of the names.
+    /// Like [`Inventory::new`], but `is_usable` also receives the incarnation of the owner, and is
+    /// called in the order of the names.
     fn from_replica(replica: &Replica, mut is_usable: impl FnMut(&Name, u64) -> bool) -> Self {
         let mut slots: Vec<Slot> = Vec::with_capacity(replica.machines.len());
         let mut slots_by_class: BTreeMap<SlotClass, BTreeSet<usize>> = BTreeMap::new();
-        // The first machine of each kind.
-        let mut kinds: Vec<usize> = Vec::new();
+        // The indices in `slots` of the first machine of each kind.
+        let mut first_of_kinds: Vec<usize> = Vec::new();
         let mut machine_usage = SortedLookup::new(&replica.machine_usage);
         for (id, machine, owner) in replica.owned_machines() {
             let machine = &machine.value;
@@ -137,13 +143,20 @@
             }
             let used = machine_usage.get(id).copied().unwrap_or_default();
             let usable = is_usable(id, owner.incarnation) && !replica.drains.is_cordoned(id);
-            let same_kind = kinds.iter().map(|&i| &slots[i]).find(|slot| slot.is_of_kind(machine, owner));
+            let same_kind =
+                first_of_kinds.iter().map(|&i| &slots[i]).find(|slot| slot.is_of_kind(machine, owner));
             let slot = match same_kind {
                 Some(other) => Slot { id: id.clone(), used, usable, ..other.clone() },
                 None => {
-                    let Some(t) = replica.machine_types.get(&*machine.machine_type) else { continue };
-                    kinds.push(slots.len());
-                    Slot { used, usable, ..Slot::of_new_kind(id, machine, owner, t, kinds.len()) }
+                    let Some(machine_type) = replica.machine_types.get(&*machine.machine_type) else {
+                        continue;
+                    };
+                    first_of_kinds.push(slots.len());
+                    Slot {
+                        used,
+                        usable,
+                        ..Slot::of_new_kind(id, machine, owner, machine_type, first_of_kinds.len())
+                    }
                 }
             };
             if usable {
@@ -162,8 +175,8 @@
         }
     }
 
-    /// Brings up to date what is in use. False if the inventory has to be made anew, as the
-    /// machines, owners or types have changed.
+    /// Updates the resources in use. Returns false if the machines, owners or machine types have
+    /// changed, so that the inventory has to be rebuilt.
     pub fn refresh_usage(&mut self, replica: &mut Replica) -> bool {
         if self.topology_generation != replica.topology_generation() {
             return false;
@@ -177,8 +190,8 @@
         true
     }
 
-    /// Brings everything up to date. `is_usable` is called for each machine in the order of the
-    /// names, with its owner's incarnation.
+    /// Updates the whole inventory, and rebuilds it if necessary. `is_usable` is called for each
+    /// machine in the order of the names, with the incarnation of its owner.
     pub fn refresh(&mut self, replica: &mut Replica, mut is_usable: impl FnMut(&Name, u64) -> bool) {
         if !self.refresh_usage(replica) {
             replica.take_machines_with_changed_usage();
@@ -194,40 +207,41 @@
         }
     }
 
-    /// Begins a scheduling cycle: what is reserved from here on can be rolled back.
+    /// Begins a scheduling cycle: reservations made from now on can be undone with
+    /// [`Inventory::roll_back`].
     pub fn begin(&mut self) {
         self.undo_log.clear();
     }
 
-    /// Undoes all that was reserved on the machines since [`Inventory::begin`], to the last bit of
-    /// each number.
+    /// Undoes all reservations on machines since [`Inventory::begin`]. The earlier values are
+    /// restored exactly, without rounding errors.
     pub fn roll_back(&mut self) {
         while let Some(UndoEntry { slot, used }) = self.undo_log.pop() {
             self.set_used(slot, used);
         }
     }
 
-    /// A machine's position among the slots, if it may be used.
+    /// The index of a machine in `slots`, if it is usable.
     pub fn find(&self, machine: &str) -> Option<usize> {
         self.positions.get(machine).copied().filter(|i| self.slots[*i].usable)
     }
 
-    /// The machines that may be used.
+    /// The usable machines.
     pub fn usable(&self) -> impl Iterator<Item = &Slot> {
         self.slots.iter().filter(|slot| slot.usable)
     }
 
-    /// Of an owner's machines that may be used, one for all that are equivalent but for their names,
-    /// and how many these are.
+    /// For each class of usable machines of an owner, its first machine and the number of its
+    /// machines.
     pub fn slot_classes_of(&self, owner: u64) -> impl Iterator<Item = (&Slot, u32)> {
         let first_and_count =
             |slots: &BTreeSet<usize>| Some((&self.slots[*slots.first()?], slots.len() as u32));
         self.slots_by_class.values().filter_map(first_and_count).filter(move |(slot, _)| slot.owner == owner)
     }
 
-    /// The machines that may be used and that `suits` admits, in the order of their names; it must
-    /// not tell machines of one class apart.
-    pub(crate) fn matching(&self, suits: impl Fn(&Slot) -> bool) -> Vec<usize> {
+    /// The indices of the usable machines that satisfy `suits`, in the order of their names.
+    /// `suits` must have the same result for all machines of a class.
+    pub(crate) fn matching_slots(&self, suits: impl Fn(&Slot) -> bool) -> Vec<usize> {
         let class_suits = |slots: &&BTreeSet<usize>| slots.first().is_some_and(|i| suits(&self.slots[*i]));
         let mut found: Vec<usize> =
             self.slots_by_class.values().filter(class_suits).flatten().copied().collect();
@@ -235,19 +249,19 @@
         found
     }
 
-    /// Reserves a multiple of an amount on a machine; a negative one releases it.
-    pub(crate) fn take(&mut self, i: usize, size: Resources, factor: f64) {
+    /// Reserves `size` times `factor` on a machine; a negative factor releases it.
+    pub(crate) fn reserve_on_slot(&mut self, i: usize, size: Resources, factor: f64) {
         let used = self.slots[i].used;
         self.undo_log.push(UndoEntry { slot: i, used });
         self.set_used(i, used.plus_scaled(size, factor));
     }
 
-    /// Reserves a multiple of an amount on each machine that may be used; a negative one releases
-    /// it. A machine that is named several times is reserved on as often.
+    /// Reserves `size` times `factor` on each of the machines that is usable; a negative factor
+    /// releases it. A machine that is listed several times is reserved on as many times.
     pub fn reserve(&mut self, machines: &[Name], size: Resources, factor: f64) {
         for machine in machines {
             if let Some(i) = self.find(machine) {
-                self.take(i, size, factor);
+                self.reserve_on_slot(i, size, factor);
             }
         }
     }
@@ -281,9 +295,10 @@
         }
     }
 
-    /// The machines that a job may be placed on: those that `suits` admits, which must not tell
-    /// machines of one class apart, without those that its gang has vacated. Those with the job's
-    /// image and those that it avoids differ from others of their class.
+    /// The machines that a job may be placed on: those that satisfy `suits`, except those that its
+    /// gang has vacated. `suits` must have the same result for all machines of a class. Machines
+    /// that have the image of the job or that it avoids differ from others of their class and are
+    /// ranked individually.
     pub(crate) fn candidates(
         &self,
         replica: &Replica,
@@ -294,8 +309,8 @@
         let with_image = replica.machines_with_image(&spec.image).map(|machine| &**machine);
         let avoided = job.avoided_machines.iter().map(|(machine, _)| machine.as_str());
         let vacated = job.vacated_machines.iter().map(|machine| &**machine);
-        let special = with_image.chain(avoided).chain(vacated);
-        let mut excluded: Vec<usize> = special.filter_map(|machine| self.find(machine)).collect();
+        let distinct = with_image.chain(avoided).chain(vacated);
+        let mut excluded: Vec<usize> = distinct.filter_map(|machine| self.find(machine)).collect();
         excluded.sort_unstable();
         excluded.dedup();
         let class_suits = |slots: &&BTreeSet<usize>| slots.first().is_some_and(|i| suits(&self.slots[*i]));
@@ -311,24 +326,24 @@
     }
 }
 
-/// The machines that a job may be placed on, by their positions in the inventory.
+/// The machines that a job may be placed on, by their indices in the inventory.
 pub(crate) struct Candidates<'a> {
-    /// Groups of machines that differ in nothing but their names, in the order of these, but for
-    /// those that are excluded.
+    /// Groups of machines that differ in nothing but their names, in the order of these. Those in
+    /// `excluded` are skipped.
     pub(crate) groups: Vec<btree_set::Iter<'a, usize>>,
-    /// Machines that the groups do not stand for, sorted.
+    /// Machines that are in a group but are skipped there, sorted.
     excluded: Vec<usize>,
-    /// Machines that are considered one by one.
+    /// Machines that are ranked individually.
     pub(crate) individual: Vec<usize>,
 }
 
 impl Candidates<'_> {
-    /// Machines that are all considered one by one.
+    /// Candidates that are all ranked individually.
     pub(crate) fn from_slots(slots: &[usize]) -> Self {
         Self { groups: Vec::new(), excluded: Vec::new(), individual: slots.to_vec() }
     }
 
-    /// The next machine of a group.
+    /// Takes the next machine of a group that is not excluded.
     pub(crate) fn next_in_group(&mut self, group: usize) -> Option<usize> {
         let Self { groups, excluded, .. } = self;
         groups.get_mut(group)?.copied().find(|i| excluded.binary_search(i).is_err())
--- a/crates/sched/src/placement/choice.rs
+++ b/crates/sched/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a machine for each task, by rank.
+//! Chooses a machine for each task by ranking the candidates.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -21,31 +21,33 @@
     pub(super) inventory: &'a Inventory,
     pub(super) job: &'a JobRecord,
     pub(super) spec: &'a JobSpec,
-    /// The numbers of the tasks, in the order in which they are served.
+    /// The task numbers, in the order in which machines are chosen.
     pub(super) tasks: &'a [u32],
     pub(super) limits: Limits,
 }
 
-/// The machine that is chosen for a task.
+/// The machine chosen for a task.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Choice {
     pub(super) task: u32,
-    /// The machine's position in the inventory.
+    /// The index of the machine in the inventory.
     pub(super) slot: usize,
 }
 
-/// Ranks by all that precedes how many tasks of the job the zone has: the least is best.
+/// The criteria that take precedence over the number of tasks of the job in the zone; the lowest
+/// rank is best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RankBeforeSpread {
     is_avoided: bool,
-    loses_gpu_slots: bool,
-    /// The price, if GPU slots are lost.
-    price_of_loss: u64,
+    strands_gpu_tasks: bool,
+    /// The price of the machine if GPU tasks are stranded, otherwise 0.
+    price_if_stranding: u64,
     has_unneeded_gpus: bool,
     is_on_demand: bool,
 }
 
-/// Ranks by all that follows how many tasks of the job the zone has: the least is best.
+/// The criteria that count after the number of tasks of the job in the zone; the lowest rank is
+/// best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RankAfterSpread {
     fetch_class: u64,
@@ -54,43 +56,43 @@
     slot: usize,
 }
 
-/// What makes one machine better than another of the same zone.
+/// The rank of a machine among those of its zone; the lowest is best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     before_spread: RankBeforeSpread,
     after_spread: RankAfterSpread,
 }
 
-/// A machine by its rank. Machines that are alike have the same rank but for their position, and
-/// follow one by one.
+/// A ranked machine. Equivalent machines have the same rank except for their index, and are added
+/// to the heap one at a time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Ranked {
     rank: Rank,
-    /// The group of machines that are alike of which this is the next one, if any.
+    /// The group of equivalent machines whose next machine this is, if any.
     group: Option<usize>,
 }
 
-/// The best machine of a zone, compared with those of others.
+/// The rank of the best machine of a zone, for comparison with those of other zones.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneRank<'a> {
     before_spread: RankBeforeSpread,
-    /// How many tasks of the job the zone has, if these are to be spread.
+    /// The number of tasks of the job in the zone if they are to be spread, otherwise 0.
     tasks_in_zone: u32,
     after_spread: RankAfterSpread,
     zone: &'a str,
 }
 
-/// Non-negative numbers as integers in the same order.
+/// Converts a non-negative number to an integer that sorts in the same order.
 fn ordered_bits(value: f64) -> u64 {
     value.max(0.0).to_bits()
 }
 
-/// Chooses a machine for each task in turn, without changing the inventory. Ends with the first
-/// task for which there is none.
+/// Chooses a machine for each task in turn, without changing the inventory. Stops at the first task
+/// that fits on no machine.
 pub(super) fn choose<'a>(request: Request<'a>, candidates: Candidates<'a>) -> Vec<Choice> {
     let Some(tasks_by_zone) = tasks_by_zone(&request) else { return Vec::new() };
     let size = Resources::of_task(request.spec);
-    let ranker = Ranker { request, size, used_by_choices: HashMap::default() };
+    let ranker = Ranker { request, size, used_with_choices: HashMap::default() };
     let mut chooser = Chooser { ranker, tasks_by_zone, best_by_zone: BTreeMap::new(), candidates };
     chooser.rank_candidates();
     let mut choices = Vec::new();
@@ -101,7 +103,8 @@
     choices
 }
 
-/// How many tasks of the job each zone has. `None` if nothing can be placed before that is known.
+/// The number of tasks of the job in each zone. `None` if nothing may be placed because the zone of
+/// a task is not known.
 fn tasks_by_zone<'a>(request: &Request<'a>) -> Option<HashMap<&'a str, u32>> {
     let spec = request.spec;
     let mut tasks_by_zone: HashMap<&str, u32> = HashMap::default();
@@ -116,19 +119,19 @@
     Some(tasks_by_zone)
 }
 
-/// Chooses machines for one task after the other.
+/// Chooses machines for one task after another.
 struct Chooser<'a> {
     ranker: Ranker<'a>,
-    /// How many tasks of the job each zone has, with those that are chosen.
+    /// The number of tasks of the job in each zone, including those for which a machine is chosen.
     tasks_by_zone: HashMap<&'a str, u32>,
-    /// The best machines of each zone. How many tasks of the job the zones have is not part of
-    /// these ranks, as it changes for all machines of a zone at once.
+    /// The ranked machines of each zone, best first. The number of tasks of the job in the zone is
+    /// not part of these ranks, because it changes for all machines of a zone at once.
     best_by_zone: BTreeMap<&'a str, BinaryHeap<Reverse<Ranked>>>,
     candidates: Candidates<'a>,
 }
 
 impl<'a> Chooser<'a> {
-    /// Ranks the first of each group of machines that are alike, and those that are like no others.
+    /// Ranks the first machine of each group of equivalent machines, and the individual candidates.
     fn rank_candidates(&mut self) {
         let individual = std::mem::take(&mut self.candidates.individual);
         let groups = 0..self.candidates.groups.len();
@@ -155,7 +158,7 @@
             let after_spread = RankAfterSpread { slot: next, ..rank.after_spread };
             best.push(Reverse(Ranked { rank: Rank { after_spread, ..rank }, group }));
         }
-        self.ranker.note_choice(slot);
+        self.ranker.record_choice(slot);
         if let Some(rank) = self.ranker.rank(slot) {
             best.push(Reverse(Ranked { rank, group: None }));
         }
@@ -182,33 +185,34 @@
     }
 }
 
-/// Ranks machines by what is used of them with the choices made so far.
+/// Ranks machines by their usage, including the choices made so far.
 struct Ranker<'a> {
     request: Request<'a>,
     size: Resources,
-    /// What is used of the machines that are chosen, with the tasks that they are chosen for.
-    used_by_choices: HashMap<usize, Resources>,
+    /// The resources in use on the machines that are chosen, including the tasks that they are
+    /// chosen for.
+    used_with_choices: HashMap<usize, Resources>,
 }
 
 impl Ranker<'_> {
-    fn note_choice(&mut self, slot: usize) {
-        let used = self.used_by_choices.get(&slot).copied();
+    fn record_choice(&mut self, slot: usize) {
+        let used = self.used_with_choices.get(&slot).copied();
         let used = used.unwrap_or(self.request.inventory.slots[slot].used);
-        self.used_by_choices.insert(slot, used.plus_scaled(self.size, 1.0));
+        self.used_with_choices.insert(slot, used.plus_scaled(self.size, 1.0));
     }
 
     /// The rank of a machine; `None` if no further task may be placed there.
     fn rank(&self, slot: usize) -> Option<Rank> {
         let Request { replica, inventory, job, spec, limits, .. } = self.request;
         let machine = &inventory.slots[slot];
-        let chosen = self.used_by_choices.get(&slot).copied();
+        let chosen = self.used_with_choices.get(&slot).copied();
         let used = chosen.unwrap_or(machine.used);
         if !self.size.fits(machine.capacity.plus_scaled(used, -1.0)) {
             return None;
         }
         let has_gpus = machine.capacity.gpus > 0.0;
-        let loses_gpu_slots = has_gpus && stranded_gpu_tasks_at_usage(replica, spec, machine, used) > 0;
-        if loses_gpu_slots && !limits.may_strand_gpus {
+        let strands_gpu_tasks = has_gpus && stranded_gpu_tasks_at_usage(replica, spec, machine, used) > 0;
+        if strands_gpu_tasks && !limits.may_strand_gpus {
             return None;
         }
         let price = ordered_bits(machine.price / machine.capacity.cpus.max(1.0));
@@ -219,15 +223,15 @@
         Some(Rank {
             before_spread: RankBeforeSpread {
                 is_avoided: job.avoided_machines.iter().any(is_avoided),
-                loses_gpu_slots,
-                price_of_loss: if loses_gpu_slots { price } else { 0 },
+                strands_gpu_tasks,
+                price_if_stranding: if strands_gpu_tasks { price } else { 0 },
                 has_unneeded_gpus: spec.gpus == 0.0 && has_gpus,
                 is_on_demand: !machine.spot,
             },
             after_spread: RankAfterSpread {
-                fetch_class: if has_image() { 0 } else { fetch_class(spec, machine.gb_per_s) },
-                // Machines with GPUs are filled one by one, so that the others stay whole for jobs
-                // that need the GPUs.
+                fetch_class: if has_image() { 0 } else { fetch_class(spec, machine.fetch_gb_per_s) },
+                // Machines with GPUs are filled one after another, so that the others stay free for
+                // jobs that need the GPUs.
                 usage: if has_gpus { !usage } else { usage },
                 price,
                 slot,
@@ -236,7 +240,8 @@
     }
 }
 
-/// The machines that would be chosen for this many tasks of a job that is yet to be submitted.
+/// The machines that would be chosen for this many tasks of a job that is not submitted yet, one
+/// entry for each task.
 pub fn simulate_placement(
     replica: &Replica,
     inventory: &Inventory,
--- a/crates/sched/src/placement/eligibility.rs
+++ b/crates/sched/src/placement/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which machines a job may use, and which of its tasks are to be placed.
+//! Which machines a job may use, and which of its tasks are pending.
 
 use wire::JobSpec;
 
@@ -7,38 +7,38 @@
 use crate::records::{JobRecord, Phase};
 use crate::replica::Resources;
 
-/// Failed starts in a row before the next attempt is delayed.
+/// The number of consecutive failed starts after which the next attempt is not yet delayed.
 const FAILED_STARTS_WITHOUT_BACKOFF: u32 = 2;
-/// The first delay; it doubles with each further failed start.
+/// The first retry delay; it doubles with each further failed start.
 const FIRST_RETRY_BACKOFF_MS: u64 = 1000;
-/// How often the delay doubles at most.
+/// The most times that the delay doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// Whether the job may use machines of this type, zone and purchase (spot or not) at all.
+/// Whether the job may use machines of this type, zone and purchase option (on demand or spot).
 pub fn is_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
-    spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type))
-        && spec.zone.as_ref().is_none_or(|z| z == zone)
+    spec.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
+        && spec.zone.as_ref().is_none_or(|required| required == zone)
         && (spec.spot || !spot)
 }
 
-/// Whether the job may use a machine at all.
+/// Whether the job may use a machine.
 pub(crate) fn is_allowed_on(spec: &JobSpec, slot: &Slot) -> bool {
     is_allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
 }
 
-/// Most tasks of the job that one zone may hold.
+/// The most tasks of the job that may be in one zone.
 pub fn zone_limit(spec: &JobSpec) -> u32 {
     if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX }
 }
 
-/// The tasks that are neither done nor assigned, lowest numbers first; none if the job is not
-/// active.
+/// The tasks that are neither done nor assigned, in ascending order; none if the job is not active.
 pub fn pending_tasks(job: &JobRecord) -> impl Iterator<Item = u32> + '_ {
     let count = match (&job.spec, job.phase) {
         (Some(spec), Phase::Active) => spec.tasks,
         _ => 0,
     };
-    let is_assigned = |task: u32| job.assignments.binary_search_by_key(&task, |a| a.task).is_ok();
+    let is_assigned =
+        |task: u32| job.assignments.binary_search_by_key(&task, |assignment| assignment.task).is_ok();
     (job.done.first_missing()..count).filter(move |task| !job.done.contains(*task) && !is_assigned(*task))
 }
 
@@ -53,19 +53,19 @@
     }
 }
 
-/// When a job whose starts keep failing may be retried, in milliseconds of the time of day: a job
-/// that was submitted with a mistake fails everywhere and must not keep machines busy.
+/// The time of day, in milliseconds, from which a job whose starts keep failing may be retried. A
+/// job that was submitted with a mistake fails on every machine and must not keep machines busy.
 pub fn retry_at_ms(job: &JobRecord) -> u64 {
-    let delayed_failures = job.failed_starts.saturating_sub(FAILED_STARTS_WITHOUT_BACKOFF);
-    let backoff_ms = match delayed_failures {
+    let failures_with_backoff = job.failed_starts.saturating_sub(FAILED_STARTS_WITHOUT_BACKOFF);
+    let backoff_ms = match failures_with_backoff {
         0 => 0,
         n => FIRST_RETRY_BACKOFF_MS << (n - 1).min(MAX_BACKOFF_DOUBLINGS),
     };
     job.last_failure_ms + backoff_ms
 }
 
-/// Whether every one of the job's tasks fits into what is free on the machines. Each machine comes
-/// with the number of machines like it.
+/// Whether all tasks of the job fit into the free capacity of the machines. Each machine comes with
+/// the number of equivalent machines that it represents.
 pub fn fits_entire_job<'a>(spec: &JobSpec, machines: impl Iterator<Item = (&'a Slot, u32)>) -> bool {
     let size = Resources::of_task(spec);
     let mut tasks_by_zone: HashMap<&str, u32> = HashMap::default();
--- a/crates/sched/src/placement/gang.rs
+++ b/crates/sched/src/placement/gang.rs
@@ -1,4 +1,5 @@
-//! Collecting capacity for gangs that have waited long.
+//! Collects capacity for gangs that have waited long: free capacity is reserved for them until all
+//! their tasks fit.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +11,22 @@
 use crate::records::{Name, Phase};
 use crate::replica::{Replica, Resources};
 
-/// From when on capacity is collected for a gang.
+/// How long a gang waits before capacity is collected for it.
 const COLLECT_AFTER_S: f64 = 110.0;
-/// What may be collected at a time, as a share of the gang tasks that are assigned.
+/// The most capacity that is collected at a time, as a share of the gang tasks that are assigned.
 const MAX_COLLECTED_SHARE: f64 = 0.15;
 
-/// Whether a job could take capacity that a gang needs.
+/// Whether a job could use capacity that a gang needs.
 pub fn competes_for_capacity(spec: &JobSpec, gang: &JobSpec) -> bool {
     let shares_a_type = match (&spec.types, &gang.types) {
-        (Some(types), Some(gang_types)) => types.iter().any(|t| gang_types.contains(t)),
+        (Some(types), Some(gang_types)) => types.iter().any(|machine_type| gang_types.contains(machine_type)),
         _ => true,
     };
     shares_a_type && (gang.gpus == 0.0 || spec.gpus > 0.0)
 }
 
-/// The free capacity that a gang could use once there is enough, a machine's name for each task:
-/// if all its tasks have to be in one zone, that of the zone with most of it.
+/// The free capacity that can be collected for a gang, as one machine name for each task that fits.
+/// If all tasks have to be in one zone, only the zone with the most such capacity counts.
 pub fn collectable_capacity(
     inventory: &Inventory,
     spec: &JobSpec,
@@ -33,17 +34,17 @@
 ) -> Vec<Name> {
     let size = Resources::of_task(spec);
     let suits = |slot: &Slot| size.fits(slot.free()) && is_allowed_on(spec, slot) && within(slot);
-    let mut by_zone: BTreeMap<&str, Vec<&Name>> = BTreeMap::new();
-    for slot in inventory.matching(suits).into_iter().map(|i| &inventory.slots[i]) {
+    let mut machines_by_zone: BTreeMap<&str, Vec<&Name>> = BTreeMap::new();
+    for slot in inventory.matching_slots(suits).into_iter().map(|i| &inventory.slots[i]) {
         let zone = if spec.one_zone { &*slot.zone } else { "" };
         let tasks = size.count_fitting_in(slot.free()).min(spec.tasks) as usize;
-        by_zone.entry(zone).or_default().extend(std::iter::repeat_n(&slot.id, tasks));
+        machines_by_zone.entry(zone).or_default().extend(std::iter::repeat_n(&slot.id, tasks));
     }
-    let largest = by_zone.into_values().max_by_key(Vec::len).unwrap_or_default();
+    let largest = machines_by_zone.into_values().max_by_key(Vec::len).unwrap_or_default();
     largest.into_iter().take(spec.tasks as usize).cloned().collect()
 }
 
-/// A gang that waits, in the order of submission.
+/// A gang that has not started; it sorts by the time of submission.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingGang<'a> {
     submitted_ms: u64,
@@ -51,10 +52,10 @@
     tasks: u32,
 }
 
-/// The gangs that have waited longest, for which capacity is collected until they start: a large
-/// one never would where smaller jobs take all capacity that comes free. Only a few at a time, at
-/// least one: were it all that wait, none would start in time any more where the demand exceeds the
-/// capacity.
+/// The gangs that have waited longest, for which capacity is collected until they start. A large
+/// gang would otherwise never start where smaller jobs take all capacity that becomes free.
+/// Capacity is collected for a few gangs only, but for at least one: if it were collected for all
+/// that wait, none would start in time when demand exceeds capacity.
 pub fn longest_waiting(replica: &Replica, now_ms: u64) -> Vec<&str> {
     let mut assigned = 0;
     let mut waiting: Vec<WaitingGang> = Vec::new();
--- a/crates/sched/src/placement/image_fetch.rs
+++ b/crates/sched/src/placement/image_fetch.rs
@@ -1,20 +1,21 @@
-//! How long machines take to fetch an image, and which of them have it at about the same time.
+//! Image fetch times: how long machines take to fetch an image, and which of them will have it at
+//! about the same time.
 
 use wire::{JobKind, JobSpec, MachineType};
 
 use crate::inventory::Inventory;
 use crate::replica::{Replica, Resources};
 
-/// By about this share, fetch times differ from what the machine type promises.
+/// The share by which fetch times vary around the one that the rate of the machine type implies.
 const FETCH_TIME_VARIATION: f64 = 0.25;
-/// Fetches of services that differ by less than this are considered equally slow.
+/// The width of a fetch class of services: fetch times within a class are considered equal.
 const FETCH_CLASS_S: f64 = 2.0;
-/// Slowest fetch that is told apart from slower ones.
+/// The highest fetch class; slower fetches are considered equal.
 const MAX_FETCH_CLASS: f64 = 1e6;
-/// Lowest rate that is counted with: a machine type may state none.
+/// The lowest fetch rate that is assumed: a machine type may state none.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// When a machine will have an image, in seconds from now.
+/// The time range in which a machine will have an image, in seconds from now.
 #[derive(Debug, Clone, Copy)]
 struct FetchTime {
     earliest_s: f64,
@@ -24,7 +25,7 @@
 impl FetchTime {
     const IMMEDIATE: Self = Self { earliest_s: 0.0, latest_s: 0.0 };
 
-    /// The time that a fetch at this rate takes.
+    /// The time range for a fetch at this rate.
     fn of(spec: &JobSpec, gb_per_s: f64) -> Self {
         let expected_s = expected_fetch_s(spec, gb_per_s);
         Self {
@@ -38,9 +39,8 @@
     spec.image_gb / gb_per_s.max(MIN_FETCH_GB_PER_S)
 }
 
-/// How slow the fetch of an image is that a machine does not have, at least 1. Services are to
-/// start within seconds, so that the time decides; for others it only counts whether there is a
-/// fetch.
+/// The class of the fetch time of an image that a machine does not have, at least 1. Services have
+/// to start within seconds, so the fetch time decides; for other jobs all fetches are in one class.
 pub(super) fn fetch_class(spec: &JobSpec, gb_per_s: f64) -> u64 {
     match spec.kind {
         JobKind::Service => {
@@ -50,9 +50,9 @@
     }
 }
 
-/// Sets of machines that will have the image within the time that a gang's tasks wait for one
-/// another. Where one machine has the image and another takes long to fetch it, the task on the
-/// first gives up waiting, the others abort their fetches, and the next attempt is no better.
+/// Sets of machines that will have the image within the time that the tasks of a gang wait for one
+/// another. If one machine has the image and another takes long to fetch it, the task on the first
+/// gives up waiting, the other tasks abort their fetches, and the next attempt fares no better.
 pub(super) fn sets_ready_together(
     replica: &Replica,
     inventory: &Inventory,
@@ -65,7 +65,7 @@
         if replica.has_image(&slot.id, &spec.image) {
             FetchTime::IMMEDIATE
         } else {
-            FetchTime::of(spec, slot.gb_per_s)
+            FetchTime::of(spec, slot.fetch_gb_per_s)
         }
     };
     let fetch_times: Vec<(usize, FetchTime)> = slots.iter().map(|&i| (i, fetch_time(i))).collect();
@@ -79,15 +79,15 @@
     };
     let mut sets: Vec<Vec<usize>> =
         window_starts.iter().map(ready_in_window).filter(|set| !set.is_empty()).collect();
-    // On a single machine there is one fetch for all.
+    // All tasks on a single machine share one fetch.
     let size = Resources::of_task(spec);
     let single = slots.iter().find(|&&i| size.count_fitting_in(inventory.slots[i].free()) >= spec.tasks);
     sets.extend(single.map(|i| vec![*i]));
     sets
 }
 
-/// Whether new machines of a type fetch a gang's image too slowly for its tasks to be ready within
-/// the time that they wait for one another.
+/// Whether the fetch times of the image vary so much on new machines of a type that the tasks of a
+/// gang would not be ready within the time that they wait for one another.
 pub fn image_fetch_too_slow(spec: &JobSpec, machine_type: &MachineType, gang_wait_s: f64) -> bool {
     let fetch_time = FetchTime::of(spec, machine_type.fetch_gb_per_s);
     spec.kind == JobKind::Gang
--- a/crates/sched/src/placement/mod.rs
+++ b/crates/sched/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which machine a task is assigned to, and in which order jobs are served.
+//! Placement: the machine that each task is assigned to, and the order in which jobs are served.
 
 mod choice;
 mod eligibility;
@@ -21,8 +21,8 @@
 pub use queue::{QueueRank, QueueStanding, is_deadline_pressing, queue_order, queue_rank};
 
 #[cfg(test)]
-#[path = "../../tests/unit/alike.rs"]
-pub(crate) mod alike;
+#[path = "../../tests/unit/slot_classes.rs"]
+pub(crate) mod slot_classes;
 
 #[cfg(test)]
 #[path = "../../tests/unit/placement.rs"]
--- a/crates/sched/src/placement/place.rs
+++ b/crates/sched/src/placement/place.rs
@@ -1,4 +1,4 @@
-//! Placing the pending tasks of a job.
+//! Places the pending tasks of a job.
 
 use std::collections::BTreeSet;
 
@@ -12,40 +12,41 @@
 use crate::records::{Assignment, DesiredState, JobRecord, Name, Phase};
 use crate::replica::{Replica, Resources, Team};
 
-/// A gang that has waited this long is placed on machines that fetch its image at any rate.
+/// How long a gang waits before it is placed without regard to fetch times.
 const IGNORE_FETCH_TIMES_AFTER_S: f64 = 100.0;
 
-/// What bounds one call of [`place`].
+/// The limits of one call of [`place`].
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most tasks to place; a gang is placed as a whole nevertheless.
+    /// The most tasks to place; a gang is placed as a whole nevertheless.
     pub max_tasks: usize,
-    /// How far beyond the first unfinished task others may start: what is done has to fit into the
-    /// record as a bitmap.
+    /// How far beyond the first unfinished task others may start. The finished tasks are stored as
+    /// a bitmap, which has to fit into the record.
     pub task_window: u32,
     /// Whether tasks without GPUs may take capacity that GPU jobs could use.
     pub may_strand_gpus: bool,
-    /// How long a gang's tasks wait for one another; 0: without end.
+    /// How long the tasks of a gang wait for one another; 0 means without limit.
     pub gang_wait_s: f64,
     /// The time of day, in milliseconds.
     pub now_ms: u64,
 }
 
-/// Places as many of the job's pending tasks as there is capacity for, all or none for a gang. The
-/// job and the inventory are changed to match. `within` admits machines; it must not tell those
-/// apart of the same owner, type, zone and purchase (spot or not) with the same in use.
+/// Places as many pending tasks of the job as there is capacity for; for a gang, all or none.
+/// Updates the job and the inventory. Only machines that satisfy `slot_filter` are used; it must
+/// have the same result for machines with the same owner, type, zone, purchase option (on demand or
+/// spot) and usage.
 pub fn place(
     replica: &Replica,
     inventory: &mut Inventory,
     job: &mut JobRecord,
     team: &Team,
-    within: impl Fn(&Slot) -> bool,
+    slot_filter: impl Fn(&Slot) -> bool,
     limits: Limits,
 ) -> Vec<Assignment> {
-    place_on(replica, inventory, job, team, &Scope { within, machines: None }, limits)
+    place_in_scope(replica, inventory, job, team, &Scope { slot_filter, machines: None }, limits)
 }
 
-/// The same on these machines only.
+/// Like [`place`], but only on these machines.
 pub fn place_on_machines(
     replica: &Replica,
     inventory: &mut Inventory,
@@ -54,18 +55,18 @@
     machines: &[Name],
     limits: Limits,
 ) -> Vec<Assignment> {
-    let scope = Scope { within: |_: &Slot| true, machines: Some(machines) };
-    place_on(replica, inventory, job, team, &scope, limits)
+    let scope = Scope { slot_filter: |_: &Slot| true, machines: Some(machines) };
+    place_in_scope(replica, inventory, job, team, &scope, limits)
 }
 
 /// The machines that placement is limited to.
 struct Scope<'a, F> {
-    within: F,
-    /// Only these, if any.
+    slot_filter: F,
+    /// If present, only these machines are used.
     machines: Option<&'a [Name]>,
 }
 
-fn place_on(
+fn place_in_scope(
     replica: &Replica,
     inventory: &mut Inventory,
     job: &mut JobRecord,
@@ -83,11 +84,11 @@
         return Vec::new();
     }
     let request = Request { replica, inventory, job, spec: &spec, tasks: &tasks, limits };
-    let choices = choose_within(request, scope);
+    let choices = choose_in_scope(request, scope);
     if choices.is_empty() || (is_gang && choices.len() < tasks.len()) {
         return Vec::new();
     }
-    let choices = if is_gang { in_order_of_machines(&tasks, &choices) } else { choices };
+    let choices = if is_gang { group_tasks_by_machine(&tasks, &choices) } else { choices };
     assign(inventory, job, &spec, &choices)
 }
 
@@ -96,14 +97,15 @@
     if job.phase != Phase::Active || retry_at_ms(job) > now_ms {
         return false;
     }
-    // A gang that waits for its tasks may get another machine for one that it lost, within the same
-    // attempt; one that breaks up is restarted once all is over.
-    let is_of_current_attempt =
-        |a: &Assignment| a.attempt == job.attempt && a.desired == DesiredState::Running;
+    // A gang whose tasks wait for one another may get another machine for a lost task within the
+    // same attempt. A gang that breaks up is restarted only after all its tasks have ended.
+    let is_of_current_attempt = |assignment: &Assignment| {
+        assignment.attempt == job.attempt && assignment.desired == DesiredState::Running
+    };
     spec.kind != JobKind::Gang || job.assignments.iter().all(is_of_current_attempt)
 }
 
-/// The pending tasks that the limits and the team's quota admit.
+/// The pending tasks that the limits and the quota of the team allow to be placed.
 fn tasks_to_place(
     inventory: &Inventory,
     job: &JobRecord,
@@ -120,25 +122,27 @@
 }
 
 /// Chooses machines within the scope.
-fn choose_within(request: Request, scope: &Scope<impl Fn(&Slot) -> bool>) -> Vec<Choice> {
+fn choose_in_scope(request: Request, scope: &Scope<impl Fn(&Slot) -> bool>) -> Vec<Choice> {
     let Request { replica, inventory, job, spec, limits, .. } = request;
     let size = Resources::of_task(spec);
-    let suits = |slot: &Slot| size.fits(slot.free()) && is_allowed_on(spec, slot) && (scope.within)(slot);
+    let suits =
+        |slot: &Slot| size.fits(slot.free()) && is_allowed_on(spec, slot) && (scope.slot_filter)(slot);
     let must_be_ready_together = spec.kind == JobKind::Gang
         && spec.tasks > 1
         && limits.gang_wait_s > 0.0
         && job.assignments.is_empty();
-    // Otherwise a machine is chosen by nothing but its own rank.
+    // Without such constraints, a machine is chosen by its own rank alone.
     if !spec.one_zone && !must_be_ready_together && scope.machines.is_none() {
         return choose(request, inventory.candidates(replica, job, spec, suits));
     }
     let is_not_vacated = |i: &usize| !job.vacated_machines.contains(&inventory.slots[*i].id);
     let slots: Vec<usize> = match scope.machines {
         Some(machines) => {
-            let slots: BTreeSet<usize> = machines.iter().filter_map(|m| inventory.find(m)).collect();
+            let slots: BTreeSet<usize> =
+                machines.iter().filter_map(|machine| inventory.find(machine)).collect();
             slots.into_iter().filter(|i| suits(&inventory.slots[*i])).filter(is_not_vacated).collect()
         }
-        None => inventory.matching(suits).into_iter().filter(is_not_vacated).collect(),
+        None => inventory.matching_slots(suits).into_iter().filter(is_not_vacated).collect(),
     };
     if must_be_ready_together {
         choose_ready_together(request, &slots)
@@ -147,25 +151,26 @@
     }
 }
 
-/// Chooses machines for a whole gang that have the image at about the same time.
+/// Chooses machines for a whole gang that will have the image at about the same time.
 fn choose_ready_together(request: Request, slots: &[usize]) -> Vec<Choice> {
     let Request { replica, inventory, job, spec, tasks, limits } = request;
     let sets = sets_ready_together(replica, inventory, spec, slots, limits.gang_wait_s);
-    let choices = sets.iter().map(|set| choose_among(request, set)).find(|c| c.len() == tasks.len());
+    let choices =
+        sets.iter().map(|set| choose_among(request, set)).find(|choices| choices.len() == tasks.len());
     choices.unwrap_or_else(|| {
-        // An attempt that may fail is better than waiting forever.
+        // After a long wait, an attempt that may fail is better than none.
         let ignores_fetch_times = waited_s(job, limits.now_ms) >= IGNORE_FETCH_TIMES_AFTER_S;
         if ignores_fetch_times { choose_among(request, slots) } else { Vec::new() }
     })
 }
 
-/// Chooses among these machines, which have to be of one zone for a one-zone job.
+/// Chooses among these machines; for a one-zone job, only machines of one zone are chosen.
 fn choose_among(request: Request, slots: &[usize]) -> Vec<Choice> {
     let Request { replica, inventory, job, spec, .. } = request;
     if !spec.one_zone {
         return choose(request, Candidates::from_slots(slots));
     }
-    // All tasks of a one-zone job share the zone of those that are still assigned.
+    // A one-zone job stays in the zone of the tasks that are still assigned.
     let zones: BTreeSet<Name> = match zone_of(replica, job) {
         Some(zone) => [zone].into(),
         None => slots.iter().map(|&i| inventory.slots[i].zone.clone()).collect(),
@@ -180,18 +185,18 @@
 
 /// The zone of the first assignment whose machine is known.
 fn zone_of(replica: &Replica, job: &JobRecord) -> Option<Name> {
-    let machine = job.assignments.iter().find_map(|a| replica.machines.get(&a.machine));
+    let machine = job.assignments.iter().find_map(|assignment| replica.machines.get(&assignment.machine));
     machine.map(|machine| machine.value.zone.clone())
 }
 
-/// Gives each machine consecutive tasks of a gang, which makes a short record.
-fn in_order_of_machines(tasks: &[u32], choices: &[Choice]) -> Vec<Choice> {
+/// Gives each machine consecutive tasks of a gang, which makes the record of the job shorter.
+fn group_tasks_by_machine(tasks: &[u32], choices: &[Choice]) -> Vec<Choice> {
     let mut slots: Vec<usize> = choices.iter().map(|choice| choice.slot).collect();
     slots.sort_unstable();
     tasks.iter().zip(slots).map(|(&task, slot)| Choice { task, slot }).collect()
 }
 
-/// Assigns the tasks: changes the job and the inventory.
+/// Assigns the tasks to the chosen machines, and updates the job and the inventory.
 fn assign(
     inventory: &mut Inventory,
     job: &mut JobRecord,
@@ -207,7 +212,7 @@
     let placed: Vec<Assignment> = choices
         .iter()
         .map(|&Choice { task, slot }| {
-            inventory.take(slot, size, 1.0);
+            inventory.reserve_on_slot(slot, size, 1.0);
             let machine = inventory.slots[slot].id.clone();
             Assignment { task, attempt, machine, desired: DesiredState::Running }
         })
@@ -216,6 +221,6 @@
     *team_usage = team_usage.plus_scaled(size, placed.len() as f64);
     job.attempt = attempt;
     job.assignments.extend(placed.iter().cloned());
-    job.assignments.sort_unstable_by_key(|a| a.task);
+    job.assignments.sort_unstable_by_key(|assignment| assignment.task);
     placed
 }
--- a/crates/sched/src/placement/queue.rs
+++ b/crates/sched/src/placement/queue.rs
@@ -9,27 +9,28 @@
 /// The share of the time to its deadline after which a job no longer yields to others.
 const PRESSING_DEADLINE_SHARE: f64 = 0.35;
 
-/// What decides among jobs of the same priority: the least is served first.
+/// The rank among jobs of the same priority; the lowest is served first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueRank {
-    /// Others go first: those that have waited longest, or that are to start within a time.
+    /// The job is served after those that have waited longest and those that have to start within a
+    /// given time.
     pub is_deferred: bool,
     /// The job is beyond its team's guarantee.
     pub beyond_guarantee: bool,
-    /// How many of the times that it should start within have passed.
+    /// How many of its target start times the job has missed.
     pub missed_start_times: u8,
 }
 
-/// What is known of a job in comparison with others.
+/// The standing of a job in comparison with others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueStanding {
     /// The job is within its team's guarantee.
     pub within_guarantee: bool,
-    /// It is one of the gangs of [`longest_waiting`](super::longest_waiting).
+    /// The job is one of the gangs of [`longest_waiting`](super::longest_waiting).
     pub is_longest_waiting: bool,
 }
 
-/// For how long the job has waited since its submission, or since its last dependency was done.
+/// How long the job has waited since its submission, or since its last dependency was done.
 pub(super) fn waited_s(job: &JobRecord, now_ms: u64) -> f64 {
     now_ms.saturating_sub(job.submitted_ms) as f64 / 1000.0
 }
@@ -42,11 +43,11 @@
     deadline_s.is_some_and(|deadline_s| passed_s > deadline_s * PRESSING_DEADLINE_SHARE)
 }
 
-/// A job's rank in the queue. `start_times_s` are the two times that it should start within, the
-/// lower one first.
+/// The rank of a job in the queue. `start_times_s` are its two target start times, in seconds of
+/// waiting, the lower one first.
 ///
-/// Where the demand exceeds the capacity, serving strictly by age makes every job late: a gang that
-/// has missed one of its times lets those pass that can still meet theirs, until it is one of those
+/// When demand exceeds capacity, serving jobs strictly by age makes every job late. A gang that has
+/// missed a target therefore yields to gangs that can still meet theirs, until it is one of those
 /// that have waited longest.
 pub fn queue_rank(
     job: &JobRecord,
--- a/crates/sched/src/preempt.rs
+++ b/crates/sched/src/preempt.rs
@@ -1,4 +1,4 @@
-//! Preemption: which tasks are stopped for more urgent jobs.
+//! Preemption: chooses the running tasks that are stopped for more urgent jobs.
 
 use std::cmp::Reverse;
 
@@ -10,14 +10,14 @@
 use crate::records::{Assignment, DesiredState, JobRecord, Name};
 use crate::replica::{Replica, Resources, Team};
 
-/// A task to stop.
+/// A task to preempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Victim {
     /// The id of its job.
     pub job: String,
     /// The number of the task.
     pub task: u32,
-    /// Its attempt.
+    /// The attempt at the task.
     pub attempt: u64,
     /// The machine that it is on.
     pub machine: Name,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A task on a machine.
+/// A task that is assigned to a machine.
 #[derive(Clone, Copy)]
 struct RunningTask<'a> {
     job_id: &'a str,
@@ -44,17 +44,18 @@
 }
 
 impl RunningTask<'_> {
-    /// The priority of its job, or what that inherits.
+    /// The priority of the job, including what it inherits from jobs that depend on it.
     fn priority(&self) -> Priority {
         self.job.priority().unwrap_or(self.spec.priority)
     }
 
-    /// What stopping the task costs. Arrays lose least, services most; what can be saved is.
+    /// The relative cost of stopping the task. Arrays lose least, services most; tasks that can
+    /// save a checkpoint do so before they stop.
     fn preemption_cost(&self) -> u32 {
         match self.spec.kind {
             JobKind::Array => 0,
-            // A job that was stopped before is spared: the smallest gang would be chosen again and
-            // again, and never make progress.
+            // Each earlier attempt raises the cost: otherwise the smallest gang would be preempted
+            // again and again, and never make progress.
             JobKind::Gang => {
                 let attempts = self.job.attempt.clamp(1, MAX_COUNTED_ATTEMPTS) as u32;
                 1 + self.spec.tasks + COST_PER_ATTEMPT * attempts
@@ -64,21 +65,21 @@
     }
 }
 
-/// Most attempts of a gang that its cost counts.
+/// The most attempts that are counted in the cost of a gang.
 const MAX_COUNTED_ATTEMPTS: u64 = 50;
-/// What each attempt of a gang adds to its cost.
+/// The cost that each attempt of a gang adds.
 const COST_PER_ATTEMPT: u32 = 3;
 /// The cost of stopping a service task.
 const SERVICE_COST: u32 = 1000;
 
-/// What runs on each machine of an inventory, gathered once for all the searches of a scheduling
+/// The tasks on each machine of an inventory, collected once for all searches of a scheduling
 /// cycle.
 pub struct RunningTasks<'a> {
     tasks_by_slot: Vec<Vec<RunningTask<'a>>>,
 }
 
 impl<'a> RunningTasks<'a> {
-    /// What the records assign to the usable machines of the inventory.
+    /// Collects the tasks that are assigned to the usable machines of the inventory.
     pub fn new(replica: &'a Replica, inventory: &Inventory) -> Self {
         let tasks_on = |slot: &Slot| {
             if !slot.usable {
@@ -102,7 +103,7 @@
     priority: Priority,
     size: Resources,
     guaranteed: &'a HashSet<String>,
-    chosen_before: &'a [Victim],
+    already_chosen: &'a [Victim],
     spare_gpu_jobs: bool,
 }
 
@@ -119,26 +120,29 @@
     tasks: Vec<Victim>,
 }
 
-/// Finds the machine on which the fewest tasks have to be stopped so that one task of the job fits,
-/// and these tasks. The job comes with its priority, or what it inherits.
+/// Finds the machine where one task of the job fits at the lowest total cost of stopped tasks, and
+/// these tasks. The job is given with its priority, including what it inherits. Tasks in
+/// `already_chosen` count as stopping; with `spare_gpu_jobs`, no task with GPUs is stopped.
 ///
-/// Lower priority may always be stopped; so may other teams' work beyond their guarantee for work
-/// within it, though not work of a higher priority: what runs above everything is not stopped for a
-/// guarantee. `guaranteed` names the jobs that are within their teams' guarantees. That a whole
-/// team is beyond is not enough: its oldest jobs are still within, and would be stopped in turns.
+/// Tasks of lower priority may always be stopped. For a job within its team's guarantee, tasks of
+/// other teams' jobs beyond their guarantees may be stopped too, unless their priority is higher: a
+/// guarantee does not override a higher priority. `guaranteed` contains the ids of all jobs within
+/// their teams' guarantees. It is not enough that a team as a whole exceeds its guarantee: its
+/// oldest jobs are still within it, and would be preempted and preempt others in turns.
 pub fn find_victims(
     running: &RunningTasks,
     inventory: &Inventory,
     (spec, priority): (&JobSpec, Priority),
     guaranteed: &HashSet<String>,
-    chosen_before: &[Victim],
+    already_chosen: &[Victim],
     spare_gpu_jobs: bool,
-    within: impl Fn(&Slot) -> bool,
+    slot_filter: impl Fn(&Slot) -> bool,
 ) -> Option<(Name, Vec<Victim>)> {
     let size = Resources::of_task(spec);
-    let search = Search { spec, priority, size, guaranteed, chosen_before, spare_gpu_jobs };
-    let suits =
-        |slot: &Slot| slot.usable && is_allowed_on(spec, slot) && within(slot) && size.fits(slot.capacity);
+    let search = Search { spec, priority, size, guaranteed, already_chosen, spare_gpu_jobs };
+    let suits = |slot: &Slot| {
+        slot.usable && is_allowed_on(spec, slot) && slot_filter(slot) && size.fits(slot.capacity)
+    };
     let mut best: Option<(&Name, Victims)> = None;
     for (slot, tasks) in inventory.slots.iter().zip(&running.tasks_by_slot).filter(|(slot, _)| suits(slot)) {
         if let Some(victims) = search.victims_on(slot, tasks)
@@ -151,12 +155,13 @@
 }
 
 impl Search<'_> {
-    /// The tasks to stop on a machine; `None` if the task does not fit nevertheless.
+    /// The tasks to stop on a machine; `None` if the new task does not fit even without them.
     fn victims_on(&self, slot: &Slot, tasks: &[RunningTask]) -> Option<Victims> {
         let mut free = slot.free();
         let mut candidates: Vec<Candidate> = Vec::new();
         for task in tasks {
-            // Capacity that is being freed already counts, so that it is not freed twice.
+            // Capacity of tasks that are already stopping counts as free, so that no others are
+            // stopped for it.
             if self.is_stopping(task) {
                 free = free.plus_scaled(Resources::of_task(task.spec), 1.0);
                 continue;
@@ -166,7 +171,8 @@
                 candidates.push(Candidate { priority, cost: task.preemption_cost(), task });
             }
         }
-        candidates.sort_by_key(|c| (c.priority, c.cost, c.task.assignment.task));
+        candidates
+            .sort_by_key(|candidate| (candidate.priority, candidate.cost, candidate.task.assignment.task));
         let mut victims = Victims { cost: 0, tasks: Vec::new() };
         for Candidate { cost, task, .. } in candidates {
             if self.size.fits(free) {
@@ -184,7 +190,7 @@
         let is_chosen = |victim: &Victim| {
             victim.job == *job_id && victim.task == assignment.task && victim.attempt == assignment.attempt
         };
-        self.chosen_before.iter().any(is_chosen) || !job.should_run(assignment)
+        self.already_chosen.iter().any(is_chosen) || !job.should_run(assignment)
     }
 
     fn may_stop(&self, task: &RunningTask, priority: Priority) -> bool {
@@ -197,7 +203,7 @@
     }
 }
 
-/// A task of the job's own team that may be stopped.
+/// A task of the same team that may be stopped.
 struct TeamCandidate<'a> {
     priority: Priority,
     job_id: &'a String,
@@ -205,9 +211,9 @@
     size: Resources,
 }
 
-/// Finds array tasks of lower priority of the job's own team that have to be stopped so that `tasks`
-/// tasks of the job fit into the team's quota. `None`: that is not enough, or what is being stopped
-/// already is.
+/// Finds array tasks of lower priority in the job's own team that have to be stopped so that
+/// `tasks` tasks of the job fit into the team's quota. `None` if stopping them does not free
+/// enough, or if no more tasks need to be stopped than are stopping already.
 pub fn find_victims_within_team(
     replica: &Replica,
     inventory: &Inventory,
@@ -220,7 +226,7 @@
     let team_usage = replica.team_usage.get(&spec.team).copied().unwrap_or_default();
     let mut free = team.limit().plus_scaled(team_usage.without_memory(), -1.0);
     let mut candidates: Vec<TeamCandidate> = Vec::new();
-    // Without `Replica::open_jobs`, whose iterator costs a fifth of this search.
+    // Does not use `Replica::open_jobs`: its iterator takes a fifth of the time of this search.
     for job_id in &replica.open_job_ids {
         let Some(job) = replica.jobs.get(job_id).map(|job| &job.value) else { continue };
         let Some(other) = job.spec.as_deref().filter(|other| other.team == spec.team) else { continue };
@@ -231,13 +237,14 @@
             if !job.should_run(assignment) {
                 free = free.plus_scaled(size, 1.0);
             } else if may_stop && inventory.find(&assignment.machine).is_some() {
-                // A machine that does not answer would not stop them soon.
+                // Only tasks on usable machines: a machine that does not answer would not stop its
+                // task soon.
                 candidates.push(TeamCandidate { priority: other_priority, job_id, assignment, size });
             }
         }
     }
-    // The tasks that started last lose least.
-    candidates.sort_by_key(|c| (c.priority, Reverse(c.assignment.attempt)));
+    // Tasks that started last lose the least progress.
+    candidates.sort_by_key(|candidate| (candidate.priority, Reverse(candidate.assignment.attempt)));
     let mut victims = Vec::new();
     for TeamCandidate { job_id, assignment, size, .. } in candidates {
         if required.fits(free) {
@@ -249,10 +256,10 @@
     (required.fits(free) && !victims.is_empty()).then_some(victims)
 }
 
-/// Marks a victim as to be stopped in its job's record; all of a gang stops together.
+/// Marks a victim to be stopped in the record of its job; all tasks of a gang are marked together.
 pub fn mark_to_stop(job: &mut JobRecord, victim: &Victim) {
-    // Only the leader knows whom the capacity is freed for; the scheduler of a shard would give it
-    // straight back to the victim.
+    // The leader has to place the job again: only the leader knows which job the capacity is freed
+    // for. The scheduler of the job's shard would give it back to the victim at once.
     job.shard = None;
     let is_gang = job.spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Gang);
     for assignment in &mut job.assignments {
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -1,5 +1,6 @@
-//! Controlled rescheduling: which service task should move to another machine. Evictions take place
-//! past a threshold only, and within a disruption budget.
+//! Rescheduling: which service tasks should move to other machines. The disruption budget limits
+//! how often a task of a service is evicted, and a crowded machine is left only if the difference
+//! in usage exceeds a threshold.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,17 +13,18 @@
 use crate::records::{Assignment, DesiredState, JobRecord, Name};
 use crate::replica::{Replica, Resources};
 
-/// When the rescheduler acts.
+/// The settings of the rescheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
     /// The time between two scans.
     pub scan_interval: Duration,
-    /// By how much the share that is used of a machine has to exceed that of another one.
+    /// By how much the used share of a machine has to exceed that of another one for a task to move
+    /// there.
     pub usage_threshold: f64,
-    /// The disruption budget: the time between two evictions of a service, before it is stretched by
-    /// [`refill_ms`].
+    /// The disruption budget: the least time between two evictions of a service, before
+    /// [`refill_ms`] lengthens it.
     pub eviction_interval: Duration,
-    /// For how long placement avoids the machine for the evicted service.
+    /// How long placement avoids the machine for the evicted service.
     pub avoid_duration: Duration,
 }
 
@@ -37,16 +39,16 @@
     }
 }
 
-/// A task to stop, so that it is placed anew.
+/// A task to stop so that it is placed on another machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Eviction {
     /// The id of its job.
     pub job: String,
     /// The number of the task.
     pub task: u32,
-    /// The machine that it leaves.
+    /// The machine that the task is evicted from.
     pub machine: Name,
-    /// Why, for the log.
+    /// The reason, for the log.
     pub reason: &'static str,
 }
 
@@ -54,12 +56,12 @@
 const REASON_CROWDED_MACHINE: &str = "crowded machine";
 const REASON_HOLDS_GPU_MACHINE: &str = "holds a machine with GPUs";
 
-/// Fewest tasks of a service that the rescheduler moves any of.
+/// The least number of tasks that a service needs to be rescheduled.
 const MIN_REPLICAS: u32 = 2;
 
-/// How long the budget of a service takes to refill, in milliseconds. Each refills on a clock of its
-/// own, so that evictions do not bunch: the interval is stretched by up to a quarter, by the job's
-/// id.
+/// How long the disruption budget of a service takes to refill, in milliseconds. The interval is
+/// lengthened by up to a quarter, depending on the job id, so that the evictions of different
+/// services do not coincide.
 pub fn refill_ms(id: &str, policy: &Policy) -> u64 {
     let interval_ms = policy.eviction_interval.as_millis() as u64;
     let id_hash = id.bytes().fold(7u64, |hash, byte| hash.wrapping_mul(31).wrapping_add(u64::from(byte)));
@@ -87,7 +89,8 @@
     evictions
 }
 
-/// Whether the job is a service of which all replicas are to run and whose budget has refilled.
+/// Whether the job is a service whose tasks are all assigned and meant to run, and whose disruption
+/// budget has refilled.
 fn may_evict(id: &str, job: &JobRecord, spec: &JobSpec, policy: &Policy, now_ms: u64) -> bool {
     spec.kind == JobKind::Service
         && spec.tasks >= MIN_REPLICAS
@@ -96,7 +99,7 @@
         && job.last_eviction_ms + refill_ms(id, policy) <= now_ms
 }
 
-/// What machines for a task depend on.
+/// The properties of a task that determine which machines it can use.
 #[derive(PartialEq)]
 struct TaskKind<'a> {
     size: Resources,
@@ -110,7 +113,7 @@
 struct LeastUsed<'a> {
     zone: &'a str,
     slot: usize,
-    /// The share that is used of it.
+    /// The used share of its capacity.
     usage: f64,
 }
 
@@ -127,13 +130,14 @@
     replica: &'a Replica,
     inventory: &'a Inventory,
     policy: &'a Policy,
-    /// What is in use of each slot, with the moves planned so far.
+    /// The resources in use on each slot, including the moves planned so far.
     planned_usage: Vec<Resources>,
-    /// The least used machines of each zone for the kinds of task seen since the last move.
+    /// The least used machine of each zone, for the kinds of tasks seen since the last planned
+    /// move.
     least_used: Vec<(TaskKind<'a>, Vec<LeastUsed<'a>>)>,
 }
 
-/// How many tasks of a service each zone has.
+/// The number of tasks of a service in each zone.
 type TasksByZone<'a> = HashMap<&'a str, u32>;
 
 impl<'a> Scan<'a> {
@@ -165,21 +169,21 @@
         self.planned_usage[slot].share_of(self.inventory.slots[slot].capacity)
     }
 
-    /// Whether a machine may be used for a further task of a job.
-    fn takes(&self, spec: &JobSpec, size: Resources, i: usize, slot: &Slot) -> bool {
+    /// Whether a further task of the job may be placed on a machine.
+    fn has_room_for(&self, spec: &JobSpec, size: Resources, i: usize, slot: &Slot) -> bool {
         let free = slot.capacity.plus_scaled(self.planned_usage[i], -1.0);
         slot.usable && size.fits(free) && is_allowed_on(spec, slot)
     }
 
-    /// A move of a task to the least used machine of a zone, for a better zone spread or off a
-    /// crowded machine.
+    /// A move of a task to the least used machine of a zone, to improve the zone spread or to leave
+    /// a crowded machine.
     fn move_to_least_used(
         &mut self,
         job: &'a JobRecord,
         spec: &'a JobSpec,
         tasks_by_zone: &TasksByZone,
     ) -> Option<Move<'a>> {
-        let kind = self.position_of_kind(spec);
+        let kind = self.kind_index(spec);
         let (_, least_used) = &self.least_used[kind];
         job.assignments.iter().find_map(|assignment| {
             let from = self.inventory.find(&assignment.machine)?;
@@ -202,8 +206,8 @@
         })
     }
 
-    /// The position in `least_used` of the kind of this job's tasks, which is added if it is missing.
-    fn position_of_kind(&mut self, spec: &'a JobSpec) -> usize {
+    /// The index in `least_used` of the kind of this job's tasks, which is added if it is missing.
+    fn kind_index(&mut self, spec: &'a JobSpec) -> usize {
         let size = Resources::of_task(spec);
         let kind = TaskKind { size, types: &spec.types, zone: &spec.zone, spot: spec.spot };
         let known = self.least_used.iter().position(|(other, _)| *other == kind);
@@ -215,12 +219,12 @@
     }
 
     /// The least used machine of each zone that a task of this kind fits on, in the order of the
-    /// zones. Machines with GPUs are left out for tasks that need none.
+    /// zone names. Machines with GPUs are left out for tasks that need none.
     fn least_used_machines(&self, spec: &JobSpec, size: Resources) -> Vec<LeastUsed<'a>> {
         let mut by_zone: BTreeMap<&str, LeastUsed> = BTreeMap::new();
         for (i, slot) in self.inventory.slots.iter().enumerate() {
             let has_unneeded_gpus = slot.capacity.gpus > 0.0 && spec.gpus == 0.0;
-            if has_unneeded_gpus || !self.takes(spec, size, i, slot) {
+            if has_unneeded_gpus || !self.has_room_for(spec, size, i, slot) {
                 continue;
             }
             let machine = LeastUsed { zone: &slot.zone, slot: i, usage: self.usage_of(i) };
@@ -232,9 +236,10 @@
         by_zone.into_values().collect()
     }
 
-    /// The move of a task that is on a machine with GPUs although there is capacity elsewhere, or on
-    /// such a machine that no GPU job could use: the task on the least used of those machines, so
-    /// that whole machines come free.
+    /// A move of a task that needs no GPU off a machine with GPUs that holds only services. The
+    /// destination has no GPUs, or is a more heavily used machine with GPUs where the task strands
+    /// no GPU tasks. The task on the least used machine moves first, so that whole machines become
+    /// free.
     fn move_off_gpus(
         &self,
         job: &'a JobRecord,
@@ -254,19 +259,19 @@
         let suits = |i: usize, slot: &Slot| {
             let keeps_spread =
                 *slot.zone == *from_zone || !spec.spread || tasks_in(tasks_by_zone, &slot.zone) < tasks_here;
-            let loses_no_gpu_slots =
+            let strands_no_gpu_tasks =
                 || stranded_gpu_tasks_at_usage(self.replica, spec, slot, self.planned_usage[i]) == 0;
             i != from
-                && self.takes(spec, size, i, slot)
+                && self.has_room_for(spec, size, i, slot)
                 && keeps_spread
                 && (slot.capacity.gpus == 0.0
-                    || (self.usage_of(i) > self.usage_of(from) && loses_no_gpu_slots()))
+                    || (self.usage_of(i) > self.usage_of(from) && strands_no_gpu_tasks()))
         };
         let (to, _) = inventory.slots.iter().enumerate().find(|(i, slot)| suits(*i, slot))?;
         Some(Move { assignment, from, to, reason: REASON_HOLDS_GPU_MACHINE })
     }
 
-    /// Whether nothing but services is on a machine.
+    /// Whether all tasks on a machine belong to services.
     fn has_only_services(&self, machine: &str) -> bool {
         let specs = self.replica.assignments(machine).filter_map(|(_, job, _)| job.spec.as_ref());
         specs.map(|spec| spec.kind).all(|kind| kind == JobKind::Service)
@@ -277,8 +282,8 @@
     tasks_by_zone.get(zone).copied().unwrap_or(0)
 }
 
-/// Changes the record of a job for an eviction: debits the disruption budget, avoids the machine and
-/// marks the task as to be stopped.
+/// Applies an eviction to the record of its job: debits the disruption budget, makes placement
+/// avoid the machine and marks the task to be stopped.
 pub fn evict(job: &mut JobRecord, eviction: &Eviction, policy: &Policy, now_ms: u64) {
     for assignment in &mut job.assignments {
         if assignment.task == eviction.task && assignment.machine == eviction.machine {
--- a/crates/sched/tests/unit/inventory.rs
+++ b/crates/sched/tests/unit/inventory.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use super::*;
-use crate::placement::alike::{Draw, site};
+use crate::placement::slot_classes::{Draw, site};
 use crate::placement::tests::{add_job, spec};
 use crate::records::{ClusterMap, JobRecord, Member, Phase};
 use crate::replica::RecordChange;
