--- a/crates/sched/src/placement/choice.rs
+++ b/crates/sched/src/placement/choice.rs
@@ -40,7 +40,7 @@
 struct RankBeforeSpread {
     is_avoided: bool,
     strands_gpu_tasks: bool,
-    /// The price of the machine if GPU tasks are stranded, otherwise 0.
+    /// The price per CPU if GPU tasks are stranded, otherwise 0.
     price_if_stranding: u64,
     has_unneeded_gpus: bool,
     is_on_demand: bool,
