--- a/crates/sched/src/autoscaling/planner.rs
+++ b/crates/sched/src/autoscaling/planner.rs
@@ -44,8 +44,8 @@
     gpu_spec: Option<&'a JobSpec>,
     is_blocked: F,
     /// The most machines of one offer to plan. The number of machines that an offer has is not
-    /// known, so one request's worth of each is planned at a time; otherwise a large array would plan the
-    /// cheapest offer without limit and leave nothing to the demands after it.
+    /// known, so one request's worth of each is planned at a time; otherwise a large array would
+    /// plan the cheapest offer without limit and leave nothing to the demands after it.
     max_per_offer: usize,
     /// The capacity that is up or expected, followed by that of the planned machines.
     pool: Vec<ExpectedCapacity>,
--- a/crates/sched/src/forecast.rs
+++ b/crates/sched/src/forecast.rs
@@ -42,7 +42,7 @@
 }
 
 /// The waiting jobs that will be ready at about the time when a machine requested now is up: the
-/// last tasks of all their dependencies are running and short enough.
+/// last tasks of all their dependencies are running, and take no longer than [`FORECAST_HORIZON`].
 pub fn next_pipeline_steps(replica: &Replica) -> impl Iterator<Item = &JobSpec> {
     let ends_soon = |id: &Name| replica.jobs.get(&**id).is_some_and(|job| ends_within_horizon(&job.value));
     let waiting = replica.pipelines.waiting().filter_map(|id| replica.jobs.get(&**id));
--- a/crates/sched/src/placement/choice.rs
+++ b/crates/sched/src/placement/choice.rs
@@ -93,7 +93,7 @@
     let Some(tasks_by_zone) = tasks_by_zone(&request) else { return Vec::new() };
     let size = Resources::of_task(request.spec);
     let ranker = Ranker { request, size, used_with_choices: HashMap::default() };
-    let mut chooser = Chooser { ranker, tasks_by_zone, best_by_zone: BTreeMap::new(), candidates };
+    let mut chooser = Chooser { ranker, tasks_by_zone, ranked_by_zone: BTreeMap::new(), candidates };
     chooser.rank_candidates();
     let mut choices = Vec::new();
     for &task in request.tasks {
@@ -126,7 +126,7 @@
     tasks_by_zone: HashMap<&'a str, u32>,
     /// The ranked machines of each zone, best first. The number of tasks of the job in the zone is
     /// not part of these ranks, because it changes for all machines of a zone at once.
-    best_by_zone: BTreeMap<&'a str, BinaryHeap<Reverse<Ranked>>>,
+    ranked_by_zone: BTreeMap<&'a str, BinaryHeap<Reverse<Ranked>>>,
     candidates: Candidates<'a>,
 }
 
@@ -142,8 +142,8 @@
         let slots: &'a [Slot] = &self.ranker.request.inventory.slots;
         for (slot, group) in first_of_groups {
             if let Some(rank) = self.ranker.rank(slot) {
-                let best = self.best_by_zone.entry(&*slots[slot].zone).or_default();
-                best.push(Reverse(Ranked { rank, group }));
+                let ranked = self.ranked_by_zone.entry(&*slots[slot].zone).or_default();
+                ranked.push(Reverse(Ranked { rank, group }));
             }
         }
     }
@@ -151,16 +151,16 @@
     /// Chooses the machine for the next task.
     fn choose_next(&mut self) -> Option<usize> {
         let zone = self.best_zone()?;
-        let best = self.best_by_zone.get_mut(zone)?;
-        let Reverse(Ranked { rank, group }) = best.pop()?;
+        let ranked = self.ranked_by_zone.get_mut(zone)?;
+        let Reverse(Ranked { rank, group }) = ranked.pop()?;
         let slot = rank.after_spread.slot;
         if let Some(next) = group.and_then(|group| self.candidates.next_in_group(group)) {
             let after_spread = RankAfterSpread { slot: next, ..rank.after_spread };
-            best.push(Reverse(Ranked { rank: Rank { after_spread, ..rank }, group }));
+            ranked.push(Reverse(Ranked { rank: Rank { after_spread, ..rank }, group }));
         }
         self.ranker.record_choice(slot);
         if let Some(rank) = self.ranker.rank(slot) {
-            best.push(Reverse(Ranked { rank, group: None }));
+            ranked.push(Reverse(Ranked { rank, group: None }));
         }
         *self.tasks_by_zone.entry(zone).or_default() += 1;
         Some(slot)
@@ -171,16 +171,17 @@
         let spec = self.ranker.request.spec;
         let limit = zone_limit(spec);
         let tasks_in = |zone: &str| self.tasks_by_zone.get(zone).copied().unwrap_or(0);
-        let ranks =
-            self.best_by_zone.iter().filter(|(zone, _)| tasks_in(zone) < limit).filter_map(|(zone, best)| {
-                let Reverse(Ranked { rank, .. }) = best.peek()?;
+        let ranks = self.ranked_by_zone.iter().filter(|(zone, _)| tasks_in(zone) < limit).filter_map(
+            |(zone, ranked)| {
+                let Reverse(Ranked { rank, .. }) = ranked.peek()?;
                 Some(ZoneRank {
                     before_spread: rank.before_spread,
                     tasks_in_zone: if spec.spread { tasks_in(zone) } else { 0 },
                     after_spread: rank.after_spread,
                     zone,
                 })
-            });
+            },
+        );
         ranks.min().map(|best| best.zone)
     }
 }
--- a/crates/sched/src/placement/image_fetch.rs
+++ b/crates/sched/src/placement/image_fetch.rs
@@ -86,8 +86,9 @@
     sets
 }
 
-/// Whether the fetch times of the image vary so much on new machines of a type that the tasks of a
-/// gang would not be ready within the time that they wait for one another.
+/// Whether new machines of a type fetch the image so slowly that the fetch times could differ by
+/// more than the time that the tasks of a gang wait for one another. A gang that fits on one
+/// machine needs one fetch only.
 pub fn image_fetch_too_slow(spec: &JobSpec, machine_type: &MachineType, gang_wait_s: f64) -> bool {
     let fetch_time = FetchTime::of(spec, machine_type.fetch_gb_per_s);
     spec.kind == JobKind::Gang
