--- a/crates/sched/src/autoscaling/planner.rs
+++ b/crates/sched/src/autoscaling/planner.rs
@@ -112,46 +112,46 @@
 
 impl<F: Fn(&MachineOffer) -> bool> Planner<'_, F> {
     fn plan_demand(&mut self, demand: &Demand) {
-        let mut open = OpenDemand::new(demand);
-        if open.spec.one_zone {
-            let zone_in_use = open.tasks_by_zone.keys().next().cloned();
-            open.fixed_zone =
+        let mut open_demand = OpenDemand::new(demand);
+        if open_demand.spec.one_zone {
+            let zone_in_use = open_demand.tasks_by_zone.keys().next().cloned();
+            open_demand.fixed_zone =
                 zone_in_use.or_else(|| best_zone(demand, &self.pool, &self.offers, &self.is_blocked));
         }
-        while open.remaining > 0 {
-            let found = self.find_capacity(&mut open).or_else(|| self.plan_machine(&open));
+        while open_demand.remaining > 0 {
+            let found = self.find_capacity(&mut open_demand).or_else(|| self.plan_machine(&open_demand));
             let Some(position) = found else { break };
-            self.use_capacity(position, &mut open);
+            self.use_capacity(position, &mut open_demand);
         }
     }
 
     /// The index in the pool of the capacity that the demand uses next; `None` if a machine should
     /// be requested, or no capacity is left.
-    fn find_capacity(&self, open: &mut OpenDemand) -> Option<usize> {
-        let mut position = open.next_well_suited;
-        while position < self.pool.len() && !self.is_well_suited_capacity(&self.pool[position], open) {
+    fn find_capacity(&self, open_demand: &mut OpenDemand) -> Option<usize> {
+        let mut position = open_demand.next_well_suited;
+        while position < self.pool.len() && !self.is_well_suited_capacity(&self.pool[position], open_demand) {
             position += 1;
         }
-        open.next_well_suited = position;
+        open_demand.next_well_suited = position;
         if position < self.pool.len() {
             return Some(position);
         }
         let is_well_suited_offer = |offer: &TypedOffer| {
-            open.is_well_suited(offer.machine_type.gpus) && self.suits_offer(offer, open)
+            open_demand.is_well_suited(offer.machine_type.gpus) && self.suits_offer(offer, open_demand)
         };
         if self.offers.iter().any(is_well_suited_offer) {
             return None;
         }
-        let mut position = open.next_suited;
-        while position < self.pool.len() && !self.suits_capacity(&self.pool[position], open) {
+        let mut position = open_demand.next_suited;
+        while position < self.pool.len() && !self.suits_capacity(&self.pool[position], open_demand) {
             position += 1;
         }
-        open.next_suited = position;
+        open_demand.next_suited = position;
         (position < self.pool.len()).then_some(position)
     }
 
-    fn is_well_suited_capacity(&self, capacity: &ExpectedCapacity, open: &OpenDemand) -> bool {
-        open.is_well_suited(capacity.gpus) && self.suits_capacity(capacity, open)
+    fn is_well_suited_capacity(&self, capacity: &ExpectedCapacity, open_demand: &OpenDemand) -> bool {
+        open_demand.is_well_suited(capacity.gpus) && self.suits_capacity(capacity, open_demand)
     }
 
     /// Whether capacity with this many GPUs is reserved for GPU jobs and must not be used by the
@@ -164,43 +164,44 @@
             && self.gpu_spec.is_none_or(|gpu_spec| is_allowed(gpu_spec, machine_type, zone, spot))
     }
 
-    fn suits_capacity(&self, capacity: &ExpectedCapacity, open: &OpenDemand) -> bool {
+    fn suits_capacity(&self, capacity: &ExpectedCapacity, open_demand: &OpenDemand) -> bool {
         let ExpectedCapacity { machine_type, zone, spot, free, .. } = capacity;
-        open.size.fits(*free)
-            && !open.demand.unsuitable_types.contains(machine_type)
-            && is_allowed(open.spec, machine_type, zone, *spot)
+        open_demand.size.fits(*free)
+            && !open_demand.demand.unsuitable_types.contains(machine_type)
+            && is_allowed(open_demand.spec, machine_type, zone, *spot)
             && !self.is_reserved_for_gpu_jobs(
-                open.spec,
+                open_demand.spec,
                 free.gpus,
                 MachineKind { machine_type, zone, spot: *spot },
             )
-            && open.may_use_zone(zone)
+            && open_demand.may_use_zone(zone)
     }
 
     fn suits_offer(
         &self,
         TypedOffer { offer, machine_type: offered_type }: &TypedOffer,
-        open: &OpenDemand,
+        open_demand: &OpenDemand,
     ) -> bool {
         let MachineOffer { machine_type, zone, spot } = offer;
-        is_allowed(open.spec, machine_type, zone, *spot)
-            && open.size.fits(Resources::of_type(offered_type))
-            && !open.demand.unsuitable_types.contains(machine_type)
+        is_allowed(open_demand.spec, machine_type, zone, *spot)
+            && open_demand.size.fits(Resources::of_type(offered_type))
+            && !open_demand.demand.unsuitable_types.contains(machine_type)
             && !self.is_reserved_for_gpu_jobs(
-                open.spec,
+                open_demand.spec,
                 offered_type.gpus,
                 MachineKind { machine_type, zone, spot: *spot },
             )
-            && open.may_use_zone(zone)
+            && open_demand.may_use_zone(zone)
             && self.planned_per_offer.get(offer).is_none_or(|planned| *planned < self.max_per_offer)
             && !(self.is_blocked)(offer)
     }
 
     /// Plans a machine of the best offer and returns its index in the pool; `None` if no offer
     /// suits.
-    fn plan_machine(&mut self, open: &OpenDemand) -> Option<usize> {
-        let suiting = self.offers.iter().filter(|offer| self.suits_offer(offer, open));
-        let best = suiting.min_by(|a, b| OfferRank::new(a, open).cmp(&OfferRank::new(b, open)))?;
+    fn plan_machine(&mut self, open_demand: &OpenDemand) -> Option<usize> {
+        let suiting = self.offers.iter().filter(|offer| self.suits_offer(offer, open_demand));
+        let best =
+            suiting.min_by(|a, b| OfferRank::new(a, open_demand).cmp(&OfferRank::new(b, open_demand)))?;
         let TypedOffer { offer, machine_type } = best;
         self.pool.push(ExpectedCapacity {
             machine_type: offer.machine_type.clone(),
@@ -216,27 +217,27 @@
     }
 
     /// Uses capacity in the pool for as many tasks of the demand as fit.
-    fn use_capacity(&mut self, position: usize, open: &mut OpenDemand) {
+    fn use_capacity(&mut self, position: usize, open_demand: &mut OpenDemand) {
         let capacity = &mut self.pool[position];
         let zone = capacity.zone.clone();
-        let tasks = open
+        let tasks = open_demand
             .size
             .count_fitting_in(capacity.free)
-            .min(open.remaining)
-            .min(open.zone_limit - open.tasks_in(&zone))
+            .min(open_demand.remaining)
+            .min(open_demand.zone_limit - open_demand.tasks_in(&zone))
             .max(1);
-        capacity.free = capacity.free.plus_scaled(open.size, -f64::from(tasks));
-        let served = tasks.min(open.remaining);
-        if !capacity.is_up && open.spec.kind == JobKind::Service && open.spec.gpus == 0.0 {
+        capacity.free = capacity.free.plus_scaled(open_demand.size, -f64::from(tasks));
+        let served = tasks.min(open_demand.remaining);
+        if !capacity.is_up && open_demand.spec.kind == JobKind::Service && open_demand.spec.gpus == 0.0 {
             // Services do not wait for a machine to boot: they use capacity of GPU machines that is
             // free now, which GPU jobs then cannot use.
-            take_from_gpu_machines(&mut self.pool, open.spec, served);
+            take_from_gpu_machines(&mut self.pool, open_demand.spec, served);
         }
-        *open.tasks_by_zone.entry(zone.clone()).or_default() += tasks;
-        if open.spec.one_zone {
-            open.fixed_zone = Some(zone);
+        *open_demand.tasks_by_zone.entry(zone.clone()).or_default() += tasks;
+        if open_demand.spec.one_zone {
+            open_demand.fixed_zone = Some(zone);
         }
-        open.remaining -= served;
+        open_demand.remaining -= served;
     }
 }
 
@@ -249,12 +250,12 @@
 }
 
 impl OfferRank {
-    fn new(offer: &TypedOffer, open: &OpenDemand) -> Self {
-        let spec = open.spec;
+    fn new(offer: &TypedOffer, open_demand: &OpenDemand) -> Self {
+        let spec = open_demand.spec;
         let capacity = Resources::of_type(offer.machine_type);
-        let tasks = open.size.count_fitting_in(capacity).min(open.remaining).max(1);
+        let tasks = open_demand.size.count_fitting_in(capacity).min(open_demand.remaining).max(1);
         Self {
-            tasks_in_zone: if spec.spread { open.tasks_in(&offer.offer.zone) } else { 0 },
+            tasks_in_zone: if spec.spread { open_demand.tasks_in(&offer.offer.zone) } else { 0 },
             has_unneeded_gpus: spec.gpus == 0.0 && offer.machine_type.gpus > 0.0,
             cost_per_task: offer.price() / f64::from(tasks),
         }
--- a/crates/sched/src/inventory.rs
+++ b/crates/sched/src/inventory.rs
@@ -250,45 +250,45 @@
     }
 
     /// Reserves `size` times `factor` on a machine; a negative factor releases it.
-    pub(crate) fn reserve_on_slot(&mut self, i: usize, size: Resources, factor: f64) {
-        let used = self.slots[i].used;
-        self.undo_log.push(UndoEntry { slot: i, used });
-        self.set_used(i, used.plus_scaled(size, factor));
+    pub(crate) fn reserve_on_slot(&mut self, index: usize, size: Resources, factor: f64) {
+        let used = self.slots[index].used;
+        self.undo_log.push(UndoEntry { slot: index, used });
+        self.set_used(index, used.plus_scaled(size, factor));
     }
 
     /// Reserves `size` times `factor` on each of the machines that is usable; a negative factor
     /// releases it. A machine that is listed several times is reserved on as many times.
     pub fn reserve(&mut self, machines: &[Name], size: Resources, factor: f64) {
         for machine in machines {
-            if let Some(i) = self.find(machine) {
-                self.reserve_on_slot(i, size, factor);
+            if let Some(index) = self.find(machine) {
+                self.reserve_on_slot(index, size, factor);
             }
         }
     }
 
-    fn set_used(&mut self, i: usize, used: Resources) {
-        let before = self.slots[i].class();
-        self.slots[i].used = used;
-        let after = self.slots[i].class();
-        if before != after && self.slots[i].usable {
-            self.remove_from_class(before, i);
-            self.slots_by_class.entry(after).or_default().insert(i);
+    fn set_used(&mut self, index: usize, used: Resources) {
+        let before = self.slots[index].class();
+        self.slots[index].used = used;
+        let after = self.slots[index].class();
+        if before != after && self.slots[index].usable {
+            self.remove_from_class(before, index);
+            self.slots_by_class.entry(after).or_default().insert(index);
         }
     }
 
-    fn set_usable(&mut self, i: usize, usable: bool) {
-        self.slots[i].usable = usable;
-        let class = self.slots[i].class();
+    fn set_usable(&mut self, index: usize, usable: bool) {
+        self.slots[index].usable = usable;
+        let class = self.slots[index].class();
         if usable {
-            self.slots_by_class.entry(class).or_default().insert(i);
+            self.slots_by_class.entry(class).or_default().insert(index);
         } else {
-            self.remove_from_class(class, i);
+            self.remove_from_class(class, index);
         }
     }
 
-    fn remove_from_class(&mut self, class: SlotClass, i: usize) {
+    fn remove_from_class(&mut self, class: SlotClass, index: usize) {
         if let Some(slots) = self.slots_by_class.get_mut(&class) {
-            slots.remove(&i);
+            slots.remove(&index);
             if slots.is_empty() {
                 self.slots_by_class.remove(&class);
             }
--- a/crates/sched/src/rescheduler.rs
+++ b/crates/sched/src/rescheduler.rs
@@ -170,8 +170,8 @@
     }
 
     /// Whether a further task of the job may be placed on a machine.
-    fn has_room_for(&self, spec: &JobSpec, size: Resources, i: usize, slot: &Slot) -> bool {
-        let free = slot.capacity.plus_scaled(self.planned_usage[i], -1.0);
+    fn has_room_for(&self, spec: &JobSpec, size: Resources, index: usize, slot: &Slot) -> bool {
+        let free = slot.capacity.plus_scaled(self.planned_usage[index], -1.0);
         slot.usable && size.fits(free) && is_allowed_on(spec, slot)
     }
 
