--- a/crates/sched/tests/unit/replica.rs
+++ b/crates/sched/tests/unit/replica.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::placement::tests::{add, replica_with, spec};
+use crate::placement::tests::{add_job, replica_with, spec};
 use crate::records::Phase;
 use wire::JobKind;
 
@@ -13,7 +13,7 @@
 #[test]
 fn machines_are_removed_by_the_fleet_record_in_any_order_of_changes() {
     let mut replica = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
-    add(&mut replica, spec("j-1", JobKind::Array, 1), &[(0, "a1")]);
+    add_job(&mut replica, spec("j-1", JobKind::Array, 1), &[(0, "a1")]);
     replica.apply(fleet_change(&["a1"]), 5);
     assert!(!replica.machines.contains_key("a1") && replica.machines.contains_key("a2"));
     assert!(replica.owner_of("a1").is_none() && replica.removed_machines.contains_key("a1"));
@@ -33,7 +33,7 @@
     replica.apply(RecordChange::Job("j-1".into(), None), 8);
     assert!(replica.machines_without_record.is_empty());
     // When the records are read again, a job may arrive before its machine.
-    add(&mut replica, spec("j-2", JobKind::Array, 1), &[(0, "a3")]);
+    add_job(&mut replica, spec("j-2", JobKind::Array, 1), &[(0, "a3")]);
     assert_eq!(replica.machines_without_record.len(), 1);
     let record = replica.machines["a2"].value.clone();
     replica.apply(RecordChange::Machine("a3".into(), Some(record)), 9);
