--- a/crates/daemon/src/scheduler/commands.rs
+++ b/crates/daemon/src/scheduler/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to workers, and the heartbeats that answer them.
+//! Sends commands to workers and records the heartbeats that they respond with.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,22 +15,22 @@
 /// How long a worker has to answer commands.
 const COMMANDS_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Sends commands to a worker, in a task of its own, and records the heartbeat that answers
-/// them.
+/// Sends commands to a worker in a separate async task, and records the heartbeat that it responds
+/// with.
 pub(super) fn send_commands(controller: &Arc<Controller>, outgoing: OutgoingCommands) {
     let controller = controller.clone();
     let task_tracker = controller.task_tracker.clone();
     task_tracker.spawn(async move {
         let OutgoingCommands { machine, address, commands } = outgoing;
         let token = FencingToken::from(commands.fencing_token);
-        let heartbeat = request_commands(&controller, &machine, &address, &commands).await;
+        let heartbeat = post_commands(&controller, &machine, &address, &commands).await;
         record_response(&mut controller.state(), &machine, token, heartbeat, clock::now());
         controller.wake_scheduler.notify_one();
     });
 }
 
-/// Sends commands to a worker. Returns the heartbeat that it answers with, if any.
-async fn request_commands(
+/// Posts commands to a worker. Returns the heartbeat in its response, if any.
+async fn post_commands(
     controller: &Controller,
     machine: &str,
     address: &str,
@@ -42,7 +42,8 @@
     let response =
         controller.worker_http.request(address, "POST", "/commands", body, max_bytes, COMMANDS_TIMEOUT).await;
     match response {
-        // A worker that has seen a later token answers with 409, and with its heartbeat, too.
+        // A worker that has seen a later token responds with status 409; that response has a
+        // heartbeat, too.
         Ok(response) if matches!(response.status, 200 | 409) => {
             wire::decode::<Heartbeat>(&response.body).ok()
         }
@@ -51,15 +52,15 @@
             None
         }
         Err(error) => {
-            debug!(machine, %error, "commands not answered");
+            debug!(machine, %error, "commands request failed");
             None
         }
     }
 }
 
-/// Records the outcome of commands: the heartbeat that answers them, if any. A heartbeat of
-/// another machine is none: an address may have become another machine's, whose status says
-/// nothing of the one that was meant.
+/// Records the outcome of commands: the heartbeat in the response, if any. A heartbeat of another
+/// machine counts as no response: the address may have been reassigned, and the status of its new
+/// machine says nothing about the intended one.
 pub(crate) fn record_response(
     state: &mut ControllerState,
     machine: &str,
--- a/crates/daemon/src/scheduler/commit.rs
+++ b/crates/daemon/src/scheduler/commit.rs
@@ -1,4 +1,4 @@
-//! The commit of a scheduling cycle, and what follows when it is refused.
+//! Commits a scheduling cycle and handles conflicts and failures of the commit.
 
 use std::mem::take;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::controller::Controller;
 use crate::load::{LoadCounters, Purpose};
 
-/// How long the loop waits after a conflict for the records that it conflicted with.
+/// How long to wait after a conflict until the replica has reached the conflicting revision.
 const CONFLICT_CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a transaction that failed for another reason than a conflict.
+/// Pause after a transaction that failed for a reason other than a conflict.
 const FAILED_COMMIT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Commits a cycle in one transaction, as far as the limits of one allow.
+/// Commits a cycle in one transaction. Jobs beyond the limits of a transaction are left out.
 pub(crate) async fn commit(controller: &Controller, cycle: SchedulingCycle) {
     let mut transaction = prepare(controller, &cycle);
     if transaction.writes.is_empty() {
@@ -56,7 +56,7 @@
     controller.wake_scheduler.notify_one();
 }
 
-/// Builds the transaction of a cycle and debits its writes.
+/// Builds the transaction of a cycle and debits its writes from the rate limiter.
 fn prepare(controller: &Controller, cycle: &SchedulingCycle) -> CycleTransaction {
     let mut state = controller.state();
     let max_jobs = if state.scheduling.writes_single_jobs(clock::now()) { 1 } else { usize::MAX };
@@ -68,8 +68,8 @@
     transaction
 }
 
-/// Applies what was committed to the replica, so that the next cycle need not wait for the
-/// change feed.
+/// Applies the committed records to the replica, so that the next cycle does not have to wait for
+/// the change feed.
 fn apply_committed(
     controller: &Controller,
     cycle: SchedulingCycle,
@@ -93,7 +93,8 @@
     }
 }
 
-/// Gives up the capacity that was to be freed by preemptions: nothing was stopped after all.
+/// Drops the reservations for the preemptions of this cycle: without the commit, no task is
+/// stopped.
 fn release_reservations(controller: &Controller, cycle: &SchedulingCycle) {
     let mut state = controller.state();
     for event in &cycle.events {
@@ -103,9 +104,9 @@
     }
 }
 
-/// Keeps the other jobs from waiting for one whose record the key-value store rejects though it
-/// keeps all known limits: for a while cycles write one job each, and the job that is rejected
-/// alone is held back.
+/// Handles a transaction that the key-value store rejects although it is within all known limits,
+/// so that one bad job record does not block the other jobs. Cycles write one job each for a while,
+/// and a job that is rejected on its own is held back.
 fn isolate_rejected_job(controller: &Controller, written_jobs: Vec<String>) {
     let mut state = controller.state();
     let now = clock::now();
--- a/crates/daemon/src/scheduler/cycle.rs
+++ b/crates/daemon/src/scheduler/cycle.rs
@@ -1,4 +1,4 @@
-//! What one scheduling cycle has decided so far.
+//! The decisions of one scheduling cycle, collected before they are committed.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Instant;
@@ -11,16 +11,16 @@
 
 use super::events::SchedulingEvent;
 
-/// When a cycle takes place, and what it may do.
+/// The time of a cycle and the limits that it has to keep.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CycleContext {
-    /// Changes that its transaction may hold. With 0, a cycle only sees to the workers.
+    /// Maximum number of changes in its transaction. With 0, the cycle only reconciles workers.
     pub(crate) max_changes: usize,
     /// The monotonic time.
     pub(crate) now: Instant,
     /// The wall-clock time, in milliseconds since the Unix epoch.
     pub(crate) now_ms: u64,
-    /// Whether the leader looks for replicas to evict.
+    /// Whether the leader runs the rescheduler, which looks for replicas to evict.
     pub(crate) runs_rescheduler: bool,
 }
 
@@ -47,7 +47,7 @@
     pub(crate) commands: Commands,
 }
 
-/// What one cycle wants to have done.
+/// The changes, commands and proofs that one cycle has decided on.
 #[derive(Default)]
 pub(crate) struct SchedulingCycle {
     /// The records of jobs as the cycle changes them, by job.
@@ -56,39 +56,41 @@
     pub(crate) teams: BTreeSet<String>,
     /// Jobs with new assignments.
     pub(crate) placed_jobs: BTreeSet<String>,
-    /// How often victims of a preemption were looked for.
+    /// Number of searches for preemption victims.
     pub(crate) victim_searches: u32,
-    /// Most jobs to change for the ends of their tasks.
+    /// Once this many jobs are changed, terminations in further jobs wait for a later cycle.
     pub(crate) max_jobs_with_terminations: usize,
-    /// Voluntary disruptions with their teams, by job. They are written with the job.
+    /// Voluntary disruptions and their teams, by job. Written in the same transaction as the job.
     pub(crate) disruptions: BTreeMap<String, (String, Disruption)>,
-    /// Whether new assignments are conditional on the cordons that they were decided by.
+    /// Whether new assignments are conditional on the cordon fence, so that a cordon which is
+    /// committed in the meantime makes the transaction fail.
     pub(crate) fences_cordons: bool,
     /// Jobs whose records must not be written in this cycle.
     pub(crate) jobs_on_hold: BTreeSet<String>,
-    /// Commands for workers. They do not wait for the commit.
+    /// Commands for workers, sent without waiting for the commit.
     pub(crate) commands: Vec<OutgoingCommands>,
-    /// Termination proofs for other controllers to write, by the controllers' names.
+    /// Termination proofs to forward to the schedulers of the jobs, by name of the controller.
     pub(crate) forwarded_proofs: HashMap<String, Vec<TerminationProof>>,
-    /// What is logged once the cycle is committed.
+    /// Events to log once the cycle is committed.
     pub(crate) events: Vec<SchedulingEvent>,
 }
 
 impl SchedulingCycle {
     /// The number of writes that its transaction will hold.
     pub(crate) fn write_count(&self) -> usize {
-        let disrupted: BTreeSet<&str> = self.disruptions.values().map(|(team, _)| team.as_str()).collect();
-        self.jobs.len() + self.teams.len() + disrupted.len()
+        let disrupted_teams: BTreeSet<&str> =
+            self.disruptions.values().map(|(team, _)| team.as_str()).collect();
+        self.jobs.len() + self.teams.len() + disrupted_teams.len()
     }
 
-    /// Whether the end of a task of this job has to wait for a later cycle.
-    pub(super) fn has_no_room_for_termination(&self, job: &str) -> bool {
+    /// Whether the termination of a task of this job has to wait for a later cycle.
+    pub(super) fn must_defer_termination(&self, job: &str) -> bool {
         self.jobs.len() >= self.max_jobs_with_terminations && !self.jobs.contains_key(job)
     }
 }
 
-/// The job's record as this cycle has it so far, to be changed. None: there is no such job, or
-/// it is on hold.
+/// The job's record as this cycle has changed it so far, for further changes. `None` if there is no
+/// such job, or if it is on hold.
 pub(crate) fn record_for_update<'a>(
     cycle: &'a mut SchedulingCycle,
     replica: &Replica,
--- a/crates/daemon/src/scheduler/decisions.rs
+++ b/crates/daemon/src/scheduler/decisions.rs
@@ -1,5 +1,5 @@
-//! The decisions of one scheduling cycle, in their order. No I/O: they change only the state of
-//! this controller.
+//! The decisions of one scheduling cycle, in order. There is no I/O: only the in-memory state of
+//! this controller changes.
 
 use sched::records::{JobRecord, Phase};
 
@@ -12,15 +12,15 @@
 use crate::controller::Controller;
 use crate::state::ControllerState;
 
-/// Decides what is to be done now. None: this controller is not live, or its records are being
-/// read again.
+/// Decides what to do in this cycle. Returns `None` if this controller is not live in the cluster
+/// map, or while its records are being reloaded.
 pub(crate) fn decide(
     controller: &Controller,
     state: &mut ControllerState,
     context: CycleContext,
 ) -> Option<SchedulingCycle> {
     if !state.records.is_loaded {
-        // The workers stay known: tokens that were given out to them still count.
+        // Keep the workers: the fencing tokens that were issued to them remain in effect.
         return None;
     }
     if !state.is_live(&controller.identity) {
@@ -29,8 +29,8 @@
     }
     let CycleContext { max_changes, now, now_ms, runs_rescheduler } = context;
     let mut cycle = SchedulingCycle {
-        // Terminations leave some of the transaction for placements: where tasks end all the
-        // time, nothing would ever take their place.
+        // Leave part of the transaction to placements. Otherwise a steady stream of terminations
+        // would keep new tasks from being placed.
         max_jobs_with_terminations: (max_changes * 2 / 3).max(1),
         fences_cordons: controller.operators.drains.enabled,
         ..SchedulingCycle::default()
@@ -38,9 +38,9 @@
     state.scheduling.expire(now);
     cycle.jobs_on_hold = state.scheduling.jobs_on_hold().cloned().collect();
     cancel_dependents(controller, state, &mut cycle, max_changes);
-    // Released machines come first: what was on them is bounded, and its jobs cannot go on
-    // elsewhere meanwhile. Behind the terminations of arrays, which come without end on a busy
-    // site, it would wait for minutes.
+    // Terminations on released machines come first: their number is bounded, and the affected jobs
+    // cannot be rescheduled before. Queued behind the endless terminations of arrays on a busy
+    // site, they would wait for minutes.
     terminate_on_released_machines(controller, state, &mut cycle, now_ms);
     reconcile_workers(controller, state, &mut cycle, context);
     if max_changes == 0 {
@@ -56,9 +56,9 @@
     Some(cycle)
 }
 
-/// Records that jobs are cancelled by a dependency. Users are told so from the records as they
-/// are; this frees what is kept of the jobs, a few in each cycle, and the scheduler of such a job
-/// goes on whenever it gets to it.
+/// Marks jobs as cancelled that depend on a cancelled job. Users see such jobs as cancelled
+/// already; this frees the data that is kept for them. Each scheduler does so for its own jobs, up
+/// to a limit per cycle.
 fn cancel_dependents(
     controller: &Controller,
     state: &ControllerState,
--- a/crates/daemon/src/scheduler/events.rs
+++ b/crates/daemon/src/scheduler/events.rs
@@ -11,7 +11,7 @@
 pub(crate) enum SchedulingEvent {
     /// Tasks of a job were assigned to machines.
     Placed { job: String, tasks: usize, attempt: u64 },
-    /// An assignment is over.
+    /// An assignment has ended.
     Terminated { job: String, task: u32, attempt: u64, reason: TerminationReason },
     /// A task is stopped to free capacity for the job `by`.
     Preempted { by: String, victim: Victim },
@@ -19,14 +19,14 @@
     Evicted(Eviction),
     /// A task is stopped because its spot machine was given notice.
     SpotNotice { job: String, task: u32, machine: Name },
-    /// A job that its shard cannot place is left to the leader.
+    /// A job that its shard cannot place is handed over to the leader.
     Escalated { job: String },
-    /// A job is cancelled because one that it depends on was.
+    /// A job is cancelled because a job that it depends on was cancelled.
     CancelledByDependency { job: String },
 }
 
 impl SchedulingEvent {
-    /// The job whose record is changed.
+    /// The job whose record the event changes.
     pub(crate) fn job(&self) -> &str {
         match self {
             Self::Placed { job, .. }
@@ -61,10 +61,10 @@
     }
 }
 
-/// Logs the events of a cycle: each on level debug, and the kinds that come by the hundred as
-/// one line with their number and a few names.
+/// Logs the events of a cycle: each one at debug level, and frequent kinds also as one info line
+/// with their count and a few names.
 pub(super) fn log_events<'a>(events: impl Iterator<Item = &'a SchedulingEvent>) {
-    let (mut lost, mut preempted, mut noticed) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut lost, mut preempted, mut spot_noticed) = (Vec::new(), Vec::new(), Vec::new());
     for event in events {
         event.log();
         match event {
@@ -74,11 +74,11 @@
             SchedulingEvent::Preempted { by, victim } => {
                 preempted.push(format!("{}/{} by {by}", victim.job, victim.task));
             }
-            SchedulingEvent::SpotNotice { job, task, .. } => noticed.push(format!("{job}/{task}")),
+            SchedulingEvent::SpotNotice { job, task, .. } => spot_noticed.push(format!("{job}/{task}")),
             _ => {}
         }
     }
-    let kinds = [(lost, "tasks lost"), (preempted, "preempted"), (noticed, "stopping on spot notice")];
+    let kinds = [(lost, "tasks lost"), (preempted, "preempted"), (spot_noticed, "stopping on spot notice")];
     for (tasks, message) in kinds.into_iter().filter(|(tasks, _)| !tasks.is_empty()) {
         info!(count = tasks.len(), tasks = sample_names(&tasks), "{message}");
     }
--- a/crates/daemon/src/scheduler/mod.rs
+++ b/crates/daemon/src/scheduler/mod.rs
@@ -1,8 +1,9 @@
-//! The scheduling loop. Each cycle decides what has ended, what starts where and what is
-//! preempted, and commits it in one transaction that is conditional on all that it was decided
-//! from.
+//! The scheduling loop. Each cycle decides which tasks have ended, which start on which machines
+//! and which are preempted. It commits these decisions in one transaction, conditional on the
+//! versions of the records that they are based on.
 //!
-//! [`run`] does the I/O; [`decide`] and what it calls change only the state of the controller.
+//! [`run`] does the I/O; [`decide`] and the functions that it calls only change the in-memory state
+//! of the controller.
 
 mod commands;
 mod commit;
--- a/crates/daemon/src/scheduler/placement/drain_holds.rs
+++ b/crates/daemon/src/scheduler/placement/drain_holds.rs
@@ -1,4 +1,4 @@
-//! Capacity that is held for the tasks that drains have stopped.
+//! Capacity that is held for tasks stopped by drains.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -8,8 +8,9 @@
 
 use crate::state::{CapacityHold, Reservation};
 
-/// Keeps the capacity that was found for what drains have stopped from all other jobs, and drops
-/// holds that are over. For a job in the queue, a hold becomes a reservation.
+/// Reserves the capacity that is held for tasks stopped by drains, so that no other job takes it.
+/// Drops holds that have expired or are no longer needed. The hold of a queued job becomes a
+/// reservation.
 pub(super) fn reserve_held_capacity(
     replica: &Replica,
     inventory: &mut Inventory,
--- a/crates/daemon/src/scheduler/placement/gang_capacity.rs
+++ b/crates/daemon/src/scheduler/placement/gang_capacity.rs
@@ -1,16 +1,17 @@
-//! Capacity that is collected for the gangs that have waited longest.
+//! Competition with the gangs that have waited longest, for which the leader collects capacity.
 
 use sched::placement::{competes_for_capacity, longest_waiting};
 use sched::replica::Replica;
 use wire::JobSpec;
 
-/// Whether capacity that the job could take is collected for a gang that has waited longer. Only
-/// the leader, who collects it, then places such a job.
+/// Whether the job competes for capacity that is collected for a gang that has waited longer. Such
+/// a job is placed only by the leader, which collects the capacity.
 pub(crate) fn capacity_is_collected_for(replica: &Replica, spec: &JobSpec, now_ms: u64) -> bool {
     competes_with_any(replica, spec, longest_waiting(replica, now_ms).into_iter())
 }
 
-/// Whether the job could take capacity that one of these gangs needs, and comes after it.
+/// Whether the job could take capacity that one of these gangs needs, and the gang has at least its
+/// priority.
 pub(super) fn competes_with_any<'a>(
     replica: &Replica,
     spec: &JobSpec,
--- a/crates/daemon/src/scheduler/placement/mod.rs
+++ b/crates/daemon/src/scheduler/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Placement: which pending jobs start in a cycle, and what is preempted for them.
+//! Placement: which pending jobs start in a cycle, and which tasks are preempted for them.
 
 mod drain_holds;
 mod gang_capacity;
@@ -24,8 +24,8 @@
 use queue::{QueueOrder, pending_jobs};
 use quota_claims::quota_claims;
 
-/// Places pending jobs, in the order of priority, guaranteed quota and age, and preempts others
-/// for those that find no capacity.
+/// Places pending jobs in the order of priority, guaranteed quota and age, and preempts other tasks
+/// for jobs that find no capacity.
 pub(super) fn place_pending_jobs(
     controller: &Controller,
     state: &mut ControllerState,
@@ -44,7 +44,7 @@
     state.scheduling.inventory = inventory;
 }
 
-/// Places the jobs of the queue on the inventory.
+/// Places the jobs of the queue on the machines of the inventory.
 fn place_queue(
     controller: &Controller,
     state: &mut ControllerState,
--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -16,10 +16,10 @@
 use crate::scheduler::events::SchedulingEvent;
 use crate::state::{Reservation, SchedulingState};
 
-/// Most bytes that a gang's record has for each of its tasks.
+/// Maximum size of the record of a gang per task, in bytes.
 const MAX_GANG_TASK_BYTES: f64 = 5.0;
 
-/// What a pass reads and changes.
+/// A pass over the queue: its inputs and the state that it changes.
 pub(super) struct PlacementPass<'a, 'r> {
     pub(super) controller: &'a Controller,
     pub(super) replica: &'r Replica,
@@ -28,16 +28,16 @@
     pub(super) context: CycleContext,
     /// Whether this controller is the leader, which places jobs on machines of all shards.
     pub(super) is_leader: bool,
-    /// Quota that services and gangs wait for.
+    /// Team quota that services and gangs wait for.
     pub(super) quota_claims: Vec<QuotaClaim>,
     /// The gangs that have waited longest, for which capacity is collected.
     pub(super) longest_waiting: HashSet<&'r str>,
-    /// What is remembered from one cycle to the next.
+    /// State that is kept from one cycle to the next.
     pub(super) scheduling: &'a mut SchedulingState,
-    /// All running tasks, once victims were looked for.
+    /// All running tasks; collected by the first search for victims.
     pub(super) running: Option<Running<'r>>,
-    /// Services to be expected with their tasks, until capacity is reserved for them: they are to
-    /// start within seconds, on capacity that is there.
+    /// Forecast service tasks as a spec and a count, until capacity is reserved for them: services
+    /// have to start within seconds and so depend on capacity that already exists.
     pub(super) expected_services: Option<(JobSpec, u32)>,
 }
 
@@ -47,35 +47,37 @@
     pub(super) spec: &'a JobSpec,
     pub(super) team: &'a Team,
     pub(super) priority: Priority,
-    /// What one task takes.
+    /// The resources that one task takes.
     pub(super) size: Resources,
-    /// Whether the job belongs to this controller's shard, and so goes on its machines only.
+    /// Whether the job belongs to this controller's shard and so may only be placed on its
+    /// machines.
     pub(super) is_in_shard: bool,
 }
 
-/// The outcome of looking for machines.
+/// The outcome of a search for machines.
 struct PlacementAttempt {
-    /// The new assignments; none if there is no capacity.
+    /// The new assignments; empty if there is no capacity.
     assignments: Vec<Assignment>,
-    /// Whether the capacity of GPU jobs may be taken.
+    /// Whether preemption may use capacity that GPU jobs use or could use.
     may_displace_gpu_jobs: bool,
 }
 
 impl PlacementPass<'_, '_> {
-    /// Places a job, or preempts or collects capacity for it.
+    /// Places a job. If there is no capacity, preempts tasks or collects capacity for it, or hands
+    /// it over to the leader.
     pub(super) fn place_job(&mut self, id: String) {
         let replica = self.replica;
-        let Some(known) = self.cycle.jobs.get(&id).or_else(|| replica.jobs.get(&id).map(|job| &job.value))
+        let Some(current) = self.cycle.jobs.get(&id).or_else(|| replica.jobs.get(&id).map(|job| &job.value))
         else {
             return;
         };
-        let Some(spec) = known.spec.as_deref() else { return };
+        let Some(spec) = current.spec.as_deref() else { return };
         let controller = self.controller;
         let Some(team) = controller.team(&spec.team) else { return };
         if !self.may_write(&id, spec) {
             return;
         }
-        let mut job = known.clone();
+        let mut job = current.clone();
         let spec = spec.clone();
         let candidate = Candidate {
             id: &id,
@@ -103,22 +105,22 @@
         }
     }
 
-    /// Whether the cycle's transaction has room for the job. One that is written in this cycle
-    /// anyway costs no further change.
+    /// Whether the cycle's transaction has room for the job. A job that is written in this cycle
+    /// anyway needs no further write.
     fn may_write(&self, id: &str, spec: &JobSpec) -> bool {
         let writes = usize::from(!self.cycle.jobs.contains_key(id))
             + usize::from(!self.cycle.teams.contains(&spec.team));
         self.cycle.write_count() + writes <= self.context.max_changes
     }
 
-    /// Leaves a job that its shard cannot place to the leader.
+    /// Hands a job that its shard cannot place over to the leader.
     fn escalate(&mut self, id: String, mut job: Box<JobRecord>) {
         job.shard = None;
         self.cycle.events.push(SchedulingEvent::Escalated { job: id.clone() });
         self.cycle.jobs.insert(id, job);
     }
 
-    /// Reserves capacity for expected services before the first job that is none.
+    /// Reserves capacity for expected services before the first job that is not a service.
     fn reserve_for_expected_services(&mut self, next: &JobSpec) {
         if next.kind == JobKind::Service {
             return;
@@ -129,7 +131,7 @@
         self.inventory.reserve(&machines, Resources::of_task(&service), 1.0);
     }
 
-    /// Looks for machines. `reserved`: the capacity that was freed for the job.
+    /// Finds machines for a job. `reserved`: the machines on which capacity was freed for it.
     fn find_machines(
         &mut self,
         candidate: &Candidate,
@@ -151,7 +153,7 @@
         PlacementAttempt { assignments, may_displace_gpu_jobs: candidate.spec.gpus > 0.0 }
     }
 
-    /// Places a job on free capacity, beside the quota that others claim.
+    /// Places a job on free capacity, without using quota that other jobs claim.
     fn place_within_claims(
         &mut self,
         candidate: &Candidate,
@@ -161,21 +163,21 @@
         let Candidate { spec, team, is_in_shard, .. } = *candidate;
         let claimed = self.quota_claimed_against(candidate, job);
         claim_quota(self.inventory, &spec.team, claimed);
-        // What the leader collects capacity for comes first.
+        // Gangs that the leader collects capacity for come first.
         let gangs = self.longest_waiting.iter().copied();
         let assignments = if is_in_shard && competes_with_any(self.replica, spec, gangs) {
             Vec::new()
         } else {
-            let may_use = self.usable_slots(candidate);
+            let may_use = self.slot_filter(candidate);
             placement::place(self.replica, self.inventory, job, team, may_use, limits)
         };
         release_quota(self.inventory, &spec.team, claimed);
         assignments
     }
 
-    /// Places a service that finds no other capacity. It takes, in this order: capacity that was
-    /// freed for it, that of array tasks, that which GPU jobs could use, and at last that of a GPU
-    /// job.
+    /// Places a service that has not found free capacity beside that of GPU jobs. The order of
+    /// preference is: capacity that was freed for it, capacity of array tasks (by preemption), free
+    /// capacity that GPU jobs could use, and capacity of GPU jobs (by preemption).
     fn place_service_anywhere(
         &mut self,
         candidate: &Candidate,
@@ -188,33 +190,33 @@
         let mut assignments = Vec::new();
         if !reserved.is_empty() {
             assignments = placement::place_at(self.replica, self.inventory, job, team, reserved, limits);
-        } else if !self.arrays_could_make_way(candidate) {
-            let may_use = self.usable_slots(candidate);
+        } else if !self.could_preempt_arrays(candidate) {
+            let may_use = self.slot_filter(candidate);
             assignments = placement::place(self.replica, self.inventory, job, team, may_use, limits);
             may_displace_gpu_jobs = assignments.is_empty();
         }
         PlacementAttempt { assignments, may_displace_gpu_jobs }
     }
 
-    /// Tells on which machines the job may be placed.
-    fn usable_slots(&self, candidate: &Candidate) -> impl Fn(&Slot) -> bool + use<> {
+    /// The predicate for the machines that the job may be placed on.
+    fn slot_filter(&self, candidate: &Candidate) -> impl Fn(&Slot) -> bool + use<> {
         let all_shards = self.is_leader && !candidate.is_in_shard;
-        let me = self.controller.identity.incarnation;
-        move |slot| all_shards || slot.owner == me
+        let own_incarnation = self.controller.identity.incarnation;
+        move |slot| all_shards || slot.owner == own_incarnation
     }
 
-    /// The part of its team's quota that others claim against an array.
+    /// The team quota that other jobs claim against this job; none unless it is an array.
     fn quota_claimed_against(&self, candidate: &Candidate, job: &JobRecord) -> Resources {
         if candidate.spec.kind != JobKind::Array {
             return Resources::default();
         }
         let is_pressing = placement::is_deadline_pressing(job, self.context.now_ms);
-        let holds = |claim: &&QuotaClaim| {
+        let applies = |claim: &&QuotaClaim| {
             claim.team == candidate.spec.team
                 && claim.priority >= candidate.priority
                 && !(claim.is_gang && is_pressing)
         };
-        let claims = self.quota_claims.iter().filter(holds);
+        let claims = self.quota_claims.iter().filter(applies);
         claims.fold(Resources::default(), |sum, claim| sum.plus_scaled(claim.amount, 1.0))
     }
 
@@ -224,18 +226,18 @@
         if spec.kind == JobKind::Gang && !may_be_stored(self.controller, id, &job) {
             info!(job = id, "gang record too large until all controllers are upgraded; backing off");
             self.scheduling.hold_back(id.to_owned(), self.context.now);
-            // Nobody else is to wait for capacity that the gang cannot take.
-            self.undo(spec, &assignments);
+            // The gang cannot use the capacity, so free it for other jobs.
+            self.discard(spec, &assignments);
             return;
         }
         let (tasks, attempt) = (assignments.len(), job.attempt);
         self.cycle.events.push(SchedulingEvent::Placed { job: id.to_owned(), tasks, attempt });
         self.cycle.teams.insert(spec.team.clone());
         self.cycle.placed_jobs.insert(id.to_owned());
-        // The rest of what was freed for the job stays reserved: given to others, it would be
-        // freed again and again (recorded: a task was preempted eight times).
+        // Keep the rest of the capacity that was freed for the job reserved. If other jobs took it,
+        // it would have to be freed again and again (one task was preempted eight times this way).
         if let Some(Reservation { machines, until }) = self.scheduling.reservations.remove(id) {
-            let machines = still_reserved(machines, &assignments, pending_task_count(&job));
+            let machines = remaining_reservation(machines, &assignments, pending_task_count(&job));
             if !machines.is_empty() {
                 self.inventory.reserve(&machines, size, 1.0);
                 let rest = Reservation { machines, until };
@@ -245,8 +247,8 @@
         self.cycle.jobs.insert(id.to_owned(), job);
     }
 
-    /// Frees the capacity and quota of assignments that are not to be.
-    fn undo(&mut self, spec: &JobSpec, assignments: &[Assignment]) {
+    /// Frees the capacity and quota of assignments that are discarded.
+    fn discard(&mut self, spec: &JobSpec, assignments: &[Assignment]) {
         let size = Resources::of_task(spec);
         let machines: Vec<Name> = assignments.iter().map(|a| a.machine.clone()).collect();
         self.inventory.reserve(&machines, size, -1.0);
@@ -255,8 +257,8 @@
         }
     }
 
-    /// Reserves free capacity for a gang that has waited long until the rest is free, too: it
-    /// would never start if smaller jobs took all that comes free.
+    /// Reserves free capacity for a gang that has waited long, until there is enough for all its
+    /// tasks. If smaller jobs took all capacity that becomes free, the gang would never start.
     fn collect_capacity(&mut self, candidate: &Candidate) {
         let Candidate { id, spec, team, size, .. } = *candidate;
         if !self.longest_waiting.contains(id) || self.scheduling.reservations.contains_key(id) {
@@ -267,9 +269,10 @@
         if size.count_fitting_in(quota) < spec.tasks {
             return;
         }
-        let (is_leader, me) = (self.is_leader, self.controller.identity.incarnation);
-        let machines =
-            placement::collectable_capacity(self.inventory, spec, |slot| is_leader || slot.owner == me);
+        let (is_leader, own_incarnation) = (self.is_leader, self.controller.identity.incarnation);
+        let machines = placement::collectable_capacity(self.inventory, spec, |slot| {
+            is_leader || slot.owner == own_incarnation
+        });
         self.inventory.reserve(&machines, size, 1.0);
     }
 }
@@ -277,15 +280,19 @@
 /// Whether a gang's record fits into a value, or may be stored in chunks.
 fn may_be_stored(controller: &Controller, id: &str, job: &JobRecord) -> bool {
     let limits = controller.state_limits();
-    // With fewer assignments it surely fits, and need not be encoded.
-    let surely_fitting = (limits.value_bytes / MAX_GANG_TASK_BYTES) as usize / 2;
+    // A record with fewer assignments certainly fits and does not have to be encoded.
+    let certainly_fitting = (limits.value_bytes / MAX_GANG_TASK_BYTES) as usize / 2;
     limits.chunked
-        || job.assignments.len() < surely_fitting
+        || job.assignments.len() < certainly_fitting
         || KeyWrite::new(key::job(id), job).value_len() as f64 <= limits.value_bytes
 }
 
-/// The machines that stay reserved for a job of which some tasks were placed.
-pub(super) fn still_reserved(mut machines: Vec<Name>, placed: &[Assignment], pending: u32) -> Vec<Name> {
+/// The machines that stay reserved for a job after some of its tasks were placed.
+pub(super) fn remaining_reservation(
+    mut machines: Vec<Name>,
+    placed: &[Assignment],
+    pending: u32,
+) -> Vec<Name> {
     for assignment in placed {
         if let Some(i) = machines.iter().position(|machine| *machine == assignment.machine) {
             machines.swap_remove(i);
--- a/crates/daemon/src/scheduler/placement/preemption.rs
+++ b/crates/daemon/src/scheduler/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: tasks that are stopped to free capacity or quota for a job.
+//! Preemption: stops tasks to free capacity or quota for a job.
 
 use std::time::{Duration, Instant};
 
@@ -13,35 +13,35 @@
 use crate::scheduler::events::SchedulingEvent;
 use crate::state::Reservation;
 
-/// Most tasks of an array or service that capacity is freed for at a time.
+/// Maximum number of tasks of an array or service that capacity is freed for at a time.
 const MAX_TASKS_PER_PREEMPTION: u32 = 4;
-/// Least time between two searches for victims for a gang; for other jobs a third of it.
+/// Minimum time between two searches for victims for the same gang; for other jobs a third of it.
 pub(super) const VICTIM_SEARCH_INTERVAL: Duration = Duration::from_millis(900);
-/// Most searches for victims among all running tasks in one cycle: when hundreds of jobs wait,
-/// a search for each would take up the whole processor.
+/// Maximum number of searches for victims in one cycle. Each goes through all running tasks: with
+/// hundreds of pending jobs, a search for each would use up the whole processor.
 const MAX_VICTIM_SEARCHES: u32 = 16;
-/// Longest time that capacity is reserved for victims to save their checkpoints, in seconds.
+/// Maximum time that capacity stays reserved while victims save their checkpoints, in seconds.
 const MAX_CHECKPOINT_SAVE_S: f64 = 600.0;
-/// How long capacity is reserved beyond the time that its victims need to save.
+/// How long capacity stays reserved beyond the time that its victims need to save checkpoints.
 const RESERVATION_PERIOD: Duration = Duration::from_millis(1800);
-/// How long the tasks of a pipeline's arrays wait for capacity that comes free by itself, if
-/// there is time, in milliseconds: where hundreds run, some end every second, and what is
-/// preempted has to be done again.
-pub(super) const MAX_PATIENCE_MS: u64 = 3000;
-/// Least time to the latest start of a job that waits so, in milliseconds.
-const MIN_SLACK_MS: u64 = 15_000;
+/// How long an array in a pipeline waits for capacity to become free before it preempts, if its
+/// deadline permits, in milliseconds. Where hundreds of tasks run, some end every second, and
+/// preempted work has to be repeated.
+pub(super) const MAX_PREEMPTION_DELAY_MS: u64 = 3000;
+/// Minimum time left until the latest start of a job that delays preemption, in milliseconds.
+const MIN_TIME_TO_LATEST_START_MS: u64 = 15_000;
 
 /// Capacity that is freed by preempting tasks.
 struct FreedCapacity {
-    /// The machines, each as often as it is to hold a task; none if only quota is freed.
+    /// The machines, one entry for each task to be placed; empty if only quota is freed.
     machines: Vec<Name>,
     victims: Vec<Victim>,
 }
 
 impl PlacementPass<'_, '_> {
-    /// Whether a service would find capacity by preempting arrays where GPU jobs lose none. Not
-    /// looked for any more after many searches in one cycle.
-    pub(super) fn arrays_could_make_way(&mut self, candidate: &Candidate) -> bool {
+    /// Whether preempting arrays would free capacity for a service without taking any from GPU
+    /// jobs. `false` without a search once the cycle has made the maximum number of searches.
+    pub(super) fn could_preempt_arrays(&mut self, candidate: &Candidate) -> bool {
         if self.cycle.victim_searches >= MAX_VICTIM_SEARCHES {
             return false;
         }
@@ -49,7 +49,7 @@
         self.find_victims_on_machine(candidate, &[], false).is_some()
     }
 
-    /// Preempts tasks so that the job, or the first tasks of it, will fit.
+    /// Preempts tasks so that the job, or at least its first tasks, will fit.
     pub(super) fn preempt_for(
         &mut self,
         candidate: &Candidate,
@@ -61,7 +61,7 @@
             return;
         }
         self.scheduling.last_victim_search.insert(id.to_owned(), self.context.now);
-        // A gang needs capacity for all its tasks; others start as it is freed.
+        // A gang needs capacity for all its tasks; other jobs start tasks as capacity is freed.
         let tasks = if spec.kind == JobKind::Gang {
             spec.tasks
         } else {
@@ -78,8 +78,8 @@
         }
     }
 
-    /// How long the victims may take to save their checkpoints, in seconds. Where only quota is
-    /// freed, no machine is waited for.
+    /// The longest time that a victim may take to save its checkpoint, in seconds; 0 if only quota
+    /// is freed, since no machine has to be waited for.
     fn checkpoint_save_s(&self, freed: &FreedCapacity) -> f64 {
         if freed.machines.is_empty() {
             return 0.0;
@@ -91,8 +91,8 @@
         freed.victims.iter().map(save_s).fold(0.0, f64::max).min(MAX_CHECKPOINT_SAVE_S)
     }
 
-    /// Whether victims may be looked for. A search among all running tasks is expensive, and one
-    /// that has found nothing just now finds nothing yet.
+    /// Whether to search for victims. A search through all running tasks is expensive, and soon
+    /// after a search without a result the next one has none either.
     fn may_search_victims(&self, candidate: &Candidate, job: &JobRecord) -> bool {
         let (now, now_ms) = (self.context.now, self.context.now_ms);
         let is_gang = candidate.spec.kind == JobKind::Gang;
@@ -100,13 +100,13 @@
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) < interval;
         retry_at_ms(job) <= now_ms
             && (!is_gang || job.assignments.is_empty())
-            && !is_patient(job, now_ms)
+            && !delays_preemption(job, now_ms)
             && self.cycle.victim_searches < MAX_VICTIM_SEARCHES
             && !self.scheduling.last_victim_search.get(candidate.id).is_some_and(is_recent)
     }
 
-    /// What to preempt for so many tasks: of the job's own team if its quota is used up, else
-    /// wherever the tasks fit. The capacity is reserved on the inventory.
+    /// Finds victims to make room for this many tasks: in the team of the job if its quota is used
+    /// up, else on any machine where the tasks fit. Reserves the freed capacity in the inventory.
     fn find_victims(
         &mut self,
         candidate: &Candidate,
@@ -139,7 +139,8 @@
         Some(freed)
     }
 
-    /// A machine with victims in whose place one task fits, beside those that are chosen already.
+    /// Finds a machine and the victims on it that make room for one task, in addition to the
+    /// victims that are already chosen.
     fn find_victims_on_machine(
         &mut self,
         candidate: &Candidate,
@@ -161,13 +162,14 @@
     }
 }
 
-/// Whether an array's job waits for capacity that comes free by itself.
-pub(super) fn is_patient(job: &JobRecord, now_ms: u64) -> bool {
-    // A job whose priority is its own does not wait: it is what its user cares about.
+/// Whether an array waits for capacity to become free instead of preempting tasks.
+pub(super) fn delays_preemption(job: &JobRecord, now_ms: u64) -> bool {
+    // A job that has not inherited its priority does not wait: its user wants the result of this
+    // very job.
     let inherits_priority =
         |spec: &JobSpec| spec.kind == JobKind::Array && job.priority() > Some(spec.priority);
     job.spec.as_deref().is_some_and(inherits_priority)
         && job.in_pipeline()
-        && now_ms.saturating_sub(job.submitted_ms) < MAX_PATIENCE_MS
-        && job.latest_start_ms().is_some_and(|latest_ms| latest_ms > now_ms + MIN_SLACK_MS)
+        && now_ms.saturating_sub(job.submitted_ms) < MAX_PREEMPTION_DELAY_MS
+        && job.latest_start_ms().is_some_and(|latest_ms| latest_ms > now_ms + MIN_TIME_TO_LATEST_START_MS)
 }
--- a/crates/daemon/src/scheduler/placement/queue.rs
+++ b/crates/daemon/src/scheduler/placement/queue.rs
@@ -1,4 +1,4 @@
-//! Which jobs wait for placement here, and in which order they are served.
+//! The placement queue: the pending jobs that this controller schedules, and their order.
 
 use std::cmp::Ordering;
 
@@ -27,7 +27,7 @@
     replica.open_jobs().filter(is_pending).map(|(id, _)| id.clone()).collect()
 }
 
-/// What the order of the queue depends on beside the jobs' records.
+/// The inputs for the order of the queue, apart from the records of the jobs.
 pub(super) struct QueueOrder<'a> {
     pub(super) controller: &'a Controller,
     pub(super) replica: &'a Replica,
@@ -53,7 +53,7 @@
 }
 
 impl<'a> QueueOrder<'a> {
-    /// The queue in the order in which it is served. Jobs without a record are dropped.
+    /// Sorts the queue into the order of placement. Jobs without a record are dropped.
     pub(super) fn sort(&self, queue: Vec<String>) -> Vec<String> {
         let mut jobs: Vec<QueuedJob> = queue.into_iter().filter_map(|id| self.queued_job(id)).collect();
         jobs.sort_by(QueuedJob::order);
--- a/crates/daemon/src/scheduler/placement/quota_claims.rs
+++ b/crates/daemon/src/scheduler/placement/quota_claims.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::scheduler::SchedulingCycle;
 
-/// A part of its team's quota that a service or a gang waits for.
+/// Team quota that a service or a gang waits for.
 pub(super) struct QuotaClaim {
     /// The team's name.
     pub(super) team: String,
@@ -17,7 +17,7 @@
     pub(super) is_gang: bool,
     /// The job's priority.
     pub(super) priority: Priority,
-    /// What is claimed.
+    /// The resources that are claimed.
     pub(super) amount: Resources,
 }
 
@@ -38,14 +38,14 @@
     }
 }
 
-/// The parts of their teams' quotas that services and gangs wait for. They are kept from arrays,
-/// whose small tasks would take them piece by piece, for as long as one of them lasts.
+/// The team quota that pending services and gangs wait for. Arrays must not use it: their small
+/// tasks would take it piece by piece for as long as the array runs.
 ///
-/// A gang's claim does not hold against an array whose own deadline is pressing. No claim holds
-/// against a job of higher priority: what an array has preempted would claim the capacity that
-/// was freed, be placed there and be preempted again, without end. Nor is more claimed than
-/// arrays could ever leave: replicas end with their jobs only, and a gang that does not fit
-/// beside them would keep arrays out of the rest for good.
+/// A gang's claim does not apply to an array whose own deadline is pressing. No claim applies to an
+/// array of higher priority: a job that the array has preempted would claim the freed capacity, be
+/// placed there and be preempted again, without end. Claims are limited to the quota that replicas
+/// of services leave: replicas run until their jobs end, so a gang that does not fit beside them
+/// would keep arrays out of the rest of the quota for good.
 pub(super) fn quota_claims(
     controller: &Controller,
     replica: &Replica,
@@ -66,18 +66,18 @@
             Some((job, job.spec.as_deref().filter(|spec| spec.kind != JobKind::Array)?))
         })
         .collect();
-    let replicas = usage_of_replicas(&claimants);
+    let replica_usage_by_team = replica_usage(&claimants);
     claimants
         .iter()
         .filter_map(|(job, spec)| {
-            let used = replicas.get(spec.team.as_str()).copied().unwrap_or_default();
-            claim_of(controller, job, spec, used)
+            let used = replica_usage_by_team.get(spec.team.as_str()).copied().unwrap_or_default();
+            claim_for_job(controller, job, spec, used)
         })
         .collect()
 }
 
-/// What running replicas of services use, by team.
-fn usage_of_replicas<'a>(jobs: &[(&JobRecord, &'a JobSpec)]) -> HashMap<&'a str, Resources> {
+/// Resources that running replicas of services use, by team.
+fn replica_usage<'a>(jobs: &[(&JobRecord, &'a JobSpec)]) -> HashMap<&'a str, Resources> {
     let mut usage: HashMap<&str, Resources> = HashMap::default();
     for (job, spec) in jobs.iter().filter(|(_, spec)| spec.kind == JobKind::Service) {
         let running = job.assignments.iter().filter(|a| job.should_run(a)).count();
@@ -87,8 +87,8 @@
     usage
 }
 
-/// What a service or gang claims, beside what its team's replicas use.
-fn claim_of(
+/// The claim of a service or gang, within the quota that the replicas of its team leave.
+fn claim_for_job(
     controller: &Controller,
     job: &JobRecord,
     spec: &JobSpec,
--- a/crates/daemon/src/scheduler/proof_forwarding.rs
+++ b/crates/daemon/src/scheduler/proof_forwarding.rs
@@ -1,4 +1,4 @@
-//! Termination proofs on their way to the controllers that schedule the jobs.
+//! Forwards termination proofs to the controllers that schedule the jobs.
 
 use std::sync::Arc;
 
@@ -8,11 +8,11 @@
 use crate::controller::Controller;
 use crate::peer_client;
 
-/// Most proofs in one message, so that it stays far below what a peer reads, however much is
-/// lost at once.
+/// Maximum number of proofs per message. It keeps messages far below the size limit of peers, even
+/// if many tasks are lost at once.
 const MAX_PROOFS_PER_MESSAGE: usize = 2048;
 
-/// Sends proofs to the controller `scheduler`, in a task of its own.
+/// Sends proofs to the controller `scheduler` in a separate async task.
 pub(super) fn forward_proofs(controller: &Arc<Controller>, scheduler: String, proofs: Vec<TerminationProof>) {
     let Some(epoch) = controller.state().cluster_map().map(|map| map.epoch) else { return };
     let controller = controller.clone();
@@ -21,7 +21,7 @@
         for chunk in proofs.chunks(MAX_PROOFS_PER_MESSAGE) {
             if !peer_client::forward_termination_proofs(&controller, &scheduler, epoch, chunk.to_vec()).await
             {
-                // This controller writes the proofs itself for the back-off.
+                // During the back-off, this controller writes the proofs itself.
                 controller.state().peers.note_unreachable(scheduler, clock::now());
                 controller.wake_scheduler.notify_one();
                 return;
--- a/crates/daemon/src/scheduler/rescheduling.rs
+++ b/crates/daemon/src/scheduler/rescheduling.rs
@@ -1,4 +1,4 @@
-//! Replicas that the rescheduler evicts, within the disruption budgets.
+//! Evictions by the rescheduler, within the disruption budgets.
 
 use sched::rescheduler;
 
@@ -8,7 +8,8 @@
 use crate::drains::EvictionBudget;
 use crate::state::ControllerState;
 
-/// Evicts replicas that would be better off on other machines, as far as the cycle has room.
+/// Evicts replicas that would be better placed on other machines, as far as the transaction has
+/// room for the changes.
 pub(super) fn evict_replicas(
     controller: &Controller,
     state: &mut ControllerState,
@@ -24,12 +25,12 @@
         return;
     }
     let mut budget = EvictionBudget::for_cycle(controller, state, &evictions);
-    // With a budget, the team's record of disruptions is written, too.
+    // With a budget, the team's disruption record is written, too.
     let writes = 1 + usize::from(budget.is_some());
     for eviction in evictions {
         let job = &eviction.job;
-        let is_taken = cycle.jobs.contains_key(job) || cycle.jobs_on_hold.contains(job);
-        if is_taken || cycle.write_count() + writes > max_changes {
+        let is_unavailable = cycle.jobs.contains_key(job) || cycle.jobs_on_hold.contains(job);
+        if is_unavailable || cycle.write_count() + writes > max_changes {
             continue;
         }
         if let Some(budget) = &mut budget {
--- a/crates/daemon/src/scheduler/run.rs
+++ b/crates/daemon/src/scheduler/run.rs
@@ -1,4 +1,4 @@
-//! The tasks of the scheduler: the scheduling loop and the ticks of the pause detector.
+//! The async tasks of the scheduler: the scheduling loop and the ticks of the pause detector.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,13 +14,14 @@
 use crate::controller::{Controller, wall_ms};
 use crate::load::LoadCounters;
 
-/// How long the loop waits for news before it runs a cycle without any.
+/// Maximum time that the loop waits for a wake-up before it runs a cycle without one.
 const MAX_IDLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Least pause between two cycles.
+/// Minimum pause between two cycles.
 const MIN_CYCLE_PAUSE: Duration = Duration::from_millis(40);
-/// A cycle leaves this many times its own processor time to everything else.
-const PAUSE_PER_PROCESSOR_TIME: u32 = 4;
-/// How often the pause detector notes that the process runs.
+/// Pause after a cycle as a multiple of the time that its decisions took; it leaves the processor
+/// to other work.
+const PAUSE_PER_DECISION_TIME: u32 = 4;
+/// Interval at which the pause detector notes that the process is running.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs scheduling cycles for as long as the process lives.
@@ -35,20 +36,20 @@
             last_scan = started_at;
         }
         let cycle = decide_now(&controller, scan_is_due, started_at);
-        let processor_time = clock::since(started_at);
+        let decision_time = clock::since(started_at);
         LoadCounters::add(&controller.load.cycles, 1);
-        LoadCounters::add(&controller.load.cycle_us, processor_time.as_micros() as u64);
+        LoadCounters::add(&controller.load.cycle_us, decision_time.as_micros() as u64);
         let Some(cycle) = cycle else {
             sleep(MIN_CYCLE_PAUSE).await;
             continue;
         };
-        carry_out(&controller, cycle).await;
-        sleep(MIN_CYCLE_PAUSE.max(processor_time * PAUSE_PER_PROCESSOR_TIME)).await;
+        execute(&controller, cycle).await;
+        sleep(MIN_CYCLE_PAUSE.max(decision_time * PAUSE_PER_DECISION_TIME)).await;
     }
 }
 
-/// Decides a cycle with as many changes as the rate limit and a transaction allow. Without any,
-/// the cycle only sees to the workers; what waits meanwhile goes into a larger one later.
+/// Decides a cycle with as many changes as the rate limit and one transaction allow. If none are
+/// allowed, the cycle only reconciles workers, and pending changes are batched into a later cycle.
 fn decide_now(controller: &Controller, scan_is_due: bool, now: Instant) -> Option<SchedulingCycle> {
     let mut state = controller.state();
     let max_changes = state.writes.limiter.allowance(now).min(controller.state_limits().txn_ops);
@@ -56,8 +57,8 @@
     decide(controller, &mut state, context)
 }
 
-/// Sends what a cycle has for workers and peers, and commits its records.
-async fn carry_out(controller: &Arc<Controller>, mut cycle: SchedulingCycle) {
+/// Sends the commands and forwarded proofs of a cycle and commits its records.
+async fn execute(controller: &Arc<Controller>, mut cycle: SchedulingCycle) {
     for commands in std::mem::take(&mut cycle.commands) {
         send_commands(controller, commands);
     }
@@ -69,7 +70,7 @@
     }
 }
 
-/// Notes regularly that the process runs, so that pauses of it are detected.
+/// Ticks at regular intervals, so that pauses of the process are detected.
 pub async fn detect_pauses(controller: Arc<Controller>) {
     loop {
         controller.state().tick(clock::now());
--- a/crates/daemon/src/scheduler/terminations.rs
+++ b/crates/daemon/src/scheduler/terminations.rs
@@ -1,4 +1,4 @@
-//! Assignments that are over, written to their jobs' records.
+//! Writes terminations of assignments to the records of their jobs.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -38,7 +38,7 @@
 ) {
     let Termination { assignment, machine, reason } = termination;
     let AssignmentId { job, task, attempt } = assignment;
-    if cycle.has_no_room_for_termination(job) {
+    if cycle.must_defer_termination(job) {
         return;
     }
     let Some(record) = record_for_update(cycle, replica, job) else { return };
@@ -54,8 +54,8 @@
     });
 }
 
-/// Has a job avoid a machine that has rejected its task: something runs there that the records
-/// do not show yet.
+/// Makes a job avoid a machine that rejected its task: something runs there that the records do not
+/// show yet.
 fn avoid_machine(record: &mut JobRecord, machine: &str, until_ms: u64) {
     record.avoided_machines.retain(|(avoided, _)| avoided != machine);
     record.avoided_machines.push((machine.to_owned(), until_ms));
@@ -63,8 +63,9 @@
     record.avoided_machines.drain(..surplus);
 }
 
-/// Ends assignments on machines without a record: a record is deleted only after the cloud has
-/// confirmed the release, and nothing is launched without one.
+/// Ends assignments on machines without a record. Such assignments are certainly over: the record
+/// of a machine is deleted only after the cloud has confirmed the release, and no task is launched
+/// on a machine without a record.
 pub(super) fn terminate_on_released_machines(
     controller: &Controller,
     state: &ControllerState,
@@ -77,9 +78,9 @@
             if replica.scheduler_of(job) != Some(&controller.identity.name) {
                 continue;
             }
-            // The rest has its turn in later cycles: what ends in this one can be placed in it,
-            // too.
-            if cycle.has_no_room_for_termination(id) {
+            // Leave the rest to later cycles: the transaction needs room to place the terminated
+            // tasks again in this cycle.
+            if cycle.must_defer_termination(id) {
                 continue;
             }
             let Some(record) = record_for_update(cycle, replica, id) else { continue };
@@ -91,8 +92,9 @@
     }
 }
 
-/// Ends the assignments whose termination owners of machines have proven. A proof holds only
-/// under the cluster map that it was made under, as a later owner may launch what is absent.
+/// Ends the assignments whose termination the owners of the machines have proven. A proof is valid
+/// only under the cluster map that it was made under: a later owner may launch a task whose absence
+/// was the proof.
 pub(super) fn terminate_proven(
     controller: &Controller,
     state: &mut ControllerState,
@@ -107,10 +109,10 @@
     for (assignment, proof) in proofs.iter() {
         proofs_by_job.entry(&assignment.job).or_default().push((assignment, proof));
     }
-    // One write holds all proofs of a job. Where writes are short, those come first that
-    // complete a job, hold many proofs, or have waited long: in the order of names, some would
-    // wait while others are written for each single task.
-    let mut order: Vec<(f64, Vec<(&AssignmentId, &PendingProof)>)> = proofs_by_job
+    // One write records all proofs of a job. If writes are scarce, jobs come first that their
+    // proofs complete, that have many proofs, or that have waited long. In the order of job ids,
+    // some jobs would wait while others are written once for each task.
+    let mut proofs_by_urgency: Vec<(f64, Vec<(&AssignmentId, &PendingProof)>)> = proofs_by_job
         .into_iter()
         .filter_map(|(id, proofs)| {
             let job = &replica.jobs.get(id)?.value;
@@ -120,14 +122,14 @@
             Some((urgency, proofs))
         })
         .collect();
-    order.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (assignment, proof) in order.into_iter().flat_map(|(_, proofs)| proofs) {
+    proofs_by_urgency.sort_by(|a, b| b.0.total_cmp(&a.0));
+    for (assignment, proof) in proofs_by_urgency.into_iter().flat_map(|(_, proofs)| proofs) {
         let termination = Termination { assignment, machine: &proof.machine, reason: proof.reason };
         terminate(cycle, replica, termination, context.now_ms);
     }
 }
 
-/// How urgent it is to write these proofs of a job.
+/// The urgency of writing these proofs of a job: the highest is written first.
 fn write_urgency(job: &JobRecord, proofs: &[(&AssignmentId, &PendingProof)], now: Instant) -> f64 {
     let done = proofs.iter().filter(|(_, p)| p.reason == TerminationReason::Done).count() as u32;
     let tasks = job.spec.as_ref().map_or(0, |s| s.tasks);
--- a/crates/daemon/src/scheduler/transaction.rs
+++ b/crates/daemon/src/scheduler/transaction.rs
@@ -1,5 +1,5 @@
-//! The transaction of a scheduling cycle: the writes of as many jobs as the limits allow, with
-//! the conditions that they were decided under.
+//! Builds the transaction of a scheduling cycle: the writes of as many jobs as the limits allow,
+//! conditional on the record versions that the decisions are based on.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,24 +15,25 @@
 use crate::drains::disruption_condition;
 use crate::limits::StateLimits;
 
-/// Bytes that a transaction holds for the head of a record that is stored in chunks.
+/// Size in bytes that the head of a record stored in chunks adds to a transaction.
 const CHUNKED_HEAD_BYTES: usize = 100;
-/// Bytes that a transaction holds for each write beside its value.
+/// Size in bytes that each write adds to a transaction beside its value.
 const WRITE_OVERHEAD_BYTES: usize = 200;
 
-/// A cycle as a transaction.
+/// The transaction of a cycle.
 pub(crate) struct CycleTransaction {
-    /// What has to hold for the transaction to be committed.
+    /// The record versions that the transaction is conditional on.
     pub(crate) conditions: Vec<Condition>,
     /// The records that it writes.
     pub(crate) writes: Vec<KeyWrite>,
-    /// The jobs that it has no room for.
+    /// The jobs that do not fit into it.
     pub(crate) left_out: BTreeSet<String>,
     /// The records of teams with new assignments, by the teams' ids.
     pub(crate) teams: Vec<(String, TeamRecord)>,
     /// The records of voluntary disruptions, by the teams' ids.
     pub(crate) disruptions: Vec<(String, DisruptionRecord)>,
-    /// The job whose record is larger than a value and is stored in chunks; one at most.
+    /// The job whose record exceeds the size of a value and is stored in chunks; at most one per
+    /// transaction.
     pub(crate) chunked_job: Option<String>,
 }
 
@@ -62,10 +63,10 @@
     conditions: Vec<Condition>,
     writes: Vec<KeyWrite>,
     left_out: BTreeSet<String>,
-    /// By the ids in their keys, as everywhere: by a team's name, a record that another
-    /// controller has written would not be found if the name has a space.
+    /// By team id, as in the keys. With team names, the record that another controller has written
+    /// would not be found if the name contains a space.
     teams: BTreeMap<String, TeamRecord>,
-    /// By the teams' ids. They are written last, with all entries of their teams.
+    /// By team id. Written last, when the entries of all jobs are collected.
     disruptions: BTreeMap<String, DisruptionRecord>,
     chunked_job: Option<String>,
     /// Bytes of the writes so far.
@@ -76,16 +77,16 @@
     has_placements: bool,
 }
 
-/// What a job's record needs of a transaction.
+/// A job's write and the room that it needs in a transaction.
 struct JobWrite<'a> {
     write: KeyWrite,
-    /// Whether the record is larger than a value.
+    /// Whether the record exceeds the size of a value.
     is_chunked: bool,
-    /// Bytes that it takes.
+    /// Size in bytes that it adds to the transaction.
     bytes: usize,
     /// The team whose record is to be written for this job, by its id.
     new_team: Option<String>,
-    /// The disruption that is to be recorded, with its team's id.
+    /// The disruption to be recorded, with the id of its team.
     disruption: Option<(String, &'a Disruption)>,
 }
 
@@ -144,7 +145,7 @@
         let write = KeyWrite::new(key::job(id), record);
         let is_chunked = write.value_len() as f64 > self.limits.value_bytes;
         JobWrite {
-            // Of a record in chunks the transaction itself holds only the head.
+            // Only the head of a chunked record is part of this transaction.
             bytes: if is_chunked { CHUNKED_HEAD_BYTES } else { write.json_len() },
             write,
             is_chunked,
@@ -165,23 +166,23 @@
     }
 
     fn add_disruption(&mut self, team: String, disruption: &Disruption) {
-        let known = || DisruptionRecord { open: self.replica.drains.open_disruptions(&team).to_vec() };
-        let record = self.disruptions.entry(team.clone()).or_insert_with(known);
+        let stored = || DisruptionRecord { open: self.replica.drains.open_disruptions(&team).to_vec() };
+        let record = self.disruptions.entry(team.clone()).or_insert_with(stored);
         record.open.push(disruption.clone());
     }
 
-    /// Writes the record of a team with new assignments: its version keeps two controllers from
-    /// using the same quota.
+    /// Writes the record of a team with new assignments. The condition on its version keeps two
+    /// controllers from using the same quota.
     fn add_team(&mut self, team: String) {
-        let known = self.replica.teams.get(&team);
-        let (placements, version) = known.map_or((0, 0), |team| (team.value.placements, team.version));
+        let stored = self.replica.teams.get(&team);
+        let (placements, version) = stored.map_or((0, 0), |team| (team.value.placements, team.version));
         let record = TeamRecord { placements: placements.wrapping_add(1) };
         self.conditions.push(Condition { key: key::team(&team), version });
         self.writes.push(KeyWrite::new(key::team(&team), &record));
         self.teams.insert(team, record);
     }
 
-    /// Adds the disruptions and the conditions of the whole transaction.
+    /// Adds the disruption records and the conditions that apply to the transaction as a whole.
     fn finish(mut self) -> CycleTransaction {
         for (team, record) in &self.disruptions {
             self.conditions.push(disruption_condition(self.replica, team));
@@ -192,8 +193,8 @@
             self.conditions.push(Condition { key: key::MAP.into(), version });
         }
         if self.has_placements && self.cycle.fences_cordons {
-            // A cordon that is committed meanwhile makes the transaction fail: the cycle is
-            // decided anew without the cordoned machines.
+            // If a cordon is committed in the meantime, the transaction fails, and a later cycle
+            // decides again without the cordoned machines.
             let version = self.replica.drains.fence;
             self.conditions.push(Condition { key: key::CORDON_FENCE.into(), version });
         }
--- a/crates/daemon/src/scheduler/worker_reconciliation.rs
+++ b/crates/daemon/src/scheduler/worker_reconciliation.rs
@@ -1,4 +1,5 @@
-//! Reconciliation of the owned workers with the records: proofs and commands that follow.
+//! Reconciles the workers of owned machines with the records, which yields termination proofs and
+//! commands.
 
 use std::time::Instant;
 
@@ -15,10 +16,10 @@
 use crate::state::{ControllerState, FORWARDED_PROOF_TIMEOUT, PeerTable, PendingProof, PendingProofs};
 use crate::worker::{AssignmentId, Worker, WorkerLimits};
 
-/// Commands that only make a worker forget tasks are sent at once beyond this number.
+/// Up to this many forget commands wait for the next clean-up; more are sent at once.
 const MAX_DELAYED_FORGETS: usize = 12;
 
-/// Reconciles the owned workers with the records, as far as either has changed.
+/// Reconciles with the records the workers of owned machines that are due.
 pub(super) fn reconcile_workers(
     controller: &Controller,
     state: &mut ControllerState,
@@ -29,7 +30,7 @@
     update_owned_workers(&controller.identity, state, epoch, context.now);
     let ControllerState { records, machines, peers, proofs, .. } = state;
     let mut reconciliation = WorkerReconciliation {
-        me: &controller.identity.name,
+        controller_name: &controller.identity.name,
         epoch,
         limits: controller.worker_limits(records.fresh_at),
         context,
@@ -46,25 +47,26 @@
     }
 }
 
-/// Adds workers of machines that this controller has become the owner of, removes those of
-/// others, and has those compared with the records whose records have changed.
-fn update_owned_workers(me: &Member, state: &mut ControllerState, epoch: u64, now: Instant) {
+/// Adds workers of machines that this controller now owns and removes those of machines that it no
+/// longer owns. Workers whose machine records have changed are reconciled.
+fn update_owned_workers(identity: &Member, state: &mut ControllerState, epoch: u64, now: Instant) {
     let replica = &mut state.records.replica;
     let workers = &mut state.machines.workers;
     let changed: Vec<Name> = match replica.take_changed_machines() {
         Some(changed) => changed.into_iter().collect(),
         None => {
             workers.retain(|id, worker| {
-                replica.owner_of(id) == Some(me) && !worker.predates_ownership(replica.owned_since_epoch(id))
+                replica.owner_of(id) == Some(identity)
+                    && !worker.predates_ownership(replica.owned_since_epoch(id))
             });
-            replica.owned_by(me).cloned().collect()
+            replica.owned_by(identity).cloned().collect()
         }
     };
     for id in changed {
-        match replica.machines.get(&id).filter(|_| replica.owner_of(&id) == Some(me)) {
+        match replica.machines.get(&id).filter(|_| replica.owner_of(&id) == Some(identity)) {
             Some(record) => {
-                let new = || Worker::new(record.value.addr.clone(), epoch, now);
-                workers.entry(id).or_insert_with(new).request_reconciliation();
+                let new_worker = || Worker::new(record.value.addr.clone(), epoch, now);
+                workers.entry(id).or_insert_with(new_worker).request_reconciliation();
             }
             None => {
                 workers.remove(&id);
@@ -73,7 +75,7 @@
     }
 }
 
-/// The end of an assignment, proven by its worker's heartbeats.
+/// A termination that the heartbeats of the worker have proven.
 struct ProvenTermination<'a> {
     assignment: AssignmentId,
     machine: &'a Name,
@@ -82,10 +84,10 @@
     proven_at: Instant,
 }
 
-/// What the reconciliation of a worker reads and changes beside the worker.
+/// The state that reconciling a worker reads and changes, apart from the worker itself.
 struct WorkerReconciliation<'a> {
     /// The name of this controller.
-    me: &'a str,
+    controller_name: &'a str,
     /// The epoch of the cluster map.
     epoch: u64,
     limits: WorkerLimits,
@@ -109,21 +111,21 @@
         if let Some(until) = worker.spot_notice_until() {
             self.stop_on_spot_notice(machine, until);
         }
-        self.send_commands(machine, worker, plan.commands, plan.needs_token_acknowledgement);
+        self.queue_commands(machine, worker, plan.commands, plan.needs_token_acknowledgement);
     }
 
-    /// Passes the proof of a termination to the job's scheduler, or writes it in its place. There
-    /// is one writer for each job: two owners that write the same record at the same time only
-    /// make each other's transactions fail.
+    /// Forwards a termination proof to the job's scheduler, or writes it in place of an unavailable
+    /// one. Each job has a single writer: if two owners write the same record at the same time,
+    /// their transactions conflict.
     fn route_proof(&mut self, scheduler: &str, termination: ProvenTermination) {
         let ProvenTermination { assignment, machine, reason, proven_at } = termination;
         let now = self.context.now;
-        if scheduler == self.me {
-            // Written with all other proofs of its job.
+        if scheduler == self.controller_name {
+            // Kept until it is written together with the other proofs of its job.
             let (machine, epoch) = (machine.to_string(), self.epoch);
             let proof = PendingProof { machine, reason, epoch, received_at: now, proven_at };
             self.proofs.insert(assignment, proof);
-        } else if self.must_write_for(scheduler, proven_at) {
+        } else if self.must_write_in_place_of(scheduler, proven_at) {
             let termination = Termination { assignment: &assignment, machine, reason };
             terminate(self.cycle, self.replica, termination, self.context.now_ms);
         } else if proven_at == now {
@@ -134,16 +136,17 @@
         }
     }
 
-    /// Whether the job's scheduler is not expected to write a proof: it has not done so in time,
-    /// or it cannot be reached.
-    fn must_write_for(&self, scheduler: &str, proven_at: Instant) -> bool {
+    /// Whether this controller has to write a proof itself: the job's scheduler has not written it
+    /// in time, or cannot be reached.
+    fn must_write_in_place_of(&self, scheduler: &str, proven_at: Instant) -> bool {
         let now = self.context.now;
         now.saturating_duration_since(proven_at) > FORWARDED_PROOF_TIMEOUT
             || self.peers.is_backing_off(scheduler, now)
             || !self.peers.statuses.contains_key(scheduler)
     }
 
-    /// Stops the tasks on a spot machine that need the time that is left until it is reclaimed.
+    /// Stops the tasks on a spot machine that should use the time left until the machine is
+    /// reclaimed: replicas of services, and tasks that can still save a checkpoint.
     fn stop_on_spot_notice(&mut self, machine: &Name, until: Instant) {
         let replica = self.replica;
         let time_left = until.saturating_duration_since(self.context.now);
@@ -161,14 +164,20 @@
         }
     }
 
-    /// Has commands sent that are due. `probes`: the worker has to be shown a newer token even
-    /// without commands.
-    fn send_commands(&mut self, machine: &Name, worker: &mut Worker, commands: Vec<Command>, probes: bool) {
+    /// Queues the commands for a worker if they are due. `needs_acknowledgement`: the worker has to
+    /// be shown a newer token even if there are no commands.
+    fn queue_commands(
+        &mut self,
+        machine: &Name,
+        worker: &mut Worker,
+        commands: Vec<Command>,
+        needs_acknowledgement: bool,
+    ) {
         let now = self.context.now;
         let only_forgets =
             !commands.is_empty() && commands.iter().all(|c| matches!(c, Command::Forget { .. }));
-        let is_urgent =
-            probes || !commands.is_empty() && (!only_forgets || commands.len() > MAX_DELAYED_FORGETS);
+        let is_urgent = needs_acknowledgement
+            || !commands.is_empty() && (!only_forgets || commands.len() > MAX_DELAYED_FORGETS);
         let is_due = only_forgets && worker.is_cleanup_due(now);
         if !(is_urgent || is_due) || !worker.may_send_commands(now) {
             return;
--- a/crates/daemon/src/worker/assignment_id.rs
+++ b/crates/daemon/src/worker/assignment_id.rs
@@ -1,4 +1,4 @@
-//! Names of assignments.
+//! Identifiers of assignments.
 
 /// One attempt of a task. Ordered by job, task and attempt.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -7,6 +7,6 @@
     pub job: String,
     /// The number of the task within its job.
     pub task: u32,
-    /// The number of the attempt, which is never used again for the task.
+    /// The number of the attempt, never reused for the same task.
     pub attempt: u64,
 }
--- a/crates/daemon/src/worker/command_channel.rs
+++ b/crates/daemon/src/worker/command_channel.rs
@@ -1,7 +1,7 @@
-//! The tokens and requests by which an owner commands one worker.
+//! The fencing tokens and requests that an owner sends to one worker.
 //!
-//! Requests are sent one at a time, each with a token above all before it. An unanswered launch is
-//! ruled out as soon as the worker has shown any later token.
+//! Requests are sent one at a time, each with a higher token than all before it. A launch in an
+//! unanswered request can no longer take effect once the worker has shown a later token.
 
 use std::time::{Duration, Instant};
 
@@ -9,42 +9,42 @@
 
 use super::FencingToken;
 
-/// Pause after the first failure; each further one adds as much.
+/// Pause after the first failure; each further failure in a row adds as much.
 const RETRY_BACKOFF: Duration = Duration::from_millis(400);
 /// The largest multiple of [`RETRY_BACKOFF`].
 const MAX_BACKOFF_FACTOR: u32 = 6;
-/// With so many failures in a row, commands are taken not to reach the worker.
+/// Number of failures in a row after which commands are considered not to reach the worker.
 const MAX_FAILURES: u32 = 3;
-/// Least time after a request before one is sent that only has a worker forget tasks.
+/// Minimum time after a request before a request that has only forget commands is sent.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A request that is not answered yet.
+/// A request that has not been answered yet.
 #[derive(Debug)]
 struct PendingRequest {
     token: FencingToken,
     has_launches: bool,
 }
 
-/// What an owner knows of the tokens that it has given to a worker.
+/// What an owner knows about the tokens that it has issued to a worker.
 #[derive(Debug)]
 pub(super) struct CommandChannel {
     /// The epoch of the cluster map that tokens are taken from.
     epoch: u64,
-    /// The epoch since when this controller has owned the machine.
-    owned_epoch: u64,
-    /// The highest token given out.
-    pub(super) newest: FencingToken,
+    /// The epoch since which this controller has owned the machine.
+    owned_since_epoch: u64,
+    /// The highest token issued.
+    pub(super) last_issued: FencingToken,
     /// The highest token that the worker is known to have seen.
-    seen: FencingToken,
-    /// The lowest token that rules out all launches which may still be on their way.
-    proof: FencingToken,
+    highest_seen: FencingToken,
+    /// The lowest token that, once seen by the worker, rules out all launches still in flight.
+    launch_fence: FencingToken,
     pending: Option<PendingRequest>,
-    /// The token of a heartbeat's response that launches were sent with. Until the next heartbeat,
-    /// or until the worker shows a later token, they may still be executed.
-    offered: Option<FencingToken>,
+    /// The token of the heartbeat response that contained launches. The worker may still execute
+    /// them until its next heartbeat, or until it shows a later token.
+    launch_response: Option<FencingToken>,
     retry_at: Option<Instant>,
     sent_at: Option<Instant>,
-    /// Requests that failed since the last success.
+    /// Failed requests since the last success.
     failures: u32,
 }
 
@@ -52,12 +52,12 @@
     pub(super) fn new(epoch: u64) -> Self {
         Self {
             epoch,
-            owned_epoch: epoch,
-            newest: FencingToken::first_of_epoch(epoch),
-            seen: FencingToken::NONE,
-            proof: FencingToken::first_of_epoch(epoch),
+            owned_since_epoch: epoch,
+            last_issued: FencingToken::first_of_epoch(epoch),
+            highest_seen: FencingToken::NONE,
+            launch_fence: FencingToken::first_of_epoch(epoch),
             pending: None,
-            offered: None,
+            launch_response: None,
             retry_at: None,
             sent_at: None,
             failures: 0,
@@ -68,94 +68,94 @@
         self.epoch
     }
 
-    /// Goes on to the tokens of a later epoch: every launch of the epochs before has to be ruled
-    /// out anew.
+    /// Switches to the tokens of a later epoch. Every launch of earlier epochs has to be ruled out
+    /// again.
     pub(super) fn enter_epoch(&mut self, epoch: u64) {
         self.epoch = epoch;
-        self.newest = FencingToken::first_of_epoch(epoch);
-        self.proof = self.newest;
-        self.offered = None;
+        self.last_issued = FencingToken::first_of_epoch(epoch);
+        self.launch_fence = self.last_issued;
+        self.launch_response = None;
         self.pending = None;
     }
 
     /// Notes that the worker has shown a token.
     pub(super) fn note_seen(&mut self, token: FencingToken) {
-        self.seen = self.seen.max(token);
+        self.highest_seen = self.highest_seen.max(token);
     }
 
-    /// Whether a token is from since this controller owns the machine.
+    /// Whether a token is from an epoch since which this controller has owned the machine.
     #[inline]
     pub(super) fn is_of_this_owner(&self, token: FencingToken) -> bool {
-        token >= FencingToken::first_of_epoch(self.owned_epoch)
+        token >= FencingToken::first_of_epoch(self.owned_since_epoch)
     }
 
-    /// Whether the worker has shown a token of the present epoch.
+    /// Whether the worker has shown a token of the current epoch.
     pub(super) fn has_seen_epoch(&self) -> bool {
-        self.seen >= FencingToken::first_of_epoch(self.epoch)
+        self.highest_seen >= FencingToken::first_of_epoch(self.epoch)
     }
 
-    /// Whether requests reach the worker, as far as they tell. The worker has to have shown a
-    /// token from since this controller owns it: a delayed duplicate of a heartbeat, of a machine
-    /// that may be long gone, cannot.
+    /// Whether requests reach the worker, judging by their outcomes. The worker must also have
+    /// shown a token from the time of this ownership. A delayed duplicate of a heartbeat, whose
+    /// machine may be long gone, cannot show one.
     #[inline]
     pub(super) fn is_usable(&self) -> bool {
-        self.failures < MAX_FAILURES && self.is_of_this_owner(self.seen)
+        self.failures < MAX_FAILURES && self.is_of_this_owner(self.highest_seen)
     }
 
-    /// Whether no launch can be executed any more that the worker's status does not show.
+    /// Whether no launch that is missing from the worker's status can still take effect.
     pub(super) fn are_launches_ruled_out(&self) -> bool {
-        self.pending.is_none() && self.offered.is_none() && self.seen >= self.proof
+        self.pending.is_none() && self.launch_response.is_none() && self.highest_seen >= self.launch_fence
     }
 
-    /// Whether a request is not answered yet.
+    /// Whether a request has not been answered yet.
     pub(super) fn has_pending_request(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Notes that launches are sent with the response to a heartbeat.
-    pub(super) fn note_offer(&mut self) {
-        self.offered = Some(self.newest);
+    /// Notes that the response to a heartbeat contains launches.
+    pub(super) fn note_launches_in_response(&mut self) {
+        self.launch_response = Some(self.last_issued);
     }
 
-    /// Notes that launches of the last response were executed or dropped.
-    pub(super) fn clear_offer(&mut self) {
-        self.offered = None;
+    /// Notes that the launches in the last response were executed or dropped.
+    pub(super) fn clear_launches_in_response(&mut self) {
+        self.launch_response = None;
     }
 
-    /// Whether a token is later than that of the response that launches were sent with.
-    pub(super) fn is_after_offer(&self, token: FencingToken) -> bool {
-        self.offered.is_some_and(|offered| token > offered)
+    /// Whether a token is later than that of the last response with launches.
+    pub(super) fn is_after_launch_response(&self, token: FencingToken) -> bool {
+        self.launch_response.is_some_and(|response| token > response)
     }
 
     /// Whether a request may be sent now.
     pub(super) fn may_send(&self, now: Instant) -> bool {
         self.pending.is_none()
             && self.retry_at.is_none_or(|at| now >= at)
-            && self.newest < FencingToken::last_of_epoch(self.epoch)
+            && self.last_issued < FencingToken::last_of_epoch(self.epoch)
     }
 
-    /// Whether a request may be sent for nothing but having the worker forget tasks.
+    /// Whether a request that has only forget commands may be sent.
     pub(super) fn is_cleanup_due(&self, now: Instant) -> bool {
         self.sent_at.is_none_or(|at| now.saturating_duration_since(at) >= CLEANUP_INTERVAL)
     }
 
-    /// Goes on to the next token; `None` if the epoch has no more. The tokens of the next epoch
-    /// are of the controller that owns the machine then, and are never given out before.
+    /// Issues the next token, or returns `None` if the epoch has no more. Tokens of the next epoch
+    /// belong to the owner of the machine in that epoch and are never issued in advance.
     pub(super) fn next_token(&mut self) -> Option<FencingToken> {
-        if self.newest >= FencingToken::last_of_epoch(self.epoch) {
+        if self.last_issued >= FencingToken::last_of_epoch(self.epoch) {
             return None;
         }
-        self.newest = self.newest.next();
-        Some(self.newest)
+        self.last_issued = self.last_issued.next();
+        Some(self.last_issued)
     }
 
     /// Whether the tokens of this epoch will soon be used up.
     pub(super) fn tokens_run_low(&self) -> bool {
-        self.newest.is_near_end_of_epoch(self.epoch)
+        self.last_issued.is_near_end_of_epoch(self.epoch)
     }
 
-    /// Begins a request with a token above all before. `None`: the epoch has no such token left,
-    /// and nothing may be sent.
+    /// Begins a request with a higher token than all before. Returns `None` if the epoch has no
+    /// token left; then nothing may be sent.
     pub(super) fn begin(&mut self, commands: &[Command], now: Instant) -> Option<FencingToken> {
         let token = self.next_token()?;
         self.pending = Some(PendingRequest { token, has_launches: commands.iter().any(is_launch) });
@@ -163,9 +163,9 @@
         Some(token)
     }
 
-    /// Notes that the request with this token was answered. Returns `false`, like
-    /// [`Self::fail`], if it is not waited for any more, as the epoch has changed since: it must
-    /// not end the wait for the one that is.
+    /// Notes that the request with this token was answered. Returns `false`, as does
+    /// [`Self::fail`], if the request is no longer pending because the epoch has changed: its
+    /// outcome must not complete the request that is pending now.
     pub(super) fn complete(&mut self, token: FencingToken) -> bool {
         if self.pending.take_if(|request| request.token == token).is_none() {
             return false;
@@ -180,12 +180,12 @@
         let Some(request) = self.pending.take_if(|request| request.token == token) else { return false };
         self.failures += 1;
         self.retry_at = Some(now + RETRY_BACKOFF * self.failures.min(MAX_BACKOFF_FACTOR));
-        // The request may arrive minutes late, but has no effect after the worker has seen a later
-        // token. Only launches have to be ruled out: where requests are lost again and again, the
-        // token to be seen would otherwise always be the next one.
+        // The request may arrive minutes late, but has no effect once the worker has seen a later
+        // token. Only launches have to be ruled out. If every failed request raised the token that
+        // the worker has to show, repeated failures would keep it out of reach.
         let later = self.next_token().unwrap_or_else(|| FencingToken::first_of_epoch(self.epoch + 1));
         if request.has_launches {
-            self.proof = later;
+            self.launch_fence = later;
         }
         true
     }
--- a/crates/daemon/src/worker/fencing_token.rs
+++ b/crates/daemon/src/worker/fencing_token.rs
@@ -1,21 +1,21 @@
-//! Fencing tokens: a worker obeys a token only if it has not seen a higher one.
+//! Fencing tokens: a worker accepts a token only if it has not seen a higher one.
 
-/// How many tokens an owner has for each of its workers in one epoch. Requests to that worker use
-/// them up: at two a second in six days.
+/// Number of tokens for each worker in one epoch. Each request to the worker uses one up: at two
+/// requests a second, they last for six days.
 const TOKENS_PER_EPOCH: u64 = 1 << 20;
-/// Once so many of them are used, a new epoch is due, which has new ones.
+/// Number of used tokens from which on a new epoch is requested, which brings new tokens.
 const MAX_TOKENS_BEFORE_NEW_EPOCH: u64 = TOKENS_PER_EPOCH / 4 * 3;
 
-/// A fencing token. The epochs of the cluster map divide the tokens into ranges, so that every
-/// token of a later epoch is above all of an earlier one.
+/// A fencing token. Each epoch of the cluster map has its own range of tokens, so that every token
+/// of a later epoch is higher than all tokens of an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FencingToken(u64);
 
 impl FencingToken {
-    /// Below every token that is given out.
+    /// Lower than every token that is issued.
     pub const NONE: Self = Self(0);
 
-    /// The token that an epoch begins with.
+    /// The first token of an epoch.
     pub fn first_of_epoch(epoch: u64) -> Self {
         Self(epoch * TOKENS_PER_EPOCH)
     }
--- a/crates/daemon/src/worker/liveness.rs
+++ b/crates/daemon/src/worker/liveness.rs
@@ -1,25 +1,25 @@
-//! When a worker was last heard from, and whether it hears its owner.
+//! When a worker last sent its status, and whether messages of its owner reach it.
 
 use std::time::{Duration, Instant};
 
 use super::FencingToken;
 
-/// With so many heartbeats that do not show the token of the response before, responses are taken
-/// not to reach the worker.
+/// Number of heartbeats without the token of the preceding response after which responses are
+/// considered not to reach the worker.
 const MAX_MISSED_RESPONSES: u32 = 2;
 
 /// Why a worker sent its status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StatusOrigin {
-    /// It is a heartbeat, which the worker sends by itself.
+    /// A heartbeat, which the worker sends on its own.
     Heartbeat,
-    /// It answers a request of the owner, so the worker hears.
+    /// The response to a request of the owner, which shows that requests reach the worker.
     Response,
 }
 
-/// What a worker's status says of whether it hears its owner.
+/// What a worker's status shows about whether messages of its owner reach it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct HearingEvidence {
+pub(super) struct ReachabilityEvidence {
     /// Why the status was sent.
     pub(super) origin: StatusOrigin,
     /// The highest token that the worker has seen.
@@ -33,22 +33,24 @@
 pub(super) struct Liveness {
     /// Since when this controller has owned the machine.
     pub(super) owned_since: Instant,
-    /// When the worker last sent a heartbeat by itself to this controller, its owner.
-    reported_at: Instant,
-    /// When a status of the worker was last received, for whatever reason it was sent.
-    pub(super) last_heartbeat_at: Option<Instant>,
-    /// When a heartbeat was last answered such that it renews the lease.
+    /// When the worker last sent a heartbeat on its own to this controller; at first, when this
+    /// controller became its owner.
+    last_heartbeat_at: Instant,
+    /// When a status of the worker was last received, of either origin.
+    pub(super) last_status_at: Option<Instant>,
+    /// When a heartbeat was last answered with a response that renews the lease.
     lease_renewed_at: Option<Instant>,
-    /// The worker was asked for its status since this controller owns it, and did not answer.
+    /// Whether a request for the worker's status has failed since this controller owns the machine.
     probe_failed: bool,
-    /// Until when this controller was paused, so that silence is no sign of failure.
+    /// The end of the last pause of this controller. Silence before that time is no sign of
+    /// failure.
     paused_until: Option<Instant>,
-    /// Since when responses and commands have not reached the worker, by its own heartbeats. It is
-    /// alive, but nothing can be given to it.
+    /// Since when responses and commands have not reached the worker, judging by its heartbeats.
+    /// The worker is alive, but cannot be given work.
     unreachable_since: Option<Instant>,
     /// The token of the last response.
     response_token: FencingToken,
-    /// How many heartbeats have not shown it.
+    /// Number of heartbeats that have not shown `response_token`.
     missed_responses: u32,
 }
 
@@ -56,8 +58,8 @@
     pub(super) fn new(now: Instant) -> Self {
         Self {
             owned_since: now,
-            reported_at: now,
-            last_heartbeat_at: None,
+            last_heartbeat_at: now,
+            last_status_at: None,
             lease_renewed_at: None,
             probe_failed: false,
             paused_until: None,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Forgets the responses of the epoch before.
+    /// Clears the responses of the previous epoch.
     pub(super) fn enter_epoch(&mut self) {
         self.lease_renewed_at = None;
         self.response_token = FencingToken::NONE;
@@ -77,15 +79,16 @@
     /// Notes that a status was received.
     pub(super) fn note_received(&mut self, origin: StatusOrigin, now: Instant) {
         if origin == StatusOrigin::Heartbeat {
-            self.reported_at = now;
+            self.last_heartbeat_at = now;
         }
-        self.last_heartbeat_at = Some(now);
+        self.last_status_at = Some(now);
     }
 
-    /// Detects a worker that is heard but does not hear: its heartbeats do not show the token of
-    /// the response before, or its lease expired although its heartbeats were answered.
-    pub(super) fn note_evidence(&mut self, evidence: HearingEvidence, now: Instant) {
-        let HearingEvidence { origin, token, lost_lease } = evidence;
+    /// Detects a worker whose heartbeats arrive, but which messages of its owner do not reach: its
+    /// heartbeats do not show the token of the preceding response, or its lease expired although
+    /// its heartbeats were answered.
+    pub(super) fn note_evidence(&mut self, evidence: ReachabilityEvidence, now: Instant) {
+        let ReachabilityEvidence { origin, token, lost_lease } = evidence;
         let is_heartbeat = origin == StatusOrigin::Heartbeat;
         let shows_response =
             self.response_token > FencingToken::NONE && token >= self.response_token && !lost_lease;
@@ -107,25 +110,26 @@
     }
 
     /// Whether a heartbeat of this epoch was answered.
-    pub(super) fn was_renewed(&self) -> bool {
+    pub(super) fn has_renewed_lease(&self) -> bool {
         self.lease_renewed_at.is_some()
     }
 
-    /// Whether a lease of this length has expired that was renewed in this epoch. A heartbeat is
-    /// sent before its response, so the lease counts from the last response at the latest.
+    /// Whether a lease of this length that was renewed in this epoch has expired. The worker sends
+    /// each heartbeat before the response to it is sent, so the lease starts no later than the last
+    /// response.
     pub(super) fn has_lease_expired(&self, lease: Duration, now: Instant) -> bool {
         let is_over = |since: Instant| now.saturating_duration_since(since) > lease;
-        self.last_heartbeat_at.is_none_or(is_over) && self.lease_renewed_at.is_some_and(is_over)
+        self.last_status_at.is_none_or(is_over) && self.lease_renewed_at.is_some_and(is_over)
     }
 
-    /// Whether responses reach the worker, as far as its heartbeats tell.
+    /// Whether responses reach the worker, judging by its heartbeats.
     #[inline]
     pub(super) fn is_reachable(&self) -> bool {
         self.unreachable_since.is_none()
     }
 
-    /// Notes that this controller was paused until now: what it did not hear meanwhile says
-    /// nothing of the worker.
+    /// Notes that this controller was paused until now: it could not receive anything in the
+    /// meantime, so that silence says nothing about the worker.
     pub(super) fn note_pause(&mut self, now: Instant) {
         self.paused_until = Some(now);
     }
@@ -135,29 +139,32 @@
         self.probe_failed = true;
     }
 
-    /// How long the worker has not sent heartbeats by itself.
+    /// How long the worker has not sent a heartbeat on its own.
     #[inline]
-    pub(super) fn without_heartbeats_for(&self, now: Instant) -> Duration {
-        self.unexcused_time(self.reported_at, now)
+    pub(super) fn time_since_heartbeat(&self, now: Instant) -> Duration {
+        self.time_since_excluding_pause(self.last_heartbeat_at, now)
     }
 
-    /// How long nothing was heard from the worker, or nothing reached it. One that was never heard
-    /// from is not silent before a probe has failed: an owner that takes over thousands of
-    /// machines at once needs time to probe them all, and would give up those at the end.
+    /// How long nothing has been received from the worker, or nothing has reached it. A worker that
+    /// has not sent anything yet does not count as silent before a probe has failed: an owner that
+    /// takes over thousands of machines at once needs time to probe them all, and would give up
+    /// those that it probes last.
     #[inline]
     pub(super) fn silent_for(&self, now: Instant) -> Duration {
-        if self.last_heartbeat_at.is_none() && !self.probe_failed {
+        if self.last_status_at.is_none() && !self.probe_failed {
             return Duration::ZERO;
         }
-        let unheard = self.unexcused_time(self.last_heartbeat_at.unwrap_or(self.owned_since), now);
-        let unreachable =
-            self.unreachable_since.map_or(Duration::ZERO, |since| self.unexcused_time(since, now));
-        unheard.max(unreachable)
+        let without_status =
+            self.time_since_excluding_pause(self.last_status_at.unwrap_or(self.owned_since), now);
+        let unreachable = self
+            .unreachable_since
+            .map_or(Duration::ZERO, |since| self.time_since_excluding_pause(since, now));
+        without_status.max(unreachable)
     }
 
-    /// The time since an event, or since a later pause of this controller.
+    /// The time since an event, or since the end of a later pause of this controller.
     #[inline]
-    fn unexcused_time(&self, since: Instant, now: Instant) -> Duration {
+    fn time_since_excluding_pause(&self, since: Instant, now: Instant) -> Duration {
         let since = self.paused_until.map_or(since, |pause| pause.max(since));
         now.saturating_duration_since(since)
     }
--- a/crates/daemon/src/worker/machine_health.rs
+++ b/crates/daemon/src/worker/machine_health.rs
@@ -1,14 +1,14 @@
-//! Whether a machine fails the tasks that it is given.
+//! Detects machines on which tasks of several jobs fail.
 
 use sched::hash::HashSet;
 use sched::records::TerminationReason;
 
-/// So many failures in a row make a machine unhealthy …
+/// Minimum number of failures in a row for a machine to be unhealthy.
 const MIN_UNHEALTHY_FAILURES: u32 = 2;
-/// … if they are of so many jobs.
+/// Minimum number of jobs that these failures have to belong to.
 const MIN_UNHEALTHY_JOBS: usize = 2;
 
-/// The tasks that failed on a machine since the last that completed.
+/// The failures of tasks on a machine since the last task that completed there.
 #[derive(Debug, Default)]
 pub(super) struct TaskFailures {
     count: u32,
@@ -16,7 +16,7 @@
 }
 
 impl TaskFailures {
-    /// Whether the machine fails the tasks of several jobs, as opposed to a job that fails on every
+    /// Whether tasks of several jobs fail on the machine, as opposed to one job that fails on every
     /// machine.
     pub(super) fn is_unhealthy(&self) -> bool {
         self.count >= MIN_UNHEALTHY_FAILURES && self.jobs.len() >= MIN_UNHEALTHY_JOBS
--- a/crates/daemon/src/worker/mod.rs
+++ b/crates/daemon/src/worker/mod.rs
@@ -1,8 +1,8 @@
-//! What an owner knows of one of its workers, and what follows from it. No I/O: statuses go in,
-//! proofs and commands come out, time is passed in.
+//! The state that an owner keeps for one of its workers, and the decisions based on it. There is no
+//! I/O: statuses are passed in, as is the time; proofs and commands are returned.
 //!
-//! Only a machine's owner sends it commands, one `/commands` request at a time, each with a
-//! fencing token above all before it.
+//! Only the owner of a machine sends commands to its worker: one `/commands` request at a time,
+//! each with a higher fencing token than all before it.
 
 mod assignment_id;
 mod command_channel;
@@ -19,12 +19,12 @@
 pub use assignment_id::AssignmentId;
 use command_channel::CommandChannel;
 pub use fencing_token::FencingToken;
-use liveness::{HearingEvidence, Liveness, StatusOrigin};
+use liveness::{Liveness, ReachabilityEvidence, StatusOrigin};
 use machine_health::TaskFailures;
 pub use reconcile::stops_of_cancelled_jobs;
 use tracked_tasks::TrackedTasks;
 
-/// The longest notice of a spot machine's end that is taken into account, in seconds.
+/// Maximum remaining time of a spot machine that is taken from a notice, in seconds.
 const MAX_SPOT_NOTICE_S: f64 = 3600.0;
 
 /// What is known of a worker whose machine this controller owns.
@@ -32,13 +32,13 @@
 pub struct Worker {
     /// The address that commands are sent to.
     pub addr: String,
-    /// The worker's incarnation by its last status; 0 before the first.
+    /// The worker's incarnation in its last status; 0 before the first status.
     incarnation: u64,
-    /// The number of that status within the incarnation.
+    /// The sequence number of the last status within its incarnation.
     sequence: u64,
-    /// Until when a spot machine may be used, once its end was announced.
+    /// Until when the spot machine may be used, once a spot notice was received.
     spot_notice_until: Option<Instant>,
-    /// When to compare the worker with the records again, even without news; `None`: now.
+    /// When to reconcile the worker with the records again, even if nothing changes; `None`: now.
     next_reconciliation_at: Option<Instant>,
     commands: CommandChannel,
     liveness: Liveness,
@@ -46,18 +46,18 @@
     failures: TaskFailures,
 }
 
-/// The limits by which workers are reconciled.
+/// The limits that reconciliation has to keep.
 #[derive(Debug)]
 pub struct WorkerLimits {
-    /// How long the other tasks of a gang may take to stop with the first.
+    /// How long the other tasks of a gang may take to stop after the first.
     pub gang_peer: Duration,
-    /// The workers' lease, by the slowest of their clocks.
+    /// The duration of the workers' lease, measured by the slowest of their clocks.
     pub lease: Duration,
     /// When the replica of the records was last known to be fresh.
     pub fresh_at: Option<Instant>,
-    /// How old the replica may be by which tasks are launched: what it shows may have been
+    /// Maximum age of the replica for launching tasks. A job in an older replica may have been
     /// cancelled since, by a controller that reaches the key-value store while this one does not.
-    /// After that long others may own this one's machines.
+    /// After that time, other controllers may own the machines of this one.
     pub max_launch_replica_age: Duration,
 }
 
@@ -69,7 +69,8 @@
 }
 
 impl Worker {
-    /// A worker at this address that has not been heard from, under the map of this epoch.
+    /// A worker at this address that has not sent a status yet, under the cluster map of this
+    /// epoch.
     pub fn new(addr: String, epoch: u64, now: Instant) -> Self {
         Self {
             addr,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Enters the epoch of a new map, if it is later than the present one.
+    /// Enters the epoch of a new cluster map if it is later than the current one.
     pub fn enter_epoch(&mut self, epoch: u64) {
         if epoch > self.commands.epoch() {
             self.commands.enter_epoch(epoch);
@@ -93,19 +94,20 @@
         }
     }
 
-    /// Whether what is known of the worker is from before its machine was another controller's for
-    /// a while, and has been owned here since this epoch. Two maps may become known at once, and
-    /// the owner between them may have started anew what is known here to have ended.
+    /// Whether this state is older than the current ownership of the machine, which began in epoch
+    /// `owned_since_epoch` after a time under another owner. This controller may learn of two maps
+    /// at once, and the owner in between may have restarted tasks that ended according to this
+    /// state.
     pub fn predates_ownership(&self, owned_since_epoch: u64) -> bool {
         self.commands.epoch() < owned_since_epoch
     }
 
-    /// Has the worker compared with the records in the next scheduling cycle.
+    /// Requests a reconciliation of the worker in the next scheduling cycle.
     pub fn request_reconciliation(&mut self) {
         self.next_reconciliation_at = None;
     }
 
-    /// Whether the worker is to be compared with the records now.
+    /// Whether the worker is to be reconciled with the records now.
     pub fn is_reconciliation_due(&self, now: Instant) -> bool {
         self.next_reconciliation_at.is_none_or(|at| now >= at)
     }
@@ -115,48 +117,48 @@
         self.tasks.is_running(task, attempt)
     }
 
-    /// When the end of an assignment was first proven, which is now if it was not before.
+    /// When the end of an assignment was first proven; `now` is recorded if it was not before.
     pub fn first_proven_at(&mut self, assignment: &AssignmentId, now: Instant) -> Instant {
         self.tasks.first_proven_at(assignment, now)
     }
 
-    /// The highest token given out.
+    /// The highest token issued.
     pub fn token(&self) -> FencingToken {
-        self.commands.newest
+        self.commands.last_issued
     }
 
-    /// The worker's incarnation by its last status; 0 before the first.
+    /// The worker's incarnation in its last status; 0 before the first status.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Until when a spot machine may be used, once its end was announced.
+    /// Until when the spot machine may be used, once a spot notice was received.
     pub fn spot_notice_until(&self) -> Option<Instant> {
         self.spot_notice_until
     }
 
     /// Whether a status of the worker was received since this controller owns its machine.
     pub fn was_heard_from(&self) -> bool {
-        self.liveness.last_heartbeat_at.is_some()
+        self.liveness.last_status_at.is_some()
     }
 
     fn has_status(&self) -> bool {
         self.incarnation > 0
     }
 
-    /// Whether the worker has seen a token above all of this owner's: another controller is
-    /// entitled to command it.
+    /// Whether the worker has seen a higher token than any that this owner has issued, which means
+    /// that another controller may command it.
     pub fn is_superseded_by(&self, heartbeat: &Heartbeat) -> bool {
         FencingToken::from(heartbeat.fencing_token) > self.token()
     }
 
-    /// Takes in a heartbeat that the worker sent by itself. Returns whether it is newer than what
-    /// is known; an older one, or a duplicate, changes nothing but the token that was seen.
+    /// Processes a heartbeat that the worker sent on its own. Returns whether it is newer than the
+    /// last status; an older one or a duplicate only updates the highest token seen.
     pub fn receive_heartbeat(&mut self, heartbeat: Heartbeat, now: Instant) -> bool {
         self.receive(heartbeat, StatusOrigin::Heartbeat, now)
     }
 
-    /// Takes in the status that the worker answered a request of this controller with.
+    /// Processes the status in the worker's response to a request of this controller.
     pub fn receive_response(&mut self, status: Heartbeat, now: Instant) -> bool {
         self.receive(status, StatusOrigin::Response, now)
     }
@@ -167,22 +169,22 @@
         if (status.incarnation, status.sequence) <= (self.incarnation, self.sequence) {
             return false;
         }
-        self.note_hearing(&status, origin, now);
+        self.note_reachability(&status, origin, now);
         if status.incarnation != self.incarnation
             || status.tasks != self.tasks.statuses()
             || status.spot_notice_s.is_some()
         {
             self.request_reconciliation();
         }
-        // A worker has one heartbeat on its way: by the next one, the response to the last has been
-        // executed or dropped. It also drops responses to an earlier incarnation, and those with a
-        // lower token than it has seen: that counts for a machine that reaches no controller any
-        // more, but answers requests.
+        // A worker has at most one heartbeat in flight: by the next one, it has executed or dropped
+        // the response to the last. It also drops responses to an earlier incarnation, and those
+        // with a lower token than it has seen. This matters for a machine whose heartbeats reach no
+        // controller any more, but which answers requests.
         if origin == StatusOrigin::Heartbeat
             || status.incarnation > self.incarnation
-            || self.commands.is_after_offer(token)
+            || self.commands.is_after_launch_response(token)
         {
-            self.commands.clear_offer();
+            self.commands.clear_launches_in_response();
         }
         self.liveness.note_received(origin, now);
         if self.commands.is_of_this_owner(token) {
@@ -196,17 +198,17 @@
         true
     }
 
-    /// Takes note of whether the worker hears this controller.
-    fn note_hearing(&mut self, status: &Heartbeat, origin: StatusOrigin, now: Instant) {
+    /// Updates whether messages of this controller reach the worker.
+    fn note_reachability(&mut self, status: &Heartbeat, origin: StatusOrigin, now: Instant) {
         let is_restarted = self.has_status() && status.incarnation > self.incarnation;
-        let lost_lease = is_restarted && self.liveness.was_renewed();
+        let lost_lease = is_restarted && self.liveness.has_renewed_lease();
         if origin == StatusOrigin::Heartbeat && lost_lease {
-            // The responses from now on have a new token, which only a worker that hears them can
-            // show.
+            // From now on, responses have a new token, which the worker can show only if it
+            // receives them.
             self.commands.next_token();
         }
         let token = FencingToken::from(status.fencing_token);
-        self.liveness.note_evidence(HearingEvidence { origin, token, lost_lease }, now);
+        self.liveness.note_evidence(ReachabilityEvidence { origin, token, lost_lease }, now);
     }
 
     /// Whether commands reach the worker, as far as is known.
@@ -215,23 +217,23 @@
         self.liveness.is_reachable() && self.commands.is_usable()
     }
 
-    /// Whether the worker has sent no heartbeat by itself for longer than this limit, though it may
-    /// answer requests: nobody renews its lease, and whatever is started there will be killed.
+    /// Whether the worker has sent no heartbeat on its own for longer than this limit, even if it
+    /// answers requests. Nothing renews its lease then, and tasks started there would be killed.
     #[inline]
     pub fn sends_no_heartbeats(&self, limit: Duration, now: Instant) -> bool {
-        self.liveness.without_heartbeats_for(now) > limit
+        self.liveness.time_since_heartbeat(now) > limit
     }
 
-    /// Notes that a response is sent which renews the worker's lease.
+    /// Notes that a response is sent that renews the worker's lease.
     pub fn renew_lease(&mut self, now: Instant) {
         self.liveness.renew_lease(self.token(), now);
     }
 
-    /// Whether the worker's lease has surely expired, so that all its tasks are gone. Nobody but
-    /// this owner can have renewed it: the worker has shown a token of this epoch, so it drops the
-    /// responses of any controller that an earlier map entitles, and others of this map renew only
-    /// workers that have not shown one. A later map makes the transaction fail that this is
-    /// written with.
+    /// Whether the worker's lease has certainly expired, so that all its tasks are gone. Only this
+    /// owner can have renewed it. The worker has shown a token of this epoch and so drops responses
+    /// of the owners under earlier maps; under this map, other controllers renew the leases only of
+    /// workers that have not shown such a token. Under a later map, the transaction that records
+    /// the expiry fails.
     fn has_lease_expired(&self, limits: &WorkerLimits, now: Instant) -> bool {
         self.commands.has_seen_epoch() && self.liveness.has_lease_expired(limits.lease, now)
     }
@@ -246,13 +248,13 @@
         self.commands.tokens_run_low()
     }
 
-    /// Begins a request with a token above all before. `None`: the epoch has no such token left,
-    /// and nothing may be sent.
+    /// Begins a request with a higher token than all before. Returns `None` if the epoch has no
+    /// token left; then nothing may be sent.
     pub fn begin_commands(&mut self, commands: &[Command], now: Instant) -> Option<FencingToken> {
         self.commands.begin(commands, now)
     }
 
-    /// Whether a request may be sent for nothing but having the worker forget tasks.
+    /// Whether a request that has only forget commands may be sent.
     pub fn is_cleanup_due(&self, now: Instant) -> bool {
         self.commands.is_cleanup_due(now)
     }
@@ -264,21 +266,21 @@
         }
     }
 
-    /// Notes that the request with this token was not answered, or is not waited for any more.
+    /// Notes that the request with this token was not answered, or is no longer waited for.
     pub fn commands_failed(&mut self, token: FencingToken, now: Instant) {
         if self.commands.fail(token, now) {
             self.request_reconciliation();
         }
     }
 
-    /// Whether the machine fails the tasks of several jobs, as opposed to a job that fails on every
+    /// Whether tasks of several jobs fail on the machine, as opposed to one job that fails on every
     /// machine.
     pub fn is_unhealthy(&self) -> bool {
         self.failures.is_unhealthy()
     }
 
-    /// Notes that this controller was paused until now: what it did not hear meanwhile says nothing
-    /// of the worker.
+    /// Notes that this controller was paused until now: it could not receive anything in the
+    /// meantime, so that silence says nothing about the worker.
     pub fn note_process_pause(&mut self, now: Instant) {
         self.liveness.note_pause(now);
     }
@@ -288,7 +290,7 @@
         self.liveness.note_probe_failure();
     }
 
-    /// How long nothing was heard from the worker, or nothing reached it.
+    /// How long nothing has been received from the worker, or nothing has reached it.
     #[inline]
     pub fn silent_for(&self, now: Instant) -> Duration {
         self.liveness.silent_for(now)
--- a/crates/daemon/src/worker/reconcile.rs
+++ b/crates/daemon/src/worker/reconcile.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of one worker: what its status proves, and what it is to be told, by the
-//! assignments on record.
+//! Reconciliation of one worker with the recorded assignments: which terminations its status
+//! proves, and which commands it needs.
 
 use std::time::{Duration, Instant};
 
@@ -8,12 +8,13 @@
 use wire::{Command, JobState, TaskState, TaskStatus};
 
 use super::command_channel::is_launch;
-use super::tracked_tasks::{Context, Findings};
+use super::tracked_tasks::{ComparisonContext, Findings};
 use super::{AssignmentId, Worker, WorkerLimits};
 
-/// How soon a worker is reconciled again while something is open.
-const OPEN_INTERVAL: Duration = Duration::from_millis(300);
-/// How soon a worker is reconciled again when nothing is open.
+/// How soon a worker is reconciled again while a termination, command or acknowledgement is
+/// outstanding.
+const OUTSTANDING_INTERVAL: Duration = Duration::from_millis(300);
+/// How soon a worker is reconciled again if nothing is outstanding.
 const IDLE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The outcome of a reconciliation.
@@ -21,10 +22,10 @@
 pub struct ReconciliationPlan {
     /// Assignments that are proven to be over, and how they ended.
     pub terminations: Vec<(AssignmentId, TerminationReason)>,
-    /// What the worker is to be told.
+    /// The commands for the worker.
     pub commands: Vec<Command>,
-    /// Whether the worker has to show a newer token before anything more is proven, so that it
-    /// has to be sent a request even without commands.
+    /// Whether the worker has to show a newer token before more can be proven. It is then sent a
+    /// request even without commands.
     pub needs_token_acknowledgement: bool,
 }
 
@@ -41,7 +42,7 @@
         if !self.has_status() {
             return ReconciliationPlan::default();
         }
-        let context = Context {
+        let context = ComparisonContext {
             limits,
             now,
             lease_expired: self.has_lease_expired(limits, now),
@@ -58,7 +59,7 @@
         self.plan(findings, now)
     }
 
-    /// Takes note of what the ends of tasks say of the machine's health, each once.
+    /// Updates the machine's health from terminations, counting each of them once.
     fn note_terminations(&mut self, terminations: &[(AssignmentId, TerminationReason)]) {
         for (id, reason) in terminations {
             if !self.tasks.is_proven_over(id) {
@@ -67,28 +68,29 @@
         }
     }
 
-    /// The plan that follows from the findings; it is made anew soon if anything is open.
+    /// Builds the plan from the findings. The next reconciliation is soon if anything is
+    /// outstanding.
     fn plan(&mut self, findings: Findings<'_>, now: Instant) -> ReconciliationPlan {
         let Findings { terminations, forgets: mut commands, needs_token_acknowledgement, .. } = findings;
         commands.extend(findings.stops);
         commands.extend(findings.launches);
-        let is_open = !terminations.is_empty()
+        let is_outstanding = !terminations.is_empty()
             || !commands.is_empty()
             || needs_token_acknowledgement
             || findings.has_withheld_launch;
-        if is_open || self.tasks.has_open_tasks() {
-            self.next_reconciliation_at = Some(now + OPEN_INTERVAL);
+        if is_outstanding || self.tasks.has_outstanding_tasks() {
+            self.next_reconciliation_at = Some(now + OUTSTANDING_INTERVAL);
         }
         ReconciliationPlan { terminations, commands, needs_token_acknowledgement }
     }
 
-    /// The stops that every response has to hold which renews the worker's lease.
+    /// The stop commands that every response which renews the worker's lease has to contain.
     pub fn stops_of_cancelled_jobs(&self, replica: &Replica) -> Vec<Command> {
         stops_of_cancelled_jobs(self.tasks.statuses(), replica)
     }
 
-    /// The commands for the response to a heartbeat: launches and stops. A worker is never told in
-    /// a response to forget tasks, as that needs a token above every launch.
+    /// The commands for the response to a heartbeat: launches and stops. Forget commands are never
+    /// sent in a response, because they need a higher token than every launch.
     pub fn commands_for_heartbeat(
         &mut self,
         machine: &str,
@@ -105,18 +107,18 @@
         commands.extend(further);
         commands.retain(|c| !matches!(c, Command::Forget { .. }));
         if commands.iter().any(is_launch) {
-            self.commands.note_offer();
+            self.commands.note_launches_in_response();
         }
-        // The ends that were found are for the next scheduling cycle.
+        // Terminations found here are left to the next scheduling cycle.
         self.request_reconciliation();
         commands
     }
 }
 
-/// Stops for the tasks of cancelled jobs. Whoever renews a worker's lease sends them with the same
-/// response, or does not renew it: a task that went on after its cancellation would otherwise be
-/// kept alive by one response after the other, while the requests that are to stop it are lost, or
-/// one of them is not answered yet.
+/// Stop commands for the tasks of cancelled jobs. A controller that renews a worker's lease sends
+/// them in the same response, or does not renew the lease. Otherwise each response would keep a
+/// task alive after its cancellation, while the requests that should stop it are lost or one of
+/// them is still unanswered.
 pub fn stops_of_cancelled_jobs(tasks: &[TaskStatus], replica: &Replica) -> Vec<Command> {
     let is_cancelled = |t: &&TaskStatus| {
         let job_state = t.parts().and_then(|(job, _)| replica.state_of(job));
--- a/crates/daemon/src/worker/tracked_tasks.rs
+++ b/crates/daemon/src/worker/tracked_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks on a worker: what it reports, compared with the assignments on record.
+//! Compares the tasks that a worker reports with the recorded assignments.
 
 use std::time::{Duration, Instant};
 
@@ -8,27 +8,28 @@
 
 use super::{AssignmentId, WorkerLimits};
 
-/// How long after the first stop of a task it is repeated.
+/// How long after the first stop command for a task the command is repeated.
 const STOP_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// The longest time for a checkpoint that is waited for, in seconds.
+/// Maximum time to wait for a checkpoint, in seconds.
 const MAX_CHECKPOINT_S: f64 = 600.0;
-/// How long a task without an assignment is left alone: its assignment may be on its way here.
+/// How long a task without an assignment is left running: its assignment may not have reached the
+/// replica yet.
 const ORPHAN_GRACE_PERIOD: Duration = Duration::from_millis(1500);
 
-/// What decides on the tasks of a worker beside its status and the records.
+/// The inputs of a comparison, apart from the worker's status and the records.
 #[derive(Debug)]
-pub(super) struct Context<'l> {
+pub(super) struct ComparisonContext<'l> {
     pub(super) limits: &'l WorkerLimits,
     pub(super) now: Instant,
     /// Whether the worker's lease has expired, so that all its tasks are over.
     pub(super) lease_expired: bool,
     /// Whether absence from the worker's status proves that an assignment is over.
     pub(super) absence_is_proof: bool,
-    /// Whether the replica of the records is fresh enough to launch tasks by it.
+    /// Whether the replica of the records is fresh enough to launch tasks based on it.
     pub(super) may_launch: bool,
 }
 
-/// The findings of one comparison.
+/// The findings of a comparison.
 #[derive(Debug, Default)]
 pub(super) struct Findings<'r> {
     /// The assigned attempt of each task, by job and task.
@@ -38,7 +39,7 @@
     pub(super) forgets: Vec<Command>,
     pub(super) stops: Vec<Command>,
     pub(super) launches: Vec<Command>,
-    /// Whether the worker has to show a newer token before absence proves anything.
+    /// Whether the worker has to show a newer token before the absence of tasks proves anything.
     pub(super) needs_token_acknowledgement: bool,
     /// Whether a launch waits for a fresher replica.
     pub(super) has_withheld_launch: bool,
@@ -47,34 +48,36 @@
 /// What is known of the tasks on a worker.
 #[derive(Debug, Default)]
 pub(super) struct TrackedTasks {
-    /// The tasks by the worker's last status.
+    /// The tasks in the worker's last status.
     statuses: Vec<TaskStatus>,
-    /// The statuses are from after this controller became the owner: they came with a token from
-    /// since then. Any other status may be a delayed duplicate from long before, and what ended
-    /// then may have been started anew since.
+    /// Whether the statuses are from the time since this controller became the owner, as their
+    /// token showed. Any other status may be a delayed duplicate from long before, and tasks that
+    /// it shows as ended may have been restarted since.
     is_current: bool,
     /// Assignments that were seen on the worker.
-    present: HashSet<AssignmentId>,
-    /// When assignments were first stopped.
+    seen: HashSet<AssignmentId>,
+    /// When the first stop command for each assignment was issued.
     stopped_at: HashMap<AssignmentId, Instant>,
     /// Since when tasks have been seen without an assignment, by task and attempt.
     orphaned_since: HashMap<(String, u64), Instant>,
-    /// When the end of an assignment was first proven: another controller may be writing it.
+    /// When the end of each assignment was first proven. Another controller may already be
+    /// recording it.
     proven_at: HashMap<AssignmentId, Instant>,
 }
 
 impl TrackedTasks {
-    /// The tasks by the worker's last status.
+    /// The tasks in the worker's last status.
     pub(super) fn statuses(&self) -> &[TaskStatus] {
         &self.statuses
     }
 
-    /// Notes that the worker has shown a token from since this controller owns the machine.
+    /// Notes that the worker has shown a token from the time since this controller owns the
+    /// machine.
     pub(super) fn mark_current(&mut self) {
         self.is_current = true;
     }
 
-    /// Takes in the tasks of a newer status.
+    /// Updates the tasks from a newer status.
     pub(super) fn update(&mut self, statuses: Vec<TaskStatus>) {
         if self.statuses == statuses {
             return;
@@ -83,7 +86,7 @@
         for status in &self.statuses {
             if let Some((job, task)) = status.parts() {
                 let attempt = status.attempt;
-                self.present.insert(AssignmentId { job: job.to_owned(), task, attempt });
+                self.seen.insert(AssignmentId { job: job.to_owned(), task, attempt });
             }
         }
     }
@@ -104,8 +107,8 @@
         self.proven_at.contains_key(assignment)
     }
 
-    /// Whether some task is being stopped, or has no assignment.
-    pub(super) fn has_open_tasks(&self) -> bool {
+    /// Whether any task is being stopped or has no assignment.
+    pub(super) fn has_outstanding_tasks(&self) -> bool {
         !self.orphaned_since.is_empty() || !self.stopped_at.is_empty()
     }
 
@@ -116,7 +119,7 @@
         job_id: &'r str,
         job: &JobRecord,
         assignment: &Assignment,
-        context: &Context<'_>,
+        context: &ComparisonContext<'_>,
     ) {
         let (task, attempt) = (assignment.task, assignment.attempt);
         let id = AssignmentId { job: job_id.to_owned(), task, attempt };
@@ -138,16 +141,16 @@
                 findings.stops.extend(self.stop_if_due(&id, name, state, job, context));
             }
             Some(_) => {}
-            // An end that was proven once may be written at any moment: the assignment must never
-            // start after all.
-            None if should_run && !self.present.contains(&id) && !self.is_proven_over(&id) => {
+            // A proven termination may be recorded at any moment, so the assignment must not be
+            // launched any more.
+            None if should_run && !self.seen.contains(&id) && !self.is_proven_over(&id) => {
                 if context.may_launch {
                     findings.launches.push(Command::Start { task: name, attempt });
                 } else {
                     findings.has_withheld_launch = true;
                 }
             }
-            // Seen before and gone now: the worker was restarted.
+            // The task was seen before and is gone now: the worker was restarted.
             None if context.absence_is_proof => {
                 findings.terminations.push((id.clone(), TerminationReason::Lost));
             }
@@ -156,24 +159,24 @@
         findings.assigned.insert(id);
     }
 
-    /// The command that stops a task, if it is to be sent now. The task has time for a checkpoint,
-    /// unless its job is over or that time has passed.
+    /// The stop command for a task, if it is due. The task gets time to save a checkpoint, unless
+    /// its job is over or that time has passed.
     fn stop_if_due(
         &mut self,
         id: &AssignmentId,
         task: String,
         state: TaskState,
         job: &JobRecord,
-        context: &Context<'_>,
+        context: &ComparisonContext<'_>,
     ) -> Option<Command> {
         let elapsed = self.stopped_at.get(id).map(|at| context.now.saturating_duration_since(*at));
         if elapsed.is_some_and(|elapsed| elapsed < STOP_RETRY_DELAY) {
             return None;
         }
         let checkpoint_s = job.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s);
-        let patience =
+        let stop_timeout =
             wire::seconds(checkpoint_s.min(MAX_CHECKPOINT_S)) + context.limits.gang_peer + STOP_RETRY_DELAY;
-        let kill = job.phase != Phase::Active || elapsed.is_some_and(|elapsed| elapsed > patience);
+        let kill = job.phase != Phase::Active || elapsed.is_some_and(|elapsed| elapsed > stop_timeout);
         if elapsed.is_none() {
             self.stopped_at.insert(id.clone(), context.now);
         } else if !kill && state == TaskState::Saving {
@@ -183,16 +186,16 @@
         Some(Command::Stop { task, attempt: id.attempt, grace_s })
     }
 
-    /// Forgets assignments that are not on record any more.
+    /// Drops the state of assignments that are no longer on record.
     pub(super) fn retain_assigned(&mut self, findings: &Findings<'_>) {
         self.proven_at.retain(|id, _| findings.assigned.contains(id));
-        self.present.retain(|id| findings.assigned.contains(id));
+        self.seen.retain(|id| findings.assigned.contains(id));
         self.stopped_at.retain(|id, _| findings.assigned.contains(id));
     }
 
-    /// Finds tasks without an assignment: those that run are stopped, those that have ended
-    /// forgotten.
-    pub(super) fn find_orphans(&mut self, findings: &mut Findings<'_>, context: &Context<'_>) {
+    /// Finds tasks without an assignment. Running tasks are to be stopped, exited ones to be
+    /// forgotten by the worker.
+    pub(super) fn find_orphans(&mut self, findings: &mut Findings<'_>, context: &ComparisonContext<'_>) {
         let mut orphaned_since = HashMap::default();
         for status in &self.statuses {
             let assigned_attempt = status.parts().and_then(|(job, task)| findings.attempts.get(&(job, task)));
@@ -203,8 +206,8 @@
             let key = (task.clone(), attempt);
             let since = self.orphaned_since.get(&key).copied().unwrap_or(context.now);
             orphaned_since.insert(key, since);
-            // The replica may be older than the assignment: it has to be read after the task was
-            // first seen.
+            // The replica may be older than the assignment: it has to be refreshed after the task
+            // was first seen without one.
             if context.limits.fresh_at.is_none_or(|fresh_at| fresh_at <= since) {
                 continue;
             }
@@ -221,13 +224,13 @@
     }
 }
 
-/// How an assignment has ended, by the worker's reason for the exit of its task.
+/// Maps the worker's exit reason of a task to the termination reason of its assignment.
 fn termination_reason(cause: Option<ExitReason>) -> TerminationReason {
     match cause {
         Some(ExitReason::Done) => TerminationReason::Done,
         Some(ExitReason::Error) => TerminationReason::Error,
         Some(ExitReason::GangIncomplete) => TerminationReason::GangIncomplete,
-        // The machine did not take the task: it is avoided for a while.
+        // The machine rejected the task: the job avoids it for a while.
         Some(ExitReason::NoCapacity | ExitReason::Busy | ExitReason::Unknown) => TerminationReason::Rejected,
         _ => TerminationReason::Stopped,
     }
--- a/crates/daemon/src/worker_client.rs
+++ b/crates/daemon/src/worker_client.rs
@@ -7,11 +7,11 @@
 
 use crate::controller::Controller;
 
-/// Most bytes of a worker's status.
+/// Maximum size of a worker's status, in bytes.
 const MAX_STATUS_BYTES: usize = wire::BODY_LIMIT * 4;
 
-/// Asks the worker at an address for its status. `None`: what answered is not the worker of this
-/// machine.
+/// Requests the status of the worker at an address. Returns `None` if the response is not from the
+/// worker of this machine.
 pub async fn fetch_status(
     controller: &Controller,
     machine: &str,
@@ -20,6 +20,6 @@
 ) -> Result<Option<Heartbeat>, NetError> {
     let request =
         controller.worker_http.request(addr, "GET", "/status", Vec::new(), MAX_STATUS_BYTES, timeout);
-    let answer = request.await?;
-    Ok(wire::decode::<Heartbeat>(&answer.body).ok().filter(|status| status.machine == machine))
+    let response = request.await?;
+    Ok(wire::decode::<Heartbeat>(&response.body).ok().filter(|status| status.machine == machine))
 }
--- a/crates/daemon/tests/unit/worker.rs
+++ b/crates/daemon/tests/unit/worker.rs
@@ -58,12 +58,12 @@
 }
 
 impl Worker {
-    /// Has the worker as if its last status was received at this time.
+    /// Makes the worker appear to have sent its last status at this time.
     pub(crate) fn set_last_heartbeat_at(&mut self, at: Instant) {
-        self.liveness.last_heartbeat_at = Some(at);
+        self.liveness.last_status_at = Some(at);
     }
 
-    /// Has the worker as if this controller had owned its machine since this time.
+    /// Makes the worker appear to have been owned by this controller since this time.
     pub(crate) fn set_owned_since(&mut self, at: Instant) {
         self.liveness.owned_since = at;
     }
@@ -145,9 +145,9 @@
     );
 }
 
-/// A task exited, its machine lost the lease before that was recorded, and the next owner started
-/// it there once more. A delayed duplicate of the heartbeat from before, which reaches yet another
-/// owner as the first that it receives, ends nothing.
+/// A task exits, its machine loses the lease before that is recorded, and the next owner restarts
+/// the task there. A third owner then receives a delayed duplicate of the heartbeat that showed the
+/// exit, as its first one. It must not end the assignment.
 #[test]
 fn a_delayed_duplicate_of_an_exit_proves_nothing_to_a_new_owner() {
     let now = Instant::now();
@@ -156,7 +156,10 @@
     let old = heartbeat(316, first_token(7) + 3, &[(1, TaskState::Exited, Some(ExitReason::Done))]);
     worker.receive_heartbeat(old, now);
     let plan = worker.reconcile("host-1", &replica, &limits(now), now);
-    assert!(plan.terminations.is_empty() && plan.needs_token_acknowledgement, "the worker is asked");
+    assert!(
+        plan.terminations.is_empty() && plan.needs_token_acknowledgement,
+        "the worker has to acknowledge a newer token first"
+    );
     let running = [(1, TaskState::Running, None)];
     worker
         .receive_response(Heartbeat { incarnation: 2, ..heartbeat(317, first_token(8) + 1, &running) }, now);
@@ -170,9 +173,9 @@
     );
 }
 
-/// A controller is paused for longer than the lease. Then it proves that whatever was on a machine
-/// is over, including an assignment that it has not launched yet. The worker sends a heartbeat
-/// while the proof is on its way to the record.
+/// After a pause longer than the lease, a controller proves all assignments on a machine over,
+/// including one that it has not launched yet. A heartbeat that arrives before the proof is
+/// recorded must not launch that assignment.
 #[test]
 fn an_assignment_that_was_proven_over_is_not_launched() {
     let now = Instant::now();
@@ -180,15 +183,18 @@
     let mut worker = Worker::new("a".into(), 5, now);
     worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
     worker.renew_lease(now);
-    let woken = now + Duration::from_secs(30);
-    let plan = worker.reconcile("host-1", &replica, &limits(woken), woken);
+    let resumed = now + Duration::from_secs(30);
+    let plan = worker.reconcile("host-1", &replica, &limits(resumed), resumed);
     assert_eq!(terminations(&plan), [TerminationReason::Lost]);
-    worker.first_proven_at(&plan.terminations[0].0, woken);
-    worker.receive_heartbeat(Heartbeat { incarnation: 2, ..heartbeat(2, first_token(5), &[]) }, woken);
-    worker.renew_lease(woken);
-    assert_eq!(worker.commands_for_heartbeat("host-1", &replica, &limits(woken), woken), []);
-    let plan = worker.reconcile("host-1", &replica, &limits(woken), woken);
-    assert!(plan.commands.is_empty() && terminations(&plan) == [TerminationReason::Lost], "it is still over");
+    worker.first_proven_at(&plan.terminations[0].0, resumed);
+    worker.receive_heartbeat(Heartbeat { incarnation: 2, ..heartbeat(2, first_token(5), &[]) }, resumed);
+    worker.renew_lease(resumed);
+    assert_eq!(worker.commands_for_heartbeat("host-1", &replica, &limits(resumed), resumed), []);
+    let plan = worker.reconcile("host-1", &replica, &limits(resumed), resumed);
+    assert!(
+        plan.commands.is_empty() && terminations(&plan) == [TerminationReason::Lost],
+        "the assignment is still proven over"
+    );
 }
 
 #[test]
@@ -200,7 +206,7 @@
     let plan = worker.reconcile("host-1", &replica, &limits(now), now);
     assert!(matches!(plan.commands[..], [Command::Start { .. }]));
     let sent = worker.begin_commands(&launch(), now).expect("a token");
-    // Cancelled while the launch is on its way.
+    // The job is cancelled while the launch is in flight.
     let replica = replica_with(assigned(DesiredState::Running), Phase::Cancelled);
     worker.receive_heartbeat(heartbeat(2, sent, &[]), now);
     assert!(worker.reconcile("host-1", &replica, &limits(now), now).terminations.is_empty());
@@ -214,8 +220,8 @@
     );
 }
 
-/// An epoch has 2^20 tokens for each worker. Before they are used up a new epoch is asked for;
-/// the last of them is never passed, and what went out with it is not ruled out before the
+/// An epoch has 2^20 tokens for each worker. A new epoch is requested before they are used up, no
+/// token beyond the last is issued, and a launch with the last token is not ruled out before the
 /// next epoch.
 #[test]
 fn an_owner_never_gives_out_a_token_of_the_next_epoch() {
@@ -234,14 +240,15 @@
         }
     }
     assert_eq!(last.get(), first_token(6) - 1);
-    let low_at = low_at.expect("a new epoch is asked for in time");
-    assert!(last.get() - low_at.get() > 100_000, "there is time for it");
+    let low_at = low_at.expect("a new epoch is requested in time");
+    assert!(last.get() - low_at.get() > 100_000, "enough tokens are left until the new epoch");
     assert!(worker.begin_commands(&launch(), now).is_none());
-    // The last launch is not answered. Nothing of this epoch can show that it never came.
+    // The launch with the last token is not answered. No token of this epoch can show that it never
+    // arrived.
     let mut worker = Worker::new("a".into(), 5, now);
     worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
-    worker.commands.newest = FencingToken::from(first_token(6) - 2);
-    let sent = worker.begin_commands(&launch(), now).expect("the last");
+    worker.commands.last_issued = FencingToken::from(first_token(6) - 2);
+    let sent = worker.begin_commands(&launch(), now).expect("the last token");
     worker.commands_failed(sent, now);
     assert_eq!(worker.token().get(), first_token(6) - 1);
     let replica = replica_with(assigned(DesiredState::Stopped), Phase::Active);
@@ -257,7 +264,7 @@
 }
 
 #[test]
-fn a_request_of_an_earlier_epoch_does_not_end_the_wait_for_a_later_one() {
+fn an_answer_to_a_request_of_an_earlier_epoch_does_not_complete_a_later_request() {
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
     worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
@@ -271,7 +278,7 @@
 }
 
 #[test]
-fn launches_in_a_response_are_open_until_the_next_heartbeat() {
+fn launches_in_a_response_are_not_ruled_out_before_the_next_heartbeat() {
     let now = Instant::now();
     let mut worker = Worker::new("a".into(), 5, now);
     worker.receive_heartbeat(heartbeat(1, first_token(5), &[]), now);
@@ -305,25 +312,25 @@
         heartbeat(1, first_token(5), &[(1, TaskState::Exited, Some(ExitReason::Done))]),
         start,
     );
-    let assigned = replica_with(assigned(DesiredState::Running), Phase::Active);
-    let plan = worker.reconcile("host-1", &assigned, &limits(start), start);
+    let with_assignment = replica_with(assigned(DesiredState::Running), Phase::Active);
+    let plan = worker.reconcile("host-1", &with_assignment, &limits(start), start);
     assert_eq!((terminations(&plan), plan.commands.len()), (vec![TerminationReason::Done], 0));
-    let gone = replica_with(vec![], Phase::Active);
-    assert!(worker.reconcile("host-1", &gone, &limits(start), start).commands.is_empty());
+    let without_assignment = replica_with(vec![], Phase::Active);
+    assert!(worker.reconcile("host-1", &without_assignment, &limits(start), start).commands.is_empty());
     let later = start + Duration::from_secs(3);
-    let stale = worker.reconcile("host-1", &gone, &limits(start), later);
-    assert!(stale.commands.is_empty(), "the replica is as old as the first sight");
-    let plan = worker.reconcile("host-1", &gone, &limits(later), later);
+    let stale = worker.reconcile("host-1", &without_assignment, &limits(start), later);
+    assert!(stale.commands.is_empty(), "the replica was not refreshed after the task was first seen");
+    let plan = worker.reconcile("host-1", &without_assignment, &limits(later), later);
     assert!(matches!(plan.commands[..], [Command::Forget { attempt: 1, .. }]));
 }
 
 #[test]
-fn a_worker_that_does_not_hear_gets_no_work_and_counts_as_silent() {
+fn a_worker_that_no_messages_reach_gets_no_work_and_counts_as_silent() {
     let start = Instant::now();
     let at = |s| start + Duration::from_secs(s);
     let mut worker = Worker::new("a".into(), 5, start);
     worker.receive_heartbeat(heartbeat(1, first_token(4), &[]), start);
-    assert!(!worker.receives_commands(), "it has shown no token of this owner's");
+    assert!(!worker.receives_commands(), "it has shown no token of this owner");
     worker.renew_lease(start);
     worker.receive_heartbeat(heartbeat(2, first_token(5), &[]), at(1));
     assert!(worker.receives_commands());
@@ -335,28 +342,29 @@
     worker.receive_heartbeat(heartbeat(4, first_token(5), &[]), at(12));
     assert!(!worker.receives_commands());
     assert_eq!(worker.silent_for(at(20)), Duration::from_secs(8), "its heartbeats do not count");
-    // Its lease ran out although its heartbeats were answered.
+    // The lease of the worker expired although its heartbeats were answered.
     let mut next = heartbeat(5, first_token(5), &[]);
     next.incarnation = 2;
     worker.receive_heartbeat(next, at(30));
     assert!(!worker.receives_commands());
-    let mut heard = heartbeat(6, worker.token(), &[]);
-    heard.incarnation = 2;
-    worker.receive_response(heard, at(31));
+    let mut response = heartbeat(6, worker.token(), &[]);
+    response.incarnation = 2;
+    worker.receive_response(response, at(31));
     assert!(worker.receives_commands(), "it answered a request");
 }
 
-/// Delayed duplicates of heartbeats prove nothing, also as the first that a new owner receives.
+/// Delayed duplicates of heartbeats prove nothing, even if one is the first heartbeat that a new
+/// owner receives.
 #[test]
-fn delayed_duplicates_prove_no_absence_and_renew_nothing() {
+fn delayed_duplicates_neither_prove_absence_nor_end_the_silence() {
     let now = Instant::now();
     let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
     let mut worker = Worker::new("a".into(), 6, now);
-    // A duplicate from the epoch before, from when the task was not there yet.
+    // A duplicate from the previous epoch, sent before the task was launched.
     worker.receive_heartbeat(heartbeat(3, first_token(5) + 7, &[]), now);
     let plan = worker.reconcile("host-1", &replica, &limits(now), now);
     assert!(plan.terminations.is_empty() && !worker.receives_commands());
-    // The worker itself, with the task.
+    // A current heartbeat, which shows the task.
     let running = [(1, TaskState::Running, None)];
     assert!(worker.receive_heartbeat(heartbeat(9, first_token(6), &running), now));
     let later = now + Duration::from_secs(40);
@@ -365,8 +373,8 @@
     }
     assert_eq!(worker.silent_for(later), Duration::from_secs(40));
     assert!(worker.reconcile("host-1", &replica, &limits(later), now).terminations.is_empty());
-    // A launch that was not answered is not ruled out by a duplicate that shows
-    // an older token, however late it comes.
+    // A duplicate with an older token does not rule out an unanswered launch, however late it
+    // arrives.
     let mut worker = Worker::new("a".into(), 6, now);
     worker.receive_heartbeat(heartbeat(1, first_token(6), &[]), now);
     let sent = worker.begin_commands(&launch(), now).expect("a token");
@@ -381,7 +389,7 @@
     let start = Instant::now();
     let limits = limits(start);
     let replica = replica_with(assigned(DesiredState::Running), Phase::Active);
-    let silent = |token, renewed: Option<Duration>, after: Duration| {
+    let is_proven_over = |token, renewed: Option<Duration>, after: Duration| {
         let mut worker = Worker::new("a".into(), 5, start);
         worker.receive_heartbeat(heartbeat(1, token, &[(1, TaskState::Running, None)]), start);
         if let Some(at) = renewed {
@@ -391,14 +399,17 @@
     };
     let (token, renewed) = (first_token(5), Some(Duration::from_secs(2)));
     let end = Duration::from_secs(2) + limits.lease;
-    assert!(!silent(token, renewed, end), "it may still run");
-    assert!(silent(token, renewed, end + Duration::from_millis(1)));
-    assert!(!silent(first_token(4), renewed, end * 9), "others may have renewed it");
-    assert!(!silent(token, None, end * 9), "and it is not known when it was renewed");
+    assert!(!is_proven_over(token, renewed, end), "the lease has not expired");
+    assert!(is_proven_over(token, renewed, end + Duration::from_millis(1)));
+    assert!(
+        !is_proven_over(first_token(4), renewed, end * 9),
+        "another controller may have renewed the lease"
+    );
+    assert!(!is_proven_over(token, None, end * 9), "it is not known when the lease was renewed");
 }
 
 #[test]
-fn a_machine_is_unhealthy_by_failures_of_several_jobs_but_not_of_one() {
+fn a_machine_is_unhealthy_after_failures_of_several_jobs_but_not_of_one() {
     let mut worker = Worker::new("a".into(), 1, Instant::now());
     for _ in 0..5 {
         worker.failures.note_termination("j-1", TerminationReason::Error);
