--- a/crates/daemon/src/scheduler/decisions.rs
+++ b/crates/daemon/src/scheduler/decisions.rs
@@ -56,9 +56,9 @@
     Some(cycle)
 }
 
-/// Marks jobs as cancelled that depend on a cancelled job. Users see such jobs as cancelled
-/// already; this frees the data that is kept for them. Each scheduler does so for its own jobs, up
-/// to a limit per cycle.
+/// Marks jobs that depend on a cancelled job as cancelled. Users see them as cancelled already;
+/// this frees the data that is kept for them. Each scheduler does so for its own jobs, up to a
+/// limit per cycle.
 fn cancel_dependents(
     controller: &Controller,
     state: &ControllerState,
--- a/crates/daemon/src/scheduler/placement/gang_capacity.rs
+++ b/crates/daemon/src/scheduler/placement/gang_capacity.rs
@@ -10,8 +10,8 @@
     competes_with_any(replica, spec, longest_waiting(replica, now_ms).into_iter())
 }
 
-/// Whether the job could take capacity that one of these gangs needs, and the gang has at least its
-/// priority.
+/// Whether the job could take capacity that one of these gangs needs, and its priority is not above
+/// that of the gang.
 pub(super) fn competes_with_any<'a>(
     replica: &Replica,
     spec: &JobSpec,
--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -36,8 +36,8 @@
     pub(super) scheduling: &'a mut SchedulingState,
     /// All running tasks; collected by the first search for victims.
     pub(super) running: Option<Running<'r>>,
-    /// Forecast service tasks as a spec and a count, until capacity is reserved for them: services
-    /// have to start within seconds and so depend on capacity that already exists.
+    /// Forecast service tasks, as a spec and a count, until capacity is reserved for them. Services
+    /// have to start within seconds, so their capacity has to exist when they are submitted.
     pub(super) expected_services: Option<(JobSpec, u32)>,
 }
 
@@ -235,7 +235,8 @@
         self.cycle.teams.insert(spec.team.clone());
         self.cycle.placed_jobs.insert(id.to_owned());
         // Keep the rest of the capacity that was freed for the job reserved. If other jobs took it,
-        // it would have to be freed again and again (one task was preempted eight times this way).
+        // it would have to be freed again and again (in one recorded case, a task was preempted
+        // eight times).
         if let Some(Reservation { machines, until }) = self.scheduling.reservations.remove(id) {
             let machines = remaining_reservation(machines, &assignments, pending_task_count(&job));
             if !machines.is_empty() {
@@ -281,9 +282,9 @@
 fn may_be_stored(controller: &Controller, id: &str, job: &JobRecord) -> bool {
     let limits = controller.state_limits();
     // A record with fewer assignments certainly fits and does not have to be encoded.
-    let certainly_fitting = (limits.value_bytes / MAX_GANG_TASK_BYTES) as usize / 2;
+    let max_assignments_that_always_fit = (limits.value_bytes / MAX_GANG_TASK_BYTES) as usize / 2;
     limits.chunked
-        || job.assignments.len() < certainly_fitting
+        || job.assignments.len() < max_assignments_that_always_fit
         || KeyWrite::new(key::job(id), job).value_len() as f64 <= limits.value_bytes
 }
 
--- a/crates/daemon/src/scheduler/placement/preemption.rs
+++ b/crates/daemon/src/scheduler/placement/preemption.rs
@@ -91,8 +91,8 @@
         freed.victims.iter().map(save_s).fold(0.0, f64::max).min(MAX_CHECKPOINT_SAVE_S)
     }
 
-    /// Whether to search for victims. A search through all running tasks is expensive, and soon
-    /// after a search without a result the next one has none either.
+    /// Whether to search for victims. A search through all running tasks is expensive, and one that
+    /// is repeated soon after a search without a result finds nothing either.
     fn may_search_victims(&self, candidate: &Candidate, job: &JobRecord) -> bool {
         let (now, now_ms) = (self.context.now, self.context.now_ms);
         let is_gang = candidate.spec.kind == JobKind::Gang;
@@ -105,8 +105,9 @@
             && !self.scheduling.last_victim_search.get(candidate.id).is_some_and(is_recent)
     }
 
-    /// Finds victims to make room for this many tasks: in the team of the job if its quota is used
-    /// up, else on any machine where the tasks fit. Reserves the freed capacity in the inventory.
+    /// Finds victims to make room for this many tasks: among the tasks of the same team if its
+    /// quota is used up, else on any machine where the tasks fit. Reserves the freed capacity in
+    /// the inventory.
     fn find_victims(
         &mut self,
         candidate: &Candidate,
--- a/crates/daemon/src/scheduler/placement/quota_claims.rs
+++ b/crates/daemon/src/scheduler/placement/quota_claims.rs
@@ -44,8 +44,8 @@
 /// A gang's claim does not apply to an array whose own deadline is pressing. No claim applies to an
 /// array of higher priority: a job that the array has preempted would claim the freed capacity, be
 /// placed there and be preempted again, without end. Claims are limited to the quota that replicas
-/// of services leave: replicas run until their jobs end, so a gang that does not fit beside them
-/// would keep arrays out of the rest of the quota for good.
+/// of services leave: replicas run until their jobs end, so the claim of a gang that does not fit
+/// beside them would keep arrays out of the remaining quota for good.
 pub(super) fn quota_claims(
     controller: &Controller,
     replica: &Replica,
--- a/crates/daemon/src/scheduler/worker_reconciliation.rs
+++ b/crates/daemon/src/scheduler/worker_reconciliation.rs
@@ -19,7 +19,8 @@
 /// Up to this many forget commands wait for the next clean-up; more are sent at once.
 const MAX_DELAYED_FORGETS: usize = 12;
 
-/// Reconciles with the records the workers of owned machines that are due.
+/// Reconciles those workers with the records whose reconciliation is due: a status or record has
+/// changed, or the interval since the last one has passed.
 pub(super) fn reconcile_workers(
     controller: &Controller,
     state: &mut ControllerState,
@@ -75,7 +76,7 @@
     }
 }
 
-/// A termination that the heartbeats of the worker have proven.
+/// The termination of an assignment, proven by the heartbeats of the worker.
 struct ProvenTermination<'a> {
     assignment: AssignmentId,
     machine: &'a Name,
@@ -114,9 +115,9 @@
         self.queue_commands(machine, worker, plan.commands, plan.needs_token_acknowledgement);
     }
 
-    /// Forwards a termination proof to the job's scheduler, or writes it in place of an unavailable
-    /// one. Each job has a single writer: if two owners write the same record at the same time,
-    /// their transactions conflict.
+    /// Forwards a termination proof to the job's scheduler, or writes it itself if that scheduler
+    /// is unavailable. Each job has a single writer: if two owners write the same record at the
+    /// same time, their transactions conflict.
     fn route_proof(&mut self, scheduler: &str, termination: ProvenTermination) {
         let ProvenTermination { assignment, machine, reason, proven_at } = termination;
         let now = self.context.now;
--- a/crates/daemon/src/worker/command_channel.rs
+++ b/crates/daemon/src/worker/command_channel.rs
@@ -83,7 +83,7 @@
         self.highest_seen = self.highest_seen.max(token);
     }
 
-    /// Whether a token is from an epoch since which this controller has owned the machine.
+    /// Whether a token is from the epoch in which this controller became the owner, or a later one.
     #[inline]
     pub(super) fn is_of_this_owner(&self, token: FencingToken) -> bool {
         token >= FencingToken::first_of_epoch(self.owned_since_epoch)
@@ -181,8 +181,9 @@
         self.failures += 1;
         self.retry_at = Some(now + RETRY_BACKOFF * self.failures.min(MAX_BACKOFF_FACTOR));
         // The request may arrive minutes late, but has no effect once the worker has seen a later
-        // token. Only launches have to be ruled out. If every failed request raised the token that
-        // the worker has to show, repeated failures would keep it out of reach.
+        // token. Only launches have to be ruled out this way: if every failed request raised the
+        // token that the worker has to show, it would always be one that the worker has not seen
+        // yet.
         let later = self.next_token().unwrap_or_else(|| FencingToken::first_of_epoch(self.epoch + 1));
         if request.has_launches {
             self.launch_fence = later;
--- a/crates/daemon/src/worker/fencing_token.rs
+++ b/crates/daemon/src/worker/fencing_token.rs
@@ -3,7 +3,7 @@
 /// Number of tokens for each worker in one epoch. Each request to the worker uses one up: at two
 /// requests a second, they last for six days.
 const TOKENS_PER_EPOCH: u64 = 1 << 20;
-/// Number of used tokens from which on a new epoch is requested, which brings new tokens.
+/// Once this many tokens are used, a new epoch is requested, which has new tokens.
 const MAX_TOKENS_BEFORE_NEW_EPOCH: u64 = TOKENS_PER_EPOCH / 4 * 3;
 
 /// A fencing token. Each epoch of the cluster map has its own range of tokens, so that every token
--- a/crates/daemon/src/worker/liveness.rs
+++ b/crates/daemon/src/worker/liveness.rs
@@ -84,9 +84,9 @@
         self.last_status_at = Some(now);
     }
 
-    /// Detects a worker whose heartbeats arrive, but which messages of its owner do not reach: its
-    /// heartbeats do not show the token of the preceding response, or its lease expired although
-    /// its heartbeats were answered.
+    /// Detects a worker that can send to its owner but cannot receive: its heartbeats do not show
+    /// the token of the preceding response, or its lease expired although its heartbeats were
+    /// answered.
     pub(super) fn note_evidence(&mut self, evidence: ReachabilityEvidence, now: Instant) {
         let ReachabilityEvidence { origin, token, lost_lease } = evidence;
         let is_heartbeat = origin == StatusOrigin::Heartbeat;
@@ -142,7 +142,7 @@
     /// How long the worker has not sent a heartbeat on its own.
     #[inline]
     pub(super) fn time_since_heartbeat(&self, now: Instant) -> Duration {
-        self.time_since_excluding_pause(self.last_heartbeat_at, now)
+        self.time_since_event_or_pause(self.last_heartbeat_at, now)
     }
 
     /// How long nothing has been received from the worker, or nothing has reached it. A worker that
@@ -154,17 +154,16 @@
         if self.last_status_at.is_none() && !self.probe_failed {
             return Duration::ZERO;
         }
-        let without_status =
-            self.time_since_excluding_pause(self.last_status_at.unwrap_or(self.owned_since), now);
-        let unreachable = self
-            .unreachable_since
-            .map_or(Duration::ZERO, |since| self.time_since_excluding_pause(since, now));
-        without_status.max(unreachable)
+        let time_without_status =
+            self.time_since_event_or_pause(self.last_status_at.unwrap_or(self.owned_since), now);
+        let unreachable =
+            self.unreachable_since.map_or(Duration::ZERO, |since| self.time_since_event_or_pause(since, now));
+        time_without_status.max(unreachable)
     }
 
     /// The time since an event, or since the end of a later pause of this controller.
     #[inline]
-    fn time_since_excluding_pause(&self, since: Instant, now: Instant) -> Duration {
+    fn time_since_event_or_pause(&self, since: Instant, now: Instant) -> Duration {
         let since = self.paused_until.map_or(since, |pause| pause.max(since));
         now.saturating_duration_since(since)
     }
--- a/crates/daemon/src/worker/mod.rs
+++ b/crates/daemon/src/worker/mod.rs
@@ -24,7 +24,7 @@
 pub use reconcile::stops_of_cancelled_jobs;
 use tracked_tasks::TrackedTasks;
 
-/// Maximum remaining time of a spot machine that is taken from a notice, in seconds.
+/// Maximum remaining lifetime of a spot machine that is accepted from a spot notice, in seconds.
 const MAX_SPOT_NOTICE_S: f64 = 3600.0;
 
 /// What is known of a worker whose machine this controller owns.
@@ -46,7 +46,7 @@
     failures: TaskFailures,
 }
 
-/// The limits that reconciliation has to keep.
+/// The limits that apply to the reconciliation of workers.
 #[derive(Debug)]
 pub struct WorkerLimits {
     /// How long the other tasks of a gang may take to stop after the first.
@@ -94,10 +94,10 @@
         }
     }
 
-    /// Whether this state is older than the current ownership of the machine, which began in epoch
-    /// `owned_since_epoch` after a time under another owner. This controller may learn of two maps
-    /// at once, and the owner in between may have restarted tasks that ended according to this
-    /// state.
+    /// Whether this state is from before the current ownership of the machine, which began in epoch
+    /// `owned_since_epoch` after a time under another owner. This controller may learn of both
+    /// changes of ownership at once, and the owner in between may have restarted tasks that have
+    /// ended according to this state.
     pub fn predates_ownership(&self, owned_since_epoch: u64) -> bool {
         self.commands.epoch() < owned_since_epoch
     }
--- a/crates/daemon/src/worker/tracked_tasks.rs
+++ b/crates/daemon/src/worker/tracked_tasks.rs
@@ -8,7 +8,7 @@
 
 use super::{AssignmentId, WorkerLimits};
 
-/// How long after the first stop command for a task the command is repeated.
+/// Time after the first stop command for a task before the command is repeated.
 const STOP_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Maximum time to wait for a checkpoint, in seconds.
 const MAX_CHECKPOINT_S: f64 = 600.0;
