--- a/crates/daemon/src/api/shard_choice.rs
+++ b/crates/daemon/src/api/shard_choice.rs
@@ -19,7 +19,7 @@
 pub(crate) fn choose_shard(controller: &Controller, spec: &JobSpec) -> Option<String> {
     let mut guard = controller.state();
     let state = &mut *guard;
-    if scheduler::capacity_is_collected_for(&state.records.replica, spec, wall_ms()) {
+    if scheduler::competes_with_longest_waiting_gang(&state.records.replica, spec, wall_ms()) {
         return None;
     }
     refresh_recent_assignments(controller, state)?;
--- a/crates/daemon/src/scheduler/mod.rs
+++ b/crates/daemon/src/scheduler/mod.rs
@@ -27,7 +27,7 @@
 #[cfg(test)]
 pub(crate) use cycle::OutgoingCommands;
 pub(crate) use cycle::SchedulingCycle;
-pub(crate) use placement::capacity_is_collected_for;
+pub(crate) use placement::competes_with_longest_waiting_gang;
 #[cfg(any(test, feature = "bench"))]
 pub(crate) use {
     cycle::CycleContext,
--- a/crates/daemon/src/scheduler/placement/gang_capacity.rs
+++ b/crates/daemon/src/scheduler/placement/gang_capacity.rs
@@ -6,7 +6,7 @@
 
 /// Whether the job competes for capacity that is collected for a gang that has waited longer. Such
 /// a job is placed only by the leader, which collects the capacity.
-pub(crate) fn capacity_is_collected_for(replica: &Replica, spec: &JobSpec, now_ms: u64) -> bool {
+pub(crate) fn competes_with_longest_waiting_gang(replica: &Replica, spec: &JobSpec, now_ms: u64) -> bool {
     competes_with_any(replica, spec, longest_waiting(replica, now_ms).into_iter())
 }
 
--- a/crates/daemon/src/scheduler/placement/mod.rs
+++ b/crates/daemon/src/scheduler/placement/mod.rs
@@ -18,7 +18,7 @@
 use crate::controller::Controller;
 use crate::state::ControllerState;
 use drain_holds::reserve_held_capacity;
-pub(crate) use gang_capacity::capacity_is_collected_for;
+pub(crate) use gang_capacity::competes_with_longest_waiting_gang;
 use pass::PlacementPass;
 use preemption::VICTIM_SEARCH_INTERVAL;
 use queue::{QueueOrder, pending_jobs};
