--- a/crates/daemon/tests/unit/autoscaler_scale_in.rs
+++ b/crates/daemon/tests/unit/autoscaler_scale_in.rs
@@ -32,7 +32,7 @@
             .workers
             .iter_mut()
             .filter(|(id, _)| !silent_zone.contains(id))
-            .for_each(|(_, w)| w.set_last_heartbeat_at(at));
+            .for_each(|(_, w)| w.set_last_status_at(at));
     };
     receive_heartbeats(&mut state, later);
     let mut autoscaler = Autoscaler::leading_since(now - Duration::from_secs(60));
@@ -103,7 +103,7 @@
     state.tick(now);
     let resumed = now + Duration::from_secs(32);
     // Some heartbeats are processed before anything else runs.
-    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_heartbeat_at(resumed));
+    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_status_at(resumed));
     assert_eq!(autoscaler.release_candidates(&controller, &state, resumed), [], "before the tick");
     state.records.fresh_at = Some(resumed);
     state.tick(resumed);
@@ -111,7 +111,7 @@
     let later = resumed + controller.silence_limit();
     (0..9).for_each(|n| state.tick(resumed + controller.silence_limit() * n / 8));
     state.records.fresh_at = Some(later);
-    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_heartbeat_at(later));
+    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_status_at(later));
     assert_eq!(
         autoscaler.release_candidates(&controller, &state, later).len(),
         60,
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -33,7 +33,7 @@
         state.pauses = crate::state::PauseDetector::new(now);
         state.records.fresh_at = Some(now);
         if heard {
-            state.machines.workers.values_mut().for_each(|w| w.set_last_heartbeat_at(now));
+            state.machines.workers.values_mut().for_each(|w| w.set_last_status_at(now));
         }
         if peer {
             state
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -94,7 +94,7 @@
         rounds += 1;
         let at = now + Duration::from_millis(100 * rounds);
         core.records.fresh_at = Some(at);
-        core.machines.workers.values_mut().for_each(|w| w.set_last_heartbeat_at(at));
+        core.machines.workers.values_mut().for_each(|w| w.set_last_status_at(at));
         let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, at, NOW_MS))
             .expect("entitled");
         assert!(commit(&controller, &mut core.records.replica, round) <= 16);
@@ -244,7 +244,7 @@
     core.records.fresh_at = Some(later);
     core.machines.workers.values_mut().for_each(|w| {
         w.note_process_pause(later);
-        w.set_last_heartbeat_at(later);
+        w.set_last_status_at(later);
     });
     let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, later, NOW_MS))
         .expect("entitled");
--- a/crates/daemon/tests/unit/worker.rs
+++ b/crates/daemon/tests/unit/worker.rs
@@ -59,7 +59,7 @@
 
 impl Worker {
     /// Makes the worker appear to have sent its last status at this time.
-    pub(crate) fn set_last_heartbeat_at(&mut self, at: Instant) {
+    pub(crate) fn set_last_status_at(&mut self, at: Instant) {
         self.liveness.last_status_at = Some(at);
     }
 
