--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -181,7 +181,7 @@
     let controller = controller(ON);
     let mut state = controller.state();
     site(&mut state, &controller.identity);
-    let types = vec![crate::worker::tests::kind(40.0, 90.0, &["a"])];
+    let types = vec![crate::worker::tests::machine_type(40.0, 90.0, &["a"])];
     state.records.replica.apply(RecordChange::Types(Some(MachineTypesRecord { types })), 8);
     let inventory = sched::placement::Inventory::new(&state.records.replica, |_| true);
     assert!(inventory.find("m-1").is_none());
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -189,7 +189,7 @@
 
     fn with_types() -> Self {
         let service = Self::default();
-        let kind = crate::worker::tests::kind(4000.0, 9000.0, &["a"]);
+        let kind = crate::worker::tests::machine_type(4000.0, 9000.0, &["a"]);
         service.store().put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }));
         service
     }
--- a/crates/daemon/tests/unit/scheduler_placement.rs
+++ b/crates/daemon/tests/unit/scheduler_placement.rs
@@ -59,7 +59,7 @@
     let now = Instant::now();
     let mut state = controller.state();
     state.records.is_loaded = true;
-    let machine_type = crate::worker::tests::kind(controller.teams[0].cpus_max * 2.0, 64.0, &["a"]);
+    let machine_type = crate::worker::tests::machine_type(controller.teams[0].cpus_max * 2.0, 64.0, &["a"]);
     let machine = MachineRecord {
         addr: "host-1".into(),
         machine_type: "m".into(),
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -151,7 +151,7 @@
             done: HashSet::new(),
             started: 0,
         };
-        let kind = crate::worker::tests::kind(4.0, 64.0, &["z", "y"]);
+        let kind = crate::worker::tests::machine_type(4.0, 64.0, &["z", "y"]);
         let mut puts = vec![
             KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }),
             KeyWrite::new(key::LEADER.into(), &sim.nodes[0].identity),
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -296,7 +296,7 @@
 
     pub fn with_types() -> Self {
         let service = Self::default();
-        let kind = crate::worker::tests::kind(40.0, 90.0, &["a"]);
+        let kind = crate::worker::tests::machine_type(40.0, 90.0, &["a"]);
         service.store().put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }));
         service
     }
--- a/crates/daemon/tests/unit/worker.rs
+++ b/crates/daemon/tests/unit/worker.rs
@@ -5,7 +5,7 @@
 use wire::{ExitReason, JobKind, JobSpec, Priority, TaskState, TaskStatus};
 
 /// A machine type without GPUs that boots and fetches fast.
-pub(crate) fn kind(cpus: f64, memory_gb: f64, zones: &[&str]) -> wire::MachineType {
+pub(crate) fn machine_type(cpus: f64, memory_gb: f64, zones: &[&str]) -> wire::MachineType {
     wire::MachineType {
         name: "m".into(),
         cpus,
