--- a/crates/daemon/src/scheduler/placement/mod.rs
+++ b/crates/daemon/src/scheduler/placement/mod.rs
@@ -93,10 +93,10 @@
 /// Frees the capacity and quota of assignments that this cycle has ended.
 fn free_terminated(replica: &Replica, inventory: &mut Inventory, cycle: &SchedulingCycle) {
     for (id, record) in &cycle.jobs {
-        let Some(old) = replica.jobs.get(id) else { continue };
-        let Some(spec) = old.value.spec.as_deref() else { continue };
+        let Some(stored) = replica.jobs.get(id) else { continue };
+        let Some(spec) = stored.value.spec.as_deref() else { continue };
         let size = Resources::of_task(spec);
-        for assignment in &old.value.assignments {
+        for assignment in &stored.value.assignments {
             if record.assignments.binary_search_by_key(&assignment.task, |kept| kept.task).is_ok() {
                 continue;
             }
--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -168,8 +168,8 @@
         let assignments = if is_in_shard && competes_with_any(self.replica, spec, gangs) {
             Vec::new()
         } else {
-            let may_use = self.slot_filter(candidate);
-            placement::place(self.replica, self.inventory, job, team, may_use, limits)
+            let slot_filter = self.slot_filter(candidate);
+            placement::place(self.replica, self.inventory, job, team, slot_filter, limits)
         };
         release_quota(self.inventory, &spec.team, claimed);
         assignments
@@ -191,8 +191,8 @@
         if !reserved.is_empty() {
             assignments = placement::place_at(self.replica, self.inventory, job, team, reserved, limits);
         } else if !self.could_preempt_arrays(candidate) {
-            let may_use = self.slot_filter(candidate);
-            assignments = placement::place(self.replica, self.inventory, job, team, may_use, limits);
+            let slot_filter = self.slot_filter(candidate);
+            assignments = placement::place(self.replica, self.inventory, job, team, slot_filter, limits);
             may_displace_gpu_jobs = assignments.is_empty();
         }
         PlacementAttempt { assignments, may_displace_gpu_jobs }
@@ -266,8 +266,8 @@
             return;
         }
         let in_use = self.inventory.team_usage.get(&spec.team).copied().unwrap_or_default();
-        let quota = team.limit().plus_scaled(in_use.without_memory(), -1.0);
-        if size.count_fitting_in(quota) < spec.tasks {
+        let remaining_quota = team.limit().plus_scaled(in_use.without_memory(), -1.0);
+        if size.count_fitting_in(remaining_quota) < spec.tasks {
             return;
         }
         let (is_leader, own_incarnation) = (self.is_leader, self.controller.identity.incarnation);
--- a/crates/daemon/src/scheduler/run.rs
+++ b/crates/daemon/src/scheduler/run.rs
@@ -35,7 +35,7 @@
         if scan_is_due {
             last_scan = started_at;
         }
-        let cycle = decide_now(&controller, scan_is_due, started_at);
+        let cycle = decide_cycle(&controller, scan_is_due, started_at);
         let decision_time = clock::since(started_at);
         LoadCounters::add(&controller.load.cycles, 1);
         LoadCounters::add(&controller.load.cycle_us, decision_time.as_micros() as u64);
@@ -50,7 +50,7 @@
 
 /// Decides a cycle with as many changes as the rate limit and one transaction allow. If none are
 /// allowed, the cycle only reconciles workers, and pending changes are batched into a later cycle.
-fn decide_now(controller: &Controller, scan_is_due: bool, now: Instant) -> Option<SchedulingCycle> {
+fn decide_cycle(controller: &Controller, scan_is_due: bool, now: Instant) -> Option<SchedulingCycle> {
     let mut state = controller.state();
     let max_changes = state.writes.limiter.allowance(now).min(controller.state_limits().txn_ops);
     let context = CycleContext::new(max_changes, now, wall_ms()).with_rescheduler(scan_is_due);
--- a/crates/daemon/src/scheduler/worker_reconciliation.rs
+++ b/crates/daemon/src/scheduler/worker_reconciliation.rs
@@ -109,8 +109,8 @@
             let proven_at = worker.first_proven_at(&assignment, now);
             self.route_proof(scheduler, ProvenTermination { assignment, machine, reason, proven_at });
         }
-        if let Some(until) = worker.spot_notice_until() {
-            self.stop_on_spot_notice(machine, until);
+        if let Some(reclaimed_at) = worker.spot_notice_until() {
+            self.stop_on_spot_notice(machine, reclaimed_at);
         }
         self.queue_commands(machine, worker, plan.commands, plan.needs_token_acknowledgement);
     }
@@ -148,12 +148,13 @@
 
     /// Stops the tasks on a spot machine that should use the time left until the machine is
     /// reclaimed: replicas of services, and tasks that can still save a checkpoint.
-    fn stop_on_spot_notice(&mut self, machine: &Name, until: Instant) {
+    fn stop_on_spot_notice(&mut self, machine: &Name, reclaimed_at: Instant) {
         let replica = self.replica;
-        let time_left = until.saturating_duration_since(self.context.now);
+        let time_left = reclaimed_at.saturating_duration_since(self.context.now);
         for (job, record, assignment) in replica.assignments(machine) {
-            let stops = record.spec.as_ref().is_some_and(|spec| spot_notice::should_stop(spec, time_left));
-            if !stops || !record.should_run(assignment) {
+            let should_stop =
+                record.spec.as_ref().is_some_and(|spec| spot_notice::should_stop(spec, time_left));
+            if !should_stop || !record.should_run(assignment) {
                 continue;
             }
             let Some(record) = record_for_update(self.cycle, replica, job) else { continue };
--- a/crates/daemon/tests/unit/scheduler_placement.rs
+++ b/crates/daemon/tests/unit/scheduler_placement.rs
@@ -30,9 +30,9 @@
 
 #[test]
 fn arrays_of_a_pipeline_with_time_left_do_not_preempt_at_once() {
-    let mut s = spec("j-1", JobKind::Array);
-    (s.estimated_runtime_s, s.deadline_s) = (10.0, Some(60.0));
-    let mut job = JobRecord::new(s, None, 0);
+    let mut array = spec("j-1", JobKind::Array);
+    (array.estimated_runtime_s, array.deadline_s) = (10.0, Some(60.0));
+    let mut job = JobRecord::new(array, None, 0);
     assert!(!delays_preemption(&job, 1000), "not a step of a pipeline");
     job.accepted_ms = 1;
     assert!(!delays_preemption(&job, 1000), "the last step, with its own priority");
@@ -73,8 +73,8 @@
         RecordChange::Map(Some(ClusterMap { epoch: 7, live: vec![controller.identity.clone()] })),
         RecordChange::Machine("host-1".into(), Some(machine)),
     ];
-    let id = |j: &JobRecord| j.spec.as_ref().expect("open").id.clone();
-    changes.extend(jobs.into_iter().map(|j| RecordChange::Job(id(&j), Some(Box::new(j)))));
+    let job_id = |j: &JobRecord| j.spec.as_ref().expect("open").id.clone();
+    changes.extend(jobs.into_iter().map(|j| RecordChange::Job(job_id(&j), Some(Box::new(j)))));
     for (n, change) in changes.into_iter().enumerate() {
         state.records.replica.apply(change, n as u64 + 1);
     }
@@ -115,8 +115,9 @@
 fn a_gang_that_cannot_fit_claims_no_quota() {
     let mut service = pending_job("j-1", JobKind::Service, wire::Priority::Low, 3);
     service.attempt = 1;
-    let on = |task| Assignment { task, attempt: 1, machine: "host-1".into(), desired: DesiredState::Running };
-    service.assignments = (0..3).map(on).collect();
+    let assignment =
+        |task| Assignment { task, attempt: 1, machine: "host-1".into(), desired: DesiredState::Running };
+    service.assignments = (0..3).map(assignment).collect();
     let gang = |tasks| pending_job("j-2", JobKind::Gang, wire::Priority::High, tasks);
     let array = || pending_job("j-3", JobKind::Array, wire::Priority::Normal, 2);
     let assigned = run_cycle(vec![service.clone(), gang(TEAM_TASK_LIMIT - 2), array()]);
--- a/crates/daemon/tests/unit/worker.rs
+++ b/crates/daemon/tests/unit/worker.rs
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_worker_that_no_messages_reach_gets_no_work_and_counts_as_silent() {
+fn an_unreachable_worker_gets_no_work_and_counts_as_silent() {
     let start = Instant::now();
     let at = |s| start + Duration::from_secs(s);
     let mut worker = Worker::new("a".into(), 5, start);
