--- a/crates/daemon/src/scheduler/placement/mod.rs
+++ b/crates/daemon/src/scheduler/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Placement: which pending jobs start in a cycle, and what is preempted for them.
+//! Placement: which pending jobs start in a cycle, and which tasks are preempted for them.
 
 mod drain_holds;
 mod gang_capacity;
@@ -18,14 +18,14 @@
 use crate::controller::Controller;
 use crate::state::ControllerState;
 use drain_holds::reserve_held_capacity;
-pub(crate) use gang_capacity::capacity_is_collected_for;
+pub(crate) use gang_capacity::competes_with_longest_waiting_gang;
 use pass::PlacementPass;
 use preemption::VICTIM_SEARCH_INTERVAL;
 use queue::{QueueOrder, pending_jobs};
 use quota_claims::quota_claims;
 
-/// Places pending jobs, in the order of priority, guaranteed quota and age, and preempts others
-/// for those that find no capacity.
+/// Places pending jobs in the order of priority, guaranteed quota and age, and preempts other tasks
+/// for jobs that find no capacity.
 pub(super) fn place_pending_jobs(
     controller: &Controller,
     state: &mut ControllerState,
@@ -44,7 +44,7 @@
     state.scheduling.inventory = inventory;
 }
 
-/// Places the jobs of the queue on the inventory.
+/// Places the jobs of the queue on the machines of the inventory.
 fn place_queue(
     controller: &Controller,
     state: &mut ControllerState,
@@ -93,10 +93,10 @@
 /// Frees the capacity and quota of assignments that this cycle has ended.
 fn free_terminated(replica: &Replica, inventory: &mut Inventory, cycle: &SchedulingCycle) {
     for (id, record) in &cycle.jobs {
-        let Some(old) = replica.jobs.get(id) else { continue };
-        let Some(spec) = old.value.spec.as_deref() else { continue };
+        let Some(stored) = replica.jobs.get(id) else { continue };
+        let Some(spec) = stored.value.spec.as_deref() else { continue };
         let size = Resources::of_task(spec);
-        for assignment in &old.value.assignments {
+        for assignment in &stored.value.assignments {
             if record.assignments.binary_search_by_key(&assignment.task, |kept| kept.task).is_ok() {
                 continue;
             }
