--- a/crates/daemon/src/change_feed.rs
+++ b/crates/daemon/src/change_feed.rs
@@ -1,4 +1,5 @@
-//! The copy of the records: read once, then kept up to date from the key-value store's change feed.
+//! Maintains the copy of the records: reads all of them once, and again if the change feed was
+//! compacted, and then applies the changes of the key-value store's change feed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,9 +20,9 @@
 use crate::read_records::read_records;
 use crate::state::ControllerState;
 
-/// How long one request waits for changes.
+/// How long one watch request waits for changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(8);
-/// Pause before the key-value store is asked again after an error.
+/// Pause before the next request after an error of the key-value store.
 const RETRY_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Reads all records once, then follows the changes, until the controller stops.
@@ -29,8 +30,8 @@
     let mut failing = false;
     loop {
         let is_loaded = controller.state().records.is_loaded;
-        let step = if is_loaded { follow_changes(&controller).await } else { load(&controller).await };
-        match step {
+        let result = if is_loaded { follow_changes(&controller).await } else { load(&controller).await };
+        match result {
             Ok(()) => failing = false,
             Err(StoreError::Compacted) => {
                 info!("change feed compacted; reading all records again");
@@ -54,7 +55,7 @@
     let (jobs, machines) = (replica.jobs.len(), replica.machines.len());
     {
         let mut state = controller.state();
-        keep_newer(&mut replica, &state.records.replica);
+        merge_newer_records(&mut replica, &state.records.replica);
         state.records.replica = replica;
         state.records.reader = reader;
         state.records.is_loaded = true;
@@ -66,10 +67,10 @@
     Ok(())
 }
 
-/// Copies what this controller has committed or learnt since the first page was read. A
-/// cancellation that it confirmed meanwhile would else be missing from its read index, and
-/// another controller would go on renewing the leases of its tasks.
-fn keep_newer(read: &mut Replica, known: &Replica) {
+/// Merges the records that this controller knows in a version later than the first page into those
+/// that were read. Otherwise a cancellation that it confirmed during the read would be missing from
+/// its read index, and another controller would keep renewing the leases of the job's tasks.
+fn merge_newer_records(read: &mut Replica, known: &Replica) {
     let since = read.revision;
     for (id, job) in known.jobs.iter().filter(|(_, job)| job.version > since) {
         read.apply(RecordChange::Job(id.clone(), Some(job.value.clone())), job.version);
@@ -90,31 +91,31 @@
     let after = controller.state().records.replica.revision;
     let changes = controller.kv_client.watch(after, WATCH_TIMEOUT).await?;
     apply_changes(controller, changes);
-    // Each answer costs one more request, and one of them can tell of many changes.
+    // Every answer is followed by another request, and one answer can hold many changes.
     sleep(controller.watch_interval()).await;
     Ok(())
 }
 
-/// Applies changes to the copy of the records. Answers may overlap and overtake each other: what
-/// is known already is passed over.
+/// Applies changes to the copy of the records. Answers may overlap and arrive out of order; changes
+/// that are already known are skipped.
 pub(crate) fn apply_changes(controller: &Controller, mut changes: Changes<Value>) {
-    // The latest of a key's changes has to come last, in whatever order they are told.
+    // The changes of a key have to be applied by version, whatever their order in the answer.
     changes.events.sort_by_key(|event| event.version);
     let mut state = controller.state();
     if changes.revision <= state.records.replica.revision {
         return;
     }
-    let map_before = state.cluster_map().map(|map| map.epoch);
-    let has_new_map = changes.events.iter().any(|event| event.put.as_deref() == Some(key::MAP));
+    let epoch_before = state.cluster_map().map(|map| map.epoch);
+    let writes_map = changes.events.iter().any(|event| event.put.as_deref() == Some(key::MAP));
     let owners_before =
-        if has_new_map { state.peers.machine_owners(&state.records.replica) } else { HashMap::default() };
+        if writes_map { state.peers.machine_owners(&state.records.replica) } else { HashMap::default() };
     for event in changes.events {
         state.records.apply_event(event);
     }
     check_schema_versions(controller, &state);
     state.records.replica.revision = changes.revision;
-    if state.cluster_map().map(|map| map.epoch) != map_before {
-        note_new_cluster_map(controller, &mut state, &owners_before);
+    if state.cluster_map().map(|map| map.epoch) != epoch_before {
+        handle_new_cluster_map(controller, &mut state, &owners_before);
     }
     controller.update_write_share(&mut state, clock::now());
     drop(state);
@@ -122,8 +123,8 @@
     controller.wake_scheduler.notify_one();
 }
 
-/// Forgets what former owners said of machines that have others now.
-fn note_new_cluster_map(
+/// Drops what former owners reported about machines that have other owners now, and logs the map.
+fn handle_new_cluster_map(
     controller: &Controller,
     state: &mut ControllerState,
     owners_before: &HashMap<Name, u64>,
@@ -134,8 +135,9 @@
     info!(epoch, live, entitled = state.is_live(&controller.identity), "new cluster map");
 }
 
-/// Allows chunked records once every configured controller has recorded that it will not come
-/// back old; one that is dead or cut off still may, until it has.
+/// Enables chunked records once every configured controller has recorded a schema version, by which
+/// it declares that it will not return to the old version. Until it has, a controller that is dead
+/// or partitioned may still return with the old version.
 fn check_schema_versions(controller: &Controller, state: &ControllerState) {
     if controller.limit_changes.all_upgraded.load(Ordering::Relaxed) {
         return;
@@ -146,10 +148,13 @@
     let missing: Vec<&String> = names.filter(|name| !schema_versions.contains_key(*name)).collect();
     if missing.is_empty() {
         controller.limit_changes.all_upgraded.store(true, Ordering::Relaxed);
-        let plan = controller.state_limits();
-        info!(value_bytes = plan.value_bytes, txn_ops = plan.txn_ops, "chunked records enabled");
-    } else if controller.limit_changes.missing_has_changed(missing.len()) {
-        info!(controllers = sample_names(&missing), "chunked records wait for upgrades");
+        let limits = controller.state_limits();
+        info!(value_bytes = limits.value_bytes, txn_ops = limits.txn_ops, "chunked records enabled");
+    } else if controller.limit_changes.missing_count_has_changed(missing.len()) {
+        info!(
+            controllers = sample_names(&missing),
+            "chunked records stay disabled until these controllers are upgraded"
+        );
     }
 }
 
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,24 +1,24 @@
-//! The time, by the runtime's clock: tests let it run without waiting for it.
+//! The current time, read from the runtime's clock, which tests can advance without waiting.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The time by the monotonic clock.
+/// The current time of the monotonic clock.
 pub fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
 
-/// How long ago a time was.
+/// The time that has passed since an instant.
 pub fn since(at: Instant) -> Duration {
     now().saturating_duration_since(at)
 }
 
-/// The time of day, in milliseconds since the Unix epoch.
+/// The wall-clock time, in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
-    let runtime = now();
-    let machine = Instant::now();
-    let ahead = runtime.saturating_duration_since(machine);
-    let behind = machine.saturating_duration_since(runtime);
-    // Unless the runtime's clock is paused by a test, both are next to nothing.
+    let runtime_now = now();
+    let system_now = Instant::now();
+    let ahead = runtime_now.saturating_duration_since(system_now);
+    let behind = system_now.saturating_duration_since(runtime_now);
+    // Both differences are close to zero unless a test has paused the runtime's clock.
     let wall = SystemTime::now() + ahead - behind;
     wall.duration_since(UNIX_EPOCH).map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -1,4 +1,4 @@
-//! Transactions within the limits of the key-value store, whichever it has by now.
+//! Commits transactions within the limits that the key-value store currently has.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -14,34 +14,35 @@
 use crate::limits::StateLimits;
 use crate::load::Purpose;
 
-/// Most bytes of a transaction, which may have 64 KiB, that records take.
+/// Most bytes of records in a transaction. A whole transaction may have 64 KiB.
 pub const MAX_TXN_BYTES: usize = 52 * 1024;
 /// Most chunks of a record.
 const MAX_CHUNKS: usize = 120;
-/// What a chunk takes of a transaction beside its text, in bytes.
+/// Bytes that a chunk takes in a transaction besides its text.
 const CHUNK_OVERHEAD_BYTES: usize = 300;
-/// How often chunks are tried again that come too fast, and after what pause.
+/// How often a write of chunks is retried when it exceeds the rate limit.
 const MAX_CHUNK_RETRIES: usize = 8;
+/// Pause before each of these retries.
 const CHUNK_RETRY_BACKOFF: Duration = Duration::from_millis(250);
-/// The status of a transaction that was refused as it was.
+/// The HTTP status of a transaction that is malformed or too large.
 const BAD_REQUEST: u16 = 400;
 
-/// A key that a transaction wrote, and how many bytes its value has.
+/// A key that a transaction writes, and the size of its value.
 struct WrittenValue {
     key: String,
     bytes: usize,
 }
 
-/// A record whose chunks are written.
+/// A record whose chunks have been written.
 struct StoredChunks {
-    /// The head that names them.
+    /// The write of the head that references the chunks.
     head: KeyWrite,
-    /// That the first of them is there.
+    /// Requires that the first chunk exists.
     first_chunk_exists: Condition,
 }
 
 impl Controller {
-    /// Commits a transaction. What is larger than a value is written in chunks before.
+    /// Commits a transaction. Records larger than the value limit are first written in chunks.
     pub async fn commit(
         &self,
         mut conditions: Vec<Condition>,
@@ -62,7 +63,7 @@
         }
         let result = self.kv_client.txn(conditions, writes).await;
         if let Err(StoreError::Refused(BAD_REQUEST)) = &result {
-            self.note_bad_request(&written);
+            self.handle_bad_request(&written);
         }
         result
     }
@@ -85,7 +86,7 @@
         Ok(StoredChunks { head: chunked.head, first_chunk_exists })
     }
 
-    /// Writes some chunks of a record in one transaction, and tells its revision.
+    /// Writes some chunks of a record in one transaction and returns its revision.
     async fn write_chunks_with_retries(
         &self,
         record_key: &str,
@@ -107,7 +108,7 @@
                 }
                 Err(error) => {
                     if let StoreError::Refused(BAD_REQUEST) = &error {
-                        self.note_bad_request(&[WrittenValue {
+                        self.handle_bad_request(&[WrittenValue {
                             key: record_key.to_owned(),
                             bytes: value_bytes,
                         }]);
@@ -118,9 +119,9 @@
         }
     }
 
-    /// A transaction was refused as it was. It is never sent again unchanged: either the limits
-    /// have become smaller, or its records are written one by one.
-    fn note_bad_request(&self, written: &[WrittenValue]) {
+    /// Handles the refusal of a transaction as malformed or too large. It is never sent again
+    /// unchanged: either the limits have become smaller, or its records are written one by one.
+    fn handle_bad_request(&self, written: &[WrittenValue]) {
         let already_chunked = self.state_limits().chunked;
         let next = self.settings.facts.state.next.clone().unwrap_or_default();
         let largest = written.iter().max_by_key(|value| value.bytes);
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Takes note of why a transaction was not carried out. Above the rate: the rate to come is
-    /// there, and is kept from now on.
+    /// Adapts the write rate if a transaction was refused for exceeding the rate limit. If reduced
+    /// rates are configured and may already be in force, they are kept from now on.
     pub fn note_refusal(&self, error: &StoreError) {
         if !matches!(error, StoreError::RateLimited) {
             return;
@@ -147,8 +148,8 @@
         state.writes.limiter.note_refusal(now);
         let next = self.settings.facts.state.next.clone().unwrap_or_default();
         let has_next_rates = next.write_rps.is_some() || next.rps.is_some();
-        let change_may_have_come = changes.all_upgraded || changes.sizes_reduced;
-        if has_next_rates && !changes.rates_reduced && change_may_have_come {
+        let limits_may_have_changed = changes.all_upgraded || changes.sizes_reduced;
+        if has_next_rates && !changes.rates_reduced && limits_may_have_changed {
             self.limit_changes.rates_reduced.store(true, Ordering::Relaxed);
             let StateLimits { write_rps, rps, .. } = self.state_limits();
             info!(write_rps, rps, "key-value store has reduced its rate limits");
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -25,29 +25,30 @@
 pub use crate::timeouts::MEMBER_TTL;
 use crate::worker::WorkerLimits;
 
-/// Least and longest pause between two requests for changes, in seconds.
+/// Shortest pause between two watch requests, in seconds.
 const MIN_WATCH_INTERVAL_S: f64 = 0.02;
+/// Longest pause between two watch requests, in seconds.
 const MAX_WATCH_INTERVAL_S: f64 = 0.5;
-/// Into how many parts the requests that the key-value store takes are divided: one for each
-/// of the two kinds of requests for changes, one for transactions.
-const REQUEST_PARTS: f64 = 3.0;
-/// After how many heartbeat intervals without a heartbeat a machine counts as lost, and the
-/// least time, in seconds.
+/// Number of equal shares of the key-value store's request rate: one for each of the two kinds of
+/// watch requests (change feed and freshness checks), one for transactions.
+const REQUEST_RATE_SHARES: f64 = 3.0;
+/// Heartbeat intervals without a heartbeat after which a machine counts as lost.
 const LOST_AFTER_INTERVALS: f64 = 4.0;
+/// Least time without a heartbeat after which a machine counts as lost, in seconds.
 const MIN_LOST_AFTER_S: f64 = 8.0;
-/// The clocks of both sides drift apart by 0.05% each way at most.
+/// Factor that covers clock drift: at most 0.05% in either direction on each side.
 const CLOCK_DRIFT: f64 = 1.002;
-/// How late timers fire at most, in seconds.
+/// Longest delay with which a timer fires, in seconds.
 const TIMER_SLACK_S: f64 = 1.0;
 
-/// The HTTP clients of a controller, with sockets of their own: whatever hangs, the others have
-/// their turns.
+/// The HTTP clients of a controller. Each has its own sockets, so that hanging requests of one
+/// client do not block the others.
 pub struct HttpClients {
     /// To the key-value store.
     pub key_value_store: Client,
     /// To the peers and the cloud.
     pub peers_and_cloud: Client,
-    /// To workers: however many they are, the others are always reached.
+    /// To workers. However many there are, they cannot use up the sockets of the other clients.
     pub workers: Client,
 }
 
@@ -59,36 +60,36 @@
     pub operators: Operators,
     /// The teams and their quotas.
     pub teams: Vec<Team>,
-    /// This process among the members.
+    /// The identity of this process as a member of the cluster.
     pub identity: Member,
     /// The key-value store that holds the records.
     pub kv_client: KeyValueClient,
     /// The cloud that machines are rented from.
     pub cloud: CloudClient,
-    /// The HTTP client of `kv_client`.
+    /// The HTTP client used by `kv_client`.
     pub kv_http: Client,
-    /// To the peers, and the HTTP client of `cloud`.
+    /// The HTTP client for peers, also used by `cloud`.
     pub peer_and_cloud_http: Client,
-    /// To workers.
+    /// The HTTP client for workers.
     pub worker_http: Client,
     /// Connections of users and workers.
     pub public_connections: Arc<Connections>,
     /// Connections of peers.
     pub peer_connections: Arc<Connections>,
-    /// Counts what this controller does.
+    /// Counters of this controller's work.
     pub load: LoadCounters,
     state: Mutex<ControllerState>,
-    /// Something changed that the scheduling loop should look at.
+    /// Wakes the scheduling loop after a change that may affect its decisions.
     pub wake_scheduler: Notify,
-    /// This controller's status is worth sending to its peers now.
+    /// Notified when this controller's status should be sent to its peers without delay.
     pub peer_status_due: Notify,
-    /// A machine without a record has sent a heartbeat.
+    /// Notified when a machine without a record has sent a heartbeat.
     pub unrecorded_machine: Notify,
     /// The revision that the copy of the records has reached.
     pub replica_revision: watch::Sender<u64>,
-    /// Linearizable reads.
+    /// Requests for linearizable reads.
     pub read_barrier: ReadBarrier,
-    /// What is known of a change of the key-value store's limits.
+    /// What is known about changes of the key-value store's limits.
     pub limit_changes: LimitChangeFlags,
     /// Cancelled when the process stops.
     pub shutdown: CancellationToken,
@@ -97,8 +98,8 @@
 }
 
 impl Controller {
-    /// A controller with clients as the settings size them. `incarnation` names this process
-    /// among all that the controller ever has.
+    /// Creates a controller whose HTTP clients have the socket limits of the settings. `incarnation`
+    /// distinguishes this process from all earlier and later ones of the controller.
     pub fn new(settings: Settings, operators: Operators, incarnation: u64) -> Arc<Self> {
         let sockets = settings.sockets();
         let clients = HttpClients {
@@ -109,7 +110,7 @@
         Self::with_clients(settings, operators, incarnation, clients)
     }
 
-    /// A controller with these clients.
+    /// Creates a controller with these HTTP clients.
     pub fn with_clients(
         settings: Settings,
         operators: Operators,
@@ -159,18 +160,19 @@
         });
     }
 
-    /// The state, locked. Never held across an await.
+    /// Locks the state. The guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, ControllerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until the copy of the records has reached a revision; `false` if it has not in time.
+    /// Waits until the copy of the records has reached a revision. Returns `false` if that takes
+    /// longer than `limit`.
     pub async fn wait_for_revision(&self, revision: u64, limit: Duration) -> bool {
-        let mut reached = self.replica_revision.subscribe();
-        timeout(limit, reached.wait_for(|r| *r >= revision)).await.is_ok_and(|r| r.is_ok())
+        let mut revisions = self.replica_revision.subscribe();
+        timeout(limit, revisions.wait_for(|r| *r >= revision)).await.is_ok_and(|r| r.is_ok())
     }
 
-    /// Waits until so many changes may be written, leaving `reserve` for others.
+    /// Waits until the write rate allows this many changes while leaving `reserve` for others.
     pub async fn wait_for_write(&self, changes: usize, reserve: f64) {
         let wait = self.state().writes.limiter.acquire(changes as f64, reserve, clock::now());
         if !wait.is_zero() {
@@ -178,22 +180,23 @@
         }
     }
 
-    /// Counts a user's change. It waits for nothing: what the key-value store does not take is
-    /// answered at once, and the scheduling loop makes up for the debt.
+    /// Counts a user's change against the write rate without waiting. If the key-value store
+    /// refuses the change, the user is answered at once. The scheduling loop waits until a deficit
+    /// of the write rate is made up.
     pub fn count_user_write(&self) {
         self.load.spend(Purpose::Users, 1);
         self.state().writes.limiter.acquire(1.0, 0.0, clock::now());
     }
 
-    /// The pause between two requests for changes. There are two kinds of them, and a third of
-    /// the requests that the key-value store takes is for each; the rest is for transactions.
+    /// The pause between two watch requests. Each of the two kinds of watch requests may use a
+    /// third of the key-value store's request rate; the rest is for transactions.
     pub fn watch_interval(&self) -> Duration {
         let controllers = self.settings.peers.len() + 1;
-        let interval_s = controllers as f64 * REQUEST_PARTS / self.state_limits().rps;
+        let interval_s = controllers as f64 * REQUEST_RATE_SHARES / self.state_limits().rps;
         wire::seconds(interval_s.clamp(MIN_WATCH_INTERVAL_S, MAX_WATCH_INTERVAL_S))
     }
 
-    /// Computes this controller's share of the changes anew, if that is due.
+    /// Recomputes this controller's share of the write rate, if that is due.
     pub fn update_write_share(&self, state: &mut ControllerState, now: Instant) {
         let limits = self.state_limits();
         state.update_write_share(&self.identity, limits.write_rps, limits.chunked, now);
@@ -210,7 +213,7 @@
         self.teams.iter().find(|team| team.name == name)
     }
 
-    /// Silence after which a machine counts as lost and is released.
+    /// How long a machine may be silent before it counts as lost and is released.
     pub fn silence_limit(&self) -> Duration {
         let interval_s = self.settings.facts.workers.report_s;
         let default = wire::seconds((LOST_AFTER_INTERVALS * interval_s).max(MIN_LOST_AFTER_S));
@@ -227,13 +230,13 @@
         self.state_limits().max_assignments_per_record()
     }
 
-    /// How far beyond the first unfinished task an array's others may start.
+    /// How far beyond an array's first unfinished task its other tasks may start.
     pub fn task_window(&self) -> u32 {
         self.state_limits().task_window()
     }
 
-    /// The limits that workers are reconciled by. `fresh_at`: when the copy of the records was
-    /// last known to be complete.
+    /// The limits for reconciling workers. `fresh_at`: when the copy of the records was last known
+    /// to be complete.
     pub fn worker_limits(&self, fresh_at: Option<Instant>) -> WorkerLimits {
         let workers = &self.settings.facts.workers;
         WorkerLimits {
@@ -244,13 +247,13 @@
         }
     }
 
-    /// The limits of the key-value store to plan with.
+    /// The limits of the key-value store that apply now.
     pub fn state_limits(&self) -> StateLimits {
         limits::effective_limits(&self.settings.facts.state, self.limit_changes.get())
     }
 
-    /// Most bytes of a job's description: what the present limits take, also after they have
-    /// become smaller.
+    /// Most bytes of a job's description. It stays the same after the limits of the key-value store
+    /// have become smaller.
     pub fn max_description_bytes(&self) -> usize {
         limits::max_description_bytes(&self.settings.facts.state)
     }
--- a/crates/daemon/src/freshness_checks.rs
+++ b/crates/daemon/src/freshness_checks.rs
@@ -1,7 +1,7 @@
-//! Checks that the copy of the records is complete, for those who wait at the read barrier.
+//! Checks that the copy of the records is complete, for callers that wait at the read barrier.
 //!
-//! A check asks the key-value store for all changes up to now, so that it also brings the copy up
-//! to date. One is made whenever somebody asks, and once a second by itself.
+//! A check requests all changes up to now from the key-value store, and thereby also brings the
+//! copy up to date. A check is made on each request, and once a second without one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use crate::clock;
 use crate::controller::Controller;
 
-/// How long those who wait for a check are kept waiting, at most.
+/// How long callers wait for a check, at most.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often a check is made without being asked for.
+/// How often a check is made without a request.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause before the key-value store is asked again after an error.
+/// Pause before the next request after an error of the key-value store.
 const RETRY_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Answers requests for linearizable reads until the controller stops.
 pub async fn run_freshness_checks(controller: Arc<Controller>) {
     let mut failing = false;
     loop {
-        controller.read_barrier.requested(CHECK_INTERVAL).await;
+        controller.read_barrier.wait_for_request(CHECK_INTERVAL).await;
         let (request, is_loaded, revision) = {
             let state = controller.state();
             let records = &state.records;
@@ -54,7 +54,7 @@
                 if !failing {
                     warn!(%error, "key-value store unreachable");
                 }
-                // Its rate limit is no sign of failure: the next check is soon.
+                // A refusal by the rate limit is not an outage: the next check follows soon.
                 failing = !matches!(error, StoreError::RateLimited);
                 controller.read_barrier.refuse(request);
                 sleep(RETRY_BACKOFF).await;
@@ -63,9 +63,10 @@
     }
 }
 
-/// Asks for all changes after a revision. A request that takes too long is refused, but its
-/// answer is still waited for: it shows that this controller is entitled to act. Were it asked
-/// anew instead, a key-value store that takes two seconds would cost the leases of all workers.
+/// Requests all changes after a revision. If the answer takes too long, the waiting callers are
+/// refused, but the answer is still awaited: it shows that this controller is entitled to act. If
+/// a new request were sent instead, a key-value store that takes two seconds to answer would cost
+/// the leases of all workers.
 async fn check(controller: &Controller, request: u64, revision: u64) -> Result<Changes<Value>, StoreError> {
     let answer = controller.kv_client.watch(revision, Duration::ZERO);
     tokio::pin!(answer);
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,43 +1,44 @@
-//! Which limits of the key-value store to plan with: those it has, or those it will have from
-//! some moment without notice.
+//! The limits of the key-value store that apply now: the present ones, or the next ones, which come
+//! into force at some moment without notice.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 use crate::settings::State;
 
-/// What a job's record takes beside its lists, in bytes: the description and its fields.
+/// Bytes of a job's record besides its lists: the description and its fields.
 const RECORD_BYTES_BESIDE_LISTS: f64 = 750.0;
 /// Least bytes that the lists of a job's record may take.
 const MIN_LIST_BYTES: f64 = 512.0;
-/// The part of the lists that assignments may take. Each takes at most three characters for its
-/// task; its machine takes up to six, which others share.
-const ASSIGNMENTS_PART: f64 = 0.55;
+/// Fraction of the list bytes that assignments may take.
+const ASSIGNMENTS_FRACTION: f64 = 0.55;
+/// Bytes of an assignment: at most three characters for its task. Its machine takes up to six
+/// characters, which other assignments share.
 const BYTES_PER_ASSIGNMENT: f64 = 3.0;
-/// The part of the lists that the bitmap of tasks that are done may take, and how many tasks a
-/// character of it holds.
-const DONE_PART: f64 = 0.22;
+/// Fraction of the list bytes that the bitmap of finished tasks may take.
+const DONE_TASKS_FRACTION: f64 = 0.22;
+/// Number of tasks that one character of this bitmap holds.
 const DONE_TASKS_PER_CHARACTER: f64 = 6.0;
-/// The part of a value that a job's description may take.
-const DESCRIPTION_PART: f64 = 0.3;
-/// A description of so many bytes is taken whatever the limits are.
+/// Fraction of a value that a job's description may take.
+const DESCRIPTION_FRACTION: f64 = 0.3;
+/// A description up to this size is accepted whatever the limits are.
 const MIN_DESCRIPTION_BYTES: f64 = 2048.0;
-/// Bytes of a KiB.
+/// Bytes per KiB.
 const KIB: f64 = 1024.0;
 
-/// What is known of a change of the limits.
+/// What is known about changes of the limits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LimitChanges {
-    /// No controller comes back old: records may be chunked, and the limits may change from now
-    /// on.
+    /// No controller will return to the old version: records may be chunked, and the limits may
+    /// change from now on.
     pub all_upgraded: bool,
-    /// The key-value store refused sizes that the present limits allow, which it only does after
-    /// the change, and that comes after the upgrade.
+    /// The key-value store refused sizes that the present limits allow. It does so only after its
+    /// limits have changed, and they change only after the upgrade.
     pub sizes_reduced: bool,
-    /// It takes fewer requests or changes a second.
+    /// The key-value store accepts fewer requests or changes a second than before.
     pub rates_reduced: bool,
 }
 
-/// What is known of a change of the limits, shared by the tasks of a controller.
+/// What is known about changes of the limits, shared by the tasks of a controller.
 #[derive(Debug, Default)]
 pub struct LimitChangeFlags {
     /// See [`LimitChanges::all_upgraded`].
@@ -46,13 +47,14 @@
     pub sizes_reduced: AtomicBool,
     /// See [`LimitChanges::rates_reduced`].
     pub rates_reduced: AtomicBool,
-    /// How many controllers chunked records wait for, as last logged.
+    /// How many controllers were not upgraded when that was last logged.
     logged_missing: AtomicUsize,
 }
 
 impl LimitChangeFlags {
-    /// Whether another number of controllers is missing than when this was last asked.
-    pub fn missing_has_changed(&self, missing: usize) -> bool {
+    /// Stores how many controllers are not upgraded. Returns whether the number has changed since
+    /// the last call.
+    pub fn missing_count_has_changed(&self, missing: usize) -> bool {
         self.logged_missing.swap(missing, Ordering::Relaxed) != missing
     }
 
@@ -67,7 +69,7 @@
     }
 }
 
-/// The limits of the key-value store to plan with.
+/// The limits of the key-value store that apply now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
     /// Requests a second, of all controllers together.
@@ -78,31 +80,32 @@
     pub value_bytes: f64,
     /// Most changes of a transaction.
     pub txn_ops: usize,
-    /// What the records of jobs should fit into, by what is placed at a time: even the old form
-    /// may be smaller than it has to be.
+    /// Size that the assignments placed at a time should keep a job's record within. It is the
+    /// smaller of the present and the next value size even before the change, when unchunked
+    /// records could still be larger.
     pub assignment_record_bytes: f64,
-    /// Whether records that are larger may be written in chunks.
+    /// Whether larger records may be written in chunks.
     pub chunked: bool,
 }
 
 impl StateLimits {
-    /// What a job's record has for its assignments and for what is done, in bytes.
+    /// Bytes of a job's record for its assignments and its finished tasks.
     fn list_bytes(&self) -> f64 {
         (self.assignment_record_bytes - RECORD_BYTES_BESIDE_LISTS).max(MIN_LIST_BYTES)
     }
 
     /// Most assignments that one job's record holds within a value's size.
     pub fn max_assignments_per_record(&self) -> usize {
-        (self.list_bytes() * ASSIGNMENTS_PART / BYTES_PER_ASSIGNMENT) as usize
+        (self.list_bytes() * ASSIGNMENTS_FRACTION / BYTES_PER_ASSIGNMENT) as usize
     }
 
-    /// How far beyond the first unfinished task an array's others may start.
+    /// How far beyond an array's first unfinished task its other tasks may start.
     pub fn task_window(&self) -> u32 {
-        (self.list_bytes() * DONE_PART * DONE_TASKS_PER_CHARACTER) as u32
+        (self.list_bytes() * DONE_TASKS_FRACTION * DONE_TASKS_PER_CHARACTER) as u32
     }
 }
 
-/// The limits by the settings and by what is known of their change.
+/// Computes the limits that apply now from the settings and from what is known about changes.
 pub fn effective_limits(state: &State, changes: LimitChanges) -> StateLimits {
     let next = state.next.clone().unwrap_or_default();
     let smaller_of = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
@@ -120,10 +123,10 @@
     }
 }
 
-/// Most bytes of a job's description: what the present limits take, also after they have become
-/// smaller.
+/// Most bytes of a job's description. It stays the same after the limits of the key-value store
+/// have become smaller.
 pub fn max_description_bytes(state: &State) -> usize {
-    (state.value_kb * KIB * DESCRIPTION_PART).max(MIN_DESCRIPTION_BYTES) as usize
+    (state.value_kb * KIB * DESCRIPTION_FRACTION).max(MIN_DESCRIPTION_BYTES) as usize
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -2,10 +2,10 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Most names in one line of the log, as hundreds make no readable line.
+/// Most names in one log line; hundreds of names would make it unreadable.
 const MAX_SAMPLE_NAMES: usize = 5;
 
-/// What changes of the key-value store are spent on.
+/// The purpose of changes that are written to the key-value store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
     /// Transactions of the scheduling loop.
@@ -35,11 +35,11 @@
     (Purpose::Drains, "drains"),
 ];
 
-/// Counts since they were last logged, unless said otherwise.
+/// Counters. They are reset when they are logged, unless noted otherwise.
 #[derive(Debug, Default)]
 pub struct LoadCounters {
     changes: [AtomicU64; PURPOSES.len()],
-    /// Scheduling transactions that met newer records.
+    /// Scheduling transactions that conflicted with newer records.
     pub conflicts: AtomicU64,
     /// Scheduling cycles.
     pub cycles: AtomicU64,
@@ -66,7 +66,7 @@
         counter.fetch_add(n, Ordering::Relaxed);
     }
 
-    /// The changes by purpose since the last call, as text.
+    /// Returns the changes by purpose since the last call, as text.
     pub fn take_changes(&self) -> String {
         let counted = PURPOSES.iter().zip(&self.changes);
         let texts = counted.map(|((_, name), count)| format!("{name} {}", take(count)));
@@ -79,7 +79,7 @@
     counter.swap(0, Ordering::Relaxed)
 }
 
-/// A few of the names, as text for one line of the log.
+/// Joins the first few names to text for one log line.
 pub fn sample_names<T: AsRef<str>>(names: &[T]) -> String {
     let sample: Vec<&str> = names.iter().take(MAX_SAMPLE_NAMES).map(AsRef::as_ref).collect();
     sample.join(" ") + if names.len() > sample.len() { " …" } else { "" }
--- a/crates/daemon/src/load_log.rs
+++ b/crates/daemon/src/load_log.rs
@@ -1,4 +1,4 @@
-//! The log of a controller's own work, every ten seconds.
+//! Logs a controller's load every ten seconds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     );
 }
 
-/// How many connections are open, by whom they are with.
+/// The numbers of open connections by remote side, as text.
 fn open_connections(controller: &Controller) -> String {
     let public = controller.public_connections.by_share();
     let public: Vec<String> = public.map(|(name, n)| format!("{name} {n}")).collect();
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -19,15 +19,17 @@
 
 /// How often a lease is renewed within its time to live.
 const RENEWALS_PER_TTL: u32 = 4;
-/// Least and longest time between two looks at whether something is to be claimed.
+/// Shortest time between two checks whether a claim is due.
 const MIN_CLAIM_INTERVAL: Duration = Duration::from_millis(40);
+/// Longest time that the loop waits for a new revision before it checks again.
 const MAX_CLAIM_INTERVAL: Duration = Duration::from_millis(400);
 /// How long the copy of the records may take to reach the revision of a transaction.
 const REVISION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two looks at whether an isolated controller may come back.
+/// Pause between two checks whether an isolated controller may rejoin.
 const ISOLATED_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Keeps this controller among the members, and has it lead when nobody does, until it stops.
+/// Maintains this controller's membership, and claims the leadership when there is no leader, until
+/// the controller stops.
 pub async fn keep_membership(controller: Arc<Controller>) {
     let mut renewed_at = clock::now();
     loop {
@@ -35,10 +37,10 @@
             sleep(ISOLATED_CHECK_INTERVAL).await;
             continue;
         }
-        let kept = keep_lease(&controller, &mut renewed_at).await;
-        if after_lease_request(&controller, kept).await == Progress::Committed {
-            // Joining, leading and the cluster map follow each other at once: after a crash of
-            // all controllers, workers' leases are about to expire.
+        let lease_result = keep_lease(&controller, &mut renewed_at).await;
+        if commit_claim_if_leased(&controller, lease_result).await == Progress::Committed {
+            // The next claim follows without a pause: after a crash of all controllers, joining,
+            // leadership and the cluster map have to be committed before workers' leases expire.
             continue;
         }
         let next_revision = async {
@@ -66,7 +68,7 @@
     true
 }
 
-/// Grants or renews this controller's lease, if that is due.
+/// Obtains or renews this controller's lease, if that is due.
 async fn keep_lease(controller: &Controller, renewed_at: &mut Instant) -> Result<(), StoreError> {
     let lease = controller.state().membership.lease;
     match lease {
@@ -84,24 +86,24 @@
     }
 }
 
-/// Whether something of the membership was committed.
+/// Whether a claim was committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Committed,
     Nothing,
 }
 
-/// Writes what is to be written under the lease, unless it has expired.
-async fn after_lease_request(controller: &Controller, kept: Result<(), StoreError>) -> Progress {
-    match kept {
+/// Commits the next claim under the lease, unless the lease has expired.
+async fn commit_claim_if_leased(controller: &Controller, lease_result: Result<(), StoreError>) -> Progress {
+    match lease_result {
         Err(StoreError::LeaseExpired) => {
             info!("lease expired");
             controller.state().membership.lease = None;
             return Progress::Nothing;
         }
-        // An answer that is late says nothing of the lease, and a claim under an expired one is
-        // refused. Were claims held back meanwhile, nobody would lead for as long as the
-        // key-value store takes more than a second.
+        // A late answer does not show whether the lease has expired, and a claim under an expired
+        // lease is refused. If claims waited for the answer, there would be no leader for as long
+        // as the key-value store takes more than a second to answer.
         Ok(()) | Err(StoreError::Network(_)) => {}
         Err(_) => return Progress::Nothing,
     }
@@ -117,45 +119,46 @@
     }
 }
 
-/// What a controller writes for membership and leadership. Each is conditional on the versions
-/// of the records that it was decided from.
+/// A write for membership or leadership. It is conditional on the versions of the records that it
+/// was decided from.
 enum Claim {
     /// This controller's entry among the members.
     Member {
-        /// The version of the entry before it.
+        /// The version of the entry that it replaces.
         version: u64,
-        /// Whether the controller also has to record the schema that it will not go back behind.
+        /// Whether the controller also has to record its schema version, below which it will not
+        /// return.
         records_schema: bool,
     },
     /// The leadership.
     Leader {
-        /// The version of the leader's entry before it.
+        /// The version of the leader's entry that it replaces.
         version: u64,
         /// The version of this controller's entry among the members.
         member_version: u64,
     },
-    /// A cluster map with the members that are live now, which only the leader writes.
+    /// A cluster map with the members that are live now. Only the leader writes it.
     Map {
         map: ClusterMap,
-        /// The version of the map before it.
+        /// The version of the map that it replaces.
         version: u64,
         /// The version of the leader's entry.
         leader_version: u64,
     },
-    /// The same cluster map under a new epoch. Any live controller may write it, as it changes
+    /// The same cluster map with a new epoch. Any live controller may write it, because it changes
     /// nobody's shard.
     Epoch {
         map: ClusterMap,
-        /// The version of the map before it.
+        /// The version of the map that it replaces.
         version: u64,
         /// The version of this controller's entry among the members.
         member_version: u64,
     },
 }
 
-/// What this controller should write now for membership and leadership. `tokens_run_low`: its
-/// fencing tokens of this epoch are nearly used up. `schema`: the schema version that it has,
-/// which a record of its own tells the others.
+/// Returns the claim that this controller should commit now. `tokens_run_low`: its fencing tokens
+/// of this epoch are nearly used up. `schema`: its schema version, which it records for the other
+/// controllers.
 fn next_claim(replica: &Replica, me: &Member, schema: u32, tokens_run_low: bool) -> Option<Claim> {
     let member_version = match replica.members.get(&me.name) {
         Some(entry) if entry.value == *me => entry.version,
@@ -173,7 +176,7 @@
     }
     let leader_version = match &replica.leader {
         None => return Some(Claim::Leader { version: 0, member_version }),
-        // An earlier process of this controller led; it is gone.
+        // The recorded leader is an earlier process of this controller, which no longer runs.
         Some(leader) if leader.value.name == me.name && leader.value != *me => {
             return Some(Claim::Leader { version: leader.version, member_version });
         }
@@ -194,7 +197,7 @@
     (map.live != known).then_some(Claim::Map { map, version, leader_version })
 }
 
-/// The schema version that this controller has: with drains only while they are switched on.
+/// This controller's schema version: the one with drains only while drains are enabled.
 fn schema_version(controller: &Controller) -> u32 {
     if controller.operators.drains.enabled { DRAINS_SCHEMA_VERSION } else { SCHEMA_VERSION }
 }
@@ -206,7 +209,7 @@
 }
 
 impl Claim {
-    /// Says in the log what is about to be written.
+    /// Logs the claim that is about to be committed.
     fn log(&self, me: &Member) {
         match self {
             Claim::Member { .. } => info!(incarnation = me.incarnation, "joining the cluster"),
@@ -225,11 +228,12 @@
         let condition = |key: &str, version| Condition { key: key.to_owned(), version };
         match self {
             Claim::Member { version, records_schema } => {
-                // A late copy of a predecessor's request must not replace this entry.
+                // A delayed duplicate of an earlier process's request must not replace this entry.
                 let conditions = vec![condition(&entry_key, version)];
                 let mut writes = vec![KeyWrite::leased(entry_key, me, lease)];
                 if records_schema {
-                    // With the entry, so that no live controller passes for an old one.
+                    // Together with the entry, so that no live controller is taken for one of the
+                    // old version.
                     writes.push(KeyWrite::new(key::upgraded(&me.name), &SchemaMarker { schema_version }));
                 }
                 ClaimTransaction { conditions, writes }
@@ -265,14 +269,14 @@
     claim.log(&controller.identity);
     let ClaimTransaction { conditions, writes } =
         claim.into_transaction(&controller.identity, schema_version, lease);
-    // Never behind other changes: the lease would expire meanwhile, and a controller in debt
-    // would join again and again without ever being live.
+    // Does not wait for the write rate: the lease would expire in the meantime, and a controller
+    // that has exceeded its rate would join again and again without ever being live.
     controller.state().writes.limiter.acquire(writes.len() as f64, 0.0, clock::now());
     controller.load.spend(Purpose::Members, writes.len());
     match controller.kv_client.txn(conditions, writes).await? {
         TxnOutcome::Committed { revision } => {
-            let is_known = controller.wait_for_revision(revision, REVISION_TIMEOUT).await;
-            Ok(if is_known { Progress::Committed } else { Progress::Nothing })
+            let is_reached = controller.wait_for_revision(revision, REVISION_TIMEOUT).await;
+            Ok(if is_reached { Progress::Committed } else { Progress::Nothing })
         }
         TxnOutcome::Conflict { revision, .. } => {
             controller.wait_for_revision(revision, REVISION_TIMEOUT).await;
--- a/crates/daemon/src/peer_client.rs
+++ b/crates/daemon/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Messages to peers.
+//! Sends messages to peers.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 /// How long a peer has to acknowledge termination proofs.
 const PROOFS_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Sends a message to a peer; `None` without an answer that can be decoded.
+/// Sends a message to a peer. Returns `None` if there is no answer that can be decoded.
 pub async fn send(
     controller: &Controller,
     address: &str,
@@ -30,7 +30,7 @@
     peer::decode(&answer.body)
 }
 
-/// Sends a message to the peer of this name; `None` also if there is none.
+/// Sends a message to the peer with this name. Also returns `None` if there is no such peer.
 async fn send_to(
     controller: &Controller,
     name: &str,
@@ -53,8 +53,8 @@
     }
 }
 
-/// Forwards termination proofs, which hold under the map of this epoch, to the controller that
-/// schedules the jobs. Returns whether it acknowledged them.
+/// Forwards termination proofs, which are valid under the cluster map of `epoch`, to the controller
+/// that schedules the jobs. Returns whether it acknowledged them.
 pub async fn forward_termination_proofs(
     controller: &Controller,
     scheduler: &str,
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of peers, each by the module that it concerns.
+//! Serves the requests of peers: passes each to the module that handles it.
 
 use std::sync::Arc;
 
--- a/crates/daemon/src/peer_status.rs
+++ b/crates/daemon/src/peer_status.rs
@@ -17,11 +17,12 @@
 use crate::read_index;
 use crate::state::{ControllerState, ReceivedStatus, accepts_work};
 
-/// How often a peer is told of this controller's machines.
+/// How often this controller's status is sent to a peer.
 const STATUS_INTERVAL: Duration = Duration::from_millis(1000);
 /// Least time between two statuses to a peer.
 const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(100);
-/// A peer that has sent its status within this time was answered with this controller's then.
+/// A peer whose status arrived within this time is sent none: the exchange in which it arrived also
+/// sent this controller's status.
 const MAX_EXCHANGE_AGE: Duration = Duration::from_millis(700);
 /// How long a peer has to answer with its status.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(900);
@@ -73,7 +74,7 @@
     duration.as_millis() as u64
 }
 
-/// Takes in a peer's status, unless it is a delayed duplicate.
+/// Stores a peer's status, unless it is a delayed duplicate.
 pub(crate) fn receive_status(controller: &Controller, mut status: PeerStatus) {
     let mut state = controller.state();
     let is_peer = controller.settings.peers.iter().any(|p| p.node_name == status.name);
@@ -83,18 +84,18 @@
     let ControllerState { records, peers, .. } = &mut *state;
     update_machines(&mut peers.machines, &records.replica, &mut status);
     let now = clock::now();
-    peers.read_indexes.note_heard(&status.name, status.incarnation, now);
+    peers.read_indexes.record_contact(&status.name, status.incarnation, now);
     peers.statuses.insert(status.name.clone(), ReceivedStatus { status, received_at: now });
 }
 
-/// Moves the machines of a status to those that peers have spoken of.
+/// Moves the machine rows of a status to the table of peers' machines.
 fn update_machines(
     machines: &mut BTreeMap<Name, MachineStatusRow>,
     replica: &Replica,
     status: &mut PeerStatus,
 ) {
     for row in std::mem::take(&mut status.machines) {
-        // A controller may speak of machines that are another's by now.
+        // A status may list machines that have another owner by now.
         let owner = replica.owner_of(&row.id);
         if owner.is_none_or(|o| o.name != status.name || o.incarnation != status.incarnation) {
             continue;
@@ -102,9 +103,9 @@
         match machines.get_mut(row.id.as_str()) {
             Some(known) => *known = row,
             None => {
-                // By the name that all tables share, so that it is compared quickly.
-                let shared = replica.machines.get_key_value(row.id.as_str()).map(|(id, _)| id.clone());
-                machines.insert(shared.unwrap_or_else(|| row.id.as_str().into()), row);
+                // Uses the instance of the name that all tables share, which is compared quickly.
+                let shared_name = replica.machines.get_key_value(row.id.as_str()).map(|(id, _)| id.clone());
+                machines.insert(shared_name.unwrap_or_else(|| row.id.as_str().into()), row);
             }
         }
     }
@@ -113,8 +114,8 @@
     }
 }
 
-/// Whether a status is newer than what is known of its sender. A delayed duplicate, of an earlier
-/// incarnation too, must not pass for the sender's present status.
+/// Whether a status is newer than the last known one of its sender. A delayed duplicate, also one of
+/// an earlier incarnation, must not be taken for the sender's present status.
 fn is_newer(state: &ControllerState, status: &PeerStatus) -> bool {
     let known = state.peers.statuses.get(&status.name).map(|p| &p.status);
     let member = state.records.replica.members.get(&status.name).map(|m| m.value.incarnation);
@@ -126,14 +127,14 @@
     }
 }
 
-/// Exchanges statuses with the peer at an address until the controller stops. Of two controllers
-/// one asks and the other answers, whoever comes first. Before each exchange the peer is asked for
-/// its read index, if that is needed.
+/// Exchanges statuses with the peer at an address until the controller stops. Either controller may
+/// send its status first; the other answers with its own. Before each exchange the peer is asked
+/// for its read index, if that is needed.
 pub async fn exchange_statuses(controller: Arc<Controller>, address: String) {
     let mut is_urgent = true;
     loop {
         read_index::query_peer(&controller, &address).await;
-        if is_urgent || !was_exchanged_lately(&controller, &address) {
+        if is_urgent || !was_exchanged_recently(&controller, &address) {
             exchange_status(&controller, &address).await;
         }
         is_urgent = timeout(STATUS_INTERVAL, controller.peer_status_due.notified()).await.is_ok();
@@ -141,7 +142,7 @@
     }
 }
 
-fn was_exchanged_lately(controller: &Controller, address: &str) -> bool {
+fn was_exchanged_recently(controller: &Controller, address: &str) -> bool {
     let Some(peer) = controller.settings.peers.iter().find(|p| p.address == address) else { return false };
     let state = controller.state();
     let received_at = state.peers.statuses.get(&peer.node_name).map(|p| p.received_at);
--- a/crates/daemon/src/prober.rs
+++ b/crates/daemon/src/prober.rs
@@ -1,5 +1,5 @@
-//! Probes owned workers that have not been heard from for their status, so that a new owner need
-//! not wait for their heartbeats.
+//! Requests the status of owned workers that have been silent, so that a new owner does not have to
+//! wait for their heartbeats.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,18 +17,18 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(700);
 /// How long a worker has to answer.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// At most this part of the silent workers is probed at a time: those that are lost must not keep
+/// At most one in this many silent workers is probed at a time, so that lost workers do not keep
 /// the others from being probed.
 const SILENT_WORKERS_DIVISOR: usize = 4;
-/// But so many are, if there are as many.
+/// Number of silent workers that are probed at a time even if that is a larger part of them.
 const MIN_CONCURRENT_PROBES: usize = 16;
-/// At most this part of the connections to workers is used, as each worker that does not answer
-/// holds one.
+/// Probes use at most one in this many connections to workers, because each worker that does not
+/// answer holds a connection.
 const CONNECTIONS_DIVISOR: usize = 2;
-/// How late a heartbeat may be, beyond one and a half of its intervals.
+/// How late a heartbeat may be, beyond one and a half heartbeat intervals.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(500);
 
-/// A worker that was not heard from lately.
+/// A worker that has not been heard from recently.
 struct SilentWorker {
     machine: Name,
     addr: String,
@@ -54,7 +54,7 @@
     }
 }
 
-/// How many of so many silent workers are probed at a time.
+/// How many workers are probed at a time if `silent` workers are silent.
 fn concurrent_probes(silent: usize, max_probes: usize) -> usize {
     (silent / SILENT_WORKERS_DIVISOR).max(MIN_CONCURRENT_PROBES).min(max_probes.max(1)).min(silent)
 }
@@ -75,7 +75,7 @@
 async fn probe(controller: &Controller, worker: &SilentWorker) {
     let status = match fetch_status(controller, &worker.machine, &worker.addr, PROBE_TIMEOUT).await {
         Ok(status) => status,
-        // No connection was free: the worker was not asked at all.
+        // No connection was free, so no request was sent to the worker.
         Err(NetError::Busy(_)) => return,
         Err(_) => None,
     };
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! Composition of a controller: its servers and tasks, from the start to an orderly stop.
+//! Starts the servers and tasks of a controller, and shuts them down in order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 /// How many random bits an incarnation has.
 const INCARNATION_BITS: u32 = 52;
 
-/// Why a controller could not run: one line that names what is to be changed.
+/// Why a controller could not run. The message is one line that names what has to be changed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// A settings file is missing or has a mistake.
@@ -39,7 +39,7 @@
         field: &'static str,
         /// The address.
         addr: String,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The runtime could not be started.
@@ -47,14 +47,14 @@
     Runtime(std::io::Error),
 }
 
-/// A runtime on the calling thread.
+/// Creates a runtime that runs on the calling thread.
 pub fn runtime() -> Result<Runtime, ProcessError> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     builder.enable_io().enable_time().build().map_err(ProcessError::Runtime)
 }
 
-/// Runs a controller until `stop` completes. `file` names the settings (TOML) in errors. Of the
-/// tokio runtime it needs time and I/O.
+/// Runs a controller until `stop` completes. `file` is the name of the settings file (TOML) in error
+/// messages. Needs a tokio runtime with time and I/O enabled.
 pub async fn run_controller(
     file: &str,
     settings: &str,
@@ -63,7 +63,7 @@
     run(Settings::parse(file, settings)?, Operators::default(), stop).await
 }
 
-/// Runs a controller until `stop` completes, and has it leave the cluster in good order.
+/// Runs a controller until `stop` completes, then stops its tasks and leaves the cluster.
 pub(crate) async fn run(
     settings: Settings,
     operators: Operators,
@@ -71,7 +71,7 @@
 ) -> Result<(), ProcessError> {
     let public_listener = listen("front", &settings.front).await?;
     let peer_listener = listen("internal_addr", &settings.internal_addr).await?;
-    // Also part of names that must never be used again, hence drawn anew.
+    // Random, because it is also part of names that must never be reused.
     let incarnation = rand::rng().random::<u64>() >> (u64::BITS - INCARNATION_BITS);
     info!(name = settings.node_name, zone = settings.zone, incarnation, "starting");
     let controller = Controller::new(settings, operators, incarnation);
@@ -92,7 +92,7 @@
     TcpListener::bind(addr).await.map_err(error)
 }
 
-/// Starts all tasks but the servers.
+/// Starts all tasks except the servers.
 pub(crate) fn spawn_tasks(controller: &Arc<Controller>) {
     controller.spawn_task(change_feed::follow_records(controller.clone()));
     controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
@@ -144,7 +144,7 @@
     ));
 }
 
-/// Revokes the lease, which saves the others the wait for its expiry.
+/// Revokes the lease, so that the other controllers do not have to wait for its expiry.
 pub(crate) async fn leave_cluster(controller: &Controller) {
     let lease = controller.state().membership.lease;
     if let Some(lease) = lease {
--- a/crates/daemon/src/public_connections.rs
+++ b/crates/daemon/src/public_connections.rs
@@ -18,7 +18,7 @@
     Connections::new(sockets.front, &idle, class_of)
 }
 
-/// The class of the connection that a request with this path came by.
+/// The class of a connection by the path of a request that arrived on it.
 fn class_of(path: &str) -> usize {
     if path == HEARTBEAT_PATH { WORKERS } else { USERS }
 }
--- a/crates/daemon/src/read_barrier.rs
+++ b/crates/daemon/src/read_barrier.rs
@@ -1,8 +1,8 @@
-//! Linearizable reads: whoever needs them waits until the copy of the records is known to hold
-//! every change that was committed before the request.
+//! Linearizable reads: a caller waits until the copy of the records is known to hold every change
+//! that was committed before its request.
 //!
-//! [`crate::freshness_checks`] answers the requests: one check at a time serves all who wait when
-//! it begins.
+//! [`crate::freshness_checks`] answers the requests: one check at a time answers all requests that
+//! are waiting when it begins.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 /// Requests for linearizable reads, numbered in the order in which they are made.
 #[derive(Debug)]
 pub struct ReadBarrier {
-    requested: AtomicU64,
+    newest: AtomicU64,
     wake: Notify,
     outcome: watch::Sender<Outcome>,
 }
@@ -33,7 +33,7 @@
 impl Default for ReadBarrier {
     fn default() -> Self {
         Self {
-            requested: AtomicU64::new(0),
+            newest: AtomicU64::new(0),
             wake: Notify::new(),
             outcome: watch::Sender::new(Outcome::default()),
         }
@@ -41,11 +41,11 @@
 }
 
 impl ReadBarrier {
-    /// Waits for a check, begun after this call, that the copy of the records is complete.
-    /// Returns whether it is; `false` if the key-value store refused or took too long: whoever
-    /// asks is better off told than kept waiting.
+    /// Waits for a check, begun after this call, that the copy of the records is complete. Returns
+    /// `false` if the key-value store refused the check or took too long, because an error serves
+    /// the caller better than a longer wait.
     pub async fn wait(&self) -> bool {
-        let request = self.requested.fetch_add(1, Ordering::Relaxed) + 1;
+        let request = self.newest.fetch_add(1, Ordering::Relaxed) + 1;
         self.wake.notify_one();
         let mut outcome = self.outcome.subscribe();
         let answered = outcome.wait_for(|o| o.granted >= request || o.refused >= request);
@@ -61,14 +61,14 @@
         self.grant(self.newest_request());
     }
 
-    /// Waits until somebody asks, at most for so long.
-    pub async fn requested(&self, limit: Duration) {
+    /// Waits for a request, at most for `limit`.
+    pub async fn wait_for_request(&self, limit: Duration) {
         let _ = timeout(limit, self.wake.notified()).await;
     }
 
     /// The number of the newest request.
     pub fn newest_request(&self) -> u64 {
-        self.requested.load(Ordering::Relaxed)
+        self.newest.load(Ordering::Relaxed)
     }
 
     /// Grants all requests up to this one.
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -1,21 +1,22 @@
-//! Read indexes: what peers may have confirmed to users that this controller has not read.
+//! Read indexes: cancellations that peers may have confirmed to users and that this controller has
+//! not read.
 //!
-//! A controller that cannot reach the key-value store goes on answering heartbeats, and so renewing
-//! leases, only if it surely knows of every cancellation that was confirmed. Whatever a controller
-//! confirms is in its own replica of the records before. So if every other controller answers a
-//! request with what its replica has beyond this one's, all that was confirmed before the request
-//! was sent is known here.
+//! A controller that cannot reach the key-value store keeps answering heartbeats, and thereby
+//! renewing leases, only if it is certain to know every cancellation that was confirmed. A
+//! controller confirms a cancellation only after its own replica of the records holds it. So once
+//! every other controller has answered a request with what its replica has beyond this one's,
+//! everything that was confirmed before the request was sent is known here.
 //!
-//! - An answer counts from when its request was sent: what is confirmed later, also by an answer to
-//!   a user that is already on its way, has its full time from then on.
+//! - An answer counts from when its request was sent. Whatever is confirmed later, also by a response
+//!   to a user that is already in flight, has its full time to take effect from then on.
 //! - A process that has not read the records since it started has confirmed nothing, but its
-//!   predecessor may have. It counts only if it had been heard from before this controller's last
-//!   linearizable read, which then holds all that the predecessor confirmed.
-//! - What one answer cannot hold comes in parts, by the versions of the records. The peer is vouched
-//!   for once all parts were taken in, and from when the first was asked for.
-//! - A new owner, and whatever it places, comes with a new map: an answer from a controller that
-//!   knows a later map does not count. Jobs cancelled by a dependency were never started. A released
-//!   machine has no lease left to renew.
+//!   predecessor may have. Its answer counts only if it had been heard from before this controller's
+//!   last linearizable read, which then holds everything that the predecessor confirmed.
+//! - An answer that is too large is sent in parts, split by the versions of the records. It is
+//!   complete once all parts have been applied, and counts from when the first part was requested.
+//! - A new owner and its placements come with a new cluster map, so an answer from a controller that
+//!   knows a later map does not count. Jobs cancelled through a dependency were never started. A
+//!   released machine has no lease left to renew.
 
 use std::time::{Duration, Instant};
 
@@ -31,17 +32,17 @@
 use crate::peer_client::MAX_MESSAGE_BYTES;
 use crate::state::{ControllerState, PeerReadIndex};
 
-/// Where peers are asked. Their answers are in the order of versions; those of `/read-index`, which
-/// came before, were in the order of ids, and could not be continued.
+/// The path of requests to peers. Answers are sorted by version. Those of the earlier path
+/// `/read-index` were sorted by id, so a truncated answer could not be continued.
 pub const PATH: &str = "/read-index/v2";
-/// After how long without a linearizable read peers are asked.
+/// Peers are asked for their read indexes once the last linearizable read is older than this.
 const MAX_REPLICA_AGE: Duration = Duration::from_millis(1800);
 /// How long a peer has to answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
-/// Bytes of records after which an answer ends; the rest comes with the next part. Well below
-/// [`MAX_MESSAGE_BYTES`], as what one transaction changed (64 KiB) is never split.
+/// Bytes of records after which an answer ends; the rest follows in the next part. Well below
+/// [`MAX_MESSAGE_BYTES`], because the changes of one transaction (64 KiB) are never split.
 const MAX_PART_BYTES: usize = 256 << 10;
-/// Bytes that a cancelled job takes beside its id and its record, at most.
+/// Most bytes that a cancelled job takes besides its id and its record.
 const CANCELLED_JOB_OVERHEAD_BYTES: usize = 64;
 
 /// A request that was sent to a peer.
@@ -51,25 +52,26 @@
     pub(crate) peer: &'p str,
     /// The request for this part of the answer.
     pub(crate) request: &'p ReadIndexRequest,
-    /// When the first part was asked for.
+    /// When the first part was requested.
     pub(crate) sent_at: Instant,
 }
 
 /// What a peer's answer shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadIndexOutcome {
-    /// All that the peer had confirmed when it was asked is known here.
+    /// Everything that the peer had confirmed when it was asked is known here.
     Complete,
-    /// What changed up to this revision is known; the rest has to be asked for.
+    /// The cancellations up to a revision are known; the rest has to be requested.
     Partial {
         /// The revision after which the next part begins.
         known_up_to: u64,
     },
-    /// It does not show what the peer has confirmed.
+    /// The answer does not show what the peer has confirmed.
     Inconclusive,
 }
 
-/// The request to a peer, unless the last linearizable read is recent.
+/// Returns the request to send to a peer, or `None` if the last linearizable read is recent or the
+/// records are not loaded.
 pub(crate) fn request_if_needed(
     state: &ControllerState,
     nonce: u64,
@@ -83,7 +85,7 @@
     Some(ReadIndexRequest { nonce, after })
 }
 
-/// This controller's answer: what it has read, and what it knows from peers beyond that.
+/// This controller's answer: the cancellations that it has read or that it knows from peers.
 pub(crate) fn own_read_index(
     controller: &Controller,
     state: &ControllerState,
@@ -101,9 +103,10 @@
     }
 }
 
-/// Cancelled jobs with something on a machine, in the order of their versions, and whether there
-/// are more. By its record, nothing else of a cancelled job can be on a machine, nor be started any
-/// more. Those of one version are never split, as the next part begins after it.
+/// Returns cancelled jobs that still have assignments, sorted by version, and whether there are
+/// more. Nothing but the assignments in its record can be on a machine of a cancelled job, and
+/// nothing of it can be started any more. Jobs of one version are never split, because the next part
+/// begins after that version.
 fn cancelled_after(replica: &Replica, after: u64) -> (Vec<CancelledJob>, bool) {
     let cancelled = |id: &String| {
         let (id, job) = replica.jobs.get_key_value(id)?;
@@ -124,7 +127,7 @@
     (part, false)
 }
 
-/// Takes in a peer's answer. Cancellations are kept whatever else the answer shows.
+/// Applies a peer's answer. Its cancellations are kept even if the answer is otherwise inconclusive.
 pub(crate) fn apply_read_index(
     state: &mut ControllerState,
     sent: SentRequest<'_>,
@@ -135,7 +138,7 @@
     if index.nonce != request.nonce || index.name != peer || !state.records.is_loaded {
         return ReadIndexOutcome::Inconclusive;
     }
-    state.peers.read_indexes.note_heard(peer, index.incarnation, now);
+    state.peers.read_indexes.record_contact(peer, index.incarnation, now);
     let is_conclusive = is_conclusive(state, &index);
     let ReadIndex { incarnation, revision, cancelled, truncated, .. } = index;
     let known_up_to = cancelled.last().map(|job| job.version);
@@ -144,31 +147,32 @@
         return ReadIndexOutcome::Inconclusive;
     }
     if truncated {
-        // A part that makes no progress would be asked for without end.
+        // A part that makes no progress would be requested again without end.
         let progress = known_up_to.filter(|version| *version > request.after);
         return progress
             .map_or(ReadIndexOutcome::Inconclusive, |known_up_to| ReadIndexOutcome::Partial { known_up_to });
     }
-    state.peers.read_indexes.update(peer, PeerReadIndex { incarnation, revision, asked_at: sent_at });
+    state.peers.read_indexes.update(peer, PeerReadIndex { incarnation, revision, requested_at: sent_at });
     ReadIndexOutcome::Complete
 }
 
-/// Whether a peer's answer shows what it has confirmed: it knows no later map, and has read the
-/// records, or was heard from before this controller last read them.
+/// Whether an answer shows what the peer has confirmed: the peer knows no later cluster map, and it
+/// has read the records or was first heard from before this controller's last linearizable read.
 fn is_conclusive(state: &ControllerState, index: &ReadIndex) -> bool {
-    let first_heard_at = state.peers.read_indexes.first_heard_at(&index.name, index.incarnation);
-    let read_since = state.records.fresh_at.zip(first_heard_at).is_some_and(|(fresh, heard)| heard <= fresh);
+    let first_contact_at = state.peers.read_indexes.first_contact_at(&index.name, index.incarnation);
+    let read_since =
+        state.records.fresh_at.zip(first_contact_at).is_some_and(|(fresh, heard)| heard <= fresh);
     index.epoch <= state.epoch() && (index.revision > 0 || read_since)
 }
 
-/// Applies cancellations that a peer knows of. Returns whether all could be read.
+/// Applies cancellations from a peer. Returns whether all of them could be decoded.
 fn apply_cancellations(state: &mut ControllerState, peer: &str, cancelled: Vec<CancelledJob>) -> bool {
     let replica = &mut state.records.replica;
     let mut are_all_readable = true;
     let mut applied = 0;
     for job in cancelled {
-        // The record is as it is in the key-value store, at its own version: as if the change had
-        // come from there.
+        // The answer holds the record and its version as they are in the key-value store, so it is
+        // applied like a change from there.
         match wire::decode::<JobRecord>(&job.record) {
             Ok(record) if record.phase == Phase::Cancelled => {
                 if replica.jobs.get(&job.id).is_none_or(|known| known.version < job.version) {
@@ -185,15 +189,15 @@
     are_all_readable
 }
 
-/// Asks the peer at an address for its read index while the key-value store cannot be asked, for as
-/// many parts as there are.
+/// Requests all parts of the read index of the peer at an address while the key-value store cannot
+/// be reached.
 pub async fn query_peer(controller: &Controller, address: &str) {
     let Some(peer) = controller.settings.peers.iter().find(|p| p.address == address) else { return };
     let sent_at = clock::now();
     let Some(mut request) = request_if_needed(&controller.state(), rand::rng().random(), sent_at) else {
         return;
     };
-    // All parts have to be of one incarnation: another may know less than the first did.
+    // All parts have to come from one incarnation: another may know less than the first did.
     let mut incarnation = None;
     loop {
         let Some(index) = send_request(controller, address, &request).await else { return };
@@ -220,8 +224,9 @@
     }
 }
 
-/// Sends one request. A controller of the version in production knows none of its kind: for as long
-/// as it is live, leases are renewed within the time after the last linearizable read alone.
+/// Sends one request. A controller of the version in production does not know this request: while
+/// such a controller is live, leases are renewed only within the bound after the last linearizable
+/// read.
 async fn send_request(
     controller: &Controller,
     address: &str,
--- a/crates/daemon/src/read_records.rs
+++ b/crates/daemon/src/read_records.rs
@@ -1,4 +1,4 @@
-//! Reading all records, page by page.
+//! Reads all records, page by page.
 
 use std::time::Duration;
 
@@ -9,18 +9,19 @@
 use tracing::debug;
 use wire::{Item, Items};
 
-/// Pause before a page is requested again.
+/// Pause before a page is requested again after an error.
 const RETRY_BACKOFF: Duration = Duration::from_millis(250);
-/// How often in a row a page of the records is requested again. Begun anew with every refusal,
-/// thousands of records were never read while a key-value store refused every second request.
+/// How often in a row one page of the records is requested again. When every refusal restarted the
+/// whole read, thousands of records were never read completely while the key-value store refused
+/// every second request.
 const MAX_PAGE_RETRIES: u32 = 12;
 
-/// Reads all records. The replica's revision is that of the first page: what changes meanwhile is
-/// told by the changes since then.
+/// Reads all records. The replica's revision is that of the first page, so whatever changes during
+/// the read is among the changes after that revision.
 ///
 /// # Errors
 ///
-/// If the first page cannot be read, or a later one not after several retries.
+/// Returns an error if the first page cannot be read, or a later page after several retries.
 pub async fn read_records(client: &KeyValueClient) -> Result<(Replica, RecordReader), StoreError> {
     let mut replica = Replica::default();
     let mut reader = RecordReader::default();
@@ -28,8 +29,8 @@
     loop {
         let page = read_page(client, after.as_deref()).await?;
         if after.is_none() {
-            // Changes since the first page are followed from here, even if a later page shows
-            // them already.
+            // The change feed is followed from the first page on, even if later pages already
+            // contain some of the changes.
             replica.revision = page.revision;
         }
         after = page.items.last().map(|item| item.key.clone());
@@ -43,11 +44,11 @@
 fn apply_page(replica: &mut Replica, reader: &mut RecordReader, items: Vec<Item<Value>>) {
     let decode = |item: Item<Value>| reader.apply(&item.key, Some(item.value), item.version);
     let mut decoded: Vec<_> = items.into_iter().map(decode).collect();
-    // Machines and their types come before the jobs that need them.
+    // Machines and their types are applied before the jobs that refer to them.
     decoded.sort_by_key(|(change, ..)| matches!(change, RecordChange::Job(..)));
     for (change, is_unreadable, version) in decoded {
         if is_unreadable {
-            // A chunked record can be read once its chunks are, too.
+            // A chunked record can be decoded only after its chunks have been read.
             debug!(?change, "record cannot be decoded yet");
             replica.mark_unreadable(change);
         } else {
@@ -56,14 +57,14 @@
     }
 }
 
-/// Reads one page of the records, with retries for all but the first. Whatever changes while a
-/// page is requested again is told by the changes since the first page.
+/// Reads one page of the records, with retries for all pages but the first. Whatever changes during
+/// the retries is among the changes after the first page.
 async fn read_page(client: &KeyValueClient, after: Option<&str>) -> Result<Items<Value>, StoreError> {
     let mut retries = 0;
     loop {
         match client.list(after).await {
             Err(error) if after.is_some() && retries < MAX_PAGE_RETRIES => {
-                debug!(%error, "page of records not read");
+                debug!(%error, "page of records could not be read; retrying");
                 retries += 1;
                 sleep(RETRY_BACKOFF).await;
             }
--- a/crates/daemon/src/state/guaranteed_jobs.rs
+++ b/crates/daemon/src/state/guaranteed_jobs.rs
@@ -6,16 +6,17 @@
 use wire::JobSpec;
 
 /// The open jobs that fit into their teams' guaranteed quota along with the earlier unfinished
-/// jobs of the same team. Kept until the set of open jobs changes; the jobs' tasks do not matter.
+/// jobs of the same team. They are recomputed only when the set of open jobs changes, because they
+/// do not depend on the state of the jobs' tasks.
 #[derive(Debug, Default)]
 pub struct GuaranteedJobs {
-    /// The set of open jobs that they were found for.
+    /// The generation of the open jobs that `ids` was computed for.
     generation: u64,
     ids: HashSet<String>,
 }
 
 impl GuaranteedJobs {
-    /// Finds them anew if the open jobs have changed.
+    /// Recomputes the guaranteed jobs if the open jobs have changed.
     pub fn refresh(&mut self, replica: &Replica, teams: &[Team]) {
         if self.generation != replica.open_jobs_generation() {
             self.generation = replica.open_jobs_generation();
@@ -29,7 +30,7 @@
     }
 }
 
-/// An open job, in the order of age.
+/// An open job, with the fields by which open jobs are sorted by age.
 struct OpenJob<'a> {
     submitted_ms: u64,
     id: &'a str,
--- a/crates/daemon/src/state/machine_view.rs
+++ b/crates/daemon/src/state/machine_view.rs
@@ -1,4 +1,4 @@
-//! All machines with an owner, by the records and by their owners' word.
+//! All machines with an owner: their records, and their condition as reported by their owners.
 
 use std::time::{Duration, Instant};
 
@@ -9,19 +9,19 @@
 use super::ControllerState;
 use crate::worker::Worker;
 
-/// How long a peer's word of its machines counts for giving them up.
+/// Greatest age of a peer's status by which its machines may be released.
 const MAX_STATUS_AGE_TO_RELEASE: Duration = Duration::from_secs(4);
 
 /// A machine's condition as its owner knows it.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineHealth {
-    /// How long nothing has been heard of it, or nothing could be told to it.
+    /// How long its worker has not been heard from, or could not be reached.
     pub silent: Duration,
-    /// Whether it was heard from since its owner has it.
+    /// Whether its worker has been heard from since its present owner owns it.
     pub heard_from: bool,
-    /// Whether it fails what it is given.
+    /// Whether it fails the tasks that are assigned to it.
     pub unhealthy: bool,
-    /// Whether the cloud takes it away soon.
+    /// Whether the cloud has announced that it will reclaim the machine.
     pub spot_notice: bool,
 }
 
@@ -54,29 +54,28 @@
     pub record: &'a MachineRecord,
     /// The controller that owns it.
     pub owner: &'a Member,
-    /// What is in use of it; `None` if nothing is there.
+    /// The resources in use; `None` if nothing is assigned to the machine.
     pub used: Option<Resources>,
-    /// Its condition; `None` if its owner has said nothing of it.
+    /// Its condition; `None` if its owner has reported nothing about it.
     pub health: Option<MachineHealth>,
-    /// Whether its owner has been heard from just now.
+    /// Whether its owner has been heard from recently; always true of this controller's machines.
     pub is_current: bool,
 }
 
 impl ControllerState {
-    /// All machines with an owner, in the order of their names, and what their owners know of
-    /// them.
+    /// All machines with an owner, sorted by name, with what their owners know about them.
     pub fn machine_views(&self, me: &Member, now: Instant) -> impl Iterator<Item = MachineView<'_>> {
         let replica = &self.records.replica;
         let mut workers = SortedLookup::new(&self.machines.workers);
         let mut rows = SortedLookup::new(&self.peers.machines);
         let mut used = SortedLookup::new(&replica.machine_usage);
-        let heard = self.peers.heard_within(MAX_STATUS_AGE_TO_RELEASE, now);
+        let recent_peers = self.peers.heard_from_within(MAX_STATUS_AGE_TO_RELEASE, now);
         let my_incarnation = me.incarnation;
         replica.owned_machines().map(move |(id, record, owner)| {
             let (health, is_current) = if owner.incarnation == my_incarnation {
                 (workers.get(id).map(|worker| MachineHealth::of_worker(worker, now)), true)
             } else {
-                let is_current = heard.iter().any(|name| **name == *owner.name);
+                let is_current = recent_peers.iter().any(|name| **name == *owner.name);
                 (rows.get(id).map(MachineHealth::of_row), is_current)
             };
             MachineView { id, record: &record.value, owner, used: used.get(id).copied(), health, is_current }
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -1,7 +1,8 @@
-//! The state of one controller: one owner for each concern, composed behind one lock.
+//! The state of one controller: one type for each concern, composed in [`ControllerState`] behind
+//! one lock.
 //!
-//! Plain state and questions about it, without input or output; tasks change it. What needs
-//! several owners at once is a method of [`ControllerState`].
+//! The types hold plain state and queries on it, without I/O; the controller's tasks change them.
+//! What involves several of them is a method of [`ControllerState`].
 
 mod drains;
 mod guaranteed_jobs;
@@ -34,20 +35,20 @@
 pub use termination_proofs::{FORWARDED_PROOF_TIMEOUT, PendingProof, PendingProofs};
 pub use write_share::WriteShare;
 
-/// How long the key-value store may have been out of contact before users are sent to a peer
-/// that has it.
+/// How long this controller may be without contact to the key-value store before users are directed
+/// to a peer that has contact.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(2500);
-/// How fresh the records have to be to judge that all others are unreachable.
+/// Greatest age of the copy of the records by which a controller judges itself isolated.
 const MAX_RECORDS_AGE_TO_ISOLATE: Duration = Duration::from_millis(3500);
-/// Least number of machines by whose silence a controller judges itself isolated.
+/// Least number of owned machines with which a controller judges itself isolated.
 const MIN_MACHINES_TO_ISOLATE: usize = 3;
-/// How often each machine is asked whether it may be used. What makes one unusable takes
-/// seconds to show.
+/// How often each machine is checked for whether it may be used. The conditions that make a machine
+/// unusable take seconds to show.
 const USABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How many heartbeat intervals, in halves, a worker may be silent for and still get work.
+/// How long a worker may be silent and still get work, in halves of the heartbeat interval.
 const MAX_SILENT_HALF_INTERVALS: u32 = 5;
 
-/// All that one controller knows.
+/// The state of one controller.
 pub struct ControllerState {
     /// The copy of the records.
     pub records: RecordCache,
@@ -55,22 +56,23 @@
     pub membership: Membership,
     /// The machines that this controller owns, and their workers.
     pub machines: OwnedMachines,
-    /// What peers have said.
+    /// What peers have reported.
     pub peers: PeerTable,
-    /// Ends of assignments that are not written yet.
+    /// Termination proofs that have not been written to the records yet.
     pub proofs: PendingProofs,
-    /// What the scheduling loop remembers.
+    /// What the scheduling loop keeps between cycles.
     pub scheduling: SchedulingState,
-    /// This controller's share of the changes that the key-value store takes.
+    /// This controller's share of the key-value store's write rate.
     pub writes: WriteShare,
-    /// What is known of drains beside their records.
+    /// What is known about drains besides their records.
     pub drains: DrainState,
-    /// Pauses of this process.
+    /// Detects pauses of this process.
     pub pauses: PauseDetector,
 }
 
 impl ControllerState {
-    /// Nothing is known yet. `write_rate`: the changes that the key-value store takes a second.
+    /// The state at the start, when nothing is known. `write_rate`: changes a second that the
+    /// key-value store accepts.
     pub fn new(write_rate: f64, now: Instant) -> Self {
         Self {
             records: RecordCache::default(),
@@ -95,7 +97,7 @@
         self.cluster_map().map_or(0, |map| map.epoch)
     }
 
-    /// Whether the newest known cluster map names this very process.
+    /// Whether the newest known cluster map contains this incarnation of this controller.
     pub fn is_live(&self, me: &Member) -> bool {
         self.records.is_loaded && self.cluster_map().is_some_and(|map| map.contains(&me.name, me.incarnation))
     }
@@ -105,7 +107,7 @@
         self.is_live(me) && self.records.replica.leader.as_ref().is_some_and(|leader| leader.value == *me)
     }
 
-    /// Whether a controller is live that has not recorded that it has this version.
+    /// Whether some live controller has not recorded a schema version and so has the old version.
     pub fn old_version_is_live(&self) -> bool {
         let replica = &self.records.replica;
         let live = self.cluster_map().into_iter().flat_map(|map| map.live.iter().map(|m| &m.name));
@@ -117,13 +119,13 @@
         self.records.replica.members.keys().filter(|name| **name != me.name)
     }
 
-    fn hears_other_members(&self, me: &Member, now: Instant) -> bool {
+    fn hears_from_other_members(&self, me: &Member, now: Instant) -> bool {
         self.other_members(me).any(|name| self.peers.is_reachable(name, now))
     }
 
-    /// Whether this controller is out of reach of all the others and of most of its workers,
-    /// though not of the key-value store: as it would stay their owner, nobody could renew their
-    /// leases (recorded: a third of a site's tasks were lost).
+    /// Whether this controller reaches none of the others and not most of its workers, but still
+    /// reaches the key-value store. It would stay the owner of its machines, and nobody could renew
+    /// their workers' leases; in a recorded failure, a third of a site's tasks were lost that way.
     fn is_partitioned(&self, me: &Member, heartbeat_interval: Duration, now: Instant) -> bool {
         let workers = &self.machines.workers;
         let silence_limit = max_silence(heartbeat_interval) + Duration::from_millis(500);
@@ -131,17 +133,17 @@
         self.records.is_fresher_than(MAX_RECORDS_AGE_TO_ISOLATE, now)
             && !self.pauses.was_paused(now)
             && self.other_members(me).next().is_some()
-            && !self.hears_other_members(me, now)
+            && !self.hears_from_other_members(me, now)
             && workers.len() >= MIN_MACHINES_TO_ISOLATE
             && silent * 2 > workers.len()
     }
 
-    /// Decides whether this controller leaves its machines to the others for now, and tells so.
-    /// It comes back when it hears one of them, or when there is nobody else.
+    /// Decides whether this controller is isolated and leaves its machines to the others for now,
+    /// and returns the decision. It rejoins when it hears from another member, or when there is none.
     pub fn update_isolation(&mut self, me: &Member, heartbeat_interval: Duration, now: Instant) -> bool {
         if self.membership.is_isolated() {
             let is_alone = self.other_members(me).next().is_none();
-            if is_alone || self.hears_other_members(me, now) && self.membership.may_rejoin(now) {
+            if is_alone || self.hears_from_other_members(me, now) && self.membership.may_rejoin(now) {
                 self.membership.rejoin(now);
             }
         } else if self.membership.may_leave(now)
@@ -153,14 +155,14 @@
         self.membership.is_isolated()
     }
 
-    /// Whether heartbeats may be answered, which renews leases: only for a bounded time after
-    /// the moment up to which this controller surely knows of every cancellation that any
-    /// controller has confirmed to a user. That is its last linearizable read, or, while the
-    /// key-value store cannot be asked, the earliest of its peers' last read indexes.
+    /// Whether heartbeats may be answered, which renews leases. They may only for a bounded time
+    /// after the moment up to which this controller is certain to know every cancellation that any
+    /// controller has confirmed to a user. That moment is its last linearizable read or, while the
+    /// key-value store cannot be reached, the earliest of its peers' last read indexes.
     ///
-    /// That every peer has lost the key-value store, too, is not enough: a peer may have
-    /// confirmed a cancellation after this controller's last read and before the outage, and
-    /// tasks of jobs cancelled then would run on until its end.
+    /// It is not enough that every peer has lost contact with the key-value store, too: a peer may
+    /// have confirmed a cancellation after this controller's last read and before the outage, and
+    /// the tasks of that job would run on until the end of the outage.
     pub fn may_renew_leases<'a>(
         &self,
         me: &Member,
@@ -175,36 +177,38 @@
         if self.records.is_fresher_than(bound, now) {
             return true;
         }
-        let is_vouched_for = |peer: &str| {
-            let vouched_at = self.peers.read_indexes.vouched_at(peer);
-            vouched_at.is_some_and(|at| now.saturating_duration_since(at) < bound)
+        let has_recent_read_index = |peer: &str| {
+            let complete_as_of = self.peers.read_indexes.complete_as_of(peer);
+            complete_as_of.is_some_and(|at| now.saturating_duration_since(at) < bound)
         };
-        // Also a controller that is live and missing in the settings could confirm.
+        // A live controller that is missing from the settings can confirm cancellations, too.
         let mut live = map.live.iter().map(|m| m.name.as_str()).filter(|name| *name != me.name);
-        peers.into_iter().all(is_vouched_for) && live.all(is_vouched_for)
+        peers.into_iter().all(has_recent_read_index) && live.all(has_recent_read_index)
     }
 
-    /// Whether the copy of the records is one to give machines up by, or to stop work: not one
-    /// from before a pause of this process, nor from before the key-value store refused it.
+    /// Whether the copy of the records is fresh enough to release machines or stop work by it. It is
+    /// not if it dates from before a pause of this process, or if the key-value store has not
+    /// confirmed it recently.
     pub fn may_stop_work(&self, now: Instant) -> bool {
         !self.pauses.was_paused(now) && self.records.is_fresh_enough_to_stop_work(now)
     }
 
-    /// The process runs. After a pause, workers are not blamed for what was not heard meanwhile.
+    /// Records that the process is running. Silence of workers during a pause of the process does
+    /// not count against them.
     pub fn tick(&mut self, now: Instant) {
         if self.pauses.tick(now) {
             self.machines.workers.values_mut().for_each(|worker| worker.note_process_pause(now));
         }
     }
 
-    /// Whether some peer has the key-value store while this controller has not.
+    /// Whether this controller has no contact to the key-value store while some peer has.
     pub fn alone_lost_store(&self, now: Instant) -> bool {
         let is_silent = self.records.age(now).is_none_or(|age| age > MAX_STORE_SILENCE);
         is_silent && self.peers.any_reaches_store(now)
     }
 
-    /// Brings the inventory up to date: what is in use, and, a few times a second, which
-    /// machines placement may use by their owners' word.
+    /// Updates the inventory: the usage and, a few times a second, which machines placement may use
+    /// according to their owners.
     pub fn refresh_inventory(&mut self, me: &Member, heartbeat_interval: Duration, now: Instant) {
         let Self { records, machines, peers, scheduling, .. } = self;
         let SchedulingState { inventory, usability_checked_at, .. } = scheduling;
@@ -232,7 +236,7 @@
     heartbeat_interval * MAX_SILENT_HALF_INTERVALS / 2
 }
 
-/// Whether an owner's worker may be given something.
+/// Whether the owner of a machine may assign tasks to its worker.
 pub(crate) fn accepts_work(worker: &Worker, heartbeat_interval: Duration, now: Instant) -> bool {
     let limit = max_silence(heartbeat_interval);
     worker.was_heard_from()
--- a/crates/daemon/src/state/owned_machines.rs
+++ b/crates/daemon/src/state/owned_machines.rs
@@ -1,4 +1,4 @@
-//! The machines that this controller owns, and workers that reported here without being its own.
+//! The machines that this controller owns, and workers of other machines that sent heartbeats here.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -8,12 +8,12 @@
 use crate::worker::Worker;
 
 /// How long a worker's heartbeats are relayed before it is redirected to its machine's owner
-/// once more. Relayed without end, hundreds of workers kept sending to controllers in other
-/// zones after an upgrade, and a partition between the zones cost their leases. While a
-/// controller is cut off from its workers, each redirection costs one of them the better part
-/// of a lease: this is longer than such partitions mostly last.
+/// again. When heartbeats were relayed without a limit, hundreds of workers kept sending them to
+/// controllers in other zones after an upgrade, and a partition between the zones cost their
+/// leases. While a controller is partitioned from its workers, each redirection costs a worker most
+/// of its lease, so this period is longer than most such partitions.
 const RELAY_PERIOD: Duration = Duration::from_secs(60);
-/// So many more redirections than machines may be remembered before expired ones are removed.
+/// Expired redirections are removed once there are this many more redirections than machines.
 const REDIRECTION_SLACK: usize = 1024;
 
 /// The workers of owned machines and of machines that are not recorded yet.
@@ -28,8 +28,8 @@
 }
 
 impl OwnedMachines {
-    /// Whether a worker was redirected to its owner just now and came back here: its heartbeats
-    /// are relayed for a while.
+    /// Whether a worker was redirected to its machine's owner within the relay period, so that the
+    /// heartbeats that it still sends here are relayed.
     pub fn was_redirected(&self, machine: &str, now: Instant) -> bool {
         self.redirected_at.get(machine).is_some_and(|at| now.saturating_duration_since(*at) < RELAY_PERIOD)
     }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Notes that a worker is redirected to its machine's owner now.
+    /// Records that a worker is redirected to its machine's owner now.
     pub fn note_redirection(&mut self, machine: &str, now: Instant) {
         self.redirected_at.insert(machine.to_owned(), now);
     }
--- a/crates/daemon/src/state/record_cache.rs
+++ b/crates/daemon/src/state/record_cache.rs
@@ -1,4 +1,4 @@
-//! The controller's copy of the records, and what is known of how new it is.
+//! The controller's copy of the records, and what is known about its age.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 use tracing::warn;
 use wire::Event;
 
-/// How old the copy of the records may be to scale machines in by, or to stop work.
+/// Greatest age of the copy of the records by which machines may be scaled in or work stopped.
 const MAX_AGE_TO_STOP_WORK: Duration = Duration::from_secs(4);
 
 /// The copy of the records, kept up to date from the key-value store's change feed.
@@ -20,8 +20,8 @@
     pub reader: RecordReader,
     /// Whether all records have been read since the last gap in the change feed.
     pub is_loaded: bool,
-    /// When the last request was sent whose answer showed that the copy was complete: the copy
-    /// holds every change that was committed before.
+    /// When the last request was sent whose answer showed that the copy was complete. The copy
+    /// holds every change that was committed before then.
     pub fresh_at: Option<Instant>,
 }
 
@@ -36,13 +36,13 @@
         self.age(now).is_some_and(|age| age < limit)
     }
 
-    /// Whether the copy is new enough to stop work by it or to give machines up.
+    /// Whether the copy is fresh enough to stop work or release machines by it.
     pub fn is_fresh_enough_to_stop_work(&self, now: Instant) -> bool {
         self.is_fresher_than(MAX_AGE_TO_STOP_WORK, now)
     }
 
-    /// Applies one change of the feed, unless it is known already. A record that cannot be
-    /// decoded proves nothing: what was known of it stands, marked as unreadable.
+    /// Applies one change of the feed, unless it is already known. If the record cannot be decoded,
+    /// its last known value is kept and marked as unreadable.
     pub fn apply_event(&mut self, event: Event<Value>) {
         let (key, value) = match (event.put, event.delete) {
             (Some(key), _) => (key, event.value),
--- a/crates/daemon/src/state/termination_proofs.rs
+++ b/crates/daemon/src/state/termination_proofs.rs
@@ -1,4 +1,4 @@
-//! Proofs that assignments are over, until they are written to the jobs' records.
+//! Proofs that assignments have ended, which are kept until they are written to the jobs' records.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 
 use crate::worker::AssignmentId;
 
-/// How long a controller that a proof was forwarded to has to write it.
+/// How long a controller has to write a proof that was forwarded to it.
 pub const FORWARDED_PROOF_TIMEOUT: Duration = Duration::from_millis(5000);
 /// How long a proof is kept.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(20_000);
@@ -23,13 +23,13 @@
     pub reason: TerminationReason,
     /// The epoch of the cluster map under which it was proven.
     pub epoch: u64,
-    /// When it was last received.
+    /// When the proof was last received.
     pub received_at: Instant,
-    /// When it was first proven.
+    /// When the end was first proven.
     pub proven_at: Instant,
 }
 
-/// Proofs that are not written yet, by job, task and attempt.
+/// Proofs that have not been written yet, by job, task and attempt.
 #[derive(Debug, Default)]
 pub struct PendingProofs {
     by_assignment: BTreeMap<AssignmentId, PendingProof>,
@@ -41,8 +41,7 @@
         self.by_assignment.insert(assignment, proof);
     }
 
-    /// Keeps the proofs of a peer. Those with a reason that this version does not know are
-    /// passed over.
+    /// Keeps the proofs of a peer. Those with a reason that this version does not know are skipped.
     pub fn insert_forwarded(&mut self, epoch: u64, proofs: Vec<TerminationProof>, now: Instant) {
         for proof in proofs {
             let Some(reason) = TerminationReason::from_code(proof.reason_code) else { continue };
@@ -57,9 +56,9 @@
         self.by_assignment.iter()
     }
 
-    /// Drops proofs that no longer hold: a proof holds under the cluster map that it was made
-    /// under, as a later owner may start what is absent, and only while the record has the
-    /// assignment and this controller, `me`, schedules the job.
+    /// Drops proofs that are no longer valid. A proof is valid only under the cluster map that it was
+    /// made under, because a later owner may start an assignment that was absent, and only while the
+    /// record has the assignment and this controller, `me`, schedules the job.
     pub fn retain_valid(&mut self, replica: &Replica, me: &str, epoch: u64, now: Instant) {
         self.by_assignment.retain(|assignment, proof| {
             let age = now.saturating_duration_since(proof.received_at);
@@ -74,7 +73,7 @@
     if replica.scheduler_of(job) != Some(me) {
         return false;
     }
-    let Ok(found) = job.assignments.binary_search_by_key(&id.task, |a| a.task) else { return false };
-    let assignment = &job.assignments[found];
+    let Ok(index) = job.assignments.binary_search_by_key(&id.task, |a| a.task) else { return false };
+    let assignment = &job.assignments[index];
     assignment.attempt == id.attempt && *assignment.machine == *proof.machine
 }
--- a/crates/daemon/src/state/write_share.rs
+++ b/crates/daemon/src/state/write_share.rs
@@ -1,10 +1,10 @@
-//! This controller's share of the changes that the key-value store takes a second.
+//! This controller's share of the changes a second that the key-value store accepts.
 //!
-//! The leader, who scales out and places what is large, has most; all may go somewhat beyond
-//! theirs, as not all need them. With fixed shares, a controller whose shard held most of the
-//! waiting jobs had a ninth of the changes, while others had nothing to write: once all
-//! controllers are upgraded, the shares follow the jobs that each schedules, by the records,
-//! without a message to each other.
+//! The leader scales out and places large jobs, so it has the largest fixed share. The fixed shares
+//! add up to somewhat more than the total, because not all controllers need theirs. With fixed
+//! shares, a controller whose shard held most of the waiting jobs had a ninth of the changes, while
+//! others had nothing to write. So once all controllers are upgraded, the shares follow the jobs that
+//! each controller schedules. Every controller computes them from the records, without messages.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,30 +16,32 @@
 
 use super::ControllerState;
 
-/// How often the share is computed anew.
+/// How often a share that follows the jobs is recomputed.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// The leader's fixed share, and that of all the others together.
+/// The leader's fixed share.
 const FIXED_LEADER_SHARE: f64 = 0.65;
+/// The fixed share of all the other controllers together.
 const FIXED_OTHERS_SHARE: f64 = 0.45;
-/// All shares together when they follow the jobs. With 1.1, as with fixed shares, users met
-/// refusals for the rate in 3% of submissions: the shares are used up then.
+/// Sum of all shares when they follow the jobs. Such shares are used up: with 1.1, the sum of the
+/// fixed shares, 3% of users' submissions were refused by the rate limit.
 const TOTAL_SHARE: f64 = 0.95;
-/// The least share of the leader and of each other controller: for machines, scale-outs and
-/// ends of jobs that others schedule.
+/// Least share of the leader, for records of machines, scale-outs and ends of jobs that others
+/// schedule.
 const MIN_LEADER_SHARE: f64 = 0.3;
+/// Least share of each other controller, for the same purposes.
 const MIN_OTHER_SHARE: f64 = 0.04;
-/// How much is to be written of a service or gang that runs whole, compared with a job whose
-/// tasks start and end all the time.
+/// Write weight of a service or gang that runs completely, relative to a job whose tasks start and
+/// end all the time.
 const STABLE_JOB_WEIGHT: f64 = 0.1;
 
-/// What the share was last computed from.
+/// The inputs from which the share was last computed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ShareBasis {
     /// How many controllers are live.
     pub live_controllers: usize,
-    /// Whether this controller leads.
+    /// Whether this controller is the leader.
     pub is_leader: bool,
-    /// The changes a second of all controllers together, as the bits of the number.
+    /// The changes a second of all controllers together, as the bits of the floating-point number.
     pub total_rate_bits: u64,
 }
 
@@ -53,14 +55,14 @@
 }
 
 impl WriteShare {
-    /// Half of the `rate` of changes a second, until the cluster map is known.
+    /// Starts with half of the `rate` of changes a second, until the cluster map is known.
     pub fn new(rate: f64, now: Instant) -> Self {
         let limiter = RateLimiter::new(rate * 0.5, rate * 0.5, now);
         Self { limiter, basis: ShareBasis::default(), updated_at: None }
     }
 
-    /// Whether the share has to be computed anew: what it depends on has changed, or, for
-    /// shares that follow the jobs, some time has passed. If so, it counts as updated.
+    /// Whether the share has to be recomputed: its inputs have changed or, for a share that follows
+    /// the jobs, the update interval has passed. If so, the share counts as updated.
     pub fn begin_update(&mut self, basis: ShareBasis, follows_jobs: bool, now: Instant) -> bool {
         let is_old = self.updated_at.is_none_or(|at| now.saturating_duration_since(at) >= UPDATE_INTERVAL);
         if self.basis == basis && !(follows_jobs && is_old) {
@@ -73,8 +75,8 @@
 }
 
 impl ControllerState {
-    /// Computes this controller's share anew, if that is due. `total_rate`: the changes a second
-    /// of all controllers together. `may_follow_jobs`: whether all are upgraded, as far as is
+    /// Recomputes this controller's share, if that is due. `total_rate`: the changes a second of all
+    /// controllers together. `may_follow_jobs`: whether all controllers are upgraded, as far as is
     /// known.
     pub fn update_write_share(&mut self, me: &Member, total_rate: f64, may_follow_jobs: bool, now: Instant) {
         let live_controllers = self.cluster_map().map_or(1, |map| map.live.len()).max(1);
@@ -91,8 +93,8 @@
     }
 }
 
-/// A controller's share of the changes, by how much there is to write of the jobs that each of
-/// them schedules; `None` if it is not live, or nobody leads.
+/// A controller's share, by the write weights of the jobs that each controller schedules. `None` if
+/// the controller is not live or there is no leader.
 fn share_by_jobs(state: &ControllerState, me: &str) -> Option<f64> {
     let replica = &state.records.replica;
     let leader = replica.leader.as_ref()?.value.name.as_str();
@@ -107,11 +109,11 @@
     let weight_of = |name: &str| weights.get(name).copied().unwrap_or(0.0) + 1.0;
     let total_weight: f64 = live.iter().map(|name| weight_of(name)).sum();
     let min_share = |name: &str| if name == leader { MIN_LEADER_SHARE } else { MIN_OTHER_SHARE };
-    let free = TOTAL_SHARE - live.iter().map(|name| min_share(name)).sum::<f64>();
-    live.contains(&me).then(|| min_share(me) + free.max(0.0) * weight_of(me) / total_weight)
+    let distributable = TOTAL_SHARE - live.iter().map(|name| min_share(name)).sum::<f64>();
+    live.contains(&me).then(|| min_share(me) + distributable.max(0.0) * weight_of(me) / total_weight)
 }
 
-/// How much is to be written of a job. Replicas that run are hardly ever written.
+/// How much has to be written for a job. Running replicas are hardly ever written.
 fn write_weight(job: &JobRecord, spec: &JobSpec) -> f64 {
     let is_waiting = pending_task_count(job) > 0;
     if is_waiting || spec.kind == JobKind::Array { 1.0 } else { STABLE_JOB_WEIGHT }
--- a/crates/daemon/src/timeouts.rs
+++ b/crates/daemon/src/timeouts.rs
@@ -1,4 +1,4 @@
-//! Times that several modules depend on.
+//! Timeouts that several modules depend on.
 
 use std::time::Duration;
 
--- a/crates/daemon/tests/unit/change_feed.rs
+++ b/crates/daemon/tests/unit/change_feed.rs
@@ -1,11 +1,11 @@
 use super::*;
 use sched::records::{Assignment, DesiredState, JobRecord, Phase};
 
-/// All records are read again, as the change feed was compacted. A cancellation that was
-/// committed and confirmed after the first page stays known, though a page from before
-/// it comes last: a peer that asks for the read index has to hear of it.
+/// All records are read again after the change feed was compacted. A cancellation that was committed
+/// and confirmed after the first page must not be lost, even if a page from before it arrives last:
+/// a peer that asks for the read index has to receive it.
 #[test]
-fn what_was_confirmed_while_records_are_read_again_stays_known() {
+fn confirmed_cancellation_is_kept_when_records_are_read_again() {
     let record = |phase| {
         let mut job = JobRecord::new(crate::worker::tests::spec("j-1", wire::JobKind::Array), None, 0);
         job.assignments = vec![Assignment {
@@ -23,10 +23,13 @@
         read.apply(RecordChange::Job(id.into(), Some(record(Phase::Active))), 5);
     }
     known.apply(RecordChange::Job("j-1".into(), Some(record(Phase::Cancelled))), 12);
-    // What it knew from before is no newer than what was read.
+    // This change is older than the record that was read.
     known.apply(RecordChange::Job("j-2".into(), Some(record(Phase::Cancelled))), 4);
-    keep_newer(&mut read, &known);
-    let seen = |id: &str| (read.jobs[id].value.phase, read.jobs[id].version);
-    assert_eq!((seen("j-1"), seen("j-2")), ((Phase::Cancelled, 12), (Phase::Active, 5)));
-    assert_eq!(read.revision, 10, "the changes in between are still to come");
+    merge_newer_records(&mut read, &known);
+    let phase_and_version = |id: &str| (read.jobs[id].value.phase, read.jobs[id].version);
+    assert_eq!(
+        (phase_and_version("j-1"), phase_and_version("j-2")),
+        ((Phase::Cancelled, 12), (Phase::Active, 5))
+    );
+    assert_eq!(read.revision, 10, "changes after the first page still have to be applied");
 }
--- a/crates/daemon/tests/unit/membership.rs
+++ b/crates/daemon/tests/unit/membership.rs
@@ -32,11 +32,11 @@
     assert!(next_claim(&replica, &new, SCHEMA_VERSION, false).is_none());
 }
 
-/// A controller that is not the leader has nearly used up its tokens: it raises the epoch
-/// itself, and nobody's shard changes. What it asked for does not apply to a later map, nor
-/// after it has lost its membership.
+/// A controller that is not the leader has nearly used up its fencing tokens: it raises the epoch
+/// itself, and nobody's shard changes. Its claim is conditional on the versions of the map and of
+/// its own entry, so it fails against a later map or after the membership is lost.
 #[test]
-fn a_controller_short_of_tokens_raises_the_epoch() {
+fn epoch_is_raised_when_a_controller_runs_low_on_tokens() {
     let mut replica = Replica::default();
     let (leader, other) = (member("a", 1), member("b", 2));
     let live = vec![leader.clone(), other.clone()];
@@ -51,16 +51,16 @@
         }
         _ => unreachable!("a new epoch"),
     }
-    // Not one that the map does not hold: it has no part, and so no tokens of this epoch.
-    let stranger = member("c", 3);
-    replica.apply(RecordChange::Member("c".into(), Some(stranger.clone())), 5);
-    assert!(next_claim(&replica, &stranger, SCHEMA_VERSION, true).is_none());
+    // A controller that is missing from the map has no shard, and so no tokens of this epoch.
+    let not_in_map = member("c", 3);
+    replica.apply(RecordChange::Member("c".into(), Some(not_in_map.clone())), 5);
+    assert!(next_claim(&replica, &not_in_map, SCHEMA_VERSION, true).is_none());
 }
 
-/// Back within a fraction of a second, in the middle of an election: late
-/// copies of what the predecessor asked for name versions that are gone.
+/// A process is restarted within a fraction of a second, during an election. Delayed duplicates of
+/// its predecessor's requests must conflict: they are conditional on versions that are outdated.
 #[test]
-fn what_a_predecessor_asked_for_no_longer_applies() {
+fn claims_of_a_predecessor_are_outdated_when_a_process_restarts() {
     let mut replica = Replica::default();
     let (old, new) = (member("a", 1), member("a", 2));
     // The predecessor joined at 5 and was about to lead.
--- a/crates/daemon/tests/unit/peer_status.rs
+++ b/crates/daemon/tests/unit/peer_status.rs
@@ -14,18 +14,11 @@
     );
     let controller =
         Controller::new(Settings::parse("example", &text).expect("valid"), Operators::default(), 1);
-    let receive = |incarnation, count, state_silent_ms| {
+    let receive = |incarnation, sequence, state_silent_ms| {
         let name = "n-1".to_owned();
         receive_status(
             &controller,
-            PeerStatus {
-                name,
-                incarnation,
-                sequence: count,
-                epoch: 3,
-                state_silent_ms,
-                machines: Vec::new(),
-            },
+            PeerStatus { name, incarnation, sequence, epoch: 3, state_silent_ms, machines: Vec::new() },
         );
         controller.state().peers.statuses["n-1"].status.state_silent_ms
     };
@@ -34,22 +27,22 @@
     assert_eq!(receive(7, 1, 60_000), 100, "a duplicate of the first");
     let member = Member { name: "n-1".into(), zone: "a".into(), incarnation: 8 };
     controller.state().records.replica.apply(RecordChange::Member("n-1".into(), Some(member)), 1);
-    assert_eq!(receive(8, 1, 50), 50, "a new process counts anew");
-    assert_eq!(receive(7, 9, 60_000), 50, "its predecessor is gone");
+    assert_eq!(receive(8, 1, 50), 50, "the sequence of a new process starts again");
+    assert_eq!(receive(7, 9, 60_000), 50, "a status of its predecessor is ignored");
 }
 
-/// A controller that is partitioned from its workers reports that they are silent, and leaves the
-/// map: its status must not pass for that of their next owner.
+/// A controller that is partitioned from its workers reports them as silent, and then leaves the
+/// cluster map: its status must not be taken for that of their next owner.
 #[test]
-fn the_status_of_a_machine_is_forgotten_with_its_owner() {
+fn machine_statuses_are_dropped_when_the_owner_changes() {
     let controller = crate::scale::controller(40, 2);
     let mut state = controller.state();
-    let theirs: Vec<_> = state.records.replica.machines.keys().cloned().collect();
-    let other = |state: &ControllerState, id: &str| {
+    let machine_ids: Vec<_> = state.records.replica.machines.keys().cloned().collect();
+    let is_owned_by_peer = |state: &ControllerState, id: &str| {
         state.records.replica.owner_of(id).is_some_and(|o| o.name == "n-1")
     };
-    for id in &theirs {
-        if other(&state, id) {
+    for id in &machine_ids {
+        if is_owned_by_peer(&state, id) {
             let row = MachineStatusRow {
                 id: id.to_string(),
                 usable: false,
@@ -64,17 +57,17 @@
             state.peers.machines.insert(id.clone(), row);
         }
     }
-    let forget_reassigned = |state: &mut ControllerState, before: &_| {
+    let forget_reassigned = |state: &mut ControllerState, owners_before: &_| {
         let ControllerState { records, peers, .. } = state;
-        peers.forget_reassigned_machines(before, &records.replica);
+        peers.forget_reassigned_machines(owners_before, &records.replica);
     };
-    let said = state.peers.machines.len();
-    assert!(said > 0);
-    let before = state.peers.machine_owners(&state.records.replica);
-    forget_reassigned(&mut state, &before);
-    assert_eq!(state.peers.machines.len(), said, "nothing has changed");
+    let reported_count = state.peers.machines.len();
+    assert!(reported_count > 0);
+    let owners_before = state.peers.machine_owners(&state.records.replica);
+    forget_reassigned(&mut state, &owners_before);
+    assert_eq!(state.peers.machines.len(), reported_count, "nothing has changed");
     let map = sched::records::ClusterMap { epoch: 8, live: vec![controller.identity.clone()] };
     state.records.replica.apply(RecordChange::Map(Some(map)), 1 << 40);
-    forget_reassigned(&mut state, &before);
+    forget_reassigned(&mut state, &owners_before);
     assert!(state.peers.machines.is_empty());
 }
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -10,8 +10,7 @@
 
 const MACHINE: &str = "host-1";
 
-/// One of three controllers, which all know a job with a task on the machine, up to
-/// revision 3. The first one owns it.
+/// One of three controllers that have each other as peers. It has not read any records.
 fn controller(n: usize, incarnation: u64) -> Arc<Controller> {
     let mut text = EXAMPLE.replacen("n-0", &format!("n-{n}"), 1);
     for other in (0..3).filter(|o| *o != n) {
@@ -28,7 +27,9 @@
     Controller::new(settings, Operators::default(), incarnation)
 }
 
-fn read(controller: &Arc<Controller>) {
+/// Lets a controller read the records up to revision 3: two jobs, each with a task on the machine
+/// that `n-0` owns.
+fn load_records(controller: &Arc<Controller>) {
     let mut state = controller.state();
     let live = vec![Member { name: "n-0".into(), zone: "a".into(), incarnation: 1 }];
     state.records.replica.apply(RecordChange::Map(Some(ClusterMap { epoch: 4, live })), 1);
@@ -50,8 +51,8 @@
     state.records.is_loaded = true;
 }
 
-/// What a controller does when it confirms a cancellation to a user.
-fn confirm(controller: &Arc<Controller>, id: &str, revision: u64) {
+/// Changes a controller's replica as when it confirms a cancellation to a user.
+fn confirm_cancellation(controller: &Arc<Controller>, id: &str, revision: u64) {
     let mut state = controller.state();
     let mut record = state.records.replica.jobs[id].value.clone();
     record.phase = Phase::Cancelled;
@@ -63,28 +64,30 @@
     SentRequest { peer, request, sent_at }
 }
 
-/// One request and its answer between two controllers; whether the answer is complete.
-fn exchange(asker: &Arc<Controller>, of: &Arc<Controller>, at: Instant) -> bool {
-    let mut state = asker.state();
-    let Some(asked) = request_if_needed(&state, 77, at) else { return false };
-    let bytes = peer::encode_read_index(&own_read_index(of, &of.state(), &asked));
+/// Exchanges one request and its answer between two controllers. Returns whether the answer is
+/// complete.
+fn exchange(requester: &Arc<Controller>, responder: &Arc<Controller>, at: Instant) -> bool {
+    let mut state = requester.state();
+    let Some(request) = request_if_needed(&state, 77, at) else { return false };
+    let bytes = peer::encode_read_index(&own_read_index(responder, &responder.state(), &request));
     let index = peer::decode_read_index(&bytes).expect("an answer");
-    apply_read_index(&mut state, sent(&of.identity.name, &asked, at), index, at) == ReadIndexOutcome::Complete
+    apply_read_index(&mut state, sent(&responder.identity.name, &request, at), index, at)
+        == ReadIndexOutcome::Complete
 }
 
-fn three() -> [Arc<Controller>; 3] {
+fn three_controllers() -> [Arc<Controller>; 3] {
     let all = [controller(0, 1), controller(1, 2), controller(2, 3)];
-    all.iter().for_each(read);
+    all.iter().for_each(load_records);
     all
 }
 
-/// The state service refuses the leader alone; another controller confirms a
-/// cancellation; then it is out for all, and workers go on reporting to the leader. Before
-/// leases are renewed beyond the bound, the leader has learnt of the cancellation and
-/// stops its task; everything else goes on.
+/// The key-value store refuses only the leader while another controller confirms a cancellation.
+/// Then the store fails for all, and workers keep sending heartbeats to the leader. The leader must
+/// not renew leases beyond the bound before it has received the cancellation; it then stops only the
+/// cancelled task.
 #[test]
-fn a_cancellation_confirmed_while_the_leader_was_refused_reaches_it_in_the_outage() {
-    let [leader, other, third] = three();
+fn cancellation_confirmed_while_the_store_refused_the_leader_reaches_it_in_the_outage() {
+    let [leader, other, third] = three_controllers();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
     leader.state().records.fresh_at = Some(start);
@@ -94,26 +97,30 @@
     let report = serde_json::json!({"frame": MACHINE, "addr": "a", "shape": "m", "bay": "a", "loaner": false,
         "stint": 1, "tally": 1, "baton": first_token(4), "threads": list});
     worker.receive_heartbeat(wire::decode::<Heartbeat>(&wire::encode(&report)).expect("a report"), start);
-    confirm(&other, "j-1", 4);
+    confirm_cancellation(&other, "j-1", 4);
     let late = start + bound + Duration::from_secs(20);
     let renews = |at: Instant| leader.may_renew_leases(&leader.state(), at);
-    assert!(renews(start + Duration::from_secs(2)) && !renews(late), "nobody has been asked");
-    assert!(exchange(&leader, &third, late) && !renews(late), "all of them have to answer");
+    assert!(renews(start + Duration::from_secs(2)) && !renews(late), "no peer has been asked");
+    assert!(exchange(&leader, &third, late) && !renews(late), "all peers have to answer");
     assert!(exchange(&leader, &other, late) && renews(late));
     let state = leader.state();
     let limits = leader.worker_limits(state.records.fresh_at);
     let plan = worker.reconcile(MACHINE, &state.records.replica, &limits, late);
     let stop = Command::Stop { task: "j-1/0".into(), attempt: 1, grace_s: 0.0 };
-    assert_eq!((plan.commands, plan.terminations), (vec![stop], vec![]), "the cancelled one, and only that");
-    // What it can write later is conditional on the version that it learnt.
+    assert_eq!(
+        (plan.commands, plan.terminations),
+        (vec![stop], vec![]),
+        "only the cancelled task is stopped"
+    );
+    // Its later writes are conditional on the version that it received.
     assert_eq!(state.records.replica.jobs["j-1"].version, 4);
 }
 
-/// In a long outage in which nothing was cancelled no lease is lost, as long as all answer;
-/// each answer carries on for the bound from when it was asked for.
+/// In a long outage without cancellations, no lease is lost as long as all peers answer. Each answer
+/// allows renewals for the bound from when it was requested.
 #[test]
 fn leases_are_renewed_through_a_long_outage_while_every_peer_answers() {
-    let [leader, other, third] = three();
+    let [leader, other, third] = three_controllers();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
     leader.state().records.fresh_at = Some(start);
@@ -124,70 +131,73 @@
     }
     let last = start + Duration::from_secs(598);
     assert!(leader.may_renew_leases(&leader.state(), last + bound - Duration::from_millis(1)));
-    assert!(!leader.may_renew_leases(&leader.state(), last + bound), "one that falls silent ends it");
-    // With the state service there is nothing to ask.
+    assert!(!leader.may_renew_leases(&leader.state(), last + bound), "renewal ends without new answers");
+    // With a recent linearizable read, no peer has to be asked.
     leader.state().records.fresh_at = Some(last);
     assert!(request_if_needed(&leader.state(), 1, last + Duration::from_secs(1)).is_none());
 }
 
-/// The answer to a user was on its way when the peer answered: it is confirmed later than
-/// asked, so that its time has not begun before. Its next answer tells of it.
+/// The response to a user was in flight when the peer answered: the cancellation is confirmed after
+/// the request, so its time limit begins later than the answer counts from. The peer's next answer
+/// contains it.
 #[test]
-fn a_confirmation_in_flight_counts_from_the_request_and_comes_with_the_next_read_index() {
-    let [leader, other, third] = three();
+fn confirmation_in_flight_when_a_peer_answers_comes_with_its_next_read_index() {
+    let [leader, other, third] = three_controllers();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
     leader.state().records.fresh_at = Some(start);
-    let asked = start + Duration::from_secs(3);
-    assert!(exchange(&leader, &other, asked) && exchange(&leader, &third, asked + Duration::from_secs(9)));
-    confirm(&other, "j-1", 4);
-    assert!(!leader.may_renew_leases(&leader.state(), asked + bound), "the earliest counts");
+    let asked_at = start + Duration::from_secs(3);
+    assert!(
+        exchange(&leader, &other, asked_at) && exchange(&leader, &third, asked_at + Duration::from_secs(9))
+    );
+    confirm_cancellation(&other, "j-1", 4);
+    assert!(!leader.may_renew_leases(&leader.state(), asked_at + bound), "the earliest answer counts");
     let phase = || leader.state().records.replica.jobs["j-1"].value.phase;
     assert_eq!(phase(), Phase::Active);
-    assert!(exchange(&leader, &other, asked + bound));
+    assert!(exchange(&leader, &other, asked_at + bound));
     assert_eq!(phase(), Phase::Cancelled);
-    // Learnt by the third from the leader, not read: it passes that on as well.
-    assert!(exchange(&third, &leader, asked + bound));
+    // The leader also passes on what it has received from a peer and not read itself.
+    assert!(exchange(&third, &leader, asked_at + bound));
     assert_eq!(third.state().records.replica.jobs["j-1"].value.phase, Phase::Cancelled);
 }
 
-/// A process that came back has forgotten what its predecessor confirmed.
+/// A restarted process does not know what its predecessor confirmed.
 #[test]
-fn a_restarted_peer_vouches_only_for_what_it_can_know() {
-    let [leader, _, third] = three();
+fn restarted_peer_is_inconclusive_until_the_last_read_covers_its_predecessor() {
+    let [leader, _, third] = three_controllers();
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
     leader.state().records.fresh_at = Some(start);
     let late = start + bound;
     assert!(exchange(&leader, &third, late));
-    // Back after this controller's last reading: its predecessor may have confirmed more.
-    let back = controller(1, 9);
-    assert!(!exchange(&leader, &back, late) && !leader.may_renew_leases(&leader.state(), late));
-    // The same process, heard of before the last reading: whatever was confirmed before it
-    // began was read, and it has confirmed nothing.
+    // Restarted after the leader's last read: its predecessor may have confirmed more.
+    let restarted = controller(1, 9);
+    assert!(!exchange(&leader, &restarted, late) && !leader.may_renew_leases(&leader.state(), late));
+    // The same process, first heard from before the leader's last read: the read contains whatever
+    // its predecessors confirmed, and the process itself has confirmed nothing.
     let at = late + Duration::from_secs(1);
     leader.state().records.fresh_at = Some(at);
     let later = at + bound;
     assert!(exchange(&leader, &third, later));
-    assert!(exchange(&leader, &back, later) && leader.may_renew_leases(&leader.state(), later));
-    // It has read the records: it knows all that its predecessors confirmed.
-    let [.., read] = [controller(1, 10), controller(1, 11)];
-    super::tests::read(&read);
-    assert!(exchange(&leader, &read, later));
+    assert!(exchange(&leader, &restarted, later) && leader.may_renew_leases(&leader.state(), later));
+    // A process that has read the records knows everything that its predecessors confirmed.
+    let [.., reloaded] = [controller(1, 10), controller(1, 11)];
+    super::tests::load_records(&reloaded);
+    assert!(exchange(&leader, &reloaded, later));
 }
 
-/// What says nothing of the peer's present knowledge does not count.
+/// Answers that do not show what the peer knows now must not allow renewals.
 #[test]
 fn duplicates_other_incarnations_later_epochs_and_partial_answers_are_inconclusive() {
-    let [leader, other, third] = three();
+    let [leader, other, third] = three_controllers();
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
     let late = start + leader.settings.renewal_bound();
     assert!(exchange(&leader, &third, late));
-    confirm(&other, "j-1", 4);
+    confirm_cancellation(&other, "j-1", 4);
     let mut state = leader.state();
-    let asked = request_if_needed(&state, 5, late).expect("there is need");
-    let whole = own_read_index(&other, &other.state(), &asked);
+    let request = request_if_needed(&state, 5, late).expect("there is need");
+    let whole = own_read_index(&other, &other.state(), &request);
     let broken = CancelledJob { record: vec![0xc1], ..whole.cancelled[0].clone() };
     let cases = [
         ReadIndex { nonce: 4, ..whole.clone() },
@@ -198,16 +208,16 @@
         ReadIndex { cancelled: vec![broken], ..whole.clone() },
     ];
     for (n, index) in cases.into_iter().enumerate() {
-        let outcome = apply_read_index(&mut state, sent("n-1", &asked, late), index, late);
+        let outcome = apply_read_index(&mut state, sent("n-1", &request, late), index, late);
         assert_ne!(outcome, ReadIndexOutcome::Complete, "case {n}");
         assert!(!leader.may_renew_leases(&state, late), "case {n}");
     }
     assert_eq!(
-        apply_read_index(&mut state, sent("n-1", &asked, late), whole, late),
+        apply_read_index(&mut state, sent("n-1", &request, late), whole, late),
         ReadIndexOutcome::Complete
     );
     assert!(leader.may_renew_leases(&state, late));
-    // An older reading of its own does not bring back what was learnt.
+    // An older version that the leader reads itself does not undo the cancellation.
     let old = JobRecord::new(spec("j-1", JobKind::Service), None, 0);
     state.records.replica.apply(RecordChange::Job("j-1".into(), Some(Box::new(old))), 3);
     assert_eq!(state.records.replica.jobs["j-1"].value.phase, Phase::Cancelled);
@@ -226,33 +236,33 @@
     }
 }
 
-/// Far more is cancelled than one answer holds: it comes in parts, which count together
-/// from when the first was asked for, and not before the last is there.
+/// More jobs are cancelled than one answer holds. The parts count together from when the first was
+/// requested, and only once the last has arrived.
 #[test]
-fn thousands_of_cancellations_come_in_parts() {
+fn cancellations_come_in_parts_when_one_answer_cannot_hold_them() {
     const JOBS: u64 = 4000;
-    let [leader, other, third] = three();
+    let [leader, other, third] = three_controllers();
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
     cancel_many(&other, JOBS);
     let late = start + leader.settings.renewal_bound();
     assert!(exchange(&leader, &third, late));
     let mut state = leader.state();
-    let mut asked = request_if_needed(&state, 1, late).expect("there is need");
+    let mut request = request_if_needed(&state, 1, late).expect("there is need");
     let mut parts = 0;
     loop {
         parts += 1;
-        let index = own_read_index(&other, &other.state(), &asked);
+        let index = own_read_index(&other, &other.state(), &request);
         assert!(peer::encode_read_index(&index).len() < MAX_MESSAGE_BYTES / 2, "part {parts}");
         match apply_read_index(
             &mut state,
-            sent("n-1", &asked, late),
+            sent("n-1", &request, late),
             index,
             late + Duration::from_secs(parts),
         ) {
             ReadIndexOutcome::Partial { known_up_to: after } => {
-                assert!(!leader.may_renew_leases(&state, late), "part {parts} is not all");
-                asked = ReadIndexRequest { nonce: parts, after };
+                assert!(!leader.may_renew_leases(&state, late), "part {parts} is not the last");
+                request = ReadIndexRequest { nonce: parts, after };
             }
             outcome => {
                 assert_eq!(outcome, ReadIndexOutcome::Complete);
@@ -264,25 +274,25 @@
     let known = state.records.replica.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
     assert_eq!(known as u64, JOBS);
     assert!(leader.may_renew_leases(&state, late));
-    assert_eq!(state.peers.read_indexes.vouched_at("n-1"), Some(late), "from the first question on");
+    assert_eq!(state.peers.read_indexes.complete_as_of("n-1"), Some(late), "counts from the first request");
     let none = own_read_index(&other, &other.state(), &ReadIndexRequest { nonce: 1, after: 10 + JOBS / 2 });
     assert!(!none.truncated && none.cancelled.is_empty());
 }
 
-/// An answer that says that there is more, and does not get any further, ends the questions.
+/// A truncated answer that makes no progress must not lead to further requests.
 #[test]
 fn partial_answers_without_progress_are_inconclusive() {
-    let [leader, other, _] = three();
+    let [leader, other, _] = three_controllers();
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
     cancel_many(&other, 10);
     let late = start + leader.settings.renewal_bound();
     let mut state = leader.state();
-    let asked = request_if_needed(&state, 5, late).expect("there is need");
-    let whole = own_read_index(&other, &other.state(), &asked);
+    let request = request_if_needed(&state, 5, late).expect("there is need");
+    let whole = own_read_index(&other, &other.state(), &request);
     let empty = ReadIndex { cancelled: Vec::new(), truncated: true, ..whole.clone() };
     assert_eq!(
-        apply_read_index(&mut state, sent("n-1", &asked, late), empty, late),
+        apply_read_index(&mut state, sent("n-1", &request, late), empty, late),
         ReadIndexOutcome::Inconclusive
     );
     let again = ReadIndexRequest { nonce: 5, after: 14 };
@@ -293,20 +303,20 @@
     );
 }
 
-/// Over HTTP; a controller of the version in production answers 404.
+/// Read indexes are requested over HTTP. A controller of the version in production answers 404.
 #[tokio::test]
 async fn read_indexes_are_served_over_their_own_path() {
     use net::Request;
-    let [_, other, _] = three();
-    confirm(&other, "j-1", 4);
+    let [_, other, _] = three_controllers();
+    confirm_cancellation(&other, "j-1", 4);
     let post = |path: &str, body: Vec<u8>| {
         let request = Request { method: "POST".into(), path: path.into(), body: body.into() };
         crate::peer_server::serve(other.clone(), request)
     };
-    let asked = peer::encode_read_index_request(&ReadIndexRequest { nonce: 8, after: 3 });
-    let reply = post(PATH, asked.clone()).await;
+    let request = peer::encode_read_index_request(&ReadIndexRequest { nonce: 8, after: 3 });
+    let reply = post(PATH, request.clone()).await;
     let index = peer::decode_read_index(&reply.body).expect("an index");
     assert_eq!((reply.status, index.nonce, index.cancelled.len()), (200, 8, 1));
     assert_eq!(post(PATH, vec![1, 2, 3]).await.status, 400);
-    assert_eq!(post("/read-index", asked).await.status, 404, "it cannot be continued");
+    assert_eq!(post("/read-index", request).await.status, 404, "answers of the old path cannot be continued");
 }
