--- a/crates/daemon/src/api/machine_registration.rs
+++ b/crates/daemon/src/api/machine_registration.rs
@@ -81,7 +81,7 @@
         return;
     }
     controller.wait_for_write(machines.len(), 0.0).await;
-    controller.load.spend(Purpose::Machines, machines.len());
+    controller.load.count_changes(Purpose::Machines, machines.len());
     let conditions = machines.iter().map(|(id, _)| Condition { key: key::machine(id), version: 0 }).collect();
     let writes = machines.iter().map(|(id, record)| KeyWrite::new(key::machine(id), record)).collect();
     match controller.commit(conditions, writes).await {
--- a/crates/daemon/src/autoscaler/leader_write.rs
+++ b/crates/daemon/src/autoscaler/leader_write.rs
@@ -29,7 +29,7 @@
     // Machines take long to boot: a request for some does not wait behind scheduling cycles that
     // have overdrawn the rate limit.
     controller.state().writes.limiter.acquire(writes.len() as f64, 0.0, clock::now());
-    controller.load.spend(Purpose::Autoscaler, writes.len());
+    controller.load.count_changes(Purpose::Autoscaler, writes.len());
     match controller.commit(conditions, writes).await {
         Ok(TxnOutcome::Committed { revision }) => {
             controller.wait_for_revision(revision, REPLICA_TIMEOUT).await
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -96,7 +96,7 @@
         let mut retries = 0;
         loop {
             self.state().writes.limiter.acquire(chunks.len() as f64, 0.0, clock::now());
-            self.load.spend(Purpose::Chunks, chunks.len());
+            self.load.count_changes(Purpose::Chunks, chunks.len());
             match self.kv_client.txn(Vec::new(), chunks.to_vec()).await {
                 Ok(TxnOutcome::Committed { revision } | TxnOutcome::Conflict { revision, .. }) => {
                     return Ok(revision);
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -184,7 +184,7 @@
     /// refuses the change, the user is answered at once. The scheduling loop waits until a deficit
     /// of the write rate is made up.
     pub fn count_user_write(&self) {
-        self.load.spend(Purpose::Users, 1);
+        self.load.count_changes(Purpose::Users, 1);
         self.state().writes.limiter.acquire(1.0, 0.0, clock::now());
     }
 
--- a/crates/daemon/src/drains/transaction.rs
+++ b/crates/daemon/src/drains/transaction.rs
@@ -105,7 +105,7 @@
     pub(super) async fn commit(self, controller: &Controller) -> bool {
         let Self { conditions, writes, changes } = self;
         controller.state().writes.limiter.acquire(writes.len() as f64, 0.0, clock::now());
-        controller.load.spend(Purpose::Drains, writes.len());
+        controller.load.count_changes(Purpose::Drains, writes.len());
         match controller.commit(conditions, writes).await {
             Ok(TxnOutcome::Committed { revision }) => {
                 let mut state = controller.state();
--- a/crates/daemon/src/load.rs
+++ b/crates/daemon/src/load.rs
@@ -55,7 +55,7 @@
 
 impl LoadCounters {
     /// Counts changes that are sent to the key-value store.
-    pub fn spend(&self, purpose: Purpose, changes: usize) {
+    pub fn count_changes(&self, purpose: Purpose, changes: usize) {
         if let Some(index) = PURPOSES.iter().position(|(known, _)| *known == purpose) {
             self.changes[index].fetch_add(changes as u64, Ordering::Relaxed);
         }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -272,7 +272,7 @@
     // Does not wait for the write rate: the lease would expire in the meantime, and a controller
     // that has exceeded its rate would join again and again without ever being live.
     controller.state().writes.limiter.acquire(writes.len() as f64, 0.0, clock::now());
-    controller.load.spend(Purpose::Members, writes.len());
+    controller.load.count_changes(Purpose::Members, writes.len());
     match controller.kv_client.txn(conditions, writes).await? {
         TxnOutcome::Committed { revision } => {
             let is_reached = controller.wait_for_revision(revision, REVISION_TIMEOUT).await;
--- a/crates/daemon/src/scheduler/commit.rs
+++ b/crates/daemon/src/scheduler/commit.rs
@@ -64,7 +64,7 @@
     let transaction = build_transaction(replica, cycle, &controller.state_limits(), max_jobs);
     let writes = transaction.writes.len();
     state.writes.limiter.acquire(writes as f64, 0.0, clock::now());
-    controller.load.spend(Purpose::Scheduling, writes);
+    controller.load.count_changes(Purpose::Scheduling, writes);
     transaction
 }
 
