--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -111,7 +111,7 @@
 /// Whether this controller can answer users.
 fn health(controller: &Controller) -> Reply {
     let state = controller.state();
-    if state.records.is_loaded && !state.alone_lost_store(clock::now()) {
+    if state.records.is_loaded && !state.only_peers_reach_store(clock::now()) {
         Reply { status: 200, body: wire::encode(&"ok"), retry_after: None }
     } else {
         ApiError::NotReady.into()
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -202,7 +202,7 @@
     }
 
     /// Whether this controller has no contact to the key-value store while some peer has.
-    pub fn alone_lost_store(&self, now: Instant) -> bool {
+    pub fn only_peers_reach_store(&self, now: Instant) -> bool {
         let is_silent = self.records.age(now).is_none_or(|age| age > MAX_STORE_SILENCE);
         is_silent && self.peers.any_reaches_store(now)
     }
