--- a/crates/daemon/src/scheduler/commit.rs
+++ b/crates/daemon/src/scheduler/commit.rs
@@ -112,7 +112,7 @@
     match <[String; 1]>::try_from(written_jobs) {
         Ok([job]) => {
             warn!(job, "job record rejected by the key-value store; backing off");
-            state.scheduling.hold_back(job, now);
+            state.scheduling.defer_writes(job, now);
         }
         Err(_) => state.scheduling.write_single_jobs(now),
     }
--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -223,7 +223,7 @@
         let Candidate { id, spec, size, .. } = *candidate;
         if spec.kind == JobKind::Gang && !may_be_stored(self.controller, id, &job) {
             info!(job = id, "gang record too large until all controllers are upgraded; backing off");
-            self.scheduling.hold_back(id.to_owned(), self.context.now);
+            self.scheduling.defer_writes(id.to_owned(), self.context.now);
             // Nobody else is to wait for capacity that the gang cannot take.
             self.undo(spec, &assignments);
             return;
--- a/crates/daemon/src/state/scheduling.rs
+++ b/crates/daemon/src/state/scheduling.rs
@@ -78,7 +78,7 @@
     }
 
     /// Puts off the writes of a job's record for a while, because it cannot be written.
-    pub fn hold_back(&mut self, job: String, now: Instant) {
+    pub fn defer_writes(&mut self, job: String, now: Instant) {
         self.rejected_until.insert(job, now + REJECTED_RECORD_BACKOFF);
     }
 
