--- a/crates/daemon/src/change_feed.rs
+++ b/crates/daemon/src/change_feed.rs
@@ -91,7 +91,7 @@
     let after = controller.state().records.replica.revision;
     let changes = controller.kv_client.watch(after, WATCH_TIMEOUT).await?;
     apply_changes(controller, changes);
-    // Every answer is followed by another request, and one answer can hold many changes.
+    // Spaces out the requests: every answer costs one more, and one answer can hold many changes.
     sleep(controller.watch_interval()).await;
     Ok(())
 }
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -6,7 +6,7 @@
 use crate::settings::State;
 
 /// Bytes of a job's record besides its lists: the description and its fields.
-const RECORD_BYTES_BESIDE_LISTS: f64 = 750.0;
+const RECORD_BYTES_OUTSIDE_LISTS: f64 = 750.0;
 /// Least bytes that the lists of a job's record may take.
 const MIN_LIST_BYTES: f64 = 512.0;
 /// Fraction of the list bytes that assignments may take.
@@ -91,7 +91,7 @@
 impl StateLimits {
     /// Bytes of a job's record for its assignments and its finished tasks.
     fn list_bytes(&self) -> f64 {
-        (self.assignment_record_bytes - RECORD_BYTES_BESIDE_LISTS).max(MIN_LIST_BYTES)
+        (self.assignment_record_bytes - RECORD_BYTES_OUTSIDE_LISTS).max(MIN_LIST_BYTES)
     }
 
     /// Most assignments that one job's record holds within a value's size.
--- a/crates/daemon/src/prober.rs
+++ b/crates/daemon/src/prober.rs
@@ -37,15 +37,15 @@
 /// Probes silent workers until the controller stops.
 pub async fn probe_silent_workers(controller: Arc<Controller>) {
     let max_probes = controller.settings.sockets().to_workers / CONNECTIONS_DIVISOR;
-    let mut next = 0;
+    let mut next_index = 0;
     loop {
         sleep(PROBE_INTERVAL).await;
         let mut silent = silent_workers(&controller, clock::now());
         let probes = concurrent_probes(silent.len(), max_probes);
         if !silent.is_empty() {
-            let first = next % silent.len();
+            let first = next_index % silent.len();
             silent.rotate_left(first);
-            next = first + probes;
+            next_index = first + probes;
         }
         for worker in silent.into_iter().take(probes) {
             let prober = controller.clone();
--- a/crates/daemon/src/state/mod.rs
+++ b/crates/daemon/src/state/mod.rs
@@ -35,8 +35,8 @@
 pub use termination_proofs::{FORWARDED_PROOF_TIMEOUT, PendingProof, PendingProofs};
 pub use write_share::WriteShare;
 
-/// How long this controller may be without contact to the key-value store before users are directed
-/// to a peer that has contact.
+/// How long this controller may be without contact to the key-value store before its health check
+/// fails if a peer has contact, so that users are sent to that peer.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(2500);
 /// Greatest age of the copy of the records by which a controller judges itself isolated.
 const MAX_RECORDS_AGE_TO_ISOLATE: Duration = Duration::from_millis(3500);
@@ -142,8 +142,8 @@
     /// and returns the decision. It rejoins when it hears from another member, or when there is none.
     pub fn update_isolation(&mut self, me: &Member, heartbeat_interval: Duration, now: Instant) -> bool {
         if self.membership.is_isolated() {
-            let is_alone = self.other_members(me).next().is_none();
-            if is_alone || self.hears_from_other_members(me, now) && self.membership.may_rejoin(now) {
+            let is_only_member = self.other_members(me).next().is_none();
+            if is_only_member || self.hears_from_other_members(me, now) && self.membership.may_rejoin(now) {
                 self.membership.rejoin(now);
             }
         } else if self.membership.may_leave(now)
--- a/crates/daemon/tests/unit/membership.rs
+++ b/crates/daemon/tests/unit/membership.rs
@@ -63,7 +63,7 @@
 fn claims_of_a_predecessor_are_outdated_when_a_process_restarts() {
     let mut replica = Replica::default();
     let (old, new) = (member("a", 1), member("a", 2));
-    // The predecessor joined at 5 and was about to lead.
+    // The predecessor joined at version 5 and was about to claim the leadership.
     replica.apply(RecordChange::Member("a".into(), Some(old.clone())), 5);
     let Some(Claim::Leader { version: 0, member_version: 5 }) =
         next_claim(&replica, &old, SCHEMA_VERSION, false)
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -98,14 +98,14 @@
         "stint": 1, "tally": 1, "baton": first_token(4), "threads": list});
     worker.receive_heartbeat(wire::decode::<Heartbeat>(&wire::encode(&report)).expect("a report"), start);
     confirm_cancellation(&other, "j-1", 4);
-    let late = start + bound + Duration::from_secs(20);
+    let after_bound = start + bound + Duration::from_secs(20);
     let renews = |at: Instant| leader.may_renew_leases(&leader.state(), at);
-    assert!(renews(start + Duration::from_secs(2)) && !renews(late), "no peer has been asked");
-    assert!(exchange(&leader, &third, late) && !renews(late), "all peers have to answer");
-    assert!(exchange(&leader, &other, late) && renews(late));
+    assert!(renews(start + Duration::from_secs(2)) && !renews(after_bound), "no peer has been asked");
+    assert!(exchange(&leader, &third, after_bound) && !renews(after_bound), "all peers have to answer");
+    assert!(exchange(&leader, &other, after_bound) && renews(after_bound));
     let state = leader.state();
     let limits = leader.worker_limits(state.records.fresh_at);
-    let plan = worker.reconcile(MACHINE, &state.records.replica, &limits, late);
+    let plan = worker.reconcile(MACHINE, &state.records.replica, &limits, after_bound);
     let stop = Command::Stop { task: "j-1/0".into(), attempt: 1, grace_s: 0.0 };
     assert_eq!(
         (plan.commands, plan.terminations),
@@ -168,14 +168,16 @@
     let start = Instant::now();
     let bound = leader.settings.renewal_bound();
     leader.state().records.fresh_at = Some(start);
-    let late = start + bound;
-    assert!(exchange(&leader, &third, late));
+    let after_bound = start + bound;
+    assert!(exchange(&leader, &third, after_bound));
     // Restarted after the leader's last read: its predecessor may have confirmed more.
     let restarted = controller(1, 9);
-    assert!(!exchange(&leader, &restarted, late) && !leader.may_renew_leases(&leader.state(), late));
+    assert!(
+        !exchange(&leader, &restarted, after_bound) && !leader.may_renew_leases(&leader.state(), after_bound)
+    );
     // The same process, first heard from before the leader's last read: the read contains whatever
     // its predecessors confirmed, and the process itself has confirmed nothing.
-    let at = late + Duration::from_secs(1);
+    let at = after_bound + Duration::from_secs(1);
     leader.state().records.fresh_at = Some(at);
     let later = at + bound;
     assert!(exchange(&leader, &third, later));
@@ -192,31 +194,31 @@
     let [leader, other, third] = three_controllers();
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
-    let late = start + leader.settings.renewal_bound();
-    assert!(exchange(&leader, &third, late));
+    let after_bound = start + leader.settings.renewal_bound();
+    assert!(exchange(&leader, &third, after_bound));
     confirm_cancellation(&other, "j-1", 4);
     let mut state = leader.state();
-    let request = request_if_needed(&state, 5, late).expect("there is need");
-    let whole = own_read_index(&other, &other.state(), &request);
-    let broken = CancelledJob { record: vec![0xc1], ..whole.cancelled[0].clone() };
+    let request = request_if_needed(&state, 5, after_bound).expect("there is need");
+    let complete = own_read_index(&other, &other.state(), &request);
+    let undecodable = CancelledJob { record: vec![0xc1], ..complete.cancelled[0].clone() };
     let cases = [
-        ReadIndex { nonce: 4, ..whole.clone() },
-        ReadIndex { name: "n-2".into(), ..whole.clone() },
-        ReadIndex { epoch: 5, ..whole.clone() },
-        ReadIndex { truncated: true, ..whole.clone() },
-        ReadIndex { revision: 0, ..whole.clone() },
-        ReadIndex { cancelled: vec![broken], ..whole.clone() },
+        ReadIndex { nonce: 4, ..complete.clone() },
+        ReadIndex { name: "n-2".into(), ..complete.clone() },
+        ReadIndex { epoch: 5, ..complete.clone() },
+        ReadIndex { truncated: true, ..complete.clone() },
+        ReadIndex { revision: 0, ..complete.clone() },
+        ReadIndex { cancelled: vec![undecodable], ..complete.clone() },
     ];
     for (n, index) in cases.into_iter().enumerate() {
-        let outcome = apply_read_index(&mut state, sent("n-1", &request, late), index, late);
+        let outcome = apply_read_index(&mut state, sent("n-1", &request, after_bound), index, after_bound);
         assert_ne!(outcome, ReadIndexOutcome::Complete, "case {n}");
-        assert!(!leader.may_renew_leases(&state, late), "case {n}");
+        assert!(!leader.may_renew_leases(&state, after_bound), "case {n}");
     }
     assert_eq!(
-        apply_read_index(&mut state, sent("n-1", &request, late), whole, late),
+        apply_read_index(&mut state, sent("n-1", &request, after_bound), complete, after_bound),
         ReadIndexOutcome::Complete
     );
-    assert!(leader.may_renew_leases(&state, late));
+    assert!(leader.may_renew_leases(&state, after_bound));
     // An older version that the leader reads itself does not undo the cancellation.
     let old = JobRecord::new(spec("j-1", JobKind::Service), None, 0);
     state.records.replica.apply(RecordChange::Job("j-1".into(), Some(Box::new(old))), 3);
@@ -245,10 +247,10 @@
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
     cancel_many(&other, JOBS);
-    let late = start + leader.settings.renewal_bound();
-    assert!(exchange(&leader, &third, late));
+    let after_bound = start + leader.settings.renewal_bound();
+    assert!(exchange(&leader, &third, after_bound));
     let mut state = leader.state();
-    let mut request = request_if_needed(&state, 1, late).expect("there is need");
+    let mut request = request_if_needed(&state, 1, after_bound).expect("there is need");
     let mut parts = 0;
     loop {
         parts += 1;
@@ -256,12 +258,12 @@
         assert!(peer::encode_read_index(&index).len() < MAX_MESSAGE_BYTES / 2, "part {parts}");
         match apply_read_index(
             &mut state,
-            sent("n-1", &request, late),
+            sent("n-1", &request, after_bound),
             index,
-            late + Duration::from_secs(parts),
+            after_bound + Duration::from_secs(parts),
         ) {
             ReadIndexOutcome::Partial { known_up_to: after } => {
-                assert!(!leader.may_renew_leases(&state, late), "part {parts} is not the last");
+                assert!(!leader.may_renew_leases(&state, after_bound), "part {parts} is not the last");
                 request = ReadIndexRequest { nonce: parts, after };
             }
             outcome => {
@@ -273,8 +275,12 @@
     assert!((2..20).contains(&parts), "{parts}");
     let known = state.records.replica.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
     assert_eq!(known as u64, JOBS);
-    assert!(leader.may_renew_leases(&state, late));
-    assert_eq!(state.peers.read_indexes.complete_as_of("n-1"), Some(late), "counts from the first request");
+    assert!(leader.may_renew_leases(&state, after_bound));
+    assert_eq!(
+        state.peers.read_indexes.complete_as_of("n-1"),
+        Some(after_bound),
+        "counts from the first request"
+    );
     let none = own_read_index(&other, &other.state(), &ReadIndexRequest { nonce: 1, after: 10 + JOBS / 2 });
     assert!(!none.truncated && none.cancelled.is_empty());
 }
@@ -286,19 +292,19 @@
     let start = Instant::now();
     leader.state().records.fresh_at = Some(start);
     cancel_many(&other, 10);
-    let late = start + leader.settings.renewal_bound();
+    let after_bound = start + leader.settings.renewal_bound();
     let mut state = leader.state();
-    let request = request_if_needed(&state, 5, late).expect("there is need");
-    let whole = own_read_index(&other, &other.state(), &request);
-    let empty = ReadIndex { cancelled: Vec::new(), truncated: true, ..whole.clone() };
+    let request = request_if_needed(&state, 5, after_bound).expect("there is need");
+    let complete = own_read_index(&other, &other.state(), &request);
+    let empty = ReadIndex { cancelled: Vec::new(), truncated: true, ..complete.clone() };
     assert_eq!(
-        apply_read_index(&mut state, sent("n-1", &request, late), empty, late),
+        apply_read_index(&mut state, sent("n-1", &request, after_bound), empty, after_bound),
         ReadIndexOutcome::Inconclusive
     );
-    let again = ReadIndexRequest { nonce: 5, after: 14 };
-    let stuck = ReadIndex { truncated: true, ..whole };
+    let next_request = ReadIndexRequest { nonce: 5, after: 14 };
+    let without_progress = ReadIndex { truncated: true, ..complete };
     assert_eq!(
-        apply_read_index(&mut state, sent("n-1", &again, late), stuck, late),
+        apply_read_index(&mut state, sent("n-1", &next_request, after_bound), without_progress, after_bound),
         ReadIndexOutcome::Inconclusive
     );
 }
