--- a/crates/daemon/src/change_feed.rs
+++ b/crates/daemon/src/change_feed.rs
@@ -153,7 +153,7 @@
     } else if controller.limit_changes.missing_count_has_changed(missing.len()) {
         info!(
             controllers = sample_names(&missing),
-            "chunked records stay disabled until these controllers are upgraded"
+            "waiting for upgrades of these controllers before chunked records are enabled"
         );
     }
 }
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -32,8 +32,8 @@
 use crate::peer_client::MAX_MESSAGE_BYTES;
 use crate::state::{ControllerState, PeerReadIndex};
 
-/// The path of requests to peers. Answers are sorted by version. Those of the earlier path
-/// `/read-index` were sorted by id, so a truncated answer could not be continued.
+/// The path of read index requests to peers. Answers are sorted by version. Those of the earlier
+/// path `/read-index` were sorted by id, so a truncated answer could not be continued.
 pub const PATH: &str = "/read-index/v2";
 /// Peers are asked for their read indexes once the last linearizable read is older than this.
 const MAX_REPLICA_AGE: Duration = Duration::from_millis(1800);
