--- a/crates/daemon/src/scheduler/commit.rs
+++ b/crates/daemon/src/scheduler/commit.rs
@@ -64,7 +64,7 @@
     let transaction = build_transaction(replica, cycle, &controller.state_limits(), max_jobs);
     let writes = transaction.writes.len();
     state.writes.limiter.acquire(writes as f64, 0.0, clock::now());
-    controller.load.spend(Purpose::Scheduling, writes);
+    controller.load.count_changes(Purpose::Scheduling, writes);
     transaction
 }
 
@@ -113,7 +113,7 @@
     match <[String; 1]>::try_from(written_jobs) {
         Ok([job]) => {
             warn!(job, "job record rejected by the key-value store; backing off");
-            state.scheduling.hold_back(job, now);
+            state.scheduling.defer_writes(job, now);
         }
         Err(_) => state.scheduling.write_single_jobs(now),
     }
