--- a/crates/daemon/src/drains/command/changes.rs
+++ b/crates/daemon/src/drains/command/changes.rs
@@ -129,7 +129,7 @@
     }
     let first_blocker = request.blockers(replica, machines).into_iter().next();
     if let Some(blocker) = first_blocker.filter(|_| feasibility == Feasibility::Required) {
-        return Err(DrainError::Never(blocker));
+        return Err(DrainError::Infeasible(blocker));
     }
     if let Some((machine, drain)) = drained_by_another(replica, name, machines) {
         return Err(SelectionError::Drained { machine, drain }.into());
--- a/crates/daemon/src/drains/command/error.rs
+++ b/crates/daemon/src/drains/command/error.rs
@@ -42,7 +42,7 @@
     OldController(String),
     /// The drain could never finish.
     #[error("it could never finish: {0}; --as-far-as-possible starts it all the same")]
-    Never(Blocker),
+    Infeasible(Blocker),
     /// The command does not fit the drain's phase.
     #[error("drain \"{name}\": {why}")]
     Lifecycle { name: String, why: LifecycleError },
@@ -50,10 +50,10 @@
     #[error("the state service cannot be asked: {0}; nothing was written")]
     NotRead(StoreError),
     /// A transaction failed, or its outcome is unknown.
-    #[error("the state service did not take it: {0}; {WRITTEN_PERHAPS}")]
+    #[error("the state service did not take it: {0}; {PARTIAL_WRITE_NOTICE}")]
     NotWritten(StoreError),
     /// Transactions conflicted too often.
-    #[error("others change the same records all the time; {WRITTEN_PERHAPS}")]
+    #[error("others change the same records all the time; {PARTIAL_WRITE_NOTICE}")]
     Contended,
     /// The cloud's list of machines could not be read.
     #[error("the cloud's list cannot be had: {0}; nothing was written")]
@@ -61,6 +61,6 @@
 }
 
 /// The end of messages after which some records may have been written.
-const WRITTEN_PERHAPS: &str = "some of it may have been written, the same command again does no harm";
+const PARTIAL_WRITE_NOTICE: &str = "some of it may have been written, the same command again does no harm";
 /// Largest number of seconds that an option takes.
 pub(super) const MAX_OPTION_S: f64 = 1e7;
--- a/crates/daemon/src/drains/eviction_budget.rs
+++ b/crates/daemon/src/drains/eviction_budget.rs
@@ -2,7 +2,7 @@
 //! disrupt services voluntarily, and neither may exceed the budgets because of the other.
 
 use drain::budget::{Ledger, UnitId};
-use drain::view::{self, ByRecords};
+use drain::view::{self, AssumeRunning};
 use sched::drain_records::{Disruption, DisruptionCause, DisruptionRecord};
 use sched::records::JobRecord;
 use sched::replica::Replica;
@@ -43,7 +43,7 @@
         let services: Vec<_> = replica.open_jobs().filter(concerned).collect();
         let capacity = DisruptionRecord::capacity(controller.state_limits().value_bytes);
         let team_of = |id: &str| team_name(controller, id);
-        Self { ledger: view::ledger(replica, &services, budgets, &ByRecords, team_of, capacity) }
+        Self { ledger: view::ledger(replica, &services, budgets, &AssumeRunning, team_of, capacity) }
     }
 
     /// Debits an eviction. Returns the team and the entry for its record; None if the budgets do
--- a/crates/daemon/src/drains/execution.rs
+++ b/crates/daemon/src/drains/execution.rs
@@ -58,13 +58,13 @@
     let now = clock::now();
     let mut state = controller.state();
     let ControllerState { records, drains, .. } = &mut *state;
-    for Move { unit, room, .. } in moves {
+    for Move { unit, destinations, .. } in moves {
         let Some(job) = records.replica.jobs.get(&*unit.id.job).map(|job| &job.value) else { continue };
         let save_s = job.spec.as_ref().map_or(0.0, |spec| spec.checkpoint_save_s.min(MAX_CHECKPOINT_SAVE_S));
         let until = now + HOLD_PERIOD + wire::seconds(save_s);
         let hold = drains.holds.entry(unit.id.job.to_string());
         let hold = hold.or_insert_with(|| CapacityHold { machines: Vec::new(), until });
-        hold.machines.extend(room.iter().cloned());
+        hold.machines.extend(destinations.iter().cloned());
         hold.until = until;
     }
 }
--- a/crates/daemon/src/drains/housekeeping.rs
+++ b/crates/daemon/src/drains/housekeeping.rs
@@ -27,7 +27,7 @@
     let mut transaction = Transaction::new(replica);
     for (team, record) in &replica.drains.disruptions {
         let open = &record.value.open;
-        let is_open = |d: &&Disruption| !view::is_settled(replica, d, &observed);
+        let is_open = |d: &&Disruption| !view::is_resolved(replica, d, &observed);
         let still_open: Vec<Disruption> = open.iter().filter(is_open).cloned().collect();
         let has_room = transaction.write_count() < controller.state_limits().txn_ops;
         if still_open.len() < open.len() && has_room {
--- a/crates/daemon/src/drains/machine_order.rs
+++ b/crates/daemon/src/drains/machine_order.rs
@@ -4,7 +4,7 @@
 
 use drain::step::Machine;
 use drain::view;
-use drain::waves::{self, Effort};
+use drain::waves::{self, SolverLimits};
 use tracing::info;
 
 use crate::controller::Controller;
@@ -23,7 +23,7 @@
         replica.drains.records.iter().filter(|(name, drain)| drain.value.is_active() && is_new(name));
     let Some(name) = active.next().map(|(name, _)| name.clone()) else { return };
     drains.planned.insert(name.clone());
-    let names = view::machines_left(replica, &name);
+    let names = view::remaining_machines(replica, &name);
     let machines: Vec<Machine> = names
         .iter()
         .map(|machine| Machine { units: view::units_on(replica, machine), name: machine.clone() })
@@ -33,7 +33,7 @@
     let controller = controller.clone();
     let task_tracker = controller.task_tracker.clone();
     task_tracker.spawn(async move {
-        let solve = move || waves::plan(&problem, &Effort::LEADER);
+        let solve = move || waves::plan(&problem, &SolverLimits::LEADER);
         let Ok((order, waves, method)) = tokio::task::spawn_blocking(solve).await else { return };
         info!(drain = name, machines = names.len(), waves = waves.len(), ?method, "drain planned");
         let order = order.into_iter().map(|i| names[i].clone()).collect();
--- a/crates/daemon/src/drains/report.rs
+++ b/crates/daemon/src/drains/report.rs
@@ -3,10 +3,10 @@
 use std::fmt::Write;
 
 use drain::budget::Budgets;
+use drain::capacity::InventoryCapacity;
 use drain::feasibility::Blocker;
-use drain::room::InventoryRoom;
-use drain::step::{FindRoom, Machine};
-use drain::waves::{self, Effort, Method};
+use drain::step::{FindCapacity, Machine};
+use drain::waves::{self, Method, SolverLimits};
 use sched::drain_records::{DrainEnd, DrainPhase, DrainRecord, Obstacle, ObstacleKind};
 use sched::drains::Drains;
 use sched::placement::Inventory;
@@ -121,7 +121,7 @@
             let _ = writeln!(text, "  {machine}: {what}, {tasks} tasks");
         }
     }
-    let by_choice = drain::view::all_open(&replica.drains);
+    let by_choice = drain::view::open_disruptions_by_team(&replica.drains);
     for (team, d) in by_choice {
         let _ = writeln!(
             text,
@@ -137,7 +137,7 @@
 /// What a drain of these machines would do, and what stands in its way.
 pub fn plan(replica: &Replica, machines: &[Machine], budgets: &Budgets, blockers: &[Blocker]) -> String {
     let problem = waves::problem(replica, machines, budgets);
-    let (order, waves, method) = waves::plan(&problem, &Effort::PLAN);
+    let (order, waves, method) = waves::plan(&problem, &SolverLimits::PLAN);
     let after = waves::emptied_after(&problem, &waves);
     let mut text = String::new();
     let _ = writeln!(
@@ -182,8 +182,8 @@
     let drained: Vec<&str> = machines.iter().map(|m| &*m.name).collect();
     let mut inventory = Inventory::new(replica, |id| !drained.contains(&id));
     let teams: Vec<Team> = unlimited_teams(replica);
-    let mut room = InventoryRoom {
-        world: replica,
+    let mut capacity = InventoryCapacity {
+        records: replica,
         inventory: &mut inventory,
         teams: &teams,
         gang_wait_s: 0.0,
@@ -192,7 +192,7 @@
     let mut units: Vec<_> = machines.iter().flat_map(|m| &m.units).filter(|u| !u.stopping).collect();
     units.sort_by(|a, b| a.id.cmp(&b.id));
     units.dedup_by(|a, b| a.id == b.id);
-    units.into_iter().filter(|u| room.find(&u.id).is_none()).count()
+    units.into_iter().filter(|u| capacity.find(&u.id).is_none()).count()
 }
 
 /// The teams without limits: what is moved takes no more of its team's quota than before.
--- a/crates/daemon/src/drains/step.rs
+++ b/crates/daemon/src/drains/step.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use drain::room::InventoryRoom;
+use drain::capacity::InventoryCapacity;
 use drain::step::{self, Decision, Drain, Limits};
 use drain::view::{self, ObservedTasks};
 use sched::drain_records::DisruptionRecord;
@@ -38,7 +38,7 @@
     let mut state = controller.state();
     let budgets = &controller.operators.drains.budgets;
     let drains = view::active_drains(&state.records.replica, budgets, &state.drains.orders);
-    state.drains.observed_jobs = view::jobs_to_ask(&state.records.replica, &drains, budgets);
+    state.drains.observed_jobs = view::jobs_to_observe(&state.records.replica, &drains, budgets);
     let observed = observed_tasks(controller, &state, now);
     if drains.is_empty() {
         state.drains.machines_awaiting_capacity.clear();
@@ -48,7 +48,7 @@
     let max_changes = state.writes.limiter.allowance(now).min(state_limits.txn_ops);
     let limits = Limits {
         moves: max_changes.min(MAX_MOVES_PER_STEP),
-        room_attempt: capacity_attempt_timeout(&state.records.replica),
+        capacity_attempt_timeout: capacity_attempt_timeout(&state.records.replica),
         paused: unsupporting_controller(controller, &state.records.replica),
         now_ms: wall_ms(),
     };
@@ -67,7 +67,7 @@
     let decision = input.decide(&mut inventory);
     inventory.roll_back();
     state.scheduling.inventory = inventory;
-    state.drains.machines_awaiting_capacity = decision.wants_room.iter().cloned().collect();
+    state.drains.machines_awaiting_capacity = decision.machines_awaiting_capacity.iter().cloned().collect();
     Some(DrainStep { decision, max_changes })
 }
 
@@ -96,18 +96,18 @@
     fn decide(&self, inventory: &mut Inventory) -> Decision {
         let Self { controller, replica, drains, observed, limits, max_disruptions_per_team } = *self;
         let budgets = &controller.operators.drains.budgets;
-        let services = view::services_concerned(replica, drains, budgets);
+        let services = view::affected_services(replica, drains, budgets);
         let team_of = |id: &str| team_name(controller, id);
         let mut ledger =
             view::ledger(replica, &services, budgets, observed, team_of, max_disruptions_per_team);
-        let mut room = InventoryRoom {
-            world: replica,
+        let mut capacity = InventoryCapacity {
+            records: replica,
             inventory,
             teams: &controller.teams,
             gang_wait_s: controller.settings.facts.workers.gang_wait_s,
             now_ms: limits.now_ms,
         };
-        step::decide(drains, &mut ledger, &mut room, limits)
+        step::decide(drains, &mut ledger, &mut capacity, limits)
     }
 }
 
--- a/crates/daemon/src/drains/unit_stops.rs
+++ b/crates/daemon/src/drains/unit_stops.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use drain::lifecycle::Event;
-use drain::step::{Move, Work};
+use drain::step::{Move, WorkKind};
 use drain::view;
 use sched::drain_records::{Disruption, DisruptionCause, DisruptionRecord, DrainRecord};
 use sched::records::{JobRecord, Name};
@@ -153,12 +153,12 @@
 fn mark_stopped(controller: &Controller, job: &mut JobRecord, unit_move: &Move, now_ms: u64) {
     let id = &unit_move.unit.id;
     match unit_move.unit.work {
-        Work::Replica => {
+        WorkKind::Replica => {
             let (job_id, machine) = (id.job.to_string(), unit_move.machine.clone());
             let eviction = Eviction { job: job_id, task: id.task, machine, reason: "drain" };
             rescheduler::evict(job, &eviction, &controller.operators.rescheduler, now_ms);
         }
-        Work::Saving | Work::Unsaved => _ = spot_notice::mark_to_stop(job, id.task),
+        WorkKind::Checkpointing | WorkKind::Unsaved => _ = spot_notice::mark_to_stop(job, id.task),
     }
     job.shard = None;
 }
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -17,7 +17,7 @@
 use crate::worker::tests::first_token;
 use crate::worker::tests::spec;
 use drain::budget::UnitId;
-use drain::step::{Move, Unit, Work};
+use drain::step::{Move, Unit, WorkKind};
 use peer::RunningTasksRequest;
 use sched::drain_records::{
     CordonFence, CordonRecord, DRAIN_SCHEMA, Disruption, DisruptionCause, UnsavedWork,
@@ -87,7 +87,7 @@
 
 fn unit() -> Unit {
     let id = UnitId { job: "j-1".into(), task: 0 };
-    Unit { id, team: "t".into(), work: Work::Replica, stopping: false }
+    Unit { id, team: "t".into(), work: WorkKind::Replica, stopping: false }
 }
 
 fn version_of(conditions: &[Condition], key: &str) -> Option<u64> {
@@ -119,7 +119,7 @@
         since_ms: 1,
     }];
     state.records.replica.apply(RecordChange::Disruptions("t".into(), Some(DisruptionRecord { open })), 7);
-    let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
+    let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), destinations: Vec::new() }];
     let UnitStops { transaction, count } = stop_units(&controller, &state, &moves, 9).expect("one to stop");
     assert_eq!((count, transaction.write_count()), (1, 3), "the job, the team's record and the drain's");
     let (conditions, puts) = transaction.parts();
@@ -148,7 +148,7 @@
     let controller = Controller::new(settings, Operators::parse("o.hcl", ON).expect("valid"), 1);
     let mut state = controller.state();
     site(&mut state, &controller.identity);
-    let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
+    let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), destinations: Vec::new() }];
     let UnitStops { transaction, count } = stop_units(&controller, &state, &moves, 2).expect("one to stop");
     let (conditions, puts) = transaction.parts();
     assert_eq!((count, puts.len()), (1, 2), "the job and the team's record");
--- a/crates/drain/examples/measure.rs
+++ b/crates/drain/examples/measure.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 use drain::budget::{Budgets, TeamBudget};
-use drain::room::InventoryRoom;
+use drain::capacity::InventoryCapacity;
 use drain::step::{self, Limits, Machine};
 use drain::view::{self, ObservedTasks};
-use drain::waves::{self, Effort};
+use drain::waves::{self, SolverLimits};
 use sched::drain_records::{Disruption, DisruptionCause, DisruptionRecord, DrainPhase};
 use sched::placement::{self, Inventory};
 use sched::records::{Assignment, DesiredState, JobRecord, Name, TerminationReason};
@@ -52,7 +52,7 @@
 fn fleet(machines: usize, numbers: &mut Numbers) -> Replica {
     let names: Vec<String> = (0..machines).map(machine_name).collect();
     let named: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
-    let mut world = site::world(&named);
+    let mut replica = site::replica_with_machines(&named);
     let mut places: Vec<usize> = (0..machines).flat_map(|m| [m; USED]).collect();
     let mut service = 0;
     while places.len() >= REPLICAS as usize {
@@ -62,10 +62,10 @@
         spec.team = format!("t{}", service % 4);
         let run: Vec<(u32, &str)> =
             on.iter().enumerate().map(|(t, m)| (t as u32, names[*m].as_str())).collect();
-        site::add(&mut world, spec, &run);
+        site::add(&mut replica, spec, &run);
         service += 1;
     }
-    world
+    replica
 }
 
 /// What a drain came to.
@@ -85,7 +85,7 @@
 }
 
 struct Simulation {
-    world: Replica,
+    replica: Replica,
     version: u64,
     now: u64,
     running: BTreeSet<(String, u32, u64)>,
@@ -103,16 +103,16 @@
 impl Simulation {
     fn new(machines: usize, drained: usize) -> Self {
         let mut numbers = Numbers(26);
-        let mut world = fleet(machines, &mut numbers);
+        let mut replica = fleet(machines, &mut numbers);
         let names: Vec<String> = (0..drained).map(machine_name).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        site::start_drain(&mut world, "d", &names, 10);
-        let all = world
+        site::start_drain(&mut replica, "d", &names, 10);
+        let all = replica
             .open_jobs()
             .flat_map(|(id, job)| job.assignments.iter().map(move |a| (id.clone(), a.task, a.attempt)));
         let running = all.collect();
         Self {
-            world,
+            replica,
             version: 10,
             now: 1000,
             running,
@@ -131,11 +131,11 @@
         self.version += 1;
         self.changes -= 1.0;
         self.outcome.changes += 1;
-        self.world.apply(change, self.version);
+        self.replica.apply(change, self.version);
     }
 
     fn job(&self, id: &str) -> Box<JobRecord> {
-        self.world.jobs[id].value.clone()
+        self.replica.jobs[id].value.clone()
     }
 
     fn observed(&self) -> ObservedTasks {
@@ -163,9 +163,9 @@
                 gang_wait_s: 0.0,
                 now_ms: self.now,
             };
-            inventory.refresh(&mut self.world, |_, _| true);
+            inventory.refresh(&mut self.replica, |_, _| true);
             inventory.begin();
-            let placed = placement::place(&self.world, inventory, &mut job, &team, |_| true, limits);
+            let placed = placement::place(&self.replica, inventory, &mut job, &team, |_| true, limits);
             inventory.roll_back();
             for a in placed {
                 let fetch = 2000 + self.numbers.below(6000);
@@ -197,11 +197,11 @@
 
     fn settle(&mut self) {
         let observed = self.observed();
-        let teams: Vec<String> = self.world.drains.disruptions.keys().cloned().collect();
+        let teams: Vec<String> = self.replica.drains.disruptions.keys().cloned().collect();
         for team in teams {
-            let open = self.world.drains.open_disruptions(&team).to_vec();
+            let open = self.replica.drains.open_disruptions(&team).to_vec();
             let left: Vec<Disruption> =
-                open.iter().filter(|d| !view::is_settled(&self.world, d, &observed)).cloned().collect();
+                open.iter().filter(|d| !view::is_resolved(&self.replica, d, &observed)).cloned().collect();
             if left.len() < open.len() {
                 self.put(RecordChange::Disruptions(team, Some(DisruptionRecord { open: left })));
             }
@@ -216,11 +216,11 @@
         let Assignment { task, attempt, .. } = a.clone();
         self.put(RecordChange::Job(id.clone(), Some(job)));
         let team = m.unit.team.clone();
-        let mut open = self.world.drains.open_disruptions(&team).to_vec();
+        let mut open = self.replica.drains.open_disruptions(&team).to_vec();
         let by = DisruptionCause::Drain("d".into());
         open.push(Disruption { job: m.unit.id.job.clone(), task, attempt, cause: by, since_ms: self.now });
         // The team's and the drain's records are one change each for a whole transaction.
-        self.world.apply(RecordChange::Disruptions(team, Some(DisruptionRecord { open })), self.version);
+        self.replica.apply(RecordChange::Disruptions(team, Some(DisruptionRecord { open })), self.version);
         self.running.remove(&(id.clone(), task, attempt));
         self.exits.insert((id.clone(), task), self.now + EXIT_MS);
         self.down_since.insert((id, task), self.now);
@@ -230,29 +230,29 @@
     /// One step of the duty; false once the drain is over.
     fn step(&mut self, budgets: &Budgets, inventory: &mut Inventory) -> bool {
         // Rounds keep the inventory up to date, and owners tell of few jobs only.
-        inventory.refresh(&mut self.world, |_, _| true);
+        inventory.refresh(&mut self.replica, |_, _| true);
         let observed = self.observed();
         let begun = Instant::now();
-        let drains = view::active_drains(&self.world, budgets, &view::Orders::default());
-        let services = view::services_concerned(&self.world, &drains, budgets);
-        let mut ledger = view::ledger(&self.world, &services, budgets, &observed, str::to_owned, 90);
+        let drains = view::active_drains(&self.replica, budgets, &view::Orders::default());
+        let services = view::affected_services(&self.replica, &drains, budgets);
+        let mut ledger = view::ledger(&self.replica, &services, budgets, &observed, str::to_owned, 90);
         let ops = (self.changes.max(0.0) as usize).min(TXN_OPS);
         let limits = Limits {
             moves: ops.saturating_sub(3),
-            room_attempt: Duration::from_millis(BOOT_MS * 4),
+            capacity_attempt_timeout: Duration::from_millis(BOOT_MS * 4),
             paused: None,
             now_ms: self.now,
         };
         inventory.begin();
         let teams: Vec<_> = (0..4).map(|t| site::team(&format!("t{t}"))).collect();
-        let mut room = InventoryRoom {
-            world: &self.world,
+        let mut capacity = InventoryCapacity {
+            records: &self.replica,
             inventory,
             teams: &teams,
             gang_wait_s: 0.0,
             now_ms: self.now,
         };
-        let decision = step::decide(&drains, &mut ledger, &mut room, &limits);
+        let decision = step::decide(&drains, &mut ledger, &mut capacity, &limits);
         inventory.roll_back();
         self.outcome.longest_step = self.outcome.longest_step.max(begun.elapsed());
         if !decision.moves.is_empty() {
@@ -260,8 +260,9 @@
             self.changes -= 2.0;
             self.outcome.changes += 2;
         }
-        if !decision.wants_room.is_empty() && self.boots.is_empty() {
-            let places: usize = decision.wants_room.iter().map(|m| self.world.assignments(m).count()).sum();
+        if !decision.machines_awaiting_capacity.is_empty() && self.boots.is_empty() {
+            let places: usize =
+                decision.machines_awaiting_capacity.iter().map(|m| self.replica.assignments(m).count()).sum();
             let count = places.div_ceil(4).max(1);
             self.boots.extend(std::iter::repeat_n(self.now + BOOT_MS, count));
             self.changes -= 2.0;
@@ -271,29 +272,29 @@
             if !matches!(record.phase, DrainPhase::Active) {
                 return false;
             }
-            self.world.apply(RecordChange::Drain(name, Some(record)), self.version);
+            self.replica.apply(RecordChange::Drain(name, Some(record)), self.version);
         }
         true
     }
 
     fn give_back(&mut self) {
-        let empty: Vec<Name> = view::machines_left(&self.world, "d")
+        let empty: Vec<Name> = view::remaining_machines(&self.replica, "d")
             .into_iter()
-            .filter(|m| !self.world.jobs_by_machine.contains_key(m))
+            .filter(|m| !self.replica.jobs_by_machine.contains_key(m))
             .collect();
         for machine in empty {
             // Noted as empty, marked, given back.
             self.changes -= 2.0;
             self.outcome.changes += 2;
-            let mut cordon = self.world.drains.cordons[&("d".to_owned(), 0)].value.clone();
+            let mut cordon = self.replica.drains.cordons[&("d".to_owned(), 0)].value.clone();
             cordon.note_gone(&machine);
-            self.world.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), self.version);
+            self.replica.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), self.version);
             self.put(RecordChange::Machine(machine.to_string(), None));
         }
     }
 
     fn run(mut self, before: usize, budgets: &Budgets) -> Outcome {
-        let mut inventory = Inventory::new(&self.world, |_| true);
+        let mut inventory = Inventory::new(&self.replica, |_| true);
         let mut over = None;
         while self.now < MOST_MS && (over.is_none() || !self.down_since.is_empty()) {
             self.now += STEP_MS;
@@ -311,7 +312,7 @@
             if worst >= REPLICAS as usize {
                 self.outcome.dark_s += STEP_MS as f64 / 1000.0;
             }
-            let extra = (self.world.machines.len() + self.boots.len()).saturating_sub(before);
+            let extra = (self.replica.machines.len() + self.boots.len()).saturating_sub(before);
             self.outcome.extra_machine_h += extra as f64 * STEP_MS as f64 / 3.6e6;
         }
         self.outcome.seconds = (over.unwrap_or(self.now) - 1000) as f64 / 1000.0;
@@ -360,7 +361,7 @@
         let services = (drained as u64 / 2).max(3);
         let names: Vec<String> = (0..drained).map(machine_name).collect();
         let named: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
-        let mut world = site::world(&named);
+        let mut replica = site::replica_with_machines(&named);
         let mut of_service: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
         for m in 0..drained {
             for _ in 0..1 + numbers.below(4) {
@@ -371,17 +372,17 @@
             let spec = site::spec(&format!("j-{service}"), JobKind::Service, on.len() as u32);
             let run: Vec<(u32, &str)> =
                 on.iter().enumerate().map(|(t, m)| (t as u32, names[*m].as_str())).collect();
-            site::add(&mut world, spec, &run);
+            site::add(&mut replica, spec, &run);
         }
-        let machine = |n: &String| Machine { units: view::units_on(&world, n), name: n.as_str().into() };
+        let machine = |n: &String| Machine { units: view::units_on(&replica, n), name: n.as_str().into() };
         let machines: Vec<Machine> = names.iter().map(machine).collect();
-        let mut problem = waves::problem(&world, &machines, &Budgets::default());
+        let mut problem = waves::problem(&replica, &machines, &Budgets::default());
         problem.prices.iter_mut().for_each(|p| *p = 1.0 + numbers.below(8) as f64);
         let begun = Instant::now();
         let greedy = waves::schedule(&problem, &waves::greedy(&problem));
         let greedy_took = begun.elapsed();
         let begun = Instant::now();
-        let solved = waves::solved_order(&problem, greedy.len(), &Effort::PLAN);
+        let solved = waves::solved_order(&problem, greedy.len(), &SolverLimits::PLAN);
         let solver_took = begun.elapsed();
         let solver = match solved {
             Some(order) => {
--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -1,26 +1,26 @@
-//! Disruption budgets: how much of a service and of a team may be down when something is
-//! stopped by choice.
+//! Disruption budgets: how many units of a service and of a team may be down when a unit is
+//! stopped voluntarily.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sched::drain_records::{Disruption, ObstacleKind};
 use sched::records::Name;
 
-/// How much of a team's work may be down when something of it is stopped by choice.
+/// How many units of a team may be down when one of them is stopped voluntarily.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TeamBudget {
-    /// So many replicas, array tasks and gangs.
+    /// This number of replicas, array tasks and gangs.
     Count(u32),
-    /// This share of the replicas that the team's services should have, rounded down.
+    /// This fraction of the desired replicas of all services of the team, rounded down.
     Share(f64),
 }
 
-/// The budgets that an operator has set.
+/// The disruption budgets that the operators have configured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budgets {
     /// How many replicas of one service may be down.
     pub per_service: u32,
-    /// The teams that have a budget of their own, by name.
+    /// The budgets of teams that have one, by team name.
     pub teams: BTreeMap<String, TeamBudget>,
 }
 
@@ -31,20 +31,23 @@
 }
 
 impl Budgets {
-    /// How much of a team may be down whose services should have so many replicas; None: as
-    /// much as the budgets of its services allow.
+    /// How many units of a team may be down, where `replicas` is the number of desired replicas of
+    /// its services. None: the team has no budget, and only those of its services apply.
     pub fn of_team(&self, team: &str, replicas: u32) -> Option<u32> {
         self.teams.get(team).map(|budget| match budget {
             TeamBudget::Count(count) => *count,
-            TeamBudget::Share(share) => (f64::from(replicas) * share + SHARE_SLACK).floor() as u32,
+            TeamBudget::Share(share) => {
+                (f64::from(replicas) * share + SHARE_ROUNDING_TOLERANCE).floor() as u32
+            }
         })
     }
 }
 
-/// So that a tenth of ten replicas is one, however the share is rounded.
-const SHARE_SLACK: f64 = 1e-9;
+/// Makes up for floating-point errors before rounding down: 10 % of ten replicas must be one.
+const SHARE_ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What is stopped as one: a replica, a task of an array, or a whole gang.
+/// The identity of a unit, the smallest thing that is stopped: a replica, a task of an array, or
+/// a whole gang.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnitId {
     /// The job.
@@ -53,38 +56,38 @@
     pub task: u32,
 }
 
-/// A service, and which of its replicas are known to run.
+/// A service, with its replicas that are known to run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceHealth {
     /// The service.
     pub job: Name,
     /// Its team.
     pub team: String,
-    /// How many replicas it should have.
+    /// The number of desired replicas.
     pub replicas: u32,
-    /// Those that are known to run and are to go on.
+    /// The replicas that are known to run and are not to be stopped.
     pub up: BTreeSet<u32>,
-    /// It is still starting for the first time. Replicas that it does not have yet count for
-    /// itself, but not for its team: they have not failed.
+    /// Whether the service is starting for the first time. Replicas that are not up yet then count
+    /// as down for the service, but not for its team, because they have not failed.
     pub starting: bool,
 }
 
-/// Why something may not be stopped now.
+/// The budget that does not allow a unit to be stopped now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
-    /// The service has as many replicas down as it may.
-    #[error("the service has as many replicas down as it may")]
+pub enum BudgetExceeded {
+    /// The service's budget is used up.
+    #[error("the disruption budget of the service is used up")]
     Service,
-    /// The team has as much down as it may.
-    #[error("the team has as much down as it may")]
+    /// The team's budget is used up, or its disruption record is full.
+    #[error("the disruption budget of the team is used up")]
     Team,
 }
 
-impl From<Refusal> for ObstacleKind {
-    fn from(refusal: Refusal) -> Self {
-        match refusal {
-            Refusal::Service => Self::ServiceBudget,
-            Refusal::Team => Self::TeamBudget,
+impl From<BudgetExceeded> for ObstacleKind {
+    fn from(exceeded: BudgetExceeded) -> Self {
+        match exceeded {
+            BudgetExceeded::Service => Self::ServiceBudget,
+            BudgetExceeded::Team => Self::TeamBudget,
         }
     }
 }
@@ -93,31 +96,31 @@
 struct TeamLedger {
     replicas: u32,
     down: BTreeSet<UnitId>,
-    /// How much was stopped by choice and is not seen running again.
+    /// The number of open disruptions: units that were stopped voluntarily and do not run again.
     open: usize,
 }
 
-/// What is down, by service and team, at one moment. What is decided in one step is debited
-/// at once, so that a later decision of the step counts it.
+/// The units that are down, by service and team. Each stop that a step decides on is debited at
+/// once, so that the later decisions of the same step count it.
 #[derive(Debug)]
 pub struct Ledger<'b> {
     budgets: &'b Budgets,
     services: BTreeMap<Name, BTreeSet<u32>>,
     teams: BTreeMap<String, TeamLedger>,
-    /// Most entries that a team's record holds.
-    capacity: usize,
+    /// Most open disruptions that a team's record holds.
+    max_open: usize,
 }
 
 impl<'b> Ledger<'b> {
-    /// `open`: what is down by choice by the teams' records, with the teams' names.
-    /// `capacity`: how many entries such a record holds.
+    /// Creates a ledger. `open`: the open disruptions of the teams' records, with the names of the
+    /// teams. `max_open`: the most open disruptions that a team's record holds.
     pub fn new<'d>(
         budgets: &'b Budgets,
         services: impl IntoIterator<Item = ServiceHealth>,
         open: impl IntoIterator<Item = (&'d str, &'d Disruption)>,
-        capacity: usize,
+        max_open: usize,
     ) -> Self {
-        let mut ledger = Self { budgets, services: BTreeMap::new(), teams: BTreeMap::new(), capacity };
+        let mut ledger = Self { budgets, services: BTreeMap::new(), teams: BTreeMap::new(), max_open };
         for service in services {
             ledger.add_service(service);
         }
@@ -138,13 +141,14 @@
         self.services.insert(service.job, down);
     }
 
-    /// Whether a unit may be stopped: with it, no more may be down than the budgets allow,
-    /// for whatever reason it is down.
-    pub fn check(&self, team: &str, unit: &UnitId) -> Result<(), Refusal> {
+    /// Checks whether a unit may be stopped. Every unit that is down counts against the budgets,
+    /// whether it was stopped or has failed. A unit that is down already may always be stopped
+    /// again if the others are within the budgets.
+    pub fn check(&self, team: &str, unit: &UnitId) -> Result<(), BudgetExceeded> {
         if let Some(down) = self.services.get(&unit.job) {
             let others = down.iter().filter(|task| **task != unit.task).count();
             if others + 1 > self.budgets.per_service as usize {
-                return Err(Refusal::Service);
+                return Err(BudgetExceeded::Service);
             }
         }
         let (replicas, others, open) = match self.teams.get(team) {
@@ -152,13 +156,13 @@
             None => (0, 0, 0),
         };
         let limit = self.budgets.of_team(team, replicas).map_or(usize::MAX, |limit| limit as usize);
-        if others + 1 > limit || open + 1 > self.capacity {
-            return Err(Refusal::Team);
+        if others + 1 > limit || open + 1 > self.max_open {
+            return Err(BudgetExceeded::Team);
         }
         Ok(())
     }
 
-    /// Counts a unit as down by choice.
+    /// Counts a unit as voluntarily disrupted.
     pub fn debit(&mut self, team: &str, unit: &UnitId) {
         if let Some(down) = self.services.get_mut(&unit.job) {
             down.insert(unit.task);
--- a/crates/drain/src/feasibility.rs
+++ b/crates/drain/src/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether a drain could ever finish, whatever happens meanwhile.
+//! Finds units that can never be moved, and because of which a drain can never finish.
 
 use sched::autoscaling;
 use sched::drain_records::UnsavedWork;
@@ -9,12 +9,12 @@
 use wire::{JobKind, JobSpec};
 
 use crate::budget::{Budgets, UnitId};
-use crate::step::{Machine, Unit, Work};
+use crate::step::{Machine, Unit, WorkKind};
 
-/// Why something on a machine could never be moved.
+/// Why a unit on a machine can never be moved.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Blocker {
-    /// No replica of a service may ever be down.
+    /// The budget of a service is 0: none of its replicas may ever be stopped voluntarily.
     #[error("{job} on {machine}: the budget of a service is 0 replicas")]
     ServiceBudget {
         /// The service.
@@ -22,7 +22,7 @@
         /// The machine.
         machine: Name,
     },
-    /// Nothing of a team may ever be down.
+    /// The budget of the team is 0: none of its units may ever be stopped voluntarily.
     #[error("{job} on {machine}: the budget of team \"{team}\" is 0")]
     TeamBudget {
         /// The team.
@@ -32,16 +32,20 @@
         /// The machine.
         machine: Name,
     },
-    /// No machine that stays, and no type that could be rented, can hold it.
-    #[error("{job} on {machine}: it fits on no other machine, and on none that could be rented")]
+    /// The task fits neither on any machine that is not drained nor on any machine type that could
+    /// be rented.
+    #[error("{job} on {machine}: it fits on no other machine, and on no machine type that could be rented")]
     FitsNowhere {
         /// The job.
         job: Name,
         /// The machine.
         machine: Name,
     },
-    /// It cannot save, has no known end, and is to be left running.
-    #[error("{job} on {machine}: it cannot save and may run for longer than the patience; --unsaved stop")]
+    /// The job cannot save its progress, is expected to run for longer than the drain's patience,
+    /// and is to be left running then.
+    #[error(
+        "{job} on {machine}: it cannot save its progress and may run for longer than --patience-s; --unsaved stop would stop it"
+    )]
     OutlastsPatience {
         /// The job.
         job: Name,
@@ -50,9 +54,9 @@
     },
 }
 
-/// What stands in the way for good of draining these machines, the first of each job.
+/// The first blocker of each unit on these machines.
 pub fn blockers(
-    world: &Replica,
+    replica: &Replica,
     machines: &[Machine],
     budgets: &Budgets,
     unsaved: UnsavedWork,
@@ -64,7 +68,7 @@
     for machine in machines {
         for unit in machine.units.iter().filter(|u| !u.stopping) {
             if seen.insert(&unit.id) {
-                found.extend(blocker(world, &drained, machine, unit, budgets, (unsaved, patience_s)));
+                found.extend(blocker(replica, &drained, machine, unit, budgets, (unsaved, patience_s)));
             }
         }
     }
@@ -72,42 +76,42 @@
 }
 
 fn blocker(
-    world: &Replica,
+    replica: &Replica,
     drained: &HashSet<&Name>,
     machine: &Machine,
     unit: &Unit,
     budgets: &Budgets,
     (unsaved, patience_s): (UnsavedWork, f64),
 ) -> Option<Blocker> {
-    let spec = world.jobs.get(&*unit.id.job)?.value.spec.as_deref()?;
+    let spec = replica.jobs.get(&*unit.id.job)?.value.spec.as_deref()?;
     let (job, machine) = (unit.id.job.clone(), machine.name.clone());
-    if unit.work == Work::Replica && budgets.per_service == 0 {
+    if unit.work == WorkKind::Replica && budgets.per_service == 0 {
         return Some(Blocker::ServiceBudget { job, machine });
     }
-    if budgets.of_team(&unit.team, replicas_of_team(world, &unit.team)) == Some(0) {
+    if budgets.of_team(&unit.team, replicas_of_team(replica, &unit.team)) == Some(0) {
         return Some(Blocker::TeamBudget { team: unit.team.clone(), job, machine });
     }
-    let outlasts = unit.work == Work::Unsaved && unsaved == UnsavedWork::Leave;
+    let outlasts = unit.work == WorkKind::Unsaved && unsaved == UnsavedWork::Leave;
     if outlasts && spec.estimated_runtime_s > patience_s {
         return Some(Blocker::OutlastsPatience { job, machine });
     }
-    let fits = autoscaling::fits_some_machine_type(spec, &world.machine_types)
-        || fits_on_another(world, drained, spec);
+    let fits = autoscaling::fits_some_machine_type(spec, &replica.machine_types)
+        || fits_on_another(replica, drained, spec);
     (!fits).then_some(Blocker::FitsNowhere { job, machine })
 }
 
-fn replicas_of_team(world: &Replica, team: &str) -> u32 {
+fn replicas_of_team(replica: &Replica, team: &str) -> u32 {
     let of_team = |s: &&JobSpec| s.team == team && s.kind == JobKind::Service;
-    world.open_jobs().filter_map(|(_, job)| job.spec.as_deref()).filter(of_team).map(|s| s.tasks).sum()
+    replica.open_jobs().filter_map(|(_, job)| job.spec.as_deref()).filter(of_team).map(|s| s.tasks).sum()
 }
 
-/// Whether a machine that stays is large enough, were it empty.
-fn fits_on_another(world: &Replica, drained: &HashSet<&Name>, spec: &JobSpec) -> bool {
-    world.machines.iter().filter(|(id, _)| !drained.contains(id)).any(|(_, m)| {
+/// Whether some machine that is not drained could hold a task if it were empty.
+fn fits_on_another(replica: &Replica, drained: &HashSet<&Name>, spec: &JobSpec) -> bool {
+    replica.machines.iter().filter(|(id, _)| !drained.contains(id)).any(|(_, m)| {
         let m = &m.value;
-        let whole = world.machine_types.get(&*m.machine_type).map(Resources::of_type);
+        let machine_size = replica.machine_types.get(&*m.machine_type).map(Resources::of_type);
         placement::is_allowed(spec, &m.machine_type, &m.zone, m.spot)
-            && whole.is_some_and(|whole| Resources::of_task(spec).fits(whole))
+            && machine_size.is_some_and(|size| Resources::of_task(spec).fits(size))
     })
 }
 
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,20 +1,26 @@
-//! Gentle drains: machines are retired in steps, with every team's disruption budget held.
+//! Graceful drains: machines are emptied in steps and retired, within the disruption budgets of
+//! services and teams.
 //!
-//! Decisions only, without input or output; time is passed in. [`budget`] tells what may be
-//! stopped, [`step`] what one look at all drains does, [`lifecycle`] how a drain's record
-//! changes by it, [`selection`] which machines an operator means, [`feasibility`] whether a
-//! drain could ever finish, and [`waves`] in which order it is over soonest and cheapest.
-//! [`view`] reads all that from the records, [`room`] looks for room on the inventory.
+//! This package only makes decisions. It does no I/O, and the time is passed in.
 //!
-//! The order is advice. What holds the budget is that every transaction that stops something
-//! changes the team's record of what is down by choice, and is conditional on its version.
+//! - [`budget`]: what may be stopped without exceeding a disruption budget.
+//! - [`step`]: the decisions of one step for all drains.
+//! - [`lifecycle`]: the state machine of a drain's record.
+//! - [`selection`]: the machines that an operator selects.
+//! - [`feasibility`]: whether a drain can finish at all.
+//! - [`waves`]: the order of the machines in which a drain takes the least time and money.
+//! - [`view`]: reads the input of these decisions from the records.
+//! - [`capacity`]: looks for capacity in the inventory.
+//!
+//! The order is only a hint. The budgets hold because every transaction that stops a unit
+//! voluntarily writes the team's disruption record and is conditional on that record's version.
 
 #![warn(missing_docs)]
 
 pub mod budget;
+pub mod capacity;
 pub mod feasibility;
 pub mod lifecycle;
-pub mod room;
 pub mod selection;
 pub mod step;
 pub mod view;
--- a/crates/drain/src/selection.rs
+++ b/crates/drain/src/selection.rs
@@ -1,4 +1,4 @@
-//! Which machines an operator means.
+//! Selects the machines of a drain.
 
 use std::collections::BTreeSet;
 
@@ -6,27 +6,28 @@
 use sched::records::Name;
 use sched::replica::Replica;
 
-/// Machines by their names, or all that have everything in common that is named.
+/// Selects machines either by name, or by properties. A machine is selected by properties if it
+/// has all that are given.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Selection {
-    /// Just these.
+    /// The names of the machines.
     pub machines: Vec<String>,
-    /// Those of this zone.
+    /// Machines of this zone.
     pub zone: Option<String>,
-    /// Those of this type.
+    /// Machines of this type.
     pub machine_type: Option<String>,
-    /// Those that were rented for longer than this.
+    /// Machines that have been rented for longer than this.
     pub older_than_s: Option<f64>,
 }
 
 /// Why a selection cannot be drained.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SelectionError {
-    /// Nothing is named.
-    #[error("no machines are named: --machine, --zone, --type or --rented-before-s")]
+    /// Neither names nor properties are given.
+    #[error("no machines are named: give --machine, --zone, --type or --rented-before-s")]
     Nothing,
     /// Names and properties are both given.
-    #[error("--machine does not go with --zone, --type or --rented-before-s")]
+    #[error("--machine cannot be combined with --zone, --type or --rented-before-s")]
     Both,
     /// There is no such machine.
     #[error("--machine: there is no machine \"{0}\"")]
@@ -40,13 +41,15 @@
     /// No machine is of the type.
     #[error("--type: there is no machine of type \"{0}\"")]
     NoSuchType(String),
-    /// No machine has all that was named.
-    #[error("no machine has all of --zone, --type and --rented-before-s that is named")]
+    /// No machine has all properties that are given.
+    #[error("no machine matches all of the given options --zone, --type and --rented-before-s")]
     NoneFits,
-    /// The cloud's list has not told since when machines are rented.
-    #[error("--rented-before-s: it is not known since when machines are rented")]
+    /// The ages of the machines are not known.
+    #[error(
+        "--rented-before-s: the cloud's list of machines is needed to know how long they have been rented"
+    )]
     AgeUnknown,
-    /// Another drain has it already.
+    /// Another drain has one of the machines already.
     #[error("machine \"{machine}\" is being drained by \"{drain}\" already")]
     Drained {
         /// The machine.
@@ -56,10 +59,10 @@
     },
 }
 
-/// The machines that are selected, in the order of their names. `ages`: for how long machines
-/// are rented, in seconds, if that is known.
+/// The selected machines, sorted by name. `ages`: for how long each machine has been rented, in
+/// seconds, if known.
 pub fn select(
-    world: &Replica,
+    replica: &Replica,
     selection: &Selection,
     ages: Option<&HashMap<String, f64>>,
 ) -> Result<Vec<Name>, SelectionError> {
@@ -70,8 +73,9 @@
         (false, true) => return Err(SelectionError::Both),
         _ => {}
     }
-    let found = if by_properties { by_property(world, selection, ages)? } else { by_name(world, machines)? };
-    match found.iter().find_map(|m| Some((m, drained_by(world, m)?))) {
+    let found =
+        if by_properties { by_property(replica, selection, ages)? } else { by_name(replica, machines)? };
+    match found.iter().find_map(|m| Some((m, drained_by(replica, m)?))) {
         Some((machine, drain)) => {
             Err(SelectionError::Drained { machine: machine.to_string(), drain: drain.to_owned() })
         }
@@ -79,19 +83,19 @@
     }
 }
 
-/// The drain that has a machine, unless it is over.
-fn drained_by<'w>(world: &'w Replica, machine: &Name) -> Option<&'w str> {
-    let has = |(_, c): &(&'w sched::drains::CordonId, &'w sched::replica::Versioned<_>)| {
+/// The drain that has an active cordon on a machine.
+fn drained_by<'w>(replica: &'w Replica, machine: &Name) -> Option<&'w str> {
+    let holds_machine = |(_, c): &(&'w sched::drains::CordonId, &'w sched::replica::Versioned<_>)| {
         let cordon: &sched::drain_records::CordonRecord = &c.value;
         cordon.active && cordon.remaining().any(|m| m == machine)
     };
-    world.drains.cordons.iter().find(has).map(|((drain, _), _)| drain.as_str())
+    replica.drains.cordons.iter().find(holds_machine).map(|((drain, _), _)| drain.as_str())
 }
 
-fn by_name(world: &Replica, machines: &[String]) -> Result<Vec<Name>, SelectionError> {
+fn by_name(replica: &Replica, machines: &[String]) -> Result<Vec<Name>, SelectionError> {
     let mut found: BTreeSet<Name> = BTreeSet::new();
     for name in machines {
-        let Some((known, _)) = world.machines.get_key_value(name.as_str()) else {
+        let Some((known, _)) = replica.machines.get_key_value(name.as_str()) else {
             return Err(SelectionError::NoSuchMachine(name.clone()));
         };
         if !found.insert(known.clone()) {
@@ -102,20 +106,21 @@
 }
 
 fn by_property(
-    world: &Replica,
+    replica: &Replica,
     selection: &Selection,
     ages: Option<&HashMap<String, f64>>,
 ) -> Result<Vec<Name>, SelectionError> {
     let Selection { zone, machine_type, older_than_s, .. } = selection;
-    let any =
-        |has: &dyn Fn(&sched::records::MachineRecord) -> bool| world.machines.values().any(|m| has(&m.value));
+    let any_machine = |matches: &dyn Fn(&sched::records::MachineRecord) -> bool| {
+        replica.machines.values().any(|m| matches(&m.value))
+    };
     if let Some(zone) = zone
-        && !any(&|m| *m.zone == **zone)
+        && !any_machine(&|m| *m.zone == **zone)
     {
         return Err(SelectionError::NoSuchZone(zone.clone()));
     }
     if let Some(kind) = machine_type
-        && !any(&|m| *m.machine_type == **kind)
+        && !any_machine(&|m| *m.machine_type == **kind)
     {
         return Err(SelectionError::NoSuchType(kind.clone()));
     }
@@ -126,12 +131,13 @@
         (Some(limit), Some(ages)) => ages.get(&**name).is_some_and(|age| age > limit),
         _ => true,
     };
-    let fits = |(name, m): &(&Name, &sched::replica::Versioned<sched::records::MachineRecord>)| {
+    let matches_all = |(name, m): &(&Name, &sched::replica::Versioned<sched::records::MachineRecord>)| {
         zone.as_ref().is_none_or(|z| *m.value.zone == **z)
             && machine_type.as_ref().is_none_or(|t| *m.value.machine_type == **t)
             && is_old(name)
     };
-    let found: Vec<Name> = world.machines.iter().filter(fits).map(|(name, _)| name.clone()).collect();
+    let found: Vec<Name> =
+        replica.machines.iter().filter(matches_all).map(|(name, _)| name.clone()).collect();
     if found.is_empty() { Err(SelectionError::NoneFits) } else { Ok(found) }
 }
 
--- a/crates/drain/src/step.rs
+++ b/crates/drain/src/step.rs
@@ -1,4 +1,4 @@
-//! One look at all drains: what to stop now, and how their records change.
+//! One step of all drains: decides which units to stop now and how the drains' records change.
 
 use std::time::Duration;
 
@@ -9,27 +9,27 @@
 use crate::budget::{Ledger, UnitId};
 use crate::lifecycle::{self, Event};
 
-/// How a unit takes being stopped.
+/// What happens to the work of a unit when it is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work {
-    /// A replica of a service: it is up again once its replacement runs.
+pub enum WorkKind {
+    /// A replica of a service, which is down until its replacement runs.
     Replica,
-    /// It saves its progress when it is stopped.
-    Saving,
-    /// What it has done since its start is lost.
+    /// The unit saves its progress when it is stopped.
+    Checkpointing,
+    /// The unit cannot save its progress: all work since its start is lost.
     Unsaved,
 }
 
-/// Something on a machine that is stopped as one.
+/// A replica, array task or gang on a machine, which is stopped as a whole.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Unit {
-    /// Its job and task.
+    /// The job and the task.
     pub id: UnitId,
-    /// Its team.
+    /// The team of the job.
     pub team: String,
-    /// How it takes being stopped.
-    pub work: Work,
-    /// It is told to stop already.
+    /// What happens to its work when it is stopped.
+    pub work: WorkKind,
+    /// Whether it has already been told to stop.
     pub stopping: bool,
 }
 
@@ -38,109 +38,115 @@
 pub struct Machine {
     /// Its name.
     pub name: Name,
-    /// What is on it. A gang is on each of its machines.
+    /// The units on it. A gang is listed on each of its machines.
     pub units: Vec<Unit>,
 }
 
-/// A drain that is not over, with the machines that are left of it in the order in which
-/// they should be emptied.
+/// A drain that is not over, with its remaining machines in the order in which they should be
+/// emptied.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Drain {
     /// Its name.
     pub name: String,
     /// Its record.
     pub record: DrainRecord,
-    /// The machines that are still there.
+    /// The machines that still exist.
     pub machines: Vec<Machine>,
 }
 
-/// What bounds a step, and what time it is.
+/// The limits of a step, and its time.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Most units to stop.
+    /// The most units to stop.
     pub moves: usize,
-    /// How long machines take to be rented and to boot, with a reserve.
-    pub room_attempt: Duration,
-    /// Nothing may be stopped now, for this reason.
+    /// The longest time of an attempt to get capacity: for machines to be rented and to boot, with a
+    /// reserve.
+    pub capacity_attempt_timeout: Duration,
+    /// If set, nothing may be stopped now because of this obstacle.
     pub paused: Option<Obstacle>,
-    /// The time of day.
+    /// The wall-clock time, in milliseconds.
     pub now_ms: u64,
 }
 
-/// Finds room for what is to be moved. What it has found is held for the rest of the step.
-pub trait FindRoom {
-    /// Where the unit could go; None if there is no room for it.
+/// Finds capacity for units that are to be moved, and holds it for the rest of the step.
+pub trait FindCapacity {
+    /// The machines that the unit could move to; None if there is no capacity for it.
     fn find(&mut self, unit: &UnitId) -> Option<Vec<Name>>;
 }
 
-/// A unit that is to be stopped, as there is room for it.
+/// A unit that is to be stopped and has capacity elsewhere.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
     /// The drain that it is stopped for.
     pub drain: String,
     /// The machine that it is on.
     pub machine: Name,
-    /// What is stopped.
+    /// The unit.
     pub unit: Unit,
-    /// The room that was found for it.
-    pub room: Vec<Name>,
+    /// The machines that have capacity for it, one for each task.
+    pub destinations: Vec<Name>,
 }
 
-/// What a step decides.
+/// The decisions of a step.
 #[derive(Debug, Default)]
 pub struct Decision {
-    /// What to stop, in this order.
+    /// The units to stop, in this order.
     pub moves: Vec<Move>,
-    /// The records of drains after the step, but for what the moves add to them.
+    /// The records of drains that the step changes, without the counts of its moves.
     pub records: Vec<(String, DrainRecord)>,
-    /// Machines whose work waits for room that should be rented.
-    pub wants_room: Vec<Name>,
+    /// Machines whose units wait for capacity that has to be rented.
+    pub machines_awaiting_capacity: Vec<Name>,
 }
 
-/// Decides what to do for all drains, in the order of their names. Each has its turn: a step
-/// stops no more of one than its part of all moves as long as others have any.
-pub fn decide(drains: &[Drain], ledger: &mut Ledger, room: &mut impl FindRoom, limits: &Limits) -> Decision {
+/// Decides on one step of all drains, in the order given. The moves of a step are divided equally
+/// among the active drains, so that none of them keeps the others from progressing.
+pub fn decide(
+    drains: &[Drain],
+    ledger: &mut Ledger,
+    capacity: &mut impl FindCapacity,
+    limits: &Limits,
+) -> Decision {
     let mut decision = Decision::default();
     let mut stopped: HashMap<UnitId, ()> = HashMap::default();
     let active = drains.iter().filter(|d| d.record.is_active()).count().max(1);
-    let part = limits.moves.div_ceil(active);
+    let moves_per_drain = limits.moves.div_ceil(active);
     for drain in drains.iter().filter(|d| d.record.is_active()) {
-        let mut look = Look {
+        let mut evaluation = DrainEvaluation {
             drain,
             limits,
-            moves_left: part.min(limits.moves.saturating_sub(decision.moves.len())),
+            moves_left: moves_per_drain.min(limits.moves.saturating_sub(decision.moves.len())),
             obstacle: None,
-            room_missing: false,
-            unsaved_only: true,
+            capacity_missing: false,
+            only_unsaved_work_left: true,
             decision: &mut decision,
         };
         for machine in &drain.machines {
             for unit in &machine.units {
-                look.at_unit(machine, unit, ledger, room, &mut stopped);
+                evaluation.evaluate_unit(machine, unit, ledger, capacity, &mut stopped);
             }
-            look.at_machine(machine);
+            evaluation.evaluate_machine(machine);
         }
-        look.finish();
+        evaluation.finish();
     }
     decision
 }
 
-/// A look at one drain.
-struct Look<'a> {
+/// The evaluation of one drain in a step.
+struct DrainEvaluation<'a> {
     drain: &'a Drain,
     limits: &'a Limits,
     moves_left: usize,
-    /// The first thing that it waits for.
+    /// The first obstacle that was met.
     obstacle: Option<Obstacle>,
-    /// Something could be stopped if there were room for it.
-    room_missing: bool,
-    /// All that is left cannot save and is to be left running.
-    unsaved_only: bool,
+    /// Whether some unit could be stopped if there were capacity for it.
+    capacity_missing: bool,
+    /// Whether all remaining units cannot save their progress and are to be left running.
+    only_unsaved_work_left: bool,
     decision: &'a mut Decision,
 }
 
-impl Look<'_> {
-    fn waits_for(&mut self, kind: ObstacleKind, machine: &Machine, unit: Option<&Unit>) {
+impl DrainEvaluation<'_> {
+    fn set_obstacle(&mut self, kind: ObstacleKind, machine: &Machine, unit: Option<&Unit>) {
         let obstacle = || Obstacle {
             kind,
             team: unit.map(|u| u.team.clone()).unwrap_or_default(),
@@ -151,45 +157,46 @@
         self.obstacle.get_or_insert_with(obstacle);
     }
 
-    /// Stops a unit if it may be stopped now and there is room for it.
-    fn at_unit(
+    /// Decides to stop a unit if it may be stopped now and there is capacity for it; else records
+    /// what it waits for.
+    fn evaluate_unit(
         &mut self,
         machine: &Machine,
         unit: &Unit,
         ledger: &mut Ledger,
-        room: &mut impl FindRoom,
+        capacity: &mut impl FindCapacity,
         stopped: &mut HashMap<UnitId, ()>,
     ) {
         if unit.stopping || stopped.contains_key(&unit.id) {
-            self.unsaved_only = false;
-            return self.waits_for(ObstacleKind::Stopping, machine, Some(unit));
+            self.only_unsaved_work_left = false;
+            return self.set_obstacle(ObstacleKind::Stopping, machine, Some(unit));
         }
         let record = &self.drain.record;
-        if unit.work == Work::Unsaved {
+        if unit.work == WorkKind::Unsaved {
             let waited_ms = self.limits.now_ms.saturating_sub(record.started_ms);
             if waited_ms < record.patience_ms {
-                self.unsaved_only = false;
-                return self.waits_for(ObstacleKind::CannotSave, machine, Some(unit));
+                self.only_unsaved_work_left = false;
+                return self.set_obstacle(ObstacleKind::CannotSave, machine, Some(unit));
             }
             if record.unsaved == UnsavedWork::Leave {
-                return self.waits_for(ObstacleKind::CannotSave, machine, Some(unit));
+                return self.set_obstacle(ObstacleKind::CannotSave, machine, Some(unit));
             }
         }
-        self.unsaved_only = false;
+        self.only_unsaved_work_left = false;
         if self.limits.paused.is_some() || self.moves_left == 0 {
             return;
         }
-        if let Err(refusal) = ledger.check(&unit.team, &unit.id) {
-            return self.waits_for(refusal.into(), machine, Some(unit));
+        if let Err(exceeded) = ledger.check(&unit.team, &unit.id) {
+            return self.set_obstacle(exceeded.into(), machine, Some(unit));
         }
-        let Some(found) = room.find(&unit.id) else {
-            self.room_missing = true;
-            if lifecycle::wants_room(record, self.limits.now_ms)
-                && !self.decision.wants_room.contains(&machine.name)
+        let Some(found) = capacity.find(&unit.id) else {
+            self.capacity_missing = true;
+            if lifecycle::is_seeking_capacity(record, self.limits.now_ms)
+                && !self.decision.machines_awaiting_capacity.contains(&machine.name)
             {
-                self.decision.wants_room.push(machine.name.clone());
+                self.decision.machines_awaiting_capacity.push(machine.name.clone());
             }
-            return self.waits_for(ObstacleKind::NoCapacity, machine, Some(unit));
+            return self.set_obstacle(ObstacleKind::NoCapacity, machine, Some(unit));
         };
         ledger.debit(&unit.team, &unit.id);
         stopped.insert(unit.id.clone(), ());
@@ -198,23 +205,23 @@
             drain: self.drain.name.clone(),
             machine: machine.name.clone(),
             unit: unit.clone(),
-            room: found,
+            destinations: found,
         });
     }
 
-    /// A machine on which nothing is left waits to be given back.
-    fn at_machine(&mut self, machine: &Machine) {
+    /// Records that an empty machine waits to be released.
+    fn evaluate_machine(&mut self, machine: &Machine) {
         if machine.units.is_empty() {
-            self.unsaved_only = false;
-            self.waits_for(ObstacleKind::ScalingIn, machine, None);
+            self.only_unsaved_work_left = false;
+            self.set_obstacle(ObstacleKind::ScalingIn, machine, None);
         }
     }
 
-    /// Brings the drain's record up to date.
+    /// Applies the events of this step to the drain's record.
     fn finish(self) {
         let mut record = self.drain.record.clone();
         for event in self.events() {
-            // What closes the drain makes the rest of no use.
+            // An event has closed the drain; the later ones do not apply any more.
             if lifecycle::apply(&mut record, event, self.limits.now_ms).is_err() {
                 break;
             }
@@ -224,21 +231,25 @@
         }
     }
 
-    /// What has come to pass with the drain.
+    /// The events of this step.
     fn events(&self) -> Vec<Event> {
         if self.drain.machines.is_empty() {
-            return vec![Event::AllGone];
+            return vec![Event::AllMachinesGone];
         }
         let mut events = Vec::new();
         let moved = self.decision.moves.iter().any(|m| m.drain == self.drain.name);
         if self.limits.paused.is_none() {
-            let missing = self.room_missing && !moved;
-            let attempt = self.limits.room_attempt;
-            events.push(if missing { Event::RoomMissing { attempt } } else { Event::RoomNotNeeded });
+            let is_missing = self.capacity_missing && !moved;
+            let attempt = self.limits.capacity_attempt_timeout;
+            events.push(if is_missing {
+                Event::CapacityMissing { attempt }
+            } else {
+                Event::CapacityNotNeeded
+            });
         }
-        events.push(Event::Waits(self.limits.paused.clone().or_else(|| self.obstacle.clone())));
-        if self.unsaved_only {
-            events.push(Event::OnlyUnsavedLeft);
+        events.push(Event::ObstacleObserved(self.limits.paused.clone().or_else(|| self.obstacle.clone())));
+        if self.only_unsaved_work_left {
+            events.push(Event::OnlyUnsavedWorkLeft);
         }
         events
     }
--- a/crates/drain/src/view.rs
+++ b/crates/drain/src/view.rs
@@ -1,5 +1,5 @@
-//! What the records say of drains: their machines, what is on these, and how the services
-//! are whose replicas are there.
+//! Reads the input of drain decisions from the records: the machines of each drain, the units on
+//! them, and the health of the services whose replicas run there.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,20 +11,20 @@
 use wire::JobKind;
 
 use crate::budget::{Budgets, Ledger, ServiceHealth, UnitId};
-use crate::step::{Drain, Machine, Unit, Work};
+use crate::step::{Drain, Machine, Unit, WorkKind};
 use crate::waves;
 
-/// The tasks that machines' owners see running, with their attempts.
+/// Tells which attempts of tasks run.
 pub trait Running {
-    /// Whether this attempt of a task is seen running.
+    /// Whether this attempt of a task is known to run.
     fn is_running(&self, job: &str, task: u32, attempt: u64) -> bool;
 }
 
-/// What is recorded on a machine is taken for running: all that the rescheduler knows, which
-/// looks at services only whose replicas all have a place.
-pub struct ByRecords;
+/// Assumes that every assigned task runs. The rescheduler has no other information; it only
+/// considers services whose replicas are all assigned to machines.
+pub struct AssumeRunning;
 
-impl Running for ByRecords {
+impl Running for AssumeRunning {
     fn is_running(&self, _job: &str, _task: u32, _attempt: u64) -> bool {
         true
     }
@@ -37,19 +37,19 @@
 fn unit(id: &str, job: &JobRecord, assignment: &Assignment) -> Option<Unit> {
     let spec = job.spec.as_deref()?;
     let work = match spec.kind {
-        JobKind::Service => Work::Replica,
-        JobKind::Array | JobKind::Gang if spec.checkpoint_interval_s > 0.0 => Work::Saving,
-        JobKind::Array | JobKind::Gang => Work::Unsaved,
+        JobKind::Service => WorkKind::Replica,
+        JobKind::Array | JobKind::Gang if spec.checkpoint_interval_s > 0.0 => WorkKind::Checkpointing,
+        JobKind::Array | JobKind::Gang => WorkKind::Unsaved,
     };
     let task = if spec.kind == JobKind::Gang { 0 } else { assignment.task };
     let id = UnitId { job: id.into(), task };
     Some(Unit { id, team: spec.team.clone(), work, stopping: !job.should_run(assignment) })
 }
 
-/// What is on a machine, each gang once.
-pub fn units_on(world: &Replica, machine: &str) -> Vec<Unit> {
+/// The units on a machine. A gang is one unit, however many of its tasks are on the machine.
+pub fn units_on(replica: &Replica, machine: &str) -> Vec<Unit> {
     let mut units: Vec<Unit> = Vec::new();
-    for (id, job, assignment) in world.assignments(machine) {
+    for (id, job, assignment) in replica.assignments(machine) {
         let Some(unit) = unit(id, job, assignment) else { continue };
         match units.iter_mut().find(|u| u.id == unit.id) {
             Some(known) => known.stopping |= unit.stopping,
@@ -59,47 +59,49 @@
     units
 }
 
-/// The machines of a drain that are still there, in the order of their names.
-pub fn machines_left(world: &Replica, drain: &str) -> Vec<Name> {
-    let there = |m: &&Name| world.machines.contains_key(*m);
-    let cordons = world.drains.cordons_of(drain);
-    cordons.flat_map(|(_, c)| c.value.remaining()).filter(there).cloned().collect()
+/// The machines of a drain that still exist, in the order of its cordons.
+pub fn remaining_machines(replica: &Replica, drain: &str) -> Vec<Name> {
+    let exists = |m: &&Name| replica.machines.contains_key(*m);
+    let cordons = replica.drains.cordons_of(drain);
+    cordons.flat_map(|(_, c)| c.value.remaining()).filter(exists).cloned().collect()
 }
 
-/// Orders of drains' machines, by the drains' names.
+/// The planned order of each drain's machines, by drain name.
 pub type Orders = HashMap<String, Vec<Name>>;
 
-/// The drains that are active, with their machines in the order in which they should be
-/// emptied: that which is given for a drain, or the greedy one.
-pub fn active_drains(world: &Replica, budgets: &Budgets, orders: &Orders) -> Vec<Drain> {
-    let active = world.drains.records.iter().filter(|(_, d)| d.value.is_active());
-    // What is gone is written down first.
-    let is_noted =
-        |name: &str| world.drains.cordons_of(name).all(|(_, c)| c.value.remaining().next().is_none());
+/// The active drains, with their machines in the order in which they should be emptied: the
+/// planned order of the drain if there is one, else the greedy order.
+pub fn active_drains(replica: &Replica, budgets: &Budgets, orders: &Orders) -> Vec<Drain> {
+    let active = replica.drains.records.iter().filter(|(_, d)| d.value.is_active());
+    // A drain without machines is passed on, and thereby finished, only once all its machines are
+    // recorded as gone. Otherwise a machine that vanished last would be reported as kept.
+    let all_recorded_gone =
+        |name: &str| replica.drains.cordons_of(name).all(|(_, c)| c.value.remaining().next().is_none());
     let drains = active.filter_map(|(name, record)| {
-        let machines = machines_left(world, name).into_iter();
+        let machines = remaining_machines(replica, name).into_iter();
         let mut machines: Vec<Machine> =
-            machines.map(|name| Machine { units: units_on(world, &name), name }).collect();
+            machines.map(|name| Machine { units: units_on(replica, &name), name }).collect();
         match orders.get(name) {
             Some(order) => {
-                let places: HashMap<&Name, usize> = order.iter().enumerate().map(|(i, m)| (m, i)).collect();
-                machines.sort_by_key(|m| places.get(&m.name).copied().unwrap_or(usize::MAX));
+                let positions: HashMap<&Name, usize> =
+                    order.iter().enumerate().map(|(i, m)| (m, i)).collect();
+                machines.sort_by_key(|m| positions.get(&m.name).copied().unwrap_or(usize::MAX));
             }
             None => {
-                let order = waves::greedy(&waves::problem(world, &machines, budgets));
+                let order = waves::greedy(&waves::problem(replica, &machines, budgets));
                 machines = order.into_iter().map(|i| machines[i].clone()).collect();
             }
         }
-        let is_known = !machines.is_empty() || is_noted(name);
-        is_known.then(|| Drain { name: name.clone(), record: record.value.clone(), machines })
+        let is_consistent = !machines.is_empty() || all_recorded_gone(name);
+        is_consistent.then(|| Drain { name: name.clone(), record: record.value.clone(), machines })
     });
     drains.collect()
 }
 
-/// The services that the budgets of these units depend on: their own, and all of teams that
-/// have a budget of their own.
-pub fn services_concerned<'w>(
-    world: &'w Replica,
+/// The services whose health is needed to check the budgets for these drains: those with units
+/// on the machines, and all services of teams that have a budget and units there.
+pub fn affected_services<'w>(
+    replica: &'w Replica,
     drains: &[Drain],
     budgets: &Budgets,
 ) -> Vec<(&'w String, &'w JobRecord)> {
@@ -112,18 +114,18 @@
         let is_service = spec.kind == JobKind::Service && job.phase == Phase::Active;
         is_service && (jobs.contains(id.as_str()) || teams.contains(spec.team.as_str()))
     };
-    world.open_jobs().filter(concerned).collect()
+    replica.open_jobs().filter(concerned).collect()
 }
 
-/// The jobs whose running tasks have to be known for a step: the services concerned, and all
-/// of which something is down by choice.
-pub fn jobs_to_ask(world: &Replica, drains: &[Drain], budgets: &Budgets) -> BTreeSet<String> {
-    let services = services_concerned(world, drains, budgets).into_iter().map(|(id, _)| id.clone());
-    let open = all_open(&world.drains).map(|(_, d)| d.job.to_string());
-    services.chain(open.filter(|id| world.open_job_ids.contains(id))).collect()
+/// The jobs whose running tasks have to be observed for a step: the affected services, and all
+/// open jobs with open disruptions.
+pub fn jobs_to_observe(replica: &Replica, drains: &[Drain], budgets: &Budgets) -> BTreeSet<String> {
+    let services = affected_services(replica, drains, budgets).into_iter().map(|(id, _)| id.clone());
+    let open = open_disruptions_by_team(&replica.drains).map(|(_, d)| d.job.to_string());
+    services.chain(open.filter(|id| replica.open_job_ids.contains(id))).collect()
 }
 
-/// How a service is.
+/// The health of a service; None if the job is not one.
 pub fn health(id: &str, job: &JobRecord, running: &impl Running) -> Option<ServiceHealth> {
     let spec = job.spec.as_deref().filter(|s| s.kind == JobKind::Service)?;
     let is_up = |a: &&Assignment| job.should_run(a) && running.is_running(id, a.task, a.attempt);
@@ -132,23 +134,24 @@
         team: spec.team.clone(),
         replicas: spec.tasks,
         up: job.assignments.iter().filter(is_up).map(|a| a.task).collect(),
-        // The first end of a replica raises the attempt.
+        // The attempt is raised when a replica ends for the first time.
         starting: job.attempt <= FIRST_ATTEMPT,
     })
 }
 
-/// The attempt of a service's replicas none of which has ended yet.
+/// The attempt of a service none of whose replicas has ended yet.
 const FIRST_ATTEMPT: u64 = 1;
 
-/// All that is down by choice, with the team's id.
-pub fn all_open(drains: &Drains) -> impl Iterator<Item = (&str, &Disruption)> {
+/// All open disruptions, each with the id of its team.
+pub fn open_disruptions_by_team(drains: &Drains) -> impl Iterator<Item = (&str, &Disruption)> {
     drains.disruptions.iter().flat_map(|(team, d)| d.value.open.iter().map(move |o| (team.as_str(), o)))
 }
 
-/// The ledger of a step: what is down of these services, and all that is down by choice.
-/// `team_of`: the name of the team that an id stands for.
+/// The ledger of a step: the replicas of these services that are down, and all open disruptions.
+/// `team_of` maps a team's id to its name; `capacity` is the most open disruptions that a team's
+/// record holds.
 pub fn ledger<'b>(
-    world: &Replica,
+    replica: &Replica,
     services: &[(&String, &JobRecord)],
     budgets: &'b Budgets,
     running: &impl Running,
@@ -157,13 +160,14 @@
 ) -> Ledger<'b> {
     let health = services.iter().filter_map(|(id, job)| health(id, job, running));
     let open: Vec<(String, &Disruption)> =
-        all_open(&world.drains).map(|(team, d)| (team_of(team), d)).collect();
+        open_disruptions_by_team(&replica.drains).map(|(team, d)| (team_of(team), d)).collect();
     Ledger::new(budgets, health, open.iter().map(|(team, d)| (team.as_str(), *d)), capacity)
 }
 
-/// Whether what was stopped is over with: its replacement runs, or none will come.
-pub fn is_settled(world: &Replica, disruption: &Disruption, running: &impl Running) -> bool {
-    let Some(job) = world.jobs.get(&*disruption.job).map(|j| &j.value) else { return true };
+/// Whether a disruption can be closed: the replacement runs, or there will be none because the
+/// job or the task is finished.
+pub fn is_resolved(replica: &Replica, disruption: &Disruption, running: &impl Running) -> bool {
+    let Some(job) = replica.jobs.get(&*disruption.job).map(|j| &j.value) else { return true };
     if job.phase != Phase::Active {
         return true;
     }
@@ -179,23 +183,23 @@
     job.assignments.iter().any(|a| replaced(&a))
 }
 
-/// The attempt of a unit that is on a machine now: the highest of a gang's tasks.
+/// The current attempt of a unit that is assigned; of a gang, the highest of its tasks' attempts.
 pub fn attempt_of(job: &JobRecord, unit: &UnitId) -> Option<u64> {
     let gang = kind_of(job) == Some(JobKind::Gang);
     job.assignments.iter().filter(|a| gang || a.task == unit.task).map(|a| a.attempt).max()
 }
 
-/// What is running by the words of the machines' owners.
+/// The tasks that run, as the controllers that own their machines observe them.
 #[derive(Debug, Clone, Default)]
 pub struct ObservedTasks(HashMap<String, BTreeMap<u32, u64>>);
 
 impl ObservedTasks {
-    /// Notes that an attempt of a task is seen running.
+    /// Adds a running attempt of a task.
     pub fn note(&mut self, job: &str, task: u32, attempt: u64) {
         self.0.entry(job.to_owned()).or_default().insert(task, attempt);
     }
 
-    /// Adds what another owner sees.
+    /// Adds the tasks that another controller observes.
     pub fn extend(&mut self, other: Self) {
         for (job, tasks) in other.0 {
             self.0.entry(job).or_default().extend(tasks);
--- a/crates/drain/src/waves/mod.rs
+++ b/crates/drain/src/waves/mod.rs
@@ -1,12 +1,13 @@
-//! In which order machines are emptied, and how much at once.
+//! Plans the order in which the machines of a drain are emptied, and the waves in which their units
+//! are moved.
 //!
-//! Units are moved in waves: all of a wave at the same time, the next once their replacements
-//! run. A wave takes no more of anything than there is of it: a service's budget, a team's,
-//! the changes that may be written. A machine is paid for until its last unit is moved. So
-//! the sum of all machines' prices, each times the wave in which it is empty, is to be small:
-//! that is concurrent open-shop scheduling, which is hard in general. [`greedy`] orders the
-//! machines by what is on them for their price; [`solver::order`] by a linear programme.
-//! [`schedule`] makes waves of either order.
+//! All units of a wave are moved at the same time; the next wave starts once their replacements
+//! run. A wave takes no more of each limit than there is: the budgets of services and teams, and
+//! the number of moves. A machine is paid for until its last unit has been moved. The cost to be
+//! minimized is therefore the sum over all machines of the price times the number of the wave after
+//! which the machine is empty. This is concurrent open-shop scheduling, which is NP-hard in
+//! general. [`greedy`] orders the machines by their number of units in relation to their price,
+//! [`solver::order`] by a linear program. [`schedule`] computes the waves of either order.
 
 mod solver;
 
@@ -15,43 +16,43 @@
 
 use crate::budget::Budgets;
 use crate::step::Machine;
-pub use solver::{Effort, order as solved_order};
+pub use solver::{SolverLimits, order as solved_order};
 
-/// Something that is moved in one wave.
+/// A unit of the planning problem. It is moved as a whole in one wave.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedUnit {
-    /// The machines that it is on.
+    /// The indices of the machines that it is on.
     pub machines: Vec<usize>,
-    /// The limits that it takes one of.
+    /// The indices of the limits that it counts against, with one each.
     pub limits: Vec<usize>,
 }
 
-/// What is to be ordered.
+/// The planning problem: machines to be ordered, their units, and the limits of a wave.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Problem {
-    /// The machines' prices.
+    /// The price of each machine.
     pub prices: Vec<f64>,
-    /// What is on them.
+    /// The units on the machines.
     pub units: Vec<PlannedUnit>,
-    /// How much of each limit a wave may take.
+    /// For each limit, how many of the units that count against it a wave may hold.
     pub limits: Vec<u32>,
 }
 
-/// Units by wave.
+/// The indices of the units of each wave.
 pub type Waves = Vec<Vec<usize>>;
 
-/// Moves of one wave, where nothing else bounds it: what one transaction holds, for as many
-/// times as transactions fit into a wave.
-const MOVES_IN_A_WAVE: u32 = 64;
+/// The most moves of one wave, where no other limit applies: the moves of one transaction, times
+/// the number of transactions that fit into the time of a wave.
+const MAX_MOVES_PER_WAVE: u32 = 64;
 
-/// The problem of draining these machines.
-pub fn problem(world: &Replica, machines: &[Machine], budgets: &Budgets) -> Problem {
-    let mut problem = Problem { limits: vec![MOVES_IN_A_WAVE], ..Problem::default() };
+/// The planning problem for these machines.
+pub fn problem(replica: &Replica, machines: &[Machine], budgets: &Budgets) -> Problem {
+    let mut problem = Problem { limits: vec![MAX_MOVES_PER_WAVE], ..Problem::default() };
     let mut limits: HashMap<(bool, String), usize> = HashMap::default();
     let mut units: HashMap<crate::budget::UnitId, usize> = HashMap::default();
-    let replicas = replicas_by_team(world);
+    let replicas = replicas_by_team(replica);
     for (i, machine) in machines.iter().enumerate() {
-        problem.prices.push(price(world, machine));
+        problem.prices.push(price(replica, machine));
         for unit in &machine.units {
             if let Some(known) = units.get(&unit.id) {
                 problem.units[*known].machines.push(i);
@@ -67,7 +68,7 @@
                 }
                 of_unit.push(index);
             };
-            if unit.work == crate::step::Work::Replica {
+            if unit.work == crate::step::WorkKind::Replica {
                 limit(false, &unit.id.job, budgets.per_service);
             }
             let of_team = replicas.get(unit.team.as_str()).copied().unwrap_or(0);
@@ -80,9 +81,9 @@
     problem
 }
 
-fn replicas_by_team(world: &Replica) -> HashMap<&str, u32> {
+fn replicas_by_team(replica: &Replica) -> HashMap<&str, u32> {
     let mut replicas: HashMap<&str, u32> = HashMap::default();
-    for (_, job) in world.open_jobs() {
+    for (_, job) in replica.open_jobs() {
         if let Some(spec) = job.spec.as_deref().filter(|s| s.kind == wire::JobKind::Service) {
             *replicas.entry(&spec.team).or_default() += spec.tasks;
         }
@@ -90,56 +91,57 @@
     replicas
 }
 
-fn price(world: &Replica, machine: &Machine) -> f64 {
-    let Some(m) = world.machines.get(&machine.name) else { return 0.0 };
-    let kind = world.machine_types.get(&*m.value.machine_type);
+fn price(replica: &Replica, machine: &Machine) -> f64 {
+    let Some(m) = replica.machines.get(&machine.name) else { return 0.0 };
+    let kind = replica.machine_types.get(&*m.value.machine_type);
     kind.map_or(0.0, |t| if m.value.spot { t.spot_price } else { t.price })
 }
 
 /// How many units are on each machine.
-fn loads(problem: &Problem) -> Vec<u32> {
-    let mut loads = vec![0; problem.prices.len()];
+fn unit_counts(problem: &Problem) -> Vec<u32> {
+    let mut unit_counts = vec![0; problem.prices.len()];
     for machine in problem.units.iter().flat_map(|u| &u.machines) {
-        loads[*machine] += 1;
+        unit_counts[*machine] += 1;
     }
-    loads
+    unit_counts
 }
 
-/// The machines in the order in which the fewest units are moved for the most money.
+/// The machines sorted by the number of units that have to be moved per price, lowest first.
 pub fn greedy(problem: &Problem) -> Vec<usize> {
-    let loads = loads(problem);
-    let weight = |i: &usize| f64::from(loads[*i]) / problem.prices[*i].max(LEAST_PRICE);
+    let unit_counts = unit_counts(problem);
+    let weight = |i: &usize| f64::from(unit_counts[*i]) / problem.prices[*i].max(MIN_PRICE);
     let mut order: Vec<usize> = (0..problem.prices.len()).collect();
     order.sort_by(|a, b| weight(a).total_cmp(&weight(b)).then(a.cmp(b)));
     order
 }
 
-/// A machine that costs nothing is still worth being empty.
-const LEAST_PRICE: f64 = 1e-6;
+/// The price that is assumed for machines that cost nothing, to order them by their units, too.
+const MIN_PRICE: f64 = 1e-6;
 
-/// Waves in which the machines' units are moved, each as early as the order allows.
+/// The waves in which the units are moved: each wave is filled with units in the order of their
+/// machines as far as the limits allow.
 pub fn schedule(problem: &Problem, order: &[usize]) -> Waves {
-    let mut place = vec![0; problem.prices.len()];
+    let mut position = vec![0; problem.prices.len()];
     for (at, machine) in order.iter().enumerate() {
-        place[*machine] = at;
+        position[*machine] = at;
     }
-    // A unit on several machines comes with the first of them.
-    let first = |unit: &usize| problem.units[*unit].machines.iter().map(|m| place[*m]).min();
+    // A unit on several machines is moved with the first of them.
+    let first_position = |unit: &usize| problem.units[*unit].machines.iter().map(|m| position[*m]).min();
     let mut left: Vec<usize> = (0..problem.units.len()).collect();
-    left.sort_by_key(|unit| (first(unit), *unit));
+    left.sort_by_key(|unit| (first_position(unit), *unit));
     let mut waves = Waves::new();
     while !left.is_empty() {
-        let mut free = problem.limits.clone();
+        let mut available = problem.limits.clone();
         let (wave, rest): (Vec<usize>, Vec<usize>) = left.into_iter().partition(|unit| {
             let limits = &problem.units[*unit].limits;
-            let fits = limits.iter().all(|l| free[*l] > 0);
+            let fits = limits.iter().all(|l| available[*l] > 0);
             if fits {
-                limits.iter().for_each(|l| free[*l] -= 1);
+                limits.iter().for_each(|l| available[*l] -= 1);
             }
             fits
         });
         if wave.is_empty() {
-            // A limit of nothing: the rest could never be moved.
+            // Some limit is 0: the remaining units could never be moved.
             return waves;
         }
         waves.push(wave);
@@ -148,7 +150,8 @@
     waves
 }
 
-/// The wave after which each machine is empty; 0 if nothing is on it.
+/// For each machine the number of the wave after which it is empty, counted from 1; 0 if it is
+/// empty from the start.
 pub fn emptied_after(problem: &Problem, waves: &Waves) -> Vec<usize> {
     let mut after = vec![0; problem.prices.len()];
     for (number, wave) in waves.iter().enumerate() {
@@ -159,17 +162,19 @@
     after
 }
 
-/// What the machines cost until they are empty: the sum of their prices, each times its wave.
+/// The cost of the machines until they are empty: the sum over all machines of the price times the
+/// number of the wave after which the machine is empty.
 pub fn cost(problem: &Problem, waves: &Waves) -> f64 {
     let after = emptied_after(problem, waves);
     after.iter().zip(&problem.prices).map(|(wave, price)| *wave as f64 * price).sum()
 }
 
-/// The better of the greedy order and the solver's, with its waves; how it was found.
-pub fn plan(problem: &Problem, effort: &Effort) -> (Vec<usize>, Waves, Method) {
+/// The better of the greedy order and the solver's order, with its waves and its method. Fewer
+/// waves are better, then lower cost.
+pub fn plan(problem: &Problem, solver_limits: &SolverLimits) -> (Vec<usize>, Waves, Method) {
     let order = greedy(problem);
     let waves = schedule(problem, &order);
-    let Some(solved) = solver::order(problem, waves.len(), effort) else {
+    let Some(solved) = solver::order(problem, waves.len(), solver_limits) else {
         return (order, waves, Method::Greedy);
     };
     let solved_waves = schedule(problem, &solved);
@@ -184,9 +189,9 @@
 /// How an order was found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// By what is on the machines for their price.
+    /// By the number of units per price.
     Greedy,
-    /// By a linear programme.
+    /// By a linear program.
     Solver,
 }
 
--- a/crates/drain/src/waves/solver.rs
+++ b/crates/drain/src/waves/solver.rs
@@ -1,10 +1,11 @@
-//! An order of machines by a linear programme.
+//! Orders machines by the solution of a linear program.
 //!
-//! `empty[m][w]` tells how far machine `m` is empty after wave `w`. It never falls from wave
-//! to wave, and what the machines take of a limit up to a wave is no more than as many times
-//! the limit. What is summed up to be small is what each machine costs while it is not empty.
-//! With whole numbers that is the problem itself, but for units that several limits bound at
-//! once; without, its solution still gives a good order.
+//! The variable `empty[m][w]` is the fraction of machine `m` that is empty after wave `w`. It never
+//! decreases from wave to wave. For each limit and wave, the units moved up to and including that
+//! wave are at most the limit times the number of waves so far. The objective is the cost of the
+//! machines while they are not empty. With integer variables this is the planning problem itself,
+//! except for units that count against several limits at once. With continuous variables (the
+//! relaxation) the solution still gives a good order.
 
 use std::time::Duration;
 
@@ -13,39 +14,42 @@
     Expression, ProblemVariables, Solution, SolverModel, Variable, WithTimeLimit, constraint, variable,
 };
 
-use super::{Problem, loads};
+use super::{Problem, unit_counts};
 
-/// How much a solver may do.
+/// The limits of the solver.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Effort {
-    /// Most variables with whole numbers, and with any.
-    pub whole: usize,
-    /// Most variables with any numbers.
-    pub any: usize,
-    /// Most time.
-    pub time: Duration,
+pub struct SolverLimits {
+    /// The most variables for which integer values are required. Larger problems are relaxed.
+    pub max_integer_variables: usize,
+    /// The most variables in all. Larger problems are not solved.
+    pub max_variables: usize,
+    /// The time limit.
+    pub time_limit: Duration,
 }
 
-impl Effort {
-    /// For an operator who waits for the answer.
-    pub const PLAN: Self = Self { whole: 160, any: 20_000, time: Duration::from_secs(3) };
-    /// For a leader beside all that it does: some milliseconds, once for each drain.
-    pub const LEADER: Self = Self { whole: 0, any: 600, time: Duration::from_millis(20) };
+impl SolverLimits {
+    /// For the `plan` command, where an operator waits for the answer.
+    pub const PLAN: Self =
+        Self { max_integer_variables: 160, max_variables: 20_000, time_limit: Duration::from_secs(3) };
+    /// For the leader, which solves one problem for each drain beside its other work: a few
+    /// milliseconds.
+    pub const LEADER: Self =
+        Self { max_integer_variables: 0, max_variables: 600, time_limit: Duration::from_millis(20) };
 }
 
-/// The machines in the order of a solution; None if it takes more than the effort allows.
-/// `waves`: in how many waves all can be moved.
-pub fn order(problem: &Problem, waves: usize, effort: &Effort) -> Option<Vec<usize>> {
+/// The machines in the order of a solution; None if there is nothing to solve, the problem exceeds
+/// the limits, or the solver fails. `waves`: a number of waves in which all units can be moved.
+pub fn order(problem: &Problem, waves: usize, solver_limits: &SolverLimits) -> Option<Vec<usize>> {
     let machines = problem.prices.len();
     let count = machines * waves.saturating_sub(1);
-    if count == 0 || count > effort.any {
+    if count == 0 || count > solver_limits.max_variables {
         return None;
     }
-    let whole = count <= effort.whole;
+    let is_integer = count <= solver_limits.max_integer_variables;
     let mut variables = ProblemVariables::new();
     let empty: Vec<Vec<Variable>> = (0..machines)
         .map(|_| {
-            let one = || if whole { variable().binary() } else { variable().min(0.0).max(1.0) };
+            let one = || if is_integer { variable().binary() } else { variable().min(0.0).max(1.0) };
             (1..waves).map(|_| variables.add(one())).collect()
         })
         .collect();
@@ -55,7 +59,8 @@
             paid += *price * (1.0 - *after);
         }
     }
-    let mut model = variables.minimise(paid).using(microlp).with_time_limit(effort.time.as_secs_f64());
+    let mut model =
+        variables.minimise(paid).using(microlp).with_time_limit(solver_limits.time_limit.as_secs_f64());
     for of_machine in &empty {
         for pair in of_machine.windows(2) {
             model = model.with(constraint!(pair[0] <= pair[1]));
@@ -70,14 +75,15 @@
         }
     }
     let solution = model.solve().ok()?;
-    let loads = loads(problem);
+    let unit_counts = unit_counts(problem);
     let emptied_at = |m: &usize| empty[*m].iter().map(|v| 1.0 - solution.value(*v)).sum::<f64>();
-    let mut order: Vec<(f64, u32, usize)> = (0..machines).map(|m| (emptied_at(&m), loads[m], m)).collect();
+    let mut order: Vec<(f64, u32, usize)> =
+        (0..machines).map(|m| (emptied_at(&m), unit_counts[m], m)).collect();
     order.sort_by(|a, b| a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2))));
     Some(order.into_iter().map(|(.., machine)| machine).collect())
 }
 
-/// How many units of a limit each machine takes that takes any.
+/// The machines with units that count against a limit, each with their number.
 fn taken(problem: &Problem, limit: usize) -> Vec<(usize, f64)> {
     let mut taken = vec![0.0; problem.prices.len()];
     for unit in problem.units.iter().filter(|u| u.limits.contains(&limit)) {
--- a/crates/drain/tests/state_machine.rs
+++ b/crates/drain/tests/state_machine.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use drain::budget::{Budgets, Ledger, TeamBudget, UnitId};
-use drain::step::{self, Decision, Drain, FindRoom, Limits, Move};
-use drain::view::{self, ByRecords, ObservedTasks, Running};
+use drain::step::{self, Decision, Drain, FindCapacity, Limits, Move};
+use drain::view::{self, AssumeRunning, ObservedTasks, Running};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -63,7 +63,7 @@
     /// A leader reads the records and hears what runs.
     Read(usize),
     /// It does so and decides a step of its drains.
-    Look(usize),
+    DecideStep(usize),
     /// What it has decided is committed, if it still may be.
     Commit(usize),
     /// It takes off what runs again.
@@ -92,7 +92,7 @@
     let (leader, machine, service) = (0..LEADERS, 0..MACHINES.len(), 0..SERVICES.len());
     prop_oneof![
         3 => leader.clone().prop_map(Op::Read),
-        6 => leader.clone().prop_map(Op::Look),
+        6 => leader.clone().prop_map(Op::DecideStep),
         6 => leader.clone().prop_map(Op::Commit),
         5 => leader.clone().prop_map(Op::Settle),
         2 => (leader.clone(), service).prop_map(|(l, s)| Op::Evict(l, s)),
@@ -131,7 +131,7 @@
 /// There is always room: what bounds a drain here are its budgets.
 struct Everywhere;
 
-impl FindRoom for Everywhere {
+impl FindCapacity for Everywhere {
     fn find(&mut self, _: &UnitId) -> Option<Vec<Name>> {
         Some(Vec::new())
     }
@@ -157,7 +157,7 @@
 
 #[derive(Default)]
 struct Leader {
-    world: Replica,
+    replica: Replica,
     seen: usize,
     observed: ObservedTasks,
     stops: Vec<Stop>,
@@ -236,7 +236,7 @@
         }
         let leader = &mut self.leaders[n];
         for (change, version) in &self.log[leader.seen..] {
-            leader.world.apply(change.clone(), *version);
+            leader.replica.apply(change.clone(), *version);
         }
         leader.seen = self.log.len();
         leader.observed = observed;
@@ -244,7 +244,7 @@
 
     fn ledger<'a>(
         &'a self,
-        world: &Replica,
+        replica: &Replica,
         jobs: &[(&String, &JobRecord)],
         running: &impl Running,
     ) -> Ledger<'a> {
@@ -252,23 +252,28 @@
             let health = jobs.iter().filter_map(|(id, job)| view::health(id, job, running));
             return Ledger::new(&self.budgets, health, [], 99);
         }
-        view::ledger(world, jobs, &self.budgets, running, str::to_owned, 99)
+        view::ledger(replica, jobs, &self.budgets, running, str::to_owned, 99)
     }
 
     fn decide(&mut self, n: usize) {
         let leader = &self.leaders[n];
-        let drains = view::active_drains(&leader.world, &self.budgets, &view::Orders::default());
-        let jobs = view::services_concerned(&leader.world, &drains, &self.budgets);
-        let limits = Limits { moves: 9, room_attempt: Duration::from_secs(60), paused: None, now_ms: 2000 };
+        let drains = view::active_drains(&leader.replica, &self.budgets, &view::Orders::default());
+        let jobs = view::affected_services(&leader.replica, &drains, &self.budgets);
+        let limits = Limits {
+            moves: 9,
+            capacity_attempt_timeout: Duration::from_secs(60),
+            paused: None,
+            now_ms: 2000,
+        };
         let mut ledger = match self.without {
-            Without::ObserveRunning => self.ledger(&leader.world, &jobs, &ByRecords),
-            _ => self.ledger(&leader.world, &jobs, &leader.observed),
+            Without::ObserveRunning => self.ledger(&leader.replica, &jobs, &AssumeRunning),
+            _ => self.ledger(&leader.replica, &jobs, &leader.observed),
         };
         let Decision { moves, .. } = step::decide(&drains, &mut ledger, &mut Everywhere, &limits);
-        let world = &leader.world;
+        let replica = &leader.replica;
         let stops = moves.iter().filter_map(|m: &Move| {
             let by = DisruptionCause::Drain(m.drain.clone());
-            stop(world, &m.unit.id, by)
+            stop(replica, &m.unit.id, by)
         });
         let stops = stops.collect();
         self.leaders[n].stops = stops;
@@ -278,15 +283,15 @@
     fn evict(&mut self, n: usize, service: usize) {
         let (id, replicas) = SERVICES[service];
         let leader = &self.leaders[n];
-        let Some((id, job)) = leader.world.open_jobs().find(|(job, _)| *job == id) else { return };
+        let Some((id, job)) = leader.replica.open_jobs().find(|(job, _)| *job == id) else { return };
         if job.assignments.len() < replicas as usize || job.assignments.iter().any(|a| !job.should_run(a)) {
             return;
         }
-        let jobs: Vec<_> = leader.world.open_jobs().collect();
+        let jobs: Vec<_> = leader.replica.open_jobs().collect();
         let unit = UnitId { job: id.as_str().into(), task: 0 };
-        let ledger = self.ledger(&leader.world, &jobs, &ByRecords);
+        let ledger = self.ledger(&leader.replica, &jobs, &AssumeRunning);
         if ledger.check(TEAM, &unit).is_ok() {
-            let stop = stop(&leader.world, &unit, DisruptionCause::Rescheduler);
+            let stop = stop(&leader.replica, &unit, DisruptionCause::Rescheduler);
             self.leaders[n].stops.extend(stop);
         }
     }
@@ -323,14 +328,14 @@
 
     fn settle(&mut self, n: usize) {
         let leader = &self.leaders[n];
-        let Some(known) = leader.world.drains.disruptions.get(TEAM) else { return };
+        let Some(known) = leader.replica.drains.disruptions.get(TEAM) else { return };
         let version = self.store.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
         if version != known.version && self.without != Without::TeamCondition {
             return;
         }
         let settled = |d: &Disruption| match self.without {
-            Without::SettleByRunning => view::is_settled(&leader.world, d, &ByRecords),
-            _ => view::is_settled(&leader.world, d, &leader.observed),
+            Without::SettleByRunning => view::is_resolved(&leader.replica, d, &AssumeRunning),
+            _ => view::is_resolved(&leader.replica, d, &leader.observed),
         };
         let open: Vec<Disruption> = known.value.open.iter().filter(|d| !settled(d)).cloned().collect();
         if open.len() < known.value.open.len() {
@@ -339,8 +344,8 @@
     }
 
     fn choose(&mut self, n: usize) {
-        let world = &self.leaders[n].world;
-        let mut inventory = placement::Inventory::new(world, |_| true);
+        let replica = &self.leaders[n].replica;
+        let mut inventory = placement::Inventory::new(replica, |_| true);
         let limits = placement::Limits {
             max_tasks: 9,
             task_window: 99,
@@ -349,12 +354,12 @@
             now_ms: 2000,
         };
         let mut chosen = Vec::new();
-        for (id, known) in &world.jobs {
+        for (id, known) in &replica.jobs {
             let mut job = known.value.clone();
             let team = test_records::team(TEAM);
-            let placed = placement::place(world, &mut inventory, &mut job, &team, |_| true, limits);
+            let placed = placement::place(replica, &mut inventory, &mut job, &team, |_| true, limits);
             if !placed.is_empty() {
-                let (job_version, fence) = (known.version, world.drains.fence);
+                let (job_version, fence) = (known.version, replica.drains.fence);
                 chosen.push(Placement { job, id: id.clone(), job_version, fence });
             }
         }
@@ -453,16 +458,16 @@
 }
 
 /// A stop as a leader with these records would commit it.
-fn stop(world: &Replica, unit: &UnitId, by: DisruptionCause) -> Option<Stop> {
-    let known = world.jobs.get(&*unit.job)?;
+fn stop(replica: &Replica, unit: &UnitId, by: DisruptionCause) -> Option<Stop> {
+    let known = replica.jobs.get(&*unit.job)?;
     let mut job = known.value.clone();
     let attempt = view::attempt_of(&job, unit)?;
     sched::spot_notice::mark_to_stop(&mut job, unit.task);
-    let mut open = world.drains.open_disruptions(TEAM).to_vec();
+    let mut open = replica.drains.open_disruptions(TEAM).to_vec();
     let disruption =
         Disruption { job: unit.job.clone(), task: unit.task, attempt, cause: by.clone(), since_ms: 0 };
     open.push(disruption);
-    let team_version = world.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
+    let team_version = replica.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
     Some(Stop { unit: unit.clone(), by, job, job_version: known.version, team_version, open })
 }
 
@@ -477,7 +482,7 @@
     fn apply(mut site: Site, _: &Without, op: Op) -> Site {
         match op {
             Op::Read(n) => site.read(n),
-            Op::Look(n) => {
+            Op::DecideStep(n) => {
                 site.read(n);
                 site.decide(n);
             }
@@ -571,7 +576,7 @@
     }
     site.read(0);
     let drains: Vec<Drain> =
-        view::active_drains(&site.leaders[0].world, &site.budgets, &view::Orders::default());
+        view::active_drains(&site.leaders[0].replica, &site.budgets, &view::Orders::default());
     assert_eq!(drains.len(), 2);
     site.decide(0);
     assert_eq!(site.leaders[0].stops.len(), TEAM_BUDGET as usize, "of different services");
--- a/crates/drain/tests/unit/budget.rs
+++ b/crates/drain/tests/unit/budget.rs
@@ -22,7 +22,7 @@
 fn failures_use_up_the_budget_too() {
     let budgets = budgets(None);
     let ledger = Ledger::new(&budgets, [service("j-1", 3, &[0, 1], false)], [], 9);
-    assert_eq!(ledger.check("t", &unit("j-1", 0)), Err(Refusal::Service));
+    assert_eq!(ledger.check("t", &unit("j-1", 0)), Err(BudgetExceeded::Service));
     // The one that is down already takes nobody else down.
     assert_eq!(ledger.check("t", &unit("j-1", 2)), Ok(()));
 }
@@ -33,10 +33,10 @@
     let services = ["j-1", "j-2", "j-3"].map(|job| service(job, 2, &[0, 1], false));
     let mut ledger = Ledger::new(&budgets, services, [], 9);
     ledger.debit("t", &unit("j-1", 0));
-    assert_eq!(ledger.check("t", &unit("j-1", 1)), Err(Refusal::Service));
+    assert_eq!(ledger.check("t", &unit("j-1", 1)), Err(BudgetExceeded::Service));
     assert_eq!(ledger.check("t", &unit("j-2", 1)), Ok(()));
     ledger.debit("t", &unit("j-2", 1));
-    assert_eq!(ledger.check("t", &unit("j-3", 0)), Err(Refusal::Team));
+    assert_eq!(ledger.check("t", &unit("j-3", 0)), Err(BudgetExceeded::Team));
 }
 
 #[test]
@@ -45,7 +45,7 @@
     let services = ["j-1", "j-2"].map(|job| service(job, 1, &[0], false));
     let open = disruption("j-1", 0);
     let ledger = Ledger::new(&budgets, services, [("t", &open)], 9);
-    assert_eq!(ledger.check("t", &unit("j-2", 0)), Err(Refusal::Team));
+    assert_eq!(ledger.check("t", &unit("j-2", 0)), Err(BudgetExceeded::Team));
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let new = service("j-1", 4, &[], true);
     let ledger = Ledger::new(&budgets, [new, service("j-2", 2, &[0, 1], false)], [], 9);
     assert_eq!(ledger.check("t", &unit("j-2", 0)), Ok(()));
-    assert_eq!(ledger.check("t", &unit("j-1", 0)), Err(Refusal::Service));
+    assert_eq!(ledger.check("t", &unit("j-1", 0)), Err(BudgetExceeded::Service));
 }
 
 #[test]
@@ -68,5 +68,5 @@
     let budgets = budgets(None);
     let open = disruption("j-9", 0);
     let ledger = Ledger::new(&budgets, [service("j-1", 2, &[0, 1], false)], [("t", &open)], 1);
-    assert_eq!(ledger.check("t", &unit("j-1", 0)), Err(Refusal::Team));
+    assert_eq!(ledger.check("t", &unit("j-1", 0)), Err(BudgetExceeded::Team));
 }
--- a/crates/drain/tests/unit/lifecycle.rs
+++ b/crates/drain/tests/unit/lifecycle.rs
@@ -5,7 +5,7 @@
 const ATTEMPT: Duration = Duration::from_secs(60);
 
 fn missing(record: &mut DrainRecord, now_ms: u64) {
-    apply(record, Event::RoomMissing { attempt: ATTEMPT }, now_ms).expect("active");
+    apply(record, Event::CapacityMissing { attempt: ATTEMPT }, now_ms).expect("active");
 }
 
 #[test]
@@ -14,7 +14,7 @@
     let (mut now, mut pauses) = (1000, Vec::new());
     while record.is_active() {
         missing(&mut record, now);
-        if !wants_room(&record, now) && record.is_active() {
+        if !is_seeking_capacity(&record, now) && record.is_active() {
             pauses.push((record.capacity_search.since_ms - now) / 1000);
             now = record.capacity_search.since_ms;
         }
@@ -47,10 +47,10 @@
     };
     let mut record = DrainRecord { give_up_ms: 5000, ..drain_record(1) };
     for (job, now, since) in [("j-1", 1000, 1000), ("j-1", 4000, 1000), ("j-2", 5000, 5000)] {
-        apply(&mut record, Event::Waits(Some(obstacle(job))), now).expect("active");
+        apply(&mut record, Event::ObstacleObserved(Some(obstacle(job))), now).expect("active");
         assert_eq!(record.obstacle.as_ref().map(|o| o.since_ms), Some(since));
     }
-    apply(&mut record, Event::Waits(Some(obstacle("j-2"))), 10_000).expect("active");
+    apply(&mut record, Event::ObstacleObserved(Some(obstacle("j-2"))), 10_000).expect("active");
     assert_eq!(record.phase, DrainPhase::Closing(DrainEnd::GaveUp));
     assert!(record.obstacle.is_some(), "it tells why");
 }
--- a/crates/drain/tests/unit/step.rs
+++ b/crates/drain/tests/unit/step.rs
@@ -5,14 +5,14 @@
 /// So many places, for whatever it is.
 struct Places(u32);
 
-impl FindRoom for Places {
+impl FindCapacity for Places {
     fn find(&mut self, _unit: &UnitId) -> Option<Vec<Name>> {
         self.0 = self.0.checked_sub(1)?;
         Some(vec!["room".into()])
     }
 }
 
-fn unit(job: &str, task: u32, work: Work) -> Unit {
+fn unit(job: &str, task: u32, work: WorkKind) -> Unit {
     let id = UnitId { job: job.into(), task };
     Unit { id, team: "t".into(), work, stopping: false }
 }
@@ -24,7 +24,7 @@
 }
 
 fn limits(moves: usize, now_ms: u64) -> Limits {
-    Limits { moves, room_attempt: Duration::from_secs(60), paused: None, now_ms }
+    Limits { moves, capacity_attempt_timeout: Duration::from_secs(60), paused: None, now_ms }
 }
 
 /// Services of two replicas each, all of them up.
@@ -43,60 +43,60 @@
     decision.moves.iter().map(|m| (&*m.unit.id.job, m.unit.id.task)).collect()
 }
 
-fn waits_for(decision: &Decision, drain: &str) -> Option<ObstacleKind> {
+fn obstacle_kind(decision: &Decision, drain: &str) -> Option<ObstacleKind> {
     let record = decision.records.iter().find(|(name, _)| name == drain)?;
     record.1.obstacle.as_ref().map(|o| o.kind)
 }
 
 #[test]
 fn two_drains_share_a_services_budget() {
-    let replica = |task| unit("j-1", task, Work::Replica);
+    let replica = |task| unit("j-1", task, WorkKind::Replica);
     let drains =
         [drain("d-1", vec![("m-1", vec![replica(0)])]), drain("d-2", vec![("m-2", vec![replica(1)])])];
     let budgets = Budgets::default();
     let decision = decide(&drains, &mut ledger(&budgets, &["j-1"]), &mut Places(9), &limits(9, 1000));
     assert_eq!(moved(&decision), [("j-1", 0)]);
-    assert_eq!(waits_for(&decision, "d-2"), Some(ObstacleKind::ServiceBudget));
+    assert_eq!(obstacle_kind(&decision, "d-2"), Some(ObstacleKind::ServiceBudget));
 }
 
 #[test]
 fn nothing_is_stopped_without_room() {
     let drains =
-        [drain("d", vec![("m", vec![unit("j-1", 0, Work::Replica), unit("j-2", 0, Work::Replica)])])];
+        [drain("d", vec![("m", vec![unit("j-1", 0, WorkKind::Replica), unit("j-2", 0, WorkKind::Replica)])])];
     let budgets = Budgets::default();
     let mut ledger = ledger(&budgets, &["j-1", "j-2"]);
     let decision = decide(&drains, &mut ledger, &mut Places(0), &limits(9, 1000));
     assert!(decision.moves.is_empty());
-    assert_eq!(waits_for(&decision, "d"), Some(ObstacleKind::NoCapacity));
+    assert_eq!(obstacle_kind(&decision, "d"), Some(ObstacleKind::NoCapacity));
     // It is asked for from the next step on, and not in the pause between two attempts.
     let mut again = drains.clone();
     again[0].record = decision.records[0].1.clone();
     let decision = decide(&again, &mut ledger, &mut Places(0), &limits(9, 2000));
-    assert_eq!(decision.wants_room, ["m".into()]);
+    assert_eq!(decision.machines_awaiting_capacity, ["m".into()]);
     again[0].record.capacity_search = sched::drain_records::CapacitySearch { failed: 1, since_ms: 9000 };
     let decision = decide(&again, &mut ledger, &mut Places(0), &limits(9, 2000));
-    assert!(decision.wants_room.is_empty());
+    assert!(decision.machines_awaiting_capacity.is_empty());
 }
 
 #[test]
 fn work_that_cannot_save_has_the_operators_patience() {
-    let mut drains = [drain("d", vec![("m", vec![unit("j-1", 0, Work::Unsaved)])])];
+    let mut drains = [drain("d", vec![("m", vec![unit("j-1", 0, WorkKind::Unsaved)])])];
     let budgets = Budgets::default();
-    let look =
+    let decide_at =
         |drains: &[Drain], now| decide(drains, &mut ledger(&budgets, &[]), &mut Places(9), &limits(9, now));
-    let decision = look(&drains, 5000);
+    let decision = decide_at(&drains, 5000);
     assert!(decision.moves.is_empty() && decision.records[0].1.is_active());
-    let decision = look(&drains, 11_000);
+    let decision = decide_at(&drains, 11_000);
     let ended = sched::drain_records::DrainPhase::Closing(sched::drain_records::DrainEnd::WorkLeft);
     assert!(decision.moves.is_empty() && decision.records[0].1.phase == ended);
     drains[0].record.unsaved = UnsavedWork::Stop;
-    assert_eq!(moved(&look(&drains, 11_000)), [("j-1", 0)]);
-    assert!(look(&drains, 10_999).moves.is_empty());
+    assert_eq!(moved(&decide_at(&drains, 11_000)), [("j-1", 0)]);
+    assert!(decide_at(&drains, 10_999).moves.is_empty());
 }
 
 #[test]
 fn a_gang_on_two_machines_is_stopped_once() {
-    let gang = || unit("j-1", 0, Work::Saving);
+    let gang = || unit("j-1", 0, WorkKind::Checkpointing);
     let drains = [drain("d", vec![("m-1", vec![gang()]), ("m-2", vec![gang()])])];
     let budgets = Budgets::default();
     let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut Places(9), &limits(9, 1000));
@@ -105,7 +105,7 @@
 
 #[test]
 fn nothing_is_stopped_while_a_controller_knows_no_drains() {
-    let drains = [drain("d", vec![("m", vec![unit("j-1", 0, Work::Replica)])])];
+    let drains = [drain("d", vec![("m", vec![unit("j-1", 0, WorkKind::Replica)])])];
     let paused = Obstacle {
         kind: ObstacleKind::OldController,
         team: String::new(),
@@ -117,12 +117,12 @@
     let limits = Limits { paused: Some(paused), ..limits(9, 1000) };
     let decision = decide(&drains, &mut ledger(&budgets, &["j-1"]), &mut Places(9), &limits);
     assert!(decision.moves.is_empty());
-    assert_eq!(waits_for(&decision, "d"), Some(ObstacleKind::OldController));
+    assert_eq!(obstacle_kind(&decision, "d"), Some(ObstacleKind::OldController));
 }
 
 #[test]
 fn each_drain_has_its_part_and_ends_when_its_machines_are_gone() {
-    let units = |job: &str| (0..4).map(|t| unit(job, t, Work::Saving)).collect();
+    let units = |job: &str| (0..4).map(|t| unit(job, t, WorkKind::Checkpointing)).collect();
     let drains = [drain("d-1", vec![("m-1", units("j-1"))]), drain("d-2", vec![("m-2", units("j-2"))])];
     let budgets = Budgets::default();
     let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut Places(9), &limits(4, 1000));
--- a/crates/drain/tests/unit/waves.rs
+++ b/crates/drain/tests/unit/waves.rs
@@ -1,11 +1,12 @@
 use super::*;
 use std::time::Duration;
 
-const EFFORT: Effort = Effort { time: Duration::from_secs(20), ..Effort::PLAN };
+const SOLVER_LIMITS: SolverLimits =
+    SolverLimits { time_limit: Duration::from_secs(20), ..SolverLimits::PLAN };
 
 /// Machines by their prices, and the services whose replicas are on each.
 fn site(machines: &[(f64, &[usize])], budgets: &[u32]) -> Problem {
-    let mut problem = Problem { limits: vec![MOVES_IN_A_WAVE], ..Problem::default() };
+    let mut problem = Problem { limits: vec![MAX_MOVES_PER_WAVE], ..Problem::default() };
     problem.limits.extend(budgets);
     for (i, (price, services)) in machines.iter().enumerate() {
         problem.prices.push(*price);
@@ -39,7 +40,7 @@
     // that it can be emptied beside the others.
     let problem = site(&[(3.0, &[0, 0, 0]), (1.0, &[1, 0]), (1.0, &[1, 0]), (1.0, &[1, 0])], &[1, 3]);
     let greedy_cost = cost(&problem, &schedule(&problem, &greedy(&problem)));
-    let (_, waves, _) = plan(&problem, &EFFORT);
+    let (_, waves, _) = plan(&problem, &SOLVER_LIMITS);
     let best = best_by_trying_all(&problem);
     assert!(cost(&problem, &waves) <= greedy_cost);
     assert!(
@@ -73,7 +74,7 @@
     let services: Vec<usize> = (0..50).collect();
     let machines: Vec<(f64, &[usize])> = (0..200).map(|_| (1.0, services.as_slice())).collect();
     let problem = site(&machines, &[1; 50]);
-    let (_, waves, method) = plan(&problem, &EFFORT);
+    let (_, waves, method) = plan(&problem, &SOLVER_LIMITS);
     assert_eq!((waves.len(), method), (200, Method::Greedy));
 }
 
@@ -82,5 +83,5 @@
     let problem = site(&[(1.0, &[0])], &[0]);
     assert!(schedule(&problem, &[0]).is_empty());
     let nothing = site(&[], &[]);
-    assert_eq!(plan(&nothing, &EFFORT).1, Waves::new());
+    assert_eq!(plan(&nothing, &SOLVER_LIMITS).1, Waves::new());
 }
