--- a/crates/drain/examples/measure.rs
+++ b/crates/drain/examples/measure.rs
@@ -1,6 +1,7 @@
-//! How long drains take, what they cost, and what the solver's order is worth, on simulated
-//! fleets: `cargo run --release -p sageloom-drain --example measure`. The decisions are those
-//! of the product; machines, rentals and the state service's rate are simulated.
+//! Measures on simulated fleets how long drains take, what they cost, and how much the solver
+//! improves the order of machines: `cargo run --release -p sageloom-drain --example measure`. The
+//! decisions are those of the product; machines, rentals and the rate limit of the key-value store
+//! are simulated.
 
 #[path = "../tests/unit/site.rs"]
 mod site;
@@ -21,23 +22,25 @@
 use sched::replica::{RecordChange, Replica};
 use wire::JobKind;
 
-/// Replicas of a service, and how many of a machine's four places are in use.
+/// The replicas of each service.
 const REPLICAS: u32 = 4;
-const USED: usize = 3;
-/// A step of the drains' duty, and how long what happens takes, in milliseconds.
+/// The replicas on each machine, which has capacity for four.
+const REPLICAS_PER_MACHINE: usize = 3;
+/// The time between two steps of the drains, and how long a stopped task takes to exit and a rented
+/// machine to boot, in milliseconds.
 const STEP_MS: u64 = 500;
 const EXIT_MS: u64 = 1500;
 const BOOT_MS: u64 = 30_000;
-/// Changes that the state service takes a second, and most of a transaction.
-const CHANGES_A_SECOND: f64 = 30.0;
+/// The changes per second that the key-value store accepts, and the most in one transaction.
+const CHANGES_PER_SECOND: f64 = 30.0;
 const TXN_OPS: usize = 16;
-/// No drain here takes longer.
-const MOST_MS: u64 = 4 * 3600 * 1000;
+/// A simulation ends after this time at the latest.
+const MAX_DURATION_MS: u64 = 4 * 3600 * 1000;
 
-/// Numbers that look like any, the same in every run.
-struct Numbers(u64);
+/// A pseudo-random number generator that returns the same numbers in every run.
+struct RandomNumbers(u64);
 
-impl Numbers {
+impl RandomNumbers {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % n
@@ -48,37 +51,38 @@
     format!("host-{i:06}")
 }
 
-/// A fleet whose services are spread over it at random.
-fn fleet(machines: usize, numbers: &mut Numbers) -> Replica {
+/// A fleet with the replicas of its services on randomly drawn machines.
+fn fleet(machines: usize, numbers: &mut RandomNumbers) -> Replica {
     let names: Vec<String> = (0..machines).map(machine_name).collect();
     let named: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
     let mut replica = site::replica_with_machines(&named);
-    let mut places: Vec<usize> = (0..machines).flat_map(|m| [m; USED]).collect();
+    let mut slots: Vec<usize> = (0..machines).flat_map(|m| [m; REPLICAS_PER_MACHINE]).collect();
     let mut service = 0;
-    while places.len() >= REPLICAS as usize {
-        let mut draw = || places.swap_remove(numbers.below(places.len() as u64) as usize);
+    while slots.len() >= REPLICAS as usize {
+        let mut draw = || slots.swap_remove(numbers.below(slots.len() as u64) as usize);
         let on: Vec<usize> = (0..REPLICAS).map(|_| draw()).collect();
         let mut spec = site::spec(&format!("j-{service}"), JobKind::Service, REPLICAS);
         spec.team = format!("t{}", service % 4);
         let run: Vec<(u32, &str)> =
             on.iter().enumerate().map(|(t, m)| (t as u32, names[*m].as_str())).collect();
-        site::add(&mut replica, spec, &run);
+        site::add_job(&mut replica, spec, &run);
         service += 1;
     }
     replica
 }
 
-/// What a drain came to.
+/// The outcome of a drain.
 #[derive(Default)]
 struct Outcome {
     seconds: f64,
     moves: usize,
     changes: usize,
     lost_replica_s: f64,
-    /// Most replicas of one service down at a time, and seconds with all of one down.
-    worst: usize,
-    dark_s: f64,
-    /// Machine hours beyond those of the fleet before.
+    /// The most replicas of one service that were down at the same time.
+    max_replicas_down: usize,
+    /// Seconds in which all replicas of some service were down.
+    service_down_s: f64,
+    /// Machine hours beyond those of the fleet before the drain.
     extra_machine_h: f64,
     /// Processor time of the longest step.
     longest_step: Duration,
@@ -89,20 +93,22 @@
     version: u64,
     now: u64,
     running: BTreeSet<(String, u32, u64)>,
-    /// When stopped tasks exit, and when starting ones run.
+    /// When stopped tasks exit, by job and task.
     exits: BTreeMap<(String, u32), u64>,
+    /// The attempts of starting tasks, and when they run, by job and task.
     starts: BTreeMap<(String, u32), (u64, u64)>,
     down_since: BTreeMap<(String, u32), u64>,
+    /// When rented machines will have booted.
     boots: Vec<u64>,
     rented: usize,
     changes: f64,
-    numbers: Numbers,
+    numbers: RandomNumbers,
     outcome: Outcome,
 }
 
 impl Simulation {
     fn new(machines: usize, drained: usize) -> Self {
-        let mut numbers = Numbers(26);
+        let mut numbers = RandomNumbers(26);
         let mut replica = fleet(machines, &mut numbers);
         let names: Vec<String> = (0..drained).map(machine_name).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -121,7 +127,7 @@
             down_since: BTreeMap::new(),
             boots: Vec::new(),
             rented: machines,
-            changes: CHANGES_A_SECOND,
+            changes: CHANGES_PER_SECOND,
             numbers,
             outcome: Outcome::default(),
         }
@@ -144,8 +150,8 @@
         observed
     }
 
-    /// What machines do: tasks exit, start and run; rented machines boot.
-    fn machines_go_on(&mut self, inventory: &mut Inventory) {
+    /// Simulates the machines up to now: tasks exit, start and run, and rented machines boot.
+    fn advance_machines(&mut self, inventory: &mut Inventory) {
         let due: Vec<(String, u32)> =
             self.exits.iter().filter(|(_, at)| **at <= self.now).map(|(k, _)| k.clone()).collect();
         for (id, task) in due {
@@ -195,7 +201,7 @@
         }
     }
 
-    fn settle(&mut self) {
+    fn close_disruptions(&mut self) {
         let observed = self.observed();
         let teams: Vec<String> = self.replica.drains.disruptions.keys().cloned().collect();
         for team in teams {
@@ -219,7 +225,7 @@
         let mut open = self.replica.drains.open_disruptions(&team).to_vec();
         let by = DisruptionCause::Drain("d".into());
         open.push(Disruption { job: m.unit.id.job.clone(), task, attempt, cause: by, since_ms: self.now });
-        // The team's and the drain's records are one change each for a whole transaction.
+        // The records of the team and the drain count once for the whole transaction, in `step`.
         self.replica.apply(RecordChange::Disruptions(team, Some(DisruptionRecord { open })), self.version);
         self.running.remove(&(id.clone(), task, attempt));
         self.exits.insert((id.clone(), task), self.now + EXIT_MS);
@@ -227,12 +233,13 @@
         self.outcome.moves += 1;
     }
 
-    /// One step of the duty; false once the drain is over.
+    /// Takes one step of the drain. Returns false once the drain is over.
     fn step(&mut self, budgets: &Budgets, inventory: &mut Inventory) -> bool {
-        // Rounds keep the inventory up to date, and owners tell of few jobs only.
+        // Not counted into the time of a step: in the product the scheduling cycles keep the inventory
+        // up to date, and only the running tasks of a few jobs are observed.
         inventory.refresh(&mut self.replica, |_, _| true);
         let observed = self.observed();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let drains = view::active_drains(&self.replica, budgets, &view::Orders::default());
         let services = view::affected_services(&self.replica, &drains, budgets);
         let mut ledger = view::ledger(&self.replica, &services, budgets, &observed, str::to_owned, 90);
@@ -254,7 +261,7 @@
         };
         let decision = step::decide(&drains, &mut ledger, &mut capacity, &limits);
         inventory.roll_back();
-        self.outcome.longest_step = self.outcome.longest_step.max(begun.elapsed());
+        self.outcome.longest_step = self.outcome.longest_step.max(started_at.elapsed());
         if !decision.moves.is_empty() {
             decision.moves.iter().for_each(|m| self.stop(m));
             self.changes -= 2.0;
@@ -277,13 +284,13 @@
         true
     }
 
-    fn give_back(&mut self) {
+    fn release_empty_machines(&mut self) {
         let empty: Vec<Name> = view::remaining_machines(&self.replica, "d")
             .into_iter()
             .filter(|m| !self.replica.jobs_by_machine.contains_key(m))
             .collect();
         for machine in empty {
-            // Noted as empty, marked, given back.
+            // Recorded as empty, marked for release, and deleted: two changes beside the deletion.
             self.changes -= 2.0;
             self.outcome.changes += 2;
             let mut cordon = self.replica.drains.cordons[&("d".to_owned(), 0)].value.clone();
@@ -293,54 +300,55 @@
         }
     }
 
-    fn run(mut self, before: usize, budgets: &Budgets) -> Outcome {
+    fn run(mut self, machines_before: usize, budgets: &Budgets) -> Outcome {
         let mut inventory = Inventory::new(&self.replica, |_| true);
-        let mut over = None;
-        while self.now < MOST_MS && (over.is_none() || !self.down_since.is_empty()) {
+        let mut ended_at = None;
+        while self.now < MAX_DURATION_MS && (ended_at.is_none() || !self.down_since.is_empty()) {
             self.now += STEP_MS;
-            self.changes = (self.changes + CHANGES_A_SECOND * STEP_MS as f64 / 1000.0).min(CHANGES_A_SECOND);
-            self.machines_go_on(&mut inventory);
-            self.settle();
-            self.give_back();
-            if over.is_none() && !self.step(budgets, &mut inventory) {
-                over = Some(self.now);
+            self.changes =
+                (self.changes + CHANGES_PER_SECOND * STEP_MS as f64 / 1000.0).min(CHANGES_PER_SECOND);
+            self.advance_machines(&mut inventory);
+            self.close_disruptions();
+            self.release_empty_machines();
+            if ended_at.is_none() && !self.step(budgets, &mut inventory) {
+                ended_at = Some(self.now);
             }
             let mut down: BTreeMap<&str, usize> = BTreeMap::new();
             self.down_since.keys().for_each(|(job, _)| *down.entry(job).or_default() += 1);
-            let worst = down.values().copied().max().unwrap_or(0);
-            self.outcome.worst = self.outcome.worst.max(worst);
-            if worst >= REPLICAS as usize {
-                self.outcome.dark_s += STEP_MS as f64 / 1000.0;
+            let replicas_down = down.values().copied().max().unwrap_or(0);
+            self.outcome.max_replicas_down = self.outcome.max_replicas_down.max(replicas_down);
+            if replicas_down >= REPLICAS as usize {
+                self.outcome.service_down_s += STEP_MS as f64 / 1000.0;
             }
-            let extra = (self.replica.machines.len() + self.boots.len()).saturating_sub(before);
+            let extra = (self.replica.machines.len() + self.boots.len()).saturating_sub(machines_before);
             self.outcome.extra_machine_h += extra as f64 * STEP_MS as f64 / 3.6e6;
         }
-        self.outcome.seconds = (over.unwrap_or(self.now) - 1000) as f64 / 1000.0;
+        self.outcome.seconds = (ended_at.unwrap_or(self.now) - 1000) as f64 / 1000.0;
         self.outcome
     }
 }
 
-fn drains() {
+fn measure_drains() {
     println!(
-        "| fleet | drained | how | s | moves | changes | worst of a service | dark s | lost replica s | extra machine h | longest step |"
+        "| fleet | drained | scenario | s | moves | changes | max replicas of a service down | service down s | lost replica s | extra machine h | longest step |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let one = (0..4).map(|t| (format!("t{t}"), TeamBudget::Count(1))).collect();
-    let ways = [
-        ("budget of one a service", Budgets::default()),
-        ("one of a team at a time", Budgets { per_service: 1, teams: one }),
+    let one_per_team = (0..4).map(|t| (format!("t{t}"), TeamBudget::Count(1))).collect();
+    let scenarios = [
+        ("budget of one per service", Budgets::default()),
+        ("budget of one per team", Budgets { per_service: 1, teams: one_per_team }),
         ("all at once", Budgets { per_service: u32::MAX, teams: BTreeMap::new() }),
     ];
     for (machines, drained) in [(20, 1), (20, 5), (20, 20), (1000, 50), (4000, 200)] {
-        for (how, budgets) in &ways {
+        for (scenario, budgets) in &scenarios {
             let o = Simulation::new(machines, drained).run(machines, budgets);
             println!(
-                "| {machines} | {drained} | {how} | {:.0} | {} | {} | {} | {:.0} | {:.0} | {:.2} | {:.1} ms |",
+                "| {machines} | {drained} | {scenario} | {:.0} | {} | {} | {} | {:.0} | {:.0} | {:.2} | {:.1} ms |",
                 o.seconds,
                 o.moves,
                 o.changes,
-                o.worst,
-                o.dark_s,
+                o.max_replicas_down,
+                o.service_down_s,
                 o.lost_replica_s,
                 o.extra_machine_h,
                 o.longest_step.as_secs_f64() * 1000.0
@@ -349,15 +357,15 @@
     }
 }
 
-fn orders() {
+fn measure_orders() {
     println!();
     println!(
         "| machines drained | services on them | units | greedy: waves, cost, time | solver: waves, cost, time |"
     );
     println!("| --- | --- | --- | --- | --- |");
     for drained in [5, 10, 20, 50, 200, 1000, 4000] {
-        let mut numbers = Numbers(7 + drained as u64);
-        // Few services on many machines: the order matters where machines share them.
+        let mut numbers = RandomNumbers(7 + drained as u64);
+        // Few services on many machines: the order matters only where machines share services.
         let services = (drained as u64 / 2).max(3);
         let names: Vec<String> = (0..drained).map(machine_name).collect();
         let named: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
@@ -372,7 +380,7 @@
             let spec = site::spec(&format!("j-{service}"), JobKind::Service, on.len() as u32);
             let run: Vec<(u32, &str)> =
                 on.iter().enumerate().map(|(t, m)| (t as u32, names[*m].as_str())).collect();
-            site::add(&mut replica, spec, &run);
+            site::add_job(&mut replica, spec, &run);
         }
         let machine = |n: &String| Machine { units: view::units_on(&replica, n), name: n.as_str().into() };
         let machines: Vec<Machine> = names.iter().map(machine).collect();
@@ -390,7 +398,7 @@
                 let cost = waves::cost(&problem, &solved);
                 format!("{}, {cost:.0}, {:.0} ms", solved.len(), solver_took.as_secs_f64() * 1000.0)
             }
-            None => format!("not tried or not solved, {:.0} ms", solver_took.as_secs_f64() * 1000.0),
+            None => format!("too large or not solved, {:.0} ms", solver_took.as_secs_f64() * 1000.0),
         };
         println!(
             "| {drained} | {} | {} | {}, {:.0}, {:.1} ms | {solver} |",
@@ -404,6 +412,6 @@
 }
 
 fn main() {
-    drains();
-    orders();
+    measure_drains();
+    measure_orders();
 }
--- a/crates/drain/tests/state_machine.rs
+++ b/crates/drain/tests/state_machine.rs
@@ -1,8 +1,8 @@
-//! Random interleavings of two leaders that drain, a rescheduler, placers with old views and
-//! machines that fail, on the records and decisions of the product itself. What is checked is
-//! what runs on the machines.
+//! Property test of random interleavings: two leaders that drain machines, a rescheduler,
+//! schedulers with stale replicas of the records, and machines that fail. The records and decisions
+//! are those of the product; the checks are made on the tasks that run on the machines.
 //!
-//! `SAGELOOM_PROPTEST_CASES` plays more cases than CI does.
+//! `SAGELOOM_PROPTEST_CASES` sets the number of cases, to run more than CI does.
 
 #[path = "unit/test_records.rs"]
 mod test_records;
@@ -30,61 +30,61 @@
 const TEAM_BUDGET: u32 = 2;
 const LEADERS: usize = 2;
 
-/// A mechanism that is taken away, to see that it is needed.
+/// A safety mechanism that a run leaves out, to show that the checks fail without it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// A stop is conditional on the team's record of what is down by choice.
+    /// A stop is conditional on the team's disruption record.
     TeamCondition,
-    /// And on the job's record.
+    /// A stop is conditional on the job's record.
     JobCondition,
-    /// An entry goes only once the replacement is seen running.
-    SettleByRunning,
-    /// What is down by choice counts.
-    OpenEntries,
-    /// Drains go by what is seen running.
-    ObserveRunning,
-    /// Placements are conditional on the cordons.
-    Fence,
+    /// A disruption is closed only once the replacement is observed to run.
+    CloseByObservation,
+    /// Open disruptions count against the budgets.
+    OpenDisruptions,
+    /// Drains count a replica as up only if it is observed to run.
+    ObservedTasks,
+    /// Placements are conditional on the cordon fence.
+    CordonFence,
 }
 
 const ALL: [Without; 7] = [
     Without::Nothing,
     Without::TeamCondition,
     Without::JobCondition,
-    Without::SettleByRunning,
-    Without::OpenEntries,
-    Without::ObserveRunning,
-    Without::Fence,
+    Without::CloseByObservation,
+    Without::OpenDisruptions,
+    Without::ObservedTasks,
+    Without::CordonFence,
 ];
 
 #[derive(Debug, Clone)]
 enum Op {
-    /// A leader reads the records and hears what runs.
+    /// A leader reads the records and observes the running tasks.
     Read(usize),
-    /// It does so and decides a step of its drains.
+    /// A leader reads the same and decides on a step of its drains.
     DecideStep(usize),
-    /// What it has decided is committed, if it still may be.
+    /// A leader commits its decided stops, each if its conditions still hold.
     Commit(usize),
-    /// It takes off what runs again.
-    Settle(usize),
-    /// It evicts a replica, as the rescheduler would.
+    /// A leader closes the disruptions whose replacements run.
+    CloseDisruptions(usize),
+    /// A leader decides on an eviction from a service, as the rescheduler does.
     Evict(usize, usize),
-    /// It forgets all, and so does its successor.
+    /// A leader restarts without any state.
     Restart(usize),
-    /// A placer with this leader's view chooses machines for what waits.
-    Choose(usize),
-    /// What it has chosen is committed, if it still may be.
-    Place(usize),
-    /// A machine does what the records want.
-    Run(usize),
-    RunAll,
-    /// What starts on a machine runs.
-    Up(usize),
-    UpAll,
-    /// A machine loses all that is on it.
+    /// The scheduler of a leader chooses machines for pending tasks.
+    DecidePlacements(usize),
+    /// A leader commits its decided placements, each if its conditions still hold.
+    CommitPlacements(usize),
+    /// A machine starts and stops tasks as the records demand.
+    Reconcile(usize),
+    ReconcileAll,
+    /// The tasks that a machine has started become ready.
+    BecomeReady(usize),
+    BecomeReadyAll,
+    /// A machine loses all its tasks.
     Fail(usize),
-    /// A machine is drained.
+    /// An operator starts to drain a machine.
     Cordon(usize),
 }
 
@@ -94,21 +94,22 @@
         3 => leader.clone().prop_map(Op::Read),
         6 => leader.clone().prop_map(Op::DecideStep),
         6 => leader.clone().prop_map(Op::Commit),
-        5 => leader.clone().prop_map(Op::Settle),
+        5 => leader.clone().prop_map(Op::CloseDisruptions),
         2 => (leader.clone(), service).prop_map(|(l, s)| Op::Evict(l, s)),
         1 => leader.clone().prop_map(Op::Restart),
-        5 => leader.clone().prop_map(Op::Choose),
-        5 => leader.prop_map(Op::Place),
-        2 => machine.clone().prop_map(Op::Run),
-        4 => Just(Op::RunAll),
-        2 => machine.clone().prop_map(Op::Up),
-        4 => Just(Op::UpAll),
+        5 => leader.clone().prop_map(Op::DecidePlacements),
+        5 => leader.prop_map(Op::CommitPlacements),
+        2 => machine.clone().prop_map(Op::Reconcile),
+        4 => Just(Op::ReconcileAll),
+        2 => machine.clone().prop_map(Op::BecomeReady),
+        4 => Just(Op::BecomeReadyAll),
         1 => machine.clone().prop_map(Op::Fail),
         1 => machine.prop_map(Op::Cordon),
     ]
 }
 
-/// What is drawn does not depend on what came before: the records are the system under test.
+/// The operations. They are drawn independently of the state; the records are the system under
+/// test.
 struct Operations<const WITHOUT: usize>;
 
 impl<const WITHOUT: usize> ReferenceStateMachine for Operations<WITHOUT> {
@@ -128,17 +129,17 @@
     }
 }
 
-/// There is always room: what bounds a drain here are its budgets.
-struct Everywhere;
+/// Always finds capacity, so that only the budgets limit a drain.
+struct UnlimitedCapacity;
 
-impl FindCapacity for Everywhere {
+impl FindCapacity for UnlimitedCapacity {
     fn find(&mut self, _: &UnitId) -> Option<Vec<Name>> {
         Some(Vec::new())
     }
 }
 
-/// What a leader has decided and not committed yet: the change of one job, and the versions
-/// that it was decided by.
+/// A stop that a leader has decided on and not committed yet: the changed records, and the versions
+/// of those that it was decided from.
 struct Stop {
     unit: UnitId,
     by: DisruptionCause,
@@ -158,26 +159,28 @@
 #[derive(Default)]
 struct Leader {
     replica: Replica,
-    seen: usize,
+    /// The number of committed changes that its replica contains.
+    changes_read: usize,
     observed: ObservedTasks,
     stops: Vec<Stop>,
     placements: Vec<Placement>,
 }
 
-/// The attempts that are on a machine, and whether each runs yet.
+/// The tasks on a machine: the attempt of each, and whether it is ready.
 type Tasks = BTreeMap<(String, u32), (u64, bool)>;
 
 struct Site {
     without: Without,
     budgets: Budgets,
-    /// The records, and how they came about.
+    /// The committed records.
     store: Replica,
+    /// All committed changes with their versions.
     log: Vec<(RecordChange, u64)>,
     version: u64,
     leaders: Vec<Leader>,
     machines: Vec<Tasks>,
-    /// What was stopped by choice and has not run since, with the attempt.
-    down_by_choice: BTreeMap<(String, u32), u64>,
+    /// The tasks that were stopped voluntarily and have not run since, with the stopped attempt.
+    down_voluntarily: BTreeMap<(String, u32), u64>,
 }
 
 impl Site {
@@ -191,7 +194,7 @@
             version: 1,
             leaders: (0..LEADERS).map(|_| Leader::default()).collect(),
             machines: vec![Tasks::new(); MACHINES.len()],
-            down_by_choice: BTreeMap::new(),
+            down_voluntarily: BTreeMap::new(),
         };
         site.change(RecordChange::Types(Some(test_records::types())));
         for (id, zone) in MACHINES {
@@ -202,7 +205,8 @@
         let mut next = 0;
         for (id, replicas) in SERVICES {
             let mut job = JobRecord::new(test_records::spec(id, JobKind::Service, replicas), None, 0);
-            // Some replica has ended before: the service does not start for the first time.
+            // A later attempt than the first: the service does not count as starting for the first
+            // time.
             job.attempt = 2;
             for task in 0..replicas {
                 let machine = next % MACHINES.len();
@@ -229,16 +233,16 @@
 
     fn read(&mut self, n: usize) {
         let mut observed = ObservedTasks::default();
-        for ((job, task), (attempt, runs)) in self.machines.iter().flatten() {
-            if *runs {
+        for ((job, task), (attempt, is_ready)) in self.machines.iter().flatten() {
+            if *is_ready {
                 observed.note(job, *task, *attempt);
             }
         }
         let leader = &mut self.leaders[n];
-        for (change, version) in &self.log[leader.seen..] {
+        for (change, version) in &self.log[leader.changes_read..] {
             leader.replica.apply(change.clone(), *version);
         }
-        leader.seen = self.log.len();
+        leader.changes_read = self.log.len();
         leader.observed = observed;
     }
 
@@ -248,7 +252,7 @@
         jobs: &[(&String, &JobRecord)],
         running: &impl Running,
     ) -> Ledger<'a> {
-        if self.without == Without::OpenEntries {
+        if self.without == Without::OpenDisruptions {
             let health = jobs.iter().filter_map(|(id, job)| view::health(id, job, running));
             return Ledger::new(&self.budgets, health, [], 99);
         }
@@ -266,10 +270,10 @@
             now_ms: 2000,
         };
         let mut ledger = match self.without {
-            Without::ObserveRunning => self.ledger(&leader.replica, &jobs, &AssumeRunning),
+            Without::ObservedTasks => self.ledger(&leader.replica, &jobs, &AssumeRunning),
             _ => self.ledger(&leader.replica, &jobs, &leader.observed),
         };
-        let Decision { moves, .. } = step::decide(&drains, &mut ledger, &mut Everywhere, &limits);
+        let Decision { moves, .. } = step::decide(&drains, &mut ledger, &mut UnlimitedCapacity, &limits);
         let replica = &leader.replica;
         let stops = moves.iter().filter_map(|m: &Move| {
             let by = DisruptionCause::Drain(m.drain.clone());
@@ -279,7 +283,8 @@
         self.leaders[n].stops = stops;
     }
 
-    /// As the rescheduler: only of services whose replicas all have a place, by the records.
+    /// Decides on an eviction as the rescheduler does: by the records alone, and only from services
+    /// whose replicas are all assigned.
     fn evict(&mut self, n: usize, service: usize) {
         let (id, replicas) = SERVICES[service];
         let leader = &self.leaders[n];
@@ -301,23 +306,23 @@
             let id = s.unit.job.to_string();
             let version = self.store.jobs.get(&id).map_or(0, |j| j.version);
             let team = self.store.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
-            let job_is_old = version != s.job_version && self.without != Without::JobCondition;
-            let team_is_old = team != s.team_version && self.without != Without::TeamCondition;
-            if job_is_old || team_is_old {
+            let job_changed = version != s.job_version && self.without != Without::JobCondition;
+            let team_changed = team != s.team_version && self.without != Without::TeamCondition;
+            if job_changed || team_changed {
                 continue;
             }
             if s.by != DisruptionCause::Rescheduler {
                 self.check_stop(&s);
             }
             let attempt = s.open.last().map_or(0, |d| d.attempt);
-            self.down_by_choice.insert((id.clone(), s.unit.task), attempt);
+            self.down_voluntarily.insert((id.clone(), s.unit.task), attempt);
             self.change(RecordChange::Job(id, Some(s.job)));
             let open = s.open;
             self.change(RecordChange::Disruptions(TEAM.into(), Some(DisruptionRecord { open })));
         }
     }
 
-    /// Nothing is stopped by a drain on top of what is down for whatever reason.
+    /// Checks that a drain stops a replica only while all others of its service run.
     fn check_stop(&self, s: &Stop) {
         let id = s.unit.job.to_string();
         let replicas = SERVICES.iter().find(|(job, _)| *job == id).map_or(0, |s| s.1);
@@ -326,24 +331,24 @@
         assert_eq!(others_down, 0, "{id}/{} is stopped while others are down", s.unit.task);
     }
 
-    fn settle(&mut self, n: usize) {
+    fn close_disruptions(&mut self, n: usize) {
         let leader = &self.leaders[n];
         let Some(known) = leader.replica.drains.disruptions.get(TEAM) else { return };
         let version = self.store.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
         if version != known.version && self.without != Without::TeamCondition {
             return;
         }
-        let settled = |d: &Disruption| match self.without {
-            Without::SettleByRunning => view::is_resolved(&leader.replica, d, &AssumeRunning),
+        let is_resolved = |d: &Disruption| match self.without {
+            Without::CloseByObservation => view::is_resolved(&leader.replica, d, &AssumeRunning),
             _ => view::is_resolved(&leader.replica, d, &leader.observed),
         };
-        let open: Vec<Disruption> = known.value.open.iter().filter(|d| !settled(d)).cloned().collect();
+        let open: Vec<Disruption> = known.value.open.iter().filter(|d| !is_resolved(d)).cloned().collect();
         if open.len() < known.value.open.len() {
             self.change(RecordChange::Disruptions(TEAM.into(), Some(DisruptionRecord { open })));
         }
     }
 
-    fn choose(&mut self, n: usize) {
+    fn decide_placements(&mut self, n: usize) {
         let replica = &self.leaders[n].replica;
         let mut inventory = placement::Inventory::new(replica, |_| true);
         let limits = placement::Limits {
@@ -366,11 +371,11 @@
         self.leaders[n].placements = chosen;
     }
 
-    fn place(&mut self, n: usize) {
+    fn commit_placements(&mut self, n: usize) {
         for p in std::mem::take(&mut self.leaders[n].placements) {
             let version = self.store.jobs.get(&p.id).map_or(0, |j| j.version);
-            let fenced = p.fence != self.store.drains.fence && self.without != Without::Fence;
-            if version != p.job_version || fenced {
+            let is_fenced = p.fence != self.store.drains.fence && self.without != Without::CordonFence;
+            if version != p.job_version || is_fenced {
                 continue;
             }
             let before: BTreeSet<u32> =
@@ -383,16 +388,16 @@
         }
     }
 
-    /// Ends an assignment that is proven over.
-    fn end(&mut self, id: &str, task: u32, attempt: u64, how: TerminationReason) {
+    /// Records the end of an assignment whose task no longer runs.
+    fn end(&mut self, id: &str, task: u32, attempt: u64, reason: TerminationReason) {
         let mut job = self.store.jobs[id].value.clone();
-        job.end_assignment(task, attempt, how, 2000, 0);
+        job.end_assignment(task, attempt, reason, 2000, 0);
         if *job != *self.store.jobs[id].value {
             self.change(RecordChange::Job(id.to_owned(), Some(job)));
         }
     }
 
-    fn run(&mut self, m: usize) {
+    fn reconcile(&mut self, m: usize) {
         let wanted: Vec<(String, u32, u64, bool)> = self
             .store
             .assignments(MACHINES[m].0)
@@ -408,12 +413,12 @@
         }
     }
 
-    fn up(&mut self, m: usize) {
-        for ((id, task), (attempt, runs)) in &mut self.machines[m] {
-            *runs = true;
+    fn become_ready(&mut self, m: usize) {
+        for ((id, task), (attempt, is_ready)) in &mut self.machines[m] {
+            *is_ready = true;
             let key = (id.clone(), *task);
-            if self.down_by_choice.get(&key).is_some_and(|stopped| *attempt > *stopped) {
-                self.down_by_choice.remove(&key);
+            if self.down_voluntarily.get(&key).is_some_and(|stopped| *attempt > *stopped) {
+                self.down_voluntarily.remove(&key);
             }
         }
     }
@@ -430,10 +435,10 @@
         }
     }
 
-    fn cordon(&mut self, m: usize) {
+    fn start_drain(&mut self, m: usize) {
         let (machine, _) = MACHINES[m];
         let cordoned = self.store.drains.cordons.len();
-        // Half of the machines stay.
+        // At most half of the machines are drained.
         if self.store.drains.is_cordoned(machine) || cordoned >= MACHINES.len() / 2 {
             return;
         }
@@ -446,18 +451,18 @@
         }
     }
 
-    /// No more of a service, and of the team, is down by choice than its budget is.
+    /// Checks that the tasks that are down voluntarily exceed no budget of a service or the team.
     fn check_budgets(&self) {
         for (id, _) in SERVICES {
-            let down = self.down_by_choice.keys().filter(|(job, _)| job == id).count();
-            assert!(down <= self.budgets.per_service as usize, "{down} of {id} are down by choice");
+            let down = self.down_voluntarily.keys().filter(|(job, _)| job == id).count();
+            assert!(down <= self.budgets.per_service as usize, "{down} of {id} are down voluntarily");
         }
-        let down = self.down_by_choice.len();
-        assert!(down <= TEAM_BUDGET as usize, "{down} of the team are down by choice");
+        let down = self.down_voluntarily.len();
+        assert!(down <= TEAM_BUDGET as usize, "{down} of the team are down voluntarily");
     }
 }
 
-/// A stop as a leader with these records would commit it.
+/// The stop of a unit as a leader with this replica would commit it.
 fn stop(replica: &Replica, unit: &UnitId, by: DisruptionCause) -> Option<Stop> {
     let known = replica.jobs.get(&*unit.job)?;
     let mut job = known.value.clone();
@@ -487,17 +492,17 @@
                 site.decide(n);
             }
             Op::Commit(n) => site.commit(n),
-            Op::Settle(n) => site.settle(n),
+            Op::CloseDisruptions(n) => site.close_disruptions(n),
             Op::Evict(n, service) => site.evict(n, service),
             Op::Restart(n) => site.leaders[n] = Leader::default(),
-            Op::Choose(n) => site.choose(n),
-            Op::Place(n) => site.place(n),
-            Op::Run(m) => site.run(m),
-            Op::RunAll => (0..MACHINES.len()).for_each(|m| site.run(m)),
-            Op::Up(m) => site.up(m),
-            Op::UpAll => (0..MACHINES.len()).for_each(|m| site.up(m)),
+            Op::DecidePlacements(n) => site.decide_placements(n),
+            Op::CommitPlacements(n) => site.commit_placements(n),
+            Op::Reconcile(m) => site.reconcile(m),
+            Op::ReconcileAll => (0..MACHINES.len()).for_each(|m| site.reconcile(m)),
+            Op::BecomeReady(m) => site.become_ready(m),
+            Op::BecomeReadyAll => (0..MACHINES.len()).for_each(|m| site.become_ready(m)),
             Op::Fail(m) => site.fail(m),
-            Op::Cordon(m) => site.cordon(m),
+            Op::Cordon(m) => site.start_drain(m),
         }
         site
     }
@@ -507,9 +512,10 @@
     }
 }
 
-/// Cases that CI plays with nothing taken away, and until a missing mechanism shows.
+/// The number of cases that CI runs with all mechanisms, and the most within which the lack of a
+/// mechanism must show.
 const CASES: u32 = 300;
-const CASES_UNTIL_RED: u32 = 3000;
+const MAX_CASES_UNTIL_FAILURE: u32 = 3000;
 const STEPS: std::ops::Range<usize> = 40..240;
 
 fn config(cases: u32) -> Config {
@@ -517,7 +523,7 @@
     Config { cases, rng_seed: RngSeed::Fixed(26), failure_persistence: None, ..Config::default() }
 }
 
-fn play<const WITHOUT: usize>(config: Config) -> Result<(), String> {
+fn run_cases<const WITHOUT: usize>(config: Config) -> Result<(), String> {
     let mut runner = TestRunner::new(config.clone());
     let strategy = Operations::<WITHOUT>::sequential_strategy(STEPS);
     let test = |(state, ops, seen): (Without, Vec<Op>, Option<Arc<_>>)| {
@@ -528,56 +534,56 @@
 }
 
 #[test]
-fn budgets_and_cordons_hold_whoever_stops_what() {
-    play::<0>(config(CASES)).expect("no budget is exceeded");
+fn budgets_and_cordons_hold_in_all_interleavings() {
+    run_cases::<0>(config(CASES)).expect("no budget is exceeded");
 }
 
-/// Whether the drains get anywhere in the cases that are played.
+/// Guards against cases in which the drains stop nothing, where no budget could be exceeded.
 #[test]
-fn drains_move_replicas_in_the_cases_that_are_played() {
-    let moved = std::cell::Cell::new(0);
+fn drains_move_replicas_in_the_generated_cases() {
+    let changes = std::cell::Cell::new(0);
     let config = config(CASES);
     let strategy = Operations::<0>::sequential_strategy(STEPS);
     let test = |(state, ops, _): (Without, Vec<Op>, Option<Arc<_>>)| {
         let site = ops
             .into_iter()
             .fold(Site::new(state), |site, op| <Operations<0> as StateMachineTest>::apply(site, &state, op));
-        let stopped = site.log.iter().filter(|(c, _)| matches!(c, RecordChange::Disruptions(..))).count();
-        moved.set(moved.get() + stopped);
+        let in_case = site.log.iter().filter(|(c, _)| matches!(c, RecordChange::Disruptions(..))).count();
+        changes.set(changes.get() + in_case);
         Ok(())
     };
     TestRunner::new(config).run(&strategy, test).expect("nothing fails");
-    println!("{} stops and settlements", moved.get());
-    assert!(moved.get() > CASES as usize, "{} stops and settlements", moved.get());
+    println!("{} changes of disruption records", changes.get());
+    assert!(changes.get() > CASES as usize, "{} changes of disruption records", changes.get());
 }
 
-fn needed<const WITHOUT: usize>(says: &str) {
-    let broken = play::<WITHOUT>(config(CASES_UNTIL_RED));
-    let broken = broken.expect_err(&format!("{:?} is not needed", ALL[WITHOUT]));
-    assert!(broken.contains(says), "{:?}: {broken}", ALL[WITHOUT]);
+fn assert_needed<const WITHOUT: usize>(expected_message: &str) {
+    let result = run_cases::<WITHOUT>(config(MAX_CASES_UNTIL_FAILURE));
+    let failure = result.expect_err(&format!("{:?} is not needed", ALL[WITHOUT]));
+    assert!(failure.contains(expected_message), "{:?}: {failure}", ALL[WITHOUT]);
 }
 
 #[test]
 fn each_mechanism_is_needed() {
-    needed::<1>("down by choice");
-    needed::<2>("down");
-    needed::<3>("down by choice");
-    needed::<4>("down by choice");
-    needed::<5>("while others are down");
-    needed::<6>("on a cordoned machine");
+    assert_needed::<1>("down voluntarily");
+    assert_needed::<2>("down");
+    assert_needed::<3>("down voluntarily");
+    assert_needed::<4>("down voluntarily");
+    assert_needed::<5>("while others are down");
+    assert_needed::<6>("on a cordoned machine");
 }
 
-/// Drains that share a budget do not wait for each other for good.
+/// Drains that share a budget do not block each other.
 #[test]
-fn a_step_moves_something_while_the_budget_is_free() {
+fn a_step_uses_the_whole_free_budget_of_a_team() {
     let mut site = Site::new(Without::Nothing);
     for m in 0..3 {
-        site.cordon(m);
+        site.start_drain(m);
     }
     site.read(0);
     let drains: Vec<Drain> =
         view::active_drains(&site.leaders[0].replica, &site.budgets, &view::Orders::default());
     assert_eq!(drains.len(), 2);
     site.decide(0);
-    assert_eq!(site.leaders[0].stops.len(), TEAM_BUDGET as usize, "of different services");
+    assert_eq!(site.leaders[0].stops.len(), TEAM_BUDGET as usize, "one replica of each of two services");
 }
--- a/crates/drain/tests/unit/budget.rs
+++ b/crates/drain/tests/unit/budget.rs
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn failures_use_up_the_budget_too() {
+fn failed_replicas_count_against_the_service_budget() {
     let budgets = budgets(None);
     let ledger = Ledger::new(&budgets, [service("j-1", 3, &[0, 1], false)], [], 9);
     assert_eq!(ledger.check("t", &unit("j-1", 0)), Err(BudgetExceeded::Service));
-    // The one that is down already takes nobody else down.
+    // Stopping the replica that is down already takes no other replica down.
     assert_eq!(ledger.check("t", &unit("j-1", 2)), Ok(()));
 }
 
 #[test]
-fn what_is_decided_in_a_step_counts_for_the_rest_of_it() {
+fn a_debited_unit_counts_in_later_checks_of_the_same_step() {
     let budgets = budgets(Some(TeamBudget::Count(2)));
     let services = ["j-1", "j-2", "j-3"].map(|job| service(job, 2, &[0, 1], false));
     let mut ledger = Ledger::new(&budgets, services, [], 9);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_was_stopped_counts_though_its_replacement_has_a_place() {
+fn an_open_disruption_counts_although_its_replacement_is_assigned() {
     let budgets = budgets(Some(TeamBudget::Share(0.5)));
     let services = ["j-1", "j-2"].map(|job| service(job, 1, &[0], false));
     let open = disruption("j-1", 0);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_service_that_starts_does_not_use_up_its_teams_budget() {
+fn a_service_that_starts_for_the_first_time_does_not_count_against_its_teams_budget() {
     let budgets = budgets(Some(TeamBudget::Count(1)));
     let new = service("j-1", 4, &[], true);
     let ledger = Ledger::new(&budgets, [new, service("j-2", 2, &[0, 1], false)], [], 9);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn shares_are_rounded_down_and_the_record_holds_so_many() {
+fn shares_are_rounded_down_and_a_full_record_refuses_disruptions() {
     let ten = budgets(Some(TeamBudget::Share(0.1)));
     assert_eq!(
         (ten.of_team("t", 10), ten.of_team("t", 19), ten.of_team("t", 9)),
--- a/crates/drain/tests/unit/lifecycle.rs
+++ b/crates/drain/tests/unit/lifecycle.rs
@@ -4,32 +4,32 @@
 
 const ATTEMPT: Duration = Duration::from_secs(60);
 
-fn missing(record: &mut DrainRecord, now_ms: u64) {
+fn apply_capacity_missing(record: &mut DrainRecord, now_ms: u64) {
     apply(record, Event::CapacityMissing { attempt: ATTEMPT }, now_ms).expect("active");
 }
 
 #[test]
-fn room_is_searched_for_a_few_times_with_growing_pauses() {
+fn the_capacity_search_ends_after_a_few_attempts_with_growing_pauses() {
     let mut record = drain_record(1);
     let (mut now, mut pauses) = (1000, Vec::new());
     while record.is_active() {
-        missing(&mut record, now);
+        apply_capacity_missing(&mut record, now);
         if !is_seeking_capacity(&record, now) && record.is_active() {
             pauses.push((record.capacity_search.since_ms - now) / 1000);
             now = record.capacity_search.since_ms;
         }
         now += 1000;
-        assert!(now < 3_600_000, "it never ends");
+        assert!(now < 3_600_000, "the search never ends");
     }
     assert_eq!(pauses, [15, 30, 60]);
     assert_eq!((record.phase, record.capacity_search.failed), (DrainPhase::Closing(DrainEnd::NoCapacity), 0));
 }
 
 #[test]
-fn what_is_moved_ends_the_search() {
+fn a_move_resets_the_capacity_search() {
     let mut record = drain_record(1);
     for now in [1000, 62_000] {
-        missing(&mut record, now);
+        apply_capacity_missing(&mut record, now);
     }
     assert_eq!(record.capacity_search.failed, 1);
     apply(&mut record, Event::Moved(2), 70_000).expect("active");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_obstacle_keeps_its_beginning_and_ends_the_drain_at_last() {
+fn an_obstacle_keeps_its_start_time_and_ends_the_drain_after_the_limit() {
     let obstacle = |job: &str| Obstacle {
         kind: ObstacleKind::TeamBudget,
         team: "t".into(),
@@ -52,11 +52,11 @@
     }
     apply(&mut record, Event::ObstacleObserved(Some(obstacle("j-2"))), 10_000).expect("active");
     assert_eq!(record.phase, DrainPhase::Closing(DrainEnd::GaveUp));
-    assert!(record.obstacle.is_some(), "it tells why");
+    assert!(record.obstacle.is_some(), "the record tells why the drain gave up");
 }
 
 #[test]
-fn only_what_is_over_is_resumed_and_only_what_goes_on_is_stopped() {
+fn only_closed_drains_are_resumed_and_only_active_ones_are_stopped() {
     let mut record = drain_record(1);
     assert_eq!(apply(&mut record, Event::ResumeRequested, 1), Err(LifecycleError::NotOver));
     apply(&mut record, Event::StopRequested, 1).expect("active");
--- a/crates/drain/tests/unit/selection.rs
+++ b/crates/drain/tests/unit/selection.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn machines_are_meant_by_name_or_by_what_they_have_in_common() {
+fn machines_are_selected_by_name_or_by_common_properties() {
     let replica = replica_with_machines(&[("m-1", "a"), ("m-2", "b"), ("m-3", "b")]);
     let zone = |z: &str| Selection { zone: Some(z.into()), ..Selection::default() };
     assert_eq!(selected(&replica, named(&["m-3", "m-1"]), None), Ok("m-1 m-3".into()));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_cannot_be_meant_is_told_by_its_option() {
+fn an_invalid_selection_is_refused_naming_the_option() {
     let mut replica = replica_with_machines(&[("m-1", "a"), ("m-2", "b")]);
     let error =
         |replica: &Replica, s: Selection| selected(replica, s, None).expect_err("refused").to_string();
--- a/crates/drain/tests/unit/step.rs
+++ b/crates/drain/tests/unit/step.rs
@@ -2,13 +2,13 @@
 use crate::budget::{Budgets, ServiceHealth};
 use crate::site::drain_record;
 
-/// So many places, for whatever it is.
-struct Places(u32);
+/// Has capacity for a number of units, whatever their size.
+struct UnitSlots(u32);
 
-impl FindCapacity for Places {
+impl FindCapacity for UnitSlots {
     fn find(&mut self, _unit: &UnitId) -> Option<Vec<Name>> {
         self.0 = self.0.checked_sub(1)?;
-        Some(vec!["room".into()])
+        Some(vec!["m-free".into()])
     }
 }
 
@@ -27,7 +27,7 @@
     Limits { moves, capacity_attempt_timeout: Duration::from_secs(60), paused: None, now_ms }
 }
 
-/// Services of two replicas each, all of them up.
+/// A ledger of services with two replicas each, all of which are up.
 fn ledger<'b>(budgets: &'b Budgets, jobs: &[&str]) -> Ledger<'b> {
     let health = |job: &&str| ServiceHealth {
         job: (*job).into(),
@@ -39,7 +39,7 @@
     Ledger::new(budgets, jobs.iter().map(health), [], 99)
 }
 
-fn moved(decision: &Decision) -> Vec<(&str, u32)> {
+fn moved_tasks(decision: &Decision) -> Vec<(&str, u32)> {
     decision.moves.iter().map(|m| (&*m.unit.id.job, m.unit.id.task)).collect()
 }
 
@@ -54,43 +54,44 @@
     let drains =
         [drain("d-1", vec![("m-1", vec![replica(0)])]), drain("d-2", vec![("m-2", vec![replica(1)])])];
     let budgets = Budgets::default();
-    let decision = decide(&drains, &mut ledger(&budgets, &["j-1"]), &mut Places(9), &limits(9, 1000));
-    assert_eq!(moved(&decision), [("j-1", 0)]);
+    let decision = decide(&drains, &mut ledger(&budgets, &["j-1"]), &mut UnitSlots(9), &limits(9, 1000));
+    assert_eq!(moved_tasks(&decision), [("j-1", 0)]);
     assert_eq!(obstacle_kind(&decision, "d-2"), Some(ObstacleKind::ServiceBudget));
 }
 
 #[test]
-fn nothing_is_stopped_without_room() {
+fn nothing_is_stopped_without_capacity_elsewhere() {
     let drains =
         [drain("d", vec![("m", vec![unit("j-1", 0, WorkKind::Replica), unit("j-2", 0, WorkKind::Replica)])])];
     let budgets = Budgets::default();
     let mut ledger = ledger(&budgets, &["j-1", "j-2"]);
-    let decision = decide(&drains, &mut ledger, &mut Places(0), &limits(9, 1000));
+    let decision = decide(&drains, &mut ledger, &mut UnitSlots(0), &limits(9, 1000));
     assert!(decision.moves.is_empty());
     assert_eq!(obstacle_kind(&decision, "d"), Some(ObstacleKind::NoCapacity));
-    // It is asked for from the next step on, and not in the pause between two attempts.
-    let mut again = drains.clone();
-    again[0].record = decision.records[0].1.clone();
-    let decision = decide(&again, &mut ledger, &mut Places(0), &limits(9, 2000));
+    // Capacity is requested from the next step on, but not in the pause between two attempts.
+    let mut next_step = drains.clone();
+    next_step[0].record = decision.records[0].1.clone();
+    let decision = decide(&next_step, &mut ledger, &mut UnitSlots(0), &limits(9, 2000));
     assert_eq!(decision.machines_awaiting_capacity, ["m".into()]);
-    again[0].record.capacity_search = sched::drain_records::CapacitySearch { failed: 1, since_ms: 9000 };
-    let decision = decide(&again, &mut ledger, &mut Places(0), &limits(9, 2000));
+    next_step[0].record.capacity_search = sched::drain_records::CapacitySearch { failed: 1, since_ms: 9000 };
+    let decision = decide(&next_step, &mut ledger, &mut UnitSlots(0), &limits(9, 2000));
     assert!(decision.machines_awaiting_capacity.is_empty());
 }
 
 #[test]
-fn work_that_cannot_save_has_the_operators_patience() {
+fn unsaved_work_is_stopped_only_after_the_patience_and_if_the_operator_wants_it() {
     let mut drains = [drain("d", vec![("m", vec![unit("j-1", 0, WorkKind::Unsaved)])])];
     let budgets = Budgets::default();
-    let decide_at =
-        |drains: &[Drain], now| decide(drains, &mut ledger(&budgets, &[]), &mut Places(9), &limits(9, now));
+    let decide_at = |drains: &[Drain], now| {
+        decide(drains, &mut ledger(&budgets, &[]), &mut UnitSlots(9), &limits(9, now))
+    };
     let decision = decide_at(&drains, 5000);
     assert!(decision.moves.is_empty() && decision.records[0].1.is_active());
     let decision = decide_at(&drains, 11_000);
     let ended = sched::drain_records::DrainPhase::Closing(sched::drain_records::DrainEnd::WorkLeft);
     assert!(decision.moves.is_empty() && decision.records[0].1.phase == ended);
     drains[0].record.unsaved = UnsavedWork::Stop;
-    assert_eq!(moved(&decide_at(&drains, 11_000)), [("j-1", 0)]);
+    assert_eq!(moved_tasks(&decide_at(&drains, 11_000)), [("j-1", 0)]);
     assert!(decide_at(&drains, 10_999).moves.is_empty());
 }
 
@@ -99,12 +100,12 @@
     let gang = || unit("j-1", 0, WorkKind::Checkpointing);
     let drains = [drain("d", vec![("m-1", vec![gang()]), ("m-2", vec![gang()])])];
     let budgets = Budgets::default();
-    let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut Places(9), &limits(9, 1000));
-    assert_eq!(moved(&decision), [("j-1", 0)]);
+    let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut UnitSlots(9), &limits(9, 1000));
+    assert_eq!(moved_tasks(&decision), [("j-1", 0)]);
 }
 
 #[test]
-fn nothing_is_stopped_while_a_controller_knows_no_drains() {
+fn nothing_is_stopped_while_a_controller_does_not_support_drains() {
     let drains = [drain("d", vec![("m", vec![unit("j-1", 0, WorkKind::Replica)])])];
     let paused = Obstacle {
         kind: ObstacleKind::OldController,
@@ -115,20 +116,20 @@
     };
     let budgets = Budgets::default();
     let limits = Limits { paused: Some(paused), ..limits(9, 1000) };
-    let decision = decide(&drains, &mut ledger(&budgets, &["j-1"]), &mut Places(9), &limits);
+    let decision = decide(&drains, &mut ledger(&budgets, &["j-1"]), &mut UnitSlots(9), &limits);
     assert!(decision.moves.is_empty());
     assert_eq!(obstacle_kind(&decision, "d"), Some(ObstacleKind::OldController));
 }
 
 #[test]
-fn each_drain_has_its_part_and_ends_when_its_machines_are_gone() {
+fn drains_share_the_moves_of_a_step_and_a_drain_without_machines_finishes() {
     let units = |job: &str| (0..4).map(|t| unit(job, t, WorkKind::Checkpointing)).collect();
     let drains = [drain("d-1", vec![("m-1", units("j-1"))]), drain("d-2", vec![("m-2", units("j-2"))])];
     let budgets = Budgets::default();
-    let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut Places(9), &limits(4, 1000));
-    assert_eq!(moved(&decision), [("j-1", 0), ("j-1", 1), ("j-2", 0), ("j-2", 1)]);
+    let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut UnitSlots(9), &limits(4, 1000));
+    assert_eq!(moved_tasks(&decision), [("j-1", 0), ("j-1", 1), ("j-2", 0), ("j-2", 1)]);
     let drains = [drain("d", vec![])];
-    let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut Places(0), &limits(4, 1000));
+    let decision = decide(&drains, &mut ledger(&budgets, &[]), &mut UnitSlots(0), &limits(4, 1000));
     let ended = sched::drain_records::DrainPhase::Closing(sched::drain_records::DrainEnd::Finished);
     assert_eq!(decision.records[0].1.phase, ended);
 }
--- a/crates/drain/tests/unit/test_records.rs
+++ b/crates/drain/tests/unit/test_records.rs
@@ -32,12 +32,12 @@
     }
 }
 
-/// A team without a limit.
+/// A team without quotas.
 pub fn team(name: &str) -> Team {
     Team { name: name.into(), cpus: 0.0, cpus_max: f64::INFINITY, gpus: 0.0, gpus_max: f64::INFINITY }
 }
 
-/// The record of a machine of this zone. All are of one type, with eight CPUs.
+/// The record of a machine in this zone. All machines are of the same type, with eight CPUs.
 pub fn machine(zone: &str) -> MachineRecord {
     MachineRecord {
         addr: "x".into(),
@@ -65,7 +65,7 @@
     MachineTypesRecord { types: vec![kind] }
 }
 
-/// The record of an active drain that has just begun.
+/// The record of an active drain that has just started.
 pub fn drain_record(machines: u32) -> DrainRecord {
     DrainRecord {
         schema: DRAIN_SCHEMA,
--- a/crates/drain/tests/unit/waves.rs
+++ b/crates/drain/tests/unit/waves.rs
@@ -4,8 +4,9 @@
 const SOLVER_LIMITS: SolverLimits =
     SolverLimits { time_limit: Duration::from_secs(20), ..SolverLimits::PLAN };
 
-/// Machines by their prices, and the services whose replicas are on each.
-fn site(machines: &[(f64, &[usize])], budgets: &[u32]) -> Problem {
+/// A problem of machines with the given prices and services, each service number standing for one
+/// replica on the machine. `budgets` are those of the services.
+fn problem_of(machines: &[(f64, &[usize])], budgets: &[u32]) -> Problem {
     let mut problem = Problem { limits: vec![MAX_MOVES_PER_WAVE], ..Problem::default() };
     problem.limits.extend(budgets);
     for (i, (price, services)) in machines.iter().enumerate() {
@@ -18,8 +19,8 @@
 }
 
 #[test]
-fn a_wave_takes_no_more_than_its_limits_and_all_is_moved_once() {
-    let problem = site(&[(1.0, &[0, 0, 1]), (1.0, &[0, 1, 1]), (2.0, &[0])], &[1, 2]);
+fn waves_keep_to_the_limits_and_move_each_unit_once() {
+    let problem = problem_of(&[(1.0, &[0, 0, 1]), (1.0, &[0, 1, 1]), (2.0, &[0])], &[1, 2]);
     let waves = schedule(&problem, &greedy(&problem));
     assert_eq!(waves.len(), 4, "four replicas of a service, one at a time");
     let mut moved: Vec<usize> = waves.iter().flatten().copied().collect();
@@ -31,26 +32,30 @@
             assert!(taken <= *most as usize);
         }
     }
-    assert_eq!(emptied_after(&problem, &waves)[2], 1, "the dearest with the least on it comes first");
+    assert_eq!(
+        emptied_after(&problem, &waves)[2],
+        1,
+        "the most expensive machine with the fewest units comes first"
+    );
 }
 
 #[test]
-fn the_solver_finds_a_cheaper_order_where_counting_misleads() {
-    // By number, the first machine comes last; but it alone is bound by the slow service, so
-    // that it can be emptied beside the others.
-    let problem = site(&[(3.0, &[0, 0, 0]), (1.0, &[1, 0]), (1.0, &[1, 0]), (1.0, &[1, 0])], &[1, 3]);
+fn the_plan_has_the_lowest_cost_of_all_orders() {
+    // By its number of units alone the first machine would come last. All machines have replicas of
+    // service 0, of which one may be down; service 1 allows three moves in a wave.
+    let problem = problem_of(&[(3.0, &[0, 0, 0]), (1.0, &[1, 0]), (1.0, &[1, 0]), (1.0, &[1, 0])], &[1, 3]);
     let greedy_cost = cost(&problem, &schedule(&problem, &greedy(&problem)));
     let (_, waves, _) = plan(&problem, &SOLVER_LIMITS);
-    let best = best_by_trying_all(&problem);
+    let best = lowest_cost_of_all_orders(&problem);
     assert!(cost(&problem, &waves) <= greedy_cost);
     assert!(
         (cost(&problem, &waves) - best).abs() < 1e-9,
-        "{} is not the best, {best}",
+        "cost {} is not the lowest, {best}",
         cost(&problem, &waves)
     );
 }
 
-fn best_by_trying_all(problem: &Problem) -> f64 {
+fn lowest_cost_of_all_orders(problem: &Problem) -> f64 {
     fn orders(left: &[usize]) -> Vec<Vec<usize>> {
         if left.is_empty() {
             return vec![Vec::new()];
@@ -70,18 +75,18 @@
 }
 
 #[test]
-fn what_is_too_large_is_ordered_without_the_solver() {
+fn a_problem_beyond_the_solver_limits_is_ordered_greedily() {
     let services: Vec<usize> = (0..50).collect();
     let machines: Vec<(f64, &[usize])> = (0..200).map(|_| (1.0, services.as_slice())).collect();
-    let problem = site(&machines, &[1; 50]);
+    let problem = problem_of(&machines, &[1; 50]);
     let (_, waves, method) = plan(&problem, &SOLVER_LIMITS);
     assert_eq!((waves.len(), method), (200, Method::Greedy));
 }
 
 #[test]
-fn a_limit_of_nothing_and_no_machines_at_all_come_to_an_end() {
-    let problem = site(&[(1.0, &[0])], &[0]);
+fn scheduling_terminates_with_a_limit_of_zero_and_without_machines() {
+    let problem = problem_of(&[(1.0, &[0])], &[0]);
     assert!(schedule(&problem, &[0]).is_empty());
-    let nothing = site(&[], &[]);
-    assert_eq!(plan(&nothing, &SOLVER_LIMITS).1, Waves::new());
+    let no_machines = problem_of(&[], &[]);
+    assert_eq!(plan(&no_machines, &SOLVER_LIMITS).1, Waves::new());
 }
