--- a/crates/daemon/src/drains/command/args.rs
+++ b/crates/daemon/src/drains/command/args.rs
@@ -14,7 +14,7 @@
     /// The cloud, for --rented-before-s.
     #[arg(long, value_name = "IP:PORT", env = "SAGELOOM_CLOUD", global = true)]
     pub(super) cloud: Option<String>,
-    /// The platform's settings (TOML), in the place of --state and --cloud.
+    /// The platform's settings (TOML), instead of --state and --cloud.
     #[arg(long, value_name = "FILE", global = true)]
     pub(super) config: Option<PathBuf>,
     #[command(subcommand)]
@@ -25,32 +25,32 @@
 pub(super) enum DrainVerb {
     /// Start to drain machines.
     Start {
-        /// A name of its own: small letters, digits and dashes.
+        /// A new name for the drain: lower-case letters, digits and dashes.
         name: String,
         #[command(flatten)]
         machines: SelectionArgs,
         #[command(flatten)]
         policy: PolicyArgs,
-        /// Start even if some of it can never be moved.
+        /// Start even if some of the work can never be moved.
         #[arg(long)]
         as_far_as_possible: bool,
     },
-    /// Tell what a drain would do, and what stands in its way; nothing is written.
+    /// Show what a drain would do, and what would keep it from finishing; nothing is written.
     Plan {
         #[command(flatten)]
         machines: SelectionArgs,
         #[command(flatten)]
         policy: PolicyArgs,
     },
-    /// All drains, a line each.
+    /// List all drains, one per line.
     List,
-    /// How far a drain is, and what it waits for.
+    /// Show the progress of a drain, and what it waits for.
     Status { name: String },
-    /// Stop a drain: what it has not moved yet stays.
+    /// Stop a drain; work that it has not moved yet stays where it is.
     Stop { name: String },
-    /// Go on with a drain that was stopped, or that stopped by itself.
+    /// Resume a drain that was stopped, or that stopped by itself.
     Resume { name: String },
-    /// Forget a drain that is over.
+    /// Delete the records of a drain that is over.
     Remove { name: String },
 }
 
@@ -65,7 +65,7 @@
     /// All machines of a type.
     #[arg(long = "type", value_name = "NAME")]
     pub(super) machine_type: Option<String>,
-    /// All machines that were rented more than so many seconds ago.
+    /// All machines that were rented more than this number of seconds ago.
     #[arg(long, value_name = "SECONDS")]
     pub(super) rented_before_s: Option<f64>,
 }
@@ -79,25 +79,25 @@
 
 #[derive(clap::Args)]
 pub(super) struct PolicyArgs {
-    /// How long work that cannot save its progress may run on.
+    /// How long work that cannot save its progress may keep running.
     #[arg(long, value_name = "SECONDS", default_value_t = 600.0)]
     pub(super) patience_s: f64,
-    /// What becomes of it then.
+    /// What to do with such work after that time.
     #[arg(long, value_enum, default_value_t = Unsaved::Leave)]
     pub(super) unsaved: Unsaved,
-    /// How long one obstacle may stand before the drain stops by itself.
+    /// How long one obstacle may last before the drain stops by itself.
     #[arg(long, value_name = "SECONDS", default_value_t = 3600.0)]
     pub(super) give_up_s: f64,
-    /// The operators' settings (HCL), for the budgets that are planned with.
+    /// The operators' settings (HCL), for the disruption budgets to plan with.
     #[arg(long, value_name = "FILE")]
     pub(super) operators: Option<PathBuf>,
 }
 
 #[derive(Debug, Clone, Copy, clap::ValueEnum)]
 pub(super) enum Unsaved {
-    /// It runs on, and its machine stays.
+    /// It keeps running, and its machine stays.
     Leave,
-    /// It is stopped, and starts anew elsewhere.
+    /// It is stopped, and starts again from the beginning elsewhere.
     Stop,
 }
 
--- a/crates/daemon/src/drains/command/changes.rs
+++ b/crates/daemon/src/drains/command/changes.rs
@@ -1,5 +1,5 @@
-//! The changes of records by which commands start, stop, resume and forget drains. Each is made
-//! of the records as they were read, and conditional on them.
+//! The changes of records with which commands start, stop, resume and remove drains. Each change is
+//! computed from the records as they were read, and conditional on their versions.
 
 use drain::lifecycle::{self, Event, LifecycleError};
 use drain::selection::{SelectionError, select};
@@ -14,42 +14,42 @@
 use super::request::Request;
 use crate::controller::wall_ms;
 
-/// Most bytes of the machines' names in one new cordon. Each of them may come to stand there three
-/// times, and the smallest limit of a value is 2 KiB.
+/// The most bytes of a new cordon's record. The name of each machine may later be stored in it three
+/// times (selected, emptied and gone), and the smallest limit of a value is 2 KiB.
 const MAX_CORDON_BYTES: usize = 600;
 
-/// Writes of records, and what they are conditional on.
+/// Writes of records and their conditions.
 #[derive(Debug)]
 pub(super) struct ConditionalWrites {
     pub(super) conditions: Vec<Condition>,
     pub(super) writes: Vec<KeyWrite>,
 }
 
-/// Whether a drain starts only if all units could be moved.
+/// Whether a drain may start only if all its units can be moved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Feasibility {
     /// It does not start if some unit can never be moved.
     Required,
-    /// It starts all the same, and moves what it can.
+    /// It starts in any case, and moves the units that can be moved.
     NotRequired,
 }
 
-/// The machines in pieces, each of which is written as one cordon.
-pub(super) fn cordon_pieces(machines: &[Name]) -> Vec<Vec<Name>> {
-    let mut pieces = Vec::new();
-    let mut piece: Vec<Name> = Vec::new();
+/// Splits the machines into groups, each of which is written as one cordon.
+pub(super) fn split_into_cordons(machines: &[Name]) -> Vec<Vec<Name>> {
+    let mut groups = Vec::new();
+    let mut group: Vec<Name> = Vec::new();
     for machine in machines {
-        piece.push(machine.clone());
-        let record = CordonRecord::new(piece.clone());
-        if KeyWrite::new(String::new(), &record).value_len() > MAX_CORDON_BYTES && piece.len() > 1 {
-            piece.pop();
-            pieces.push(std::mem::replace(&mut piece, vec![machine.clone()]));
+        group.push(machine.clone());
+        let record = CordonRecord::new(group.clone());
+        if KeyWrite::new(String::new(), &record).value_len() > MAX_CORDON_BYTES && group.len() > 1 {
+            group.pop();
+            groups.push(std::mem::replace(&mut group, vec![machine.clone()]));
         }
     }
-    if !piece.is_empty() {
-        pieces.push(piece);
+    if !group.is_empty() {
+        groups.push(group);
     }
-    pieces
+    groups
 }
 
 /// The record of a drain.
@@ -61,8 +61,8 @@
     record.ok_or_else(|| DrainError::Unknown(name.to_owned()))
 }
 
-/// The machines of a drain of this name, if there is one.
-pub(super) fn known_machines(replica: &Replica, name: &str) -> Result<Option<Vec<Name>>, DrainError> {
+/// The machines of the drain of this name; None if there is no such drain.
+pub(super) fn machines_of_drain(replica: &Replica, name: &str) -> Result<Option<Vec<Name>>, DrainError> {
     match record_of(replica, name) {
         Ok(_) => {
             let mut all: Vec<Name> =
@@ -75,8 +75,8 @@
     }
 }
 
-/// Confirms the start of a drain that is there: the same command again, whose first outcome may
-/// not have been seen. Fails if it is another drain of the name.
+/// Confirms the start of a drain that exists already. The operator may repeat the command if the
+/// outcome of the first one is unknown. Fails if the existing drain is another one.
 pub(super) fn confirm_repeated_start(
     replica: &Replica,
     name: &str,
@@ -84,18 +84,18 @@
     request: &Request,
     ages: Option<&HashMap<String, f64>>,
 ) -> Result<(), DrainError> {
-    let active = record_of(replica, name)?.is_active();
-    let mut others = Replica::default();
-    others.machines.clone_from(&replica.machines);
-    let same = select(&others, &request.selection, ages).is_ok_and(|selected| selected == known);
-    if !active || !same {
+    let is_active = record_of(replica, name)?.is_active();
+    let mut undrained = Replica::default();
+    undrained.machines.clone_from(&replica.machines);
+    let is_same = select(&undrained, &request.selection, ages).is_ok_and(|selected| selected == known);
+    if !is_active || !is_same {
         return Err(DrainError::InUse(name.to_owned()));
     }
     println!("drain {name} was started already: {} machines are cordoned", known.len());
     Ok(())
 }
 
-/// The records without the cordons of a drain.
+/// The replica without the cordons of a drain.
 pub(super) fn without_cordons_of(mut replica: Replica, name: &str) -> Replica {
     let own: Vec<_> = replica.drains.cordons_of(name).map(|(id, c)| (id.clone(), c.version)).collect();
     for (id, version) in own {
@@ -104,28 +104,29 @@
     replica
 }
 
-/// The condition that no cordon has changed, and the write that tells that one does.
+/// The condition that no cordon has changed, and the write of the cordon fence that goes with a
+/// change of a cordon.
 fn cordon_fence(replica: &Replica) -> (Condition, KeyWrite) {
     let next = CordonFence { generation: replica.drains.generation + 1 };
     let condition = Condition { key: key::CORDON_FENCE.into(), version: replica.drains.fence };
     (condition, KeyWrite::new(key::CORDON_FENCE.into(), &next))
 }
 
-/// The next change that starts a drain: its cordons one by one, then its record. A cordon that
-/// is there already, from an attempt that was cut off, is used.
+/// The next change that starts a drain: first its cordons one by one, then its record. Cordons that
+/// an interrupted attempt has left are reused. None: the drain has been started.
 pub(super) fn next_start_change(
     replica: &Replica,
     name: &str,
     request: &Request,
     machines: &[Name],
-    pieces: &[Vec<Name>],
+    groups: &[Vec<Name>],
     feasibility: Feasibility,
 ) -> Result<Option<ConditionalWrites>, DrainError> {
     if replica.drains.records.contains_key(name) {
         return Ok(None);
     }
-    if let Some(old) = old_controller(replica) {
-        return Err(DrainError::OldController(old));
+    if let Some(controller) = unsupporting_member(replica) {
+        return Err(DrainError::OldController(controller));
     }
     let first_blocker = request.blockers(replica, machines).into_iter().next();
     if let Some(blocker) = first_blocker.filter(|_| feasibility == Feasibility::Required) {
@@ -134,41 +135,42 @@
     if let Some((machine, drain)) = drained_by_another(replica, name, machines) {
         return Err(SelectionError::Drained { machine, drain }.into());
     }
-    let (unchanged, next_fence) = cordon_fence(replica);
+    let (fence_unchanged, next_fence) = cordon_fence(replica);
     let no_drain = Condition { key: key::drain(name), version: 0 };
-    for (part, piece) in pieces.iter().enumerate() {
-        let id = (name.to_owned(), part as u32);
-        let wanted = CordonRecord::new(piece.clone());
+    for (number, group) in groups.iter().enumerate() {
+        let id = (name.to_owned(), number as u32);
+        let wanted = CordonRecord::new(group.clone());
         let known = replica.drains.cordons.get(&id);
         if known.is_none_or(|c| c.value != wanted) {
             let version = known.map_or(0, |c| c.version);
-            let here = Condition { key: key::cordon(name, id.1), version };
+            let cordon_unchanged = Condition { key: key::cordon(name, id.1), version };
             let writes = vec![KeyWrite::new(key::cordon(name, id.1), &wanted), next_fence];
-            let conditions = vec![here, no_drain, unchanged];
+            let conditions = vec![cordon_unchanged, no_drain, fence_unchanged];
             return Ok(Some(ConditionalWrites { conditions, writes }));
         }
     }
-    let of_other_attempt =
-        replica.drains.cordons_of(name).find(|((_, part), _)| *part as usize >= pieces.len());
-    if let Some(((_, part), cordon)) = of_other_attempt {
-        let here = Condition { key: key::cordon(name, *part), version: cordon.version };
-        let writes = vec![KeyWrite::delete(key::cordon(name, *part)), next_fence];
-        let conditions = vec![here, no_drain, unchanged];
+    let left_over = replica.drains.cordons_of(name).find(|((_, number), _)| *number as usize >= groups.len());
+    if let Some(((_, number), cordon)) = left_over {
+        let cordon_unchanged = Condition { key: key::cordon(name, *number), version: cordon.version };
+        let writes = vec![KeyWrite::delete(key::cordon(name, *number)), next_fence];
+        let conditions = vec![cordon_unchanged, no_drain, fence_unchanged];
         return Ok(Some(ConditionalWrites { conditions, writes }));
     }
-    // No cordon has changed since all of its own were seen.
-    let record = request.record(pieces.len(), machines.len());
+    // The fence proves that no cordon has changed since the replica was read, which contains all
+    // cordons of this drain.
+    let record = request.record(groups.len(), machines.len());
     let writes = vec![KeyWrite::new(key::drain(name), &record)];
-    Ok(Some(ConditionalWrites { conditions: vec![no_drain, unchanged], writes }))
+    Ok(Some(ConditionalWrites { conditions: vec![no_drain, fence_unchanged], writes }))
 }
 
-/// A live controller that could place something on a machine that is cordoned.
-fn old_controller(replica: &Replica) -> Option<String> {
-    let knows = |name: &str| replica.schema_versions.get(name).is_some_and(|s| *s >= DRAINS_SCHEMA_VERSION);
-    replica.members.keys().find(|name| !knows(name)).cloned()
+/// A live controller that does not support drains and could place tasks on a cordoned machine.
+fn unsupporting_member(replica: &Replica) -> Option<String> {
+    let supports_drains =
+        |name: &str| replica.schema_versions.get(name).is_some_and(|s| *s >= DRAINS_SCHEMA_VERSION);
+    replica.members.keys().find(|name| !supports_drains(name)).cloned()
 }
 
-/// One of the machines that another drain empties, with that drain.
+/// The first of these machines that another drain holds, with the name of that drain.
 fn drained_by_another(replica: &Replica, name: &str, machines: &[Name]) -> Option<(String, String)> {
     let others = replica.drains.cordons.iter().filter(|((drain, _), c)| drain != name && c.value.active);
     others.into_iter().find_map(|((drain, _), c)| {
@@ -177,7 +179,7 @@
     })
 }
 
-/// A drain's record after an event, conditional on the version that it was made of.
+/// The change of a drain's record by an event, conditional on the version of the record.
 pub(super) fn drain_change(
     replica: &Replica,
     name: &str,
@@ -192,7 +194,8 @@
     Ok(ConditionalWrites { conditions: vec![condition], writes })
 }
 
-/// The next change that resumes a drain: its cordons one by one, then its record.
+/// The next change that resumes a drain: first its cordons one by one, then its record. None: the
+/// drain is active.
 pub(super) fn next_resume_change(
     replica: &Replica,
     name: &str,
@@ -202,22 +205,23 @@
     }
     let ConditionalWrites { mut conditions, mut writes } =
         drain_change(replica, name, Event::ResumeRequested)?;
-    let left: Vec<Name> =
+    let remaining: Vec<Name> =
         replica.drains.cordons_of(name).flat_map(|(_, c)| c.value.remaining()).cloned().collect();
-    if let Some((machine, drain)) = drained_by_another(replica, name, &left) {
+    if let Some((machine, drain)) = drained_by_another(replica, name, &remaining) {
         return Err(SelectionError::Drained { machine, drain }.into());
     }
-    let (unchanged, next_fence) = cordon_fence(replica);
-    if let Some(((_, part), cordon)) = replica.drains.cordons_of(name).find(|(_, c)| !c.value.active) {
+    let (fence_unchanged, next_fence) = cordon_fence(replica);
+    if let Some(((_, number), cordon)) = replica.drains.cordons_of(name).find(|(_, c)| !c.value.active) {
         let record = CordonRecord { active: true, ..cordon.value.clone() };
-        conditions.push(Condition { key: key::cordon(name, *part), version: cordon.version });
-        writes = vec![KeyWrite::new(key::cordon(name, *part), &record), next_fence];
+        conditions.push(Condition { key: key::cordon(name, *number), version: cordon.version });
+        writes = vec![KeyWrite::new(key::cordon(name, *number), &record), next_fence];
     }
-    conditions.push(unchanged);
+    conditions.push(fence_unchanged);
     Ok(Some(ConditionalWrites { conditions, writes }))
 }
 
-/// The next change that forgets a drain that is over: its cordons one by one, then its record.
+/// The next change that removes a drain that is over: first its cordons one by one, then its record.
+/// None: it has been removed.
 pub(super) fn next_removal_change(
     replica: &Replica,
     name: &str,
@@ -226,12 +230,12 @@
     if !matches!(record.value.phase, DrainPhase::Closed(_)) {
         return Err(DrainError::Lifecycle { name: name.to_owned(), why: LifecycleError::NotOver });
     }
-    let over = Condition { key: key::drain(name), version: record.version };
-    if let Some(((_, part), cordon)) = replica.drains.cordons_of(name).next() {
-        let here = Condition { key: key::cordon(name, *part), version: cordon.version };
-        let writes = vec![KeyWrite::delete(key::cordon(name, *part))];
-        return Ok(Some(ConditionalWrites { conditions: vec![over, here], writes }));
+    let drain_unchanged = Condition { key: key::drain(name), version: record.version };
+    if let Some(((_, number), cordon)) = replica.drains.cordons_of(name).next() {
+        let cordon_unchanged = Condition { key: key::cordon(name, *number), version: cordon.version };
+        let writes = vec![KeyWrite::delete(key::cordon(name, *number))];
+        return Ok(Some(ConditionalWrites { conditions: vec![drain_unchanged, cordon_unchanged], writes }));
     }
     let writes = vec![KeyWrite::delete(key::drain(name))];
-    Ok(Some(ConditionalWrites { conditions: vec![over], writes }))
+    Ok(Some(ConditionalWrites { conditions: vec![drain_unchanged], writes }))
 }
--- a/crates/daemon/src/drains/command/mod.rs
+++ b/crates/daemon/src/drains/command/mod.rs
@@ -1,5 +1,5 @@
-//! `sageloom drain`, the operators' command. It reads and writes records, as controllers do; the
-//! leader carries the drains out.
+//! `sageloom drain`, the operators' command. It only reads and writes records, as controllers do; the
+//! leader carries out the drains.
 
 mod args;
 mod changes;
@@ -19,9 +19,9 @@
 pub(crate) use request::Request;
 pub(crate) use service::Service;
 
-/// Most bytes of a response of the key-value store.
+/// The most bytes of a response of the key-value store.
 const MAX_RESPONSE_BYTES: usize = 256 << 20;
-/// Longest name of a drain, in characters.
+/// The longest name of a drain, in characters.
 const MAX_NAME_CHARS: usize = 40;
 
 /// Runs `sageloom drain`.
@@ -48,25 +48,25 @@
     Ok(())
 }
 
-/// The addresses of the key-value store and, if it is given, the cloud.
+/// The addresses of the key-value store and, if given, of the cloud.
 fn addresses(args: &DrainArgs, settings: Option<&Settings>) -> Result<(String, Option<String>), DrainError> {
     let external = settings.map(|s| &s.external);
     let state = args.state.clone().or_else(|| external.map(|e| e.state.clone()));
     let state = state.ok_or(DrainError::NoState)?;
     let cloud = args.cloud.clone().or_else(|| external.map(|e| e.cloud.clone()));
     for (option, value) in [("--state", Some(&state)), ("--cloud", cloud.as_ref())] {
-        let bad = value.filter(|v| v.parse::<std::net::SocketAddr>().is_err());
-        if let Some(value) = bad {
+        let invalid = value.filter(|v| v.parse::<std::net::SocketAddr>().is_err());
+        if let Some(value) = invalid {
             return Err(DrainError::Address { option, value: value.clone() });
         }
     }
     Ok((state, cloud))
 }
 
-/// Returns the name if it may be a drain's.
+/// Returns the name if it is valid for a drain.
 fn validate_name(name: String) -> Result<String, DrainError> {
-    let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    let valid = !name.is_empty() && name.len() <= MAX_NAME_CHARS && name.chars().all(fits);
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    let valid = !name.is_empty() && name.len() <= MAX_NAME_CHARS && name.chars().all(is_allowed);
     if valid { Ok(name) } else { Err(DrainError::Name(name)) }
 }
 
--- a/crates/daemon/src/drains/command/request.rs
+++ b/crates/daemon/src/drains/command/request.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for when starting or planning a drain.
+//! An operator's request to start or plan a drain.
 
 use std::path::Path;
 
@@ -16,17 +16,17 @@
 use crate::operators::Operators;
 use crate::settings::Settings;
 
-/// What an operator wants to have drained, and by which policy.
+/// The machines to be drained, and the policy of the drain.
 pub(crate) struct Request {
     /// The machines.
     pub(crate) selection: Selection,
-    /// How long work that cannot save its progress may run on, in seconds.
+    /// How long work that cannot save its progress may keep running, in seconds.
     pub(crate) patience_s: f64,
-    /// How long one obstacle may stand before the drain stops, in seconds.
+    /// How long one obstacle may last before the drain stops, in seconds.
     pub(crate) give_up_s: f64,
-    /// What becomes of work that cannot save its progress.
+    /// What to do with work that cannot save its progress after that time.
     pub(crate) unsaved: UnsavedWork,
-    /// The operators' settings, for the budgets.
+    /// The operators' settings, for the disruption budgets.
     pub(crate) operators: Operators,
 }
 
@@ -46,7 +46,7 @@
         Ok(Self { selection, patience_s, give_up_s, unsaved: unsaved.into(), operators })
     }
 
-    /// What could never be moved off these machines.
+    /// The blockers of draining these machines.
     pub(super) fn blockers(&self, replica: &Replica, machines: &[Name]) -> Vec<Blocker> {
         let machines = with_units(replica, machines);
         let budgets = &self.operators.drains.budgets;
--- a/crates/daemon/src/drains/command/service.rs
+++ b/crates/daemon/src/drains/command/service.rs
@@ -1,4 +1,4 @@
-//! The commands on drains, as reads and changes of the records.
+//! Carries out the commands by reading and changing records.
 
 use std::time::Duration;
 
@@ -11,8 +11,9 @@
 use tokio::time::sleep;
 
 use super::changes::{
-    ConditionalWrites, Feasibility, confirm_repeated_start, cordon_pieces, drain_change, known_machines,
-    next_removal_change, next_resume_change, next_start_change, record_of, without_cordons_of,
+    ConditionalWrites, Feasibility, confirm_repeated_start, drain_change, machines_of_drain,
+    next_removal_change, next_resume_change, next_start_change, record_of, split_into_cordons,
+    without_cordons_of,
 };
 use super::error::DrainError;
 use super::request::{Request, with_units};
@@ -20,27 +21,27 @@
 use crate::drains::report;
 use crate::read_records::read_records;
 
-/// How often a change is tried again after a conflict or a refusal for its rate.
+/// How often a change is retried after a conflict, or a request after it was rate-limited.
 const MAX_RETRIES: u32 = 8;
-/// Pause before a change is tried again.
+/// The pause before a retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// The outcome of a transaction that was carried out.
+/// The outcome of a transaction that the key-value store has answered.
 enum CommitOutcome {
     Committed,
     /// The records have changed since they were read.
     Conflict,
 }
 
-/// The services that the commands use.
+/// The clients of the services that the commands use.
 pub(crate) struct Service {
     kv_client: KeyValueClient,
-    /// For the ages of machines, if its address was given.
+    /// Tells the ages of machines; None if no address was given.
     cloud: Option<CloudClient>,
 }
 
 impl Service {
-    /// Commands on these services.
+    /// Commands that use these clients.
     pub(crate) fn new(kv_client: KeyValueClient, cloud: Option<CloudClient>) -> Self {
         Self { kv_client, cloud }
     }
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Reads the records and commits the next change, until there is none, and again after
-    /// conflicts. Returns the records as they are then.
+    /// Reads the records and commits the next change until there is none. Retries after conflicts.
+    /// Returns the replica after the last change.
     async fn change(
         &self,
         next_change: impl Fn(&Replica) -> Result<Option<ConditionalWrites>, DrainError>,
@@ -91,7 +92,8 @@
         }
     }
 
-    /// The ages of all machines in seconds, if the selection needs them and the cloud is known.
+    /// The ages of all machines in seconds, if the selection needs them and the cloud's address is
+    /// known.
     async fn machine_ages(&self, selection: &Selection) -> Result<Option<HashMap<String, f64>>, DrainError> {
         let Some(cloud) = self.cloud.as_ref().filter(|_| selection.older_than_s.is_some()) else {
             return Ok(None);
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Starts a drain. The same command again is idempotent.
+    /// Starts a drain. Repeating the command is idempotent.
     pub(crate) async fn start(
         &self,
         name: &str,
@@ -117,14 +119,15 @@
     ) -> Result<(), DrainError> {
         let ages = self.machine_ages(&request.selection).await?;
         let replica = self.read_replica().await?;
-        if let Some(known) = known_machines(&replica, name)? {
+        if let Some(known) = machines_of_drain(&replica, name)? {
             return confirm_repeated_start(&replica, name, known, request, ages.as_ref());
         }
-        // The cordons of an earlier attempt that was cut off are not another drain's.
+        // Cordons of the same name are left from an interrupted attempt; they must not count as those
+        // of another drain.
         let machines = select(&without_cordons_of(replica, name), &request.selection, ages.as_ref())?;
-        let pieces = cordon_pieces(&machines);
+        let groups = split_into_cordons(&machines);
         let replica = self
-            .change(|replica| next_start_change(replica, name, request, &machines, &pieces, feasibility))
+            .change(|replica| next_start_change(replica, name, request, &machines, &groups, feasibility))
             .await?;
         let blocked = request.blockers(&replica, &machines);
         blocked.iter().for_each(|b| println!("cannot be moved: {b}"));
@@ -132,7 +135,7 @@
         Ok(())
     }
 
-    /// Prints what a drain would do.
+    /// Prints the plan of a drain.
     pub(super) async fn plan(&self, request: &Request) -> Result<(), DrainError> {
         let ages = self.machine_ages(&request.selection).await?;
         let replica = self.read_replica().await?;
@@ -144,7 +147,7 @@
         Ok(())
     }
 
-    /// Prints all drains, a line each.
+    /// Prints all drains, one per line.
     pub(super) async fn list(&self) -> Result<(), DrainError> {
         let replica = self.read_replica().await?;
         for (name, record) in &replica.drains.records {
@@ -156,7 +159,7 @@
         Ok(())
     }
 
-    /// Prints how far a drain is.
+    /// Prints the status of a drain.
     pub(super) async fn status(&self, name: &str) -> Result<(), DrainError> {
         let replica = self.read_replica().await?;
         let record = record_of(&replica, name)?;
@@ -176,7 +179,7 @@
         Ok(())
     }
 
-    /// Resumes a drain that has stopped.
+    /// Resumes a drain that was stopped.
     pub(super) async fn resume(&self, name: &str) -> Result<(), DrainError> {
         let replica = self.change(|replica| next_resume_change(replica, name)).await?;
         println!("{}", report::summary(&replica, name, &record_of(&replica, name)?, wall_ms()));
@@ -187,7 +190,7 @@
     pub(super) async fn remove(&self, name: &str) -> Result<(), DrainError> {
         record_of(&self.read_replica().await?, name)?;
         self.change(|replica| next_removal_change(replica, name)).await?;
-        println!("drain {name} is forgotten");
+        println!("drain {name} is removed");
         Ok(())
     }
 }
--- a/crates/daemon/src/drains/eviction_budget.rs
+++ b/crates/daemon/src/drains/eviction_budget.rs
@@ -1,5 +1,5 @@
-//! The disruption budget of the rescheduler's evictions, where drains are switched on: both
-//! disrupt services voluntarily, and neither may exceed the budgets because of the other.
+//! Disruption budgets for the rescheduler's evictions, if drains are enabled. Evictions and drains
+//! both disrupt services voluntarily, and count against the same budgets.
 
 use drain::budget::{Ledger, UnitId};
 use drain::view::{self, AssumeRunning};
@@ -13,14 +13,15 @@
 use crate::controller::Controller;
 use crate::state::ControllerState;
 
-/// What may be evicted in one scheduling cycle.
+/// The disruption budgets that the evictions of one scheduling cycle count against.
 pub struct EvictionBudget<'c> {
     ledger: Ledger<'c>,
 }
 
 impl<'c> EvictionBudget<'c> {
-    /// For the evictions of a cycle. None: drains are switched off, or some controller does not
-    /// support them. It would not say what it sees running, and disruptions would stay open.
+    /// The budget for the evictions of a cycle. None: drains are disabled, or some controller does
+    /// not support them. Such a controller does not report its running tasks, so that disruptions
+    /// on its machines would stay open.
     pub fn for_cycle(
         controller: &'c Controller,
         state: &ControllerState,
@@ -31,23 +32,23 @@
         applies.then(|| Self::new(controller, state, evictions))
     }
 
-    /// For these evictions, by the records.
+    /// Computes the budget for these evictions from the records.
     fn new(controller: &'c Controller, state: &ControllerState, evictions: &[Eviction]) -> Self {
         let replica = &state.records.replica;
         let budgets = &controller.operators.drains.budgets;
-        let evicted = |id: &str| evictions.iter().any(|e| e.job == id);
-        let concerned = |(id, job): &(&String, &JobRecord)| {
+        let is_evicted = |id: &str| evictions.iter().any(|e| e.job == id);
+        let is_affected = |(id, job): &(&String, &JobRecord)| {
             let service = job.spec.as_deref().filter(|s| s.kind == JobKind::Service);
-            service.is_some_and(|s| evicted(id) || budgets.teams.contains_key(&s.team))
+            service.is_some_and(|s| is_evicted(id) || budgets.teams.contains_key(&s.team))
         };
-        let services: Vec<_> = replica.open_jobs().filter(concerned).collect();
+        let services: Vec<_> = replica.open_jobs().filter(is_affected).collect();
         let capacity = DisruptionRecord::capacity(controller.state_limits().value_bytes);
         let team_of = |id: &str| team_name(controller, id);
         Self { ledger: view::ledger(replica, &services, budgets, &AssumeRunning, team_of, capacity) }
     }
 
-    /// Debits an eviction. Returns the team and the entry for its record; None if the budgets do
-    /// not allow the eviction.
+    /// Debits an eviction. Returns the team and the disruption to add to its record; None if the
+    /// budgets do not allow the eviction.
     pub fn debit(
         &mut self,
         replica: &Replica,
@@ -60,7 +61,10 @@
         self.ledger.check(&team, &unit).ok()?;
         self.ledger.debit(&team, &unit);
         let attempt = view::attempt_of(job, &unit)?;
-        let by = DisruptionCause::Rescheduler;
-        Some((team, Disruption { job: unit.job, task: unit.task, attempt, cause: by, since_ms: now_ms }))
+        let rescheduler = DisruptionCause::Rescheduler;
+        Some((
+            team,
+            Disruption { job: unit.job, task: unit.task, attempt, cause: rescheduler, since_ms: now_ms },
+        ))
     }
 }
--- a/crates/daemon/src/drains/execution.rs
+++ b/crates/daemon/src/drains/execution.rs
@@ -1,4 +1,4 @@
-//! The commits of what a step has decided.
+//! Commits the decisions of a step.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use crate::controller::Controller;
 use crate::state::{CapacityHold, ControllerState};
 
-/// Least time between two writes of an active drain's record for what it waits for.
+/// The least time between two writes of an active drain's record that only update its progress.
 const MIN_PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// How long capacity is held for what was stopped, beyond the time that it needs to save.
+/// How long capacity is held for a stopped unit, in addition to the time to save its checkpoint.
 const HOLD_PERIOD: Duration = Duration::from_secs(60);
-/// Longest time to save a checkpoint that capacity is held for, in seconds.
+/// The longest time to save a checkpoint for which capacity is held, in seconds.
 const MAX_CHECKPOINT_SAVE_S: f64 = 600.0;
 
-/// Commits what a step has decided: moves, as many at a time as one transaction holds, then the
-/// records of drains that nothing was moved for.
+/// Commits the decisions of a step: first the moves, as many at a time as fit into one transaction,
+/// then the records of drains without moves.
 pub(super) async fn carry_out(controller: &Controller, decision: Decision, max_changes: usize) {
     let Decision { moves, mut records, .. } = decision;
     let mut pending = moves.as_slice();
@@ -50,10 +50,10 @@
 
 fn log_stop(unit_move: &Move) {
     let (job, task, machine) = (&*unit_move.unit.id.job, unit_move.unit.id.task, &*unit_move.machine);
-    info!(drain = unit_move.drain, job, task, machine, "stopping on drained machine");
+    info!(drain = unit_move.drain, job, task, machine, "stopping a unit on a drained machine");
 }
 
-/// Holds the capacity that was found for what was stopped until it is placed there.
+/// Holds the capacity that was found for stopped units until they are placed there.
 fn hold_capacity(controller: &Controller, moves: &[Move]) {
     let now = clock::now();
     let mut state = controller.state();
@@ -69,7 +69,7 @@
     }
 }
 
-/// Writes a drain's record: at once if it ends, else in intervals.
+/// Writes a drain's record: at once if the drain ends, else at most once per interval.
 async fn record_progress(controller: &Controller, name: &str, record: DrainRecord) {
     let Some(transaction) = progress_transaction(controller, name, &record) else { return };
     if transaction.commit(controller).await
--- a/crates/daemon/src/drains/housekeeping.rs
+++ b/crates/daemon/src/drains/housekeeping.rs
@@ -1,5 +1,5 @@
-//! What is committed before each step: ends of disruptions and of drains, and outcomes of
-//! machines.
+//! Updates of the records before each step: closes disruptions and drains, and records the outcomes
+//! of machines.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -16,11 +16,11 @@
 use crate::controller::Controller;
 use crate::state::ControllerState;
 
-/// How long a cordon may exist without a drain's record before it is lifted: the command that
-/// starts a drain writes its cordons first.
+/// How long a cordon may exist without its drain's record before it is lifted. The command that
+/// starts a drain writes the cordons first, and the record after them.
 const ORPHANED_CORDON_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Closes the disruptions of replicas that run again, or never will.
+/// Closes the disruptions of units that run again, or never will.
 pub(super) fn close_disruptions(controller: &Controller, state: &mut ControllerState) -> Option<Transaction> {
     let observed = observed_tasks(controller, state, clock::now());
     let replica = &state.records.replica;
@@ -29,16 +29,16 @@
         let open = &record.value.open;
         let is_open = |d: &&Disruption| !view::is_resolved(replica, d, &observed);
         let still_open: Vec<Disruption> = open.iter().filter(is_open).cloned().collect();
-        let has_room = transaction.write_count() < controller.state_limits().txn_ops;
-        if still_open.len() < open.len() && has_room {
+        let fits_transaction = transaction.write_count() < controller.state_limits().txn_ops;
+        if still_open.len() < open.len() && fits_transaction {
             transaction.write_disruptions(replica, team, DisruptionRecord { open: still_open });
         }
     }
     transaction.unless_empty()
 }
 
-/// Lifts the cordons of drains that end, and closes the drains that have none any more. Cordons
-/// whose drain was never written are lifted after a while.
+/// Lifts the cordons of closing drains, and closes the drains whose cordons are all lifted. Cordons
+/// without a drain's record are lifted after [`ORPHANED_CORDON_TIMEOUT`].
 pub(super) fn lift_cordons(controller: &Controller, state: &mut ControllerState) -> Option<Transaction> {
     let orphaned = drains_with_orphaned_cordons(state);
     let replica = &state.records.replica;
@@ -48,7 +48,7 @@
         let drain = replica.drains.records.get(&id.0);
         let is_orphaned = orphaned.contains(&id.0);
         let is_closing = matches!(drain.map(|d| &d.value.phase), Some(DrainPhase::Closing(_)));
-        // The fence is a write, too.
+        // One write is needed for the cordon fence.
         if (is_closing || is_orphaned) && transaction.write_count() + 1 < max_writes {
             if is_orphaned {
                 transaction.condition(key::drain(&id.0), drain.map_or(0, |d| d.version));
@@ -74,14 +74,15 @@
     transaction.unless_empty()
 }
 
-/// The drains that have had cordons without a record for a while.
+/// The names whose cordons have had no drain's record for [`ORPHANED_CORDON_TIMEOUT`].
 fn drains_with_orphaned_cordons(state: &mut ControllerState) -> Vec<String> {
     let now = clock::now();
     let ControllerState { records, drains, .. } = state;
     let known = &records.replica.drains;
-    // A drain that is over is resumed by its cordons first, too.
-    let is_over = |drain: &DrainRecord| matches!(drain.phase, DrainPhase::Closed(_));
-    let is_open = |name: &str| known.records.get(name).is_some_and(|drain| !is_over(&drain.value));
+    // The command that resumes a closed drain also writes the cordons before the record, so a closed
+    // drain counts as none.
+    let is_closed = |drain: &DrainRecord| matches!(drain.phase, DrainPhase::Closed(_));
+    let is_open = |name: &str| known.records.get(name).is_some_and(|drain| !is_closed(&drain.value));
     let has_record = |name: &str| is_open(name) || known.unreadable.contains(name);
     let active = known.cordons.iter().filter(|(_, cordon)| cordon.value.active);
     let orphaned: BTreeSet<&str> =
--- a/crates/daemon/src/drains/machine_order.rs
+++ b/crates/daemon/src/drains/machine_order.rs
@@ -10,8 +10,8 @@
 use crate::controller::Controller;
 use crate::state::ControllerState;
 
-/// Has a solver look for an order of the machines of a new drain, on a thread of its own. Until
-/// it has one, and if it finds none in its time, the greedy order is used.
+/// Plans the order of the machines of a new drain with the solver, on a blocking thread. Until the
+/// solver has found an order, and if it finds none within its time limit, the greedy order is used.
 pub(super) fn plan_machine_order(controller: &Arc<Controller>) {
     let budgets = &controller.operators.drains.budgets;
     let mut state = controller.state();
@@ -35,7 +35,13 @@
     task_tracker.spawn(async move {
         let solve = move || waves::plan(&problem, &SolverLimits::LEADER);
         let Ok((order, waves, method)) = tokio::task::spawn_blocking(solve).await else { return };
-        info!(drain = name, machines = names.len(), waves = waves.len(), ?method, "drain planned");
+        info!(
+            drain = name,
+            machines = names.len(),
+            waves = waves.len(),
+            ?method,
+            "planned the order of machines of a drain"
+        );
         let order = order.into_iter().map(|i| names[i].clone()).collect();
         controller.state().drains.orders.insert(name, order);
     });
--- a/crates/daemon/src/drains/mod.rs
+++ b/crates/daemon/src/drains/mod.rs
@@ -1,11 +1,11 @@
-//! Drains: machines that are emptied gracefully and released. The decisions are in the package
-//! `drain`; here the leader observes, decides and commits, one step after the other for all
-//! drains that are not over.
+//! Drains: machines that are emptied gracefully and released. The decisions are made by the package
+//! `drain`. Here the leader observes the running tasks, decides and commits, in steps for all drains
+//! that are not over.
 //!
-//! In each step, disruptions whose replicas run again are closed; cordons of drains that end are
-//! lifted; outcomes of machines are recorded; and what may be stopped now is stopped. Each is a
-//! transaction of its own, conditional on all records that it was decided from, so that a step of
-//! a leader that has been replaced comes to nothing.
+//! Each step closes the disruptions whose units run again, lifts the cordons of closing drains,
+//! records the outcomes of machines, and stops the units that may be stopped now. Each of these is a
+//! transaction of its own, conditional on the records that it was decided from. The transactions of
+//! a leader that has been replaced therefore fail.
 
 pub mod command;
 mod disruptions;
--- a/crates/daemon/src/drains/report.rs
+++ b/crates/daemon/src/drains/report.rs
@@ -14,7 +14,7 @@
 
 use crate::controller::wall_ms;
 
-/// Most waves that a plan shows one by one.
+/// The most waves that a plan lists.
 const MAX_WAVES_SHOWN: usize = 20;
 
 fn elapsed_s(from_ms: u64, now_ms: u64) -> u64 {
@@ -24,18 +24,18 @@
 fn end_text(end: DrainEnd) -> &'static str {
     match end {
         DrainEnd::Finished => "finished",
-        DrainEnd::ByOperator => "stopped by its operator",
-        DrainEnd::NoCapacity => "stopped: no room was found for what is left",
-        DrainEnd::WorkLeft => "stopped: what is left cannot save its progress and runs on",
-        DrainEnd::GaveUp => "stopped: an obstacle stood for too long",
+        DrainEnd::ByOperator => "stopped by the operator",
+        DrainEnd::NoCapacity => "stopped: no capacity was found for the remaining work",
+        DrainEnd::WorkLeft => "stopped: the remaining work cannot save its progress and keeps running",
+        DrainEnd::GaveUp => "stopped: an obstacle lasted for too long",
     }
 }
 
 fn phase_text(phase: DrainPhase) -> String {
     match phase {
         DrainPhase::Active => "active".into(),
-        DrainPhase::Closing(how) => format!("{} (cordons are being lifted)", end_text(how)),
-        DrainPhase::Closed(how) => end_text(how).into(),
+        DrainPhase::Closing(end) => format!("{} (cordons are being lifted)", end_text(end)),
+        DrainPhase::Closed(end) => end_text(end).into(),
     }
 }
 
@@ -43,11 +43,11 @@
     match kind {
         ObstacleKind::ServiceBudget => "the service's budget",
         ObstacleKind::TeamBudget => "the team's budget",
-        ObstacleKind::NoCapacity => "room elsewhere",
+        ObstacleKind::NoCapacity => "capacity on other machines",
         ObstacleKind::CannotSave => "work that cannot save its progress",
-        ObstacleKind::Stopping => "what was told to stop",
-        ObstacleKind::OldController => "a controller that knows no drains",
-        ObstacleKind::ScalingIn => "an empty machine to be given back",
+        ObstacleKind::Stopping => "a task that is stopping",
+        ObstacleKind::OldController => "a controller that does not support drains",
+        ObstacleKind::ScalingIn => "an empty machine to be released",
     }
 }
 
@@ -57,39 +57,39 @@
         ObstacleKind::OldController => [("controller", &o.job), ("", &o.team), ("", &o.machine)],
         _ => [("team", &o.team), ("job", &o.job), ("machine", &o.machine)],
     };
-    for (what, name) in named.into_iter().filter(|(_, name)| !name.is_empty()) {
-        let _ = write!(text, ", {what} {name}");
+    for (label, name) in named.into_iter().filter(|(_, name)| !name.is_empty()) {
+        let _ = write!(text, ", {label} {name}");
     }
     let _ = write!(text, ", since {} s", elapsed_s(o.since_ms, now_ms));
     text
 }
 
-/// How many of a drain's machines were released, were lost, and are left.
+/// How many of a drain's machines were released, lost, and are left.
 struct MachineCounts {
-    given_back: usize,
+    released: usize,
     lost: usize,
     left: usize,
 }
 
 impl MachineCounts {
     fn of(drains: &Drains, name: &str) -> Self {
-        let mut of = Self { given_back: 0, lost: 0, left: 0 };
+        let mut counts = Self { released: 0, lost: 0, left: 0 };
         for (_, cordon) in drains.cordons_of(name) {
             let gone = cordon.value.gone();
             let emptied = gone.iter().filter(|m| cordon.value.emptied().contains(m)).count();
-            of.given_back += emptied;
-            of.lost += gone.len() - emptied;
-            of.left += cordon.value.remaining().count();
+            counts.released += emptied;
+            counts.lost += gone.len() - emptied;
+            counts.left += cordon.value.remaining().count();
         }
-        of
+        counts
     }
 }
 
-/// A drain in one line, without its end.
+/// A drain in one line, without a line break at the end.
 pub fn summary(replica: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
-    let MachineCounts { given_back, lost, left } = MachineCounts::of(&replica.drains, name);
+    let MachineCounts { released, lost, left } = MachineCounts::of(&replica.drains, name);
     let mut text = format!(
-        "{name}: {}; of {} machines {given_back} given back, {lost} lost, {left} left; {} moved",
+        "{name}: {}; of {} machines {released} released, {lost} lost, {left} left; {} moved",
         phase_text(record.phase),
         record.machines,
         record.moved
@@ -100,32 +100,32 @@
     text
 }
 
-/// All about a drain, in lines.
+/// The full status of a drain, in several lines.
 pub fn status(replica: &Replica, name: &str, record: &DrainRecord, now_ms: u64) -> String {
     let mut text = summary(replica, name, record, now_ms) + "\n";
     let _ = writeln!(text, "started {} s ago", elapsed_s(record.started_ms, now_ms));
     if record.capacity_search.failed > 0 {
-        let _ = writeln!(text, "{} attempts to get room have failed", record.capacity_search.failed);
+        let _ = writeln!(text, "{} attempts to get capacity have failed", record.capacity_search.failed);
     }
     for (_, cordon) in replica.drains.cordons_of(name) {
         let c = &cordon.value;
         for machine in c.machines() {
-            let what = match (c.gone().contains(machine), c.emptied().contains(machine)) {
-                (true, true) => "given back",
+            let state = match (c.gone().contains(machine), c.emptied().contains(machine)) {
+                (true, true) => "released",
                 (true, false) => "lost",
                 (false, true) => "empty",
                 (false, false) if c.active => "cordoned",
                 (false, false) => "kept",
             };
             let tasks = replica.assignments(machine).count();
-            let _ = writeln!(text, "  {machine}: {what}, {tasks} tasks");
+            let _ = writeln!(text, "  {machine}: {state}, {tasks} tasks");
         }
     }
-    let by_choice = drain::view::open_disruptions_by_team(&replica.drains);
-    for (team, d) in by_choice {
+    let open_disruptions = drain::view::open_disruptions_by_team(&replica.drains);
+    for (team, d) in open_disruptions {
         let _ = writeln!(
             text,
-            "down by choice: team {team}, {}/{}, since {} s",
+            "voluntary disruption: team {team}, {}/{}, since {} s",
             d.job,
             d.task,
             elapsed_s(d.since_ms, now_ms)
@@ -134,7 +134,7 @@
     text
 }
 
-/// What a drain of these machines would do, and what stands in its way.
+/// The plan of a drain of these machines, and its blockers.
 pub fn plan(replica: &Replica, machines: &[Machine], budgets: &Budgets, blockers: &[Blocker]) -> String {
     let problem = waves::problem(replica, machines, budgets);
     let (order, waves, method) = waves::plan(&problem, &SolverLimits::PLAN);
@@ -147,8 +147,8 @@
         problem.units.len(),
         waves.len(),
         match method {
-            Method::Greedy => "what is on the machines for their price",
-            Method::Solver => "a linear programme",
+            Method::Greedy => "number of units per price",
+            Method::Solver => "a linear program",
         }
     );
     for wave in 0..=waves.len().min(MAX_WAVES_SHOWN) {
@@ -157,15 +157,18 @@
         let moved = wave.checked_sub(1).and_then(|w| waves.get(w)).map_or(0, Vec::len);
         if moved + emptied.len() > 0 {
             let when = if wave == 0 { "at once".to_owned() } else { format!("wave {wave}") };
-            let _ = writeln!(text, "  {when}: {moved} moved, empty then: {}", names(&emptied));
+            let _ = writeln!(text, "  {when}: {moved} moved, empty after it: {}", names(&emptied));
         }
     }
     if waves.len() > MAX_WAVES_SHOWN {
-        let _ = writeln!(text, "  and {} waves more", waves.len() - MAX_WAVES_SHOWN);
+        let _ = writeln!(text, "  and {} more waves", waves.len() - MAX_WAVES_SHOWN);
     }
     let missing = units_without_capacity(replica, machines);
     if missing > 0 {
-        let _ = writeln!(text, "{missing} find no room now: machines will be rented for them");
+        let _ = writeln!(
+            text,
+            "{missing} have no capacity on other machines now: machines will be rented for them"
+        );
     }
     for blocker in blockers {
         let _ = writeln!(text, "could never finish: {blocker}");
@@ -177,7 +180,7 @@
     if list.is_empty() { "none".into() } else { crate::load::sample_names(list) }
 }
 
-/// The number of units to be moved that do not fit on the machines that stay.
+/// The number of units to be moved that do not fit on the machines that are not drained.
 fn units_without_capacity(replica: &Replica, machines: &[Machine]) -> usize {
     let drained: Vec<&str> = machines.iter().map(|m| &*m.name).collect();
     let mut inventory = Inventory::new(replica, |id| !drained.contains(&id));
@@ -195,7 +198,7 @@
     units.into_iter().filter(|u| capacity.find(&u.id).is_none()).count()
 }
 
-/// The teams without limits: what is moved takes no more of its team's quota than before.
+/// All teams without quotas: a unit that is moved takes no more of its team's quota than before.
 fn unlimited_teams(replica: &Replica) -> Vec<Team> {
     let names: std::collections::BTreeSet<&str> =
         replica.open_jobs().filter_map(|(_, job)| job.spec.as_deref()).map(|s| s.team.as_str()).collect();
--- a/crates/daemon/src/drains/run.rs
+++ b/crates/daemon/src/drains/run.rs
@@ -1,4 +1,4 @@
-//! The task of the leader that carries drains out, step by step.
+//! The leader's task that carries out drains, in steps.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::controller::Controller;
 use crate::state::{ControllerState, DrainState};
 
-/// Least time between two steps.
+/// The least time between two steps.
 const MIN_STEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Between its steps the task leaves this many times the processor time that one took.
+/// After each step the task sleeps for at least this many times the processor time of the step.
 const PAUSE_PER_PROCESSOR_TIME: u32 = 8;
 
-/// Carries drains out for as long as the process lives, while it is the leader.
+/// Carries out drains whenever this controller is the leader. Never returns.
 pub async fn run_drains(controller: Arc<Controller>) {
     let mut processor_time = Duration::ZERO;
     loop {
@@ -33,9 +33,9 @@
     }
 }
 
-/// Whether this controller is the leader, a drain is not over, and the replica is fresh enough to
-/// stop work by. Otherwise what was remembered of drains is dropped: another leader may have
-/// carried them on meanwhile.
+/// Whether a step is due: this controller is the leader, some drain is not over, and the replica is
+/// fresh enough to stop work. If the controller is not the leader or there are no drains, the state
+/// kept between steps is dropped, because another leader may carry out drains meanwhile.
 fn is_due(controller: &Controller) -> bool {
     let mut state = controller.state();
     let is_busy = state.records.replica.drains.is_busy();
@@ -49,7 +49,7 @@
     state.may_stop_work(clock::now())
 }
 
-/// Takes one step. Returns how long its decisions took.
+/// Takes one step. Returns how long the decisions took.
 async fn take_step(controller: &Arc<Controller>) -> Duration {
     warn_of_unreadable_drains(&mut controller.state());
     for housekeeping in [close_disruptions, lift_cordons, record_machine_outcomes] {
@@ -68,14 +68,14 @@
     processor_time
 }
 
-/// Logs once of each drain that its record cannot be read. Its machines stay cordoned.
+/// Warns once of each drain whose record cannot be read. Its machines stay cordoned.
 fn warn_of_unreadable_drains(state: &mut ControllerState) {
     let ControllerState { records, drains, .. } = state;
     let unreadable = &records.replica.drains.unreadable;
     drains.unreadable.retain(|name| unreadable.contains(name));
     for name in unreadable {
         if drains.unreadable.insert(name.clone()) {
-            warn!(key = key::drain(name), "drain record unreadable; its machines stay cordoned");
+            warn!(key = key::drain(name), "drain record cannot be read; its machines stay cordoned");
         }
     }
 }
--- a/crates/daemon/src/drains/running_tasks.rs
+++ b/crates/daemon/src/drains/running_tasks.rs
@@ -1,5 +1,5 @@
-//! Which tasks run, as the machines' owners observe it. The records say what is to run; whether a
-//! replica is up, only its machine's owner knows, from heartbeats.
+//! Observes which tasks run. The records tell only which tasks should run; whether a replica is up
+//! is known from heartbeats, which only the controller that owns the machine receives.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,39 +15,38 @@
 use crate::controller::Controller;
 use crate::state::{ControllerState, PeerObservation};
 
-/// The path of the peers' requests.
+/// The path of the requests between peers.
 pub const PATH: &str = "/running-tasks";
 /// How often each peer is asked.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(1000);
 /// How long a peer has to answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long an answer counts, from its request.
+/// How long an answer is valid, counted from its request.
 const MAX_ANSWER_AGE: Duration = Duration::from_secs(4);
 /// Most bytes of an answer.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// The tasks of the observed jobs that are seen running, by this controller and by the peers
-/// whose answers are recent and of the present cluster map. What nobody sees running counts as
-/// down.
+/// The running tasks of the observed jobs, as observed by this controller and by the peers whose
+/// answers are recent and of the current cluster map. All other tasks count as down.
 pub(super) fn observed_tasks(
     controller: &Controller,
     state: &ControllerState,
     now: Instant,
 ) -> ObservedTasks {
-    let mut all = ObservedTasks::default();
-    let Some(map) = state.cluster_map() else { return all };
+    let mut observed = ObservedTasks::default();
+    let Some(map) = state.cluster_map() else { return observed };
     for of_job in
         tasks_on_owned_machines(controller, state, state.drains.observed_jobs.iter().map(String::as_str), now)
     {
-        add(&mut all, &of_job);
+        add(&mut observed, &of_job);
     }
     for (name, answer) in &state.drains.peer_observations {
-        let recent = now.saturating_duration_since(answer.requested_at) < MAX_ANSWER_AGE;
-        if recent && answer.epoch == map.epoch && map.contains(name, answer.incarnation) {
-            all.extend(answer.tasks.clone());
+        let is_recent = now.saturating_duration_since(answer.requested_at) < MAX_ANSWER_AGE;
+        if is_recent && answer.epoch == map.epoch && map.contains(name, answer.incarnation) {
+            observed.extend(answer.tasks.clone());
         }
     }
-    all
+    observed
 }
 
 fn add(tasks: &mut ObservedTasks, of_job: &RunningTasksOfJob) {
@@ -56,22 +55,23 @@
     }
 }
 
-/// The tasks of some jobs that run on machines of this controller.
+/// The tasks of these jobs that run on machines owned by this controller.
 fn tasks_on_owned_machines<'a>(
     controller: &Controller,
     state: &ControllerState,
     jobs: impl Iterator<Item = &'a str>,
     now: Instant,
 ) -> Vec<RunningTasksOfJob> {
-    let silent = controller.heartbeat_interval() * 5 / 2;
-    let runs = |job: &str, a: &Assignment| {
-        let mine = state.records.replica.owner_of(&a.machine) == Some(&controller.identity);
-        let worker = state.machines.workers.get(&a.machine).filter(|w| mine && w.silent_for(now) <= silent);
+    let max_silence = controller.heartbeat_interval() * 5 / 2;
+    let is_running = |job: &str, a: &Assignment| {
+        let is_own = state.records.replica.owner_of(&a.machine) == Some(&controller.identity);
+        let worker =
+            state.machines.workers.get(&a.machine).filter(|w| is_own && w.silent_for(now) <= max_silence);
         worker.is_some_and(|w| w.is_running(&format!("{job}/{}", a.task), a.attempt))
     };
     let of_job = |job: &str| {
         let record = &state.records.replica.jobs.get(job)?.value;
-        let running = record.assignments.iter().filter(|a| runs(job, a));
+        let running = record.assignments.iter().filter(|a| is_running(job, a));
         let tasks: Vec<RunningTask> =
             running.map(|a| RunningTask { task: a.task, attempt: a.attempt }).collect();
         (!tasks.is_empty()).then(|| RunningTasksOfJob { job: job.to_owned(), tasks })
@@ -79,7 +79,7 @@
     jobs.filter_map(of_job).collect()
 }
 
-/// Asks one peer regularly which tasks run on its machines, while there are jobs to observe.
+/// Regularly asks one peer which tasks run on its machines, while there are jobs to observe.
 pub async fn observe_peer(controller: Arc<Controller>, name: String, address: String) {
     loop {
         sleep(REQUEST_INTERVAL).await;
@@ -100,8 +100,8 @@
     Some(RunningTasksRequest { nonce: rand::rng().random(), epoch, jobs })
 }
 
-/// Sends a request. A controller without drains answers 404: nothing is
-/// known to run on its machines.
+/// Sends a request. A controller without drains answers 404; no tasks are then known to run on its
+/// machines.
 async fn exchange(
     controller: &Controller,
     address: &str,
@@ -116,8 +116,7 @@
     (answer.status == 200).then(|| peer::decode_running_tasks(&answer.body)).flatten()
 }
 
-/// Records an answer. Returns false if it is not one to this request from the peer that was
-/// asked.
+/// Records an answer. Returns false if it does not match the request and the peer that was asked.
 pub(crate) fn record_answer(
     state: &mut ControllerState,
     name: &str,
@@ -141,7 +140,7 @@
 /// Answers a peer's request.
 pub fn serve(controller: &Controller, body: &[u8]) -> Reply {
     if !controller.operators.drains.enabled {
-        return Reply::error(404, "drains are switched off");
+        return Reply::error(404, "drains are disabled");
     }
     let Some(request) = peer::decode_running_tasks_request(body) else {
         return Reply::error(400, "not a request for running tasks");
--- a/crates/daemon/src/drains/step.rs
+++ b/crates/daemon/src/drains/step.rs
@@ -1,4 +1,4 @@
-//! The decision of one step for all drains. No I/O.
+//! Decides on one step of all drains. Does no I/O.
 
 use std::time::Duration;
 
@@ -15,24 +15,24 @@
 use crate::controller::{Controller, wall_ms};
 use crate::state::ControllerState;
 
-/// Most units that one step stops.
+/// The most units that one step stops.
 const MAX_MOVES_PER_STEP: usize = 16;
-/// Machines come up within this many times their usual boot.
+/// Machines are expected to come up within this many times their usual boot time.
 const MAX_BOOT_FACTOR: f64 = 3.0;
-/// Time beside the boot in an attempt to get capacity, for the scale out and the first heartbeat,
-/// in seconds.
+/// The time that an attempt to get capacity has in addition to the boot, for scaling out and for the
+/// first heartbeat, in seconds.
 const CAPACITY_ATTEMPT_RESERVE_S: f64 = 45.0;
-/// Boots longer than this are not waited for in full, in seconds.
+/// The longest boot time that an attempt to get capacity allows for, in seconds.
 const MAX_BOOT_S: f64 = 600.0;
 
-/// What a step has decided.
+/// The decisions of a step.
 pub(super) struct DrainStep {
     pub(super) decision: Decision,
-    /// The number of changes that there are for it.
+    /// The most changes that may be written for it.
     pub(super) max_changes: usize,
 }
 
-/// Decides a step. None: no drain is active.
+/// Decides on a step. None: no drain is active.
 pub(super) fn decide(controller: &Controller) -> Option<DrainStep> {
     let now = clock::now();
     let mut state = controller.state();
@@ -71,7 +71,7 @@
     Some(DrainStep { decision, max_changes })
 }
 
-/// Keeps the capacity that earlier steps have found from being found again.
+/// Reserves the capacity that earlier steps have found, so that it is not found again.
 fn reserve_held_capacity(state: &ControllerState, inventory: &mut Inventory) {
     let replica = &state.records.replica;
     for (job, hold) in state.drains.holds.iter().filter(|(job, hold)| hold.is_needed(replica, job)) {
@@ -80,15 +80,15 @@
     }
 }
 
-/// What a step is decided from, beside the inventory.
+/// The input of a step's decisions, except for the inventory.
 struct StepInput<'a> {
     controller: &'a Controller,
     replica: &'a Replica,
     drains: &'a [Drain],
-    /// The tasks that are seen running.
+    /// The tasks that are observed to run.
     observed: &'a ObservedTasks,
     limits: &'a Limits,
-    /// Most open disruptions that a team's record holds.
+    /// The most open disruptions that a team's record holds.
     max_disruptions_per_team: usize,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// How long an attempt to get capacity may take.
+/// The longest time of an attempt to get capacity.
 fn capacity_attempt_timeout(replica: &Replica) -> Duration {
     let boot_s = replica.machine_types.values().map(|t| t.boot_s).fold(0.0, f64::max).min(MAX_BOOT_S);
     wire::seconds(boot_s * MAX_BOOT_FACTOR + CAPACITY_ATTEMPT_RESERVE_S)
--- a/crates/daemon/src/drains/support.rs
+++ b/crates/daemon/src/drains/support.rs
@@ -1,5 +1,4 @@
-//! What the decisions on drains need of the settings: whether all controllers support drains, and
-//! the names of teams.
+//! Whether all controllers support drains, and the names of teams.
 
 use sched::drain_records::{Obstacle, ObstacleKind};
 use sched::records::DRAINS_SCHEMA_VERSION;
@@ -8,8 +7,8 @@
 
 use crate::controller::Controller;
 
-/// A controller because of which nothing may be stopped, as an obstacle: one without drains, or
-/// with drains switched off, could place something on a machine that is being drained.
+/// The first controller that does not support drains, or has them disabled, as an obstacle. Nothing
+/// may be stopped while there is one, because it could place tasks on machines that are drained.
 pub fn unsupporting_controller(controller: &Controller, replica: &Replica) -> Option<Obstacle> {
     let peers = controller.settings.peers.iter().map(|peer| &peer.node_name);
     let configured = peers.chain([&controller.settings.node_name]);
@@ -26,7 +25,7 @@
     })
 }
 
-/// The name of the team that an id in a key stands for.
+/// The name of the team with this id in keys; the id itself if no such team is configured.
 pub(super) fn team_name(controller: &Controller, team_id: &str) -> String {
     let found = controller.teams.iter().find(|team| key::team_id(&team.name) == team_id);
     found.map_or_else(|| team_id.to_owned(), |team| team.name.clone())
--- a/crates/daemon/src/drains/transaction.rs
+++ b/crates/daemon/src/drains/transaction.rs
@@ -16,7 +16,7 @@
 use crate::controller::{Controller, wall_ms};
 use crate::load::Purpose;
 
-/// How long the task waits after a conflict for the records that it conflicted with.
+/// How long the task waits after a conflict until the replica contains the conflicting records.
 const CONFLICT_CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Applies an event to a drain's record. None: the event does not fit its phase.
@@ -25,16 +25,17 @@
     lifecycle::apply(&mut record, event, wall_ms()).ok().map(|()| record)
 }
 
-/// Changes of records that are committed together or not at all.
+/// Changes of records that are committed atomically.
 pub(super) struct Transaction {
     conditions: Vec<Condition>,
     writes: Vec<KeyWrite>,
-    /// What is applied to the replica once it is committed.
+    /// The changes that are applied to the replica after the commit.
     changes: Vec<RecordChange>,
 }
 
 impl Transaction {
-    /// An empty one that fails if the cluster map has changed, and with it perhaps the leader.
+    /// A transaction without writes that fails if the cluster map has changed, and with it possibly
+    /// the leader.
     pub(super) fn new(replica: &Replica) -> Self {
         let version = replica.cluster_map.as_ref().map_or(0, |m| m.version);
         let map = Condition { key: key::MAP.into(), version };
@@ -46,7 +47,7 @@
         self.writes.len()
     }
 
-    /// Adds the condition that a record still has this version; 0: that there is none.
+    /// Adds the condition that a record still has this version, or does not exist if it is 0.
     pub(super) fn condition(&mut self, key: String, version: u64) {
         if !self.conditions.iter().any(|c| c.key == key) {
             self.conditions.push(Condition { key, version });
@@ -68,7 +69,7 @@
         self.changes.push(RecordChange::Cordon(id.clone(), Some(record)));
     }
 
-    /// Advances the cordon fence: placements that were decided by the cordons before fail.
+    /// Advances the cordon fence. Placements that were decided from the cordons before then fail.
     pub(super) fn write_fence(&mut self, replica: &Replica) {
         let fence = CordonFence { generation: replica.drains.generation + 1 };
         self.condition(key::CORDON_FENCE.into(), replica.drains.fence);
@@ -101,7 +102,8 @@
         (&self.conditions, &self.writes)
     }
 
-    /// Commits it and applies its changes to the replica. Returns whether it surely is committed.
+    /// Commits it and applies its changes to the replica. Returns false if it was not committed, or
+    /// if that is not known.
     pub(super) async fn commit(self, controller: &Controller) -> bool {
         let Self { conditions, writes, changes } = self;
         controller.state().writes.limiter.acquire(writes.len() as f64, 0.0, clock::now());
--- a/crates/daemon/src/drains/unit_stops.rs
+++ b/crates/daemon/src/drains/unit_stops.rs
@@ -17,20 +17,21 @@
 use crate::controller::{Controller, wall_ms};
 use crate::state::ControllerState;
 
-/// Writes that stopping one unit takes: its job, its team's record, its drain's.
+/// The writes that stopping one unit takes: the records of its job, its team and its drain.
 const WRITES_PER_STOP: usize = 3;
-/// Bytes that the records beside a job's take of a transaction, for each unit.
+/// The bytes of a transaction that are counted for all records but the job's, for each unit.
 const OTHER_RECORDS_BYTES: usize = 700;
 
-/// The transaction that stops the first of some units.
+/// The transaction that stops the first units of a list.
 pub(super) struct UnitStops {
     pub(super) transaction: Transaction,
     /// How many units it stops.
     pub(super) count: usize,
 }
 
-/// Stops the first of these units, as many as one transaction holds: their jobs, their teams'
-/// records of voluntary disruptions, and the drains' own records. None: not even the first.
+/// Builds the transaction that stops the first of these units, as many as fit into it. It writes the
+/// records of their jobs, the disruption records of their teams, and the records of the drains.
+/// None: it cannot stop even the first, or some drain is over.
 pub(super) fn stop_units(
     controller: &Controller,
     state: &ControllerState,
@@ -65,9 +66,9 @@
 /// The outcome of adding a unit.
 enum Addition {
     Added,
-    /// There is no room for it, or its job or drain is not known any more.
+    /// The unit does not fit into the transaction, or its job or drain does not exist any more.
     LeftOut,
-    /// Its drain is over: nothing may be stopped for it.
+    /// Its drain is over, so that nothing may be stopped for it.
     DrainIsOver,
 }
 
@@ -77,18 +78,18 @@
     replica: &'a Replica,
     max_writes: usize,
     now_ms: u64,
-    /// Whether the drains' records count what was moved. Where a transaction has two writes only,
-    /// a drain's record is a condition alone.
+    /// Whether the moves are counted in the drains' records. If a transaction has only two writes, a
+    /// drain's record is only a condition.
     counts_moves: bool,
     jobs: BTreeMap<Name, Box<JobRecord>>,
     teams: BTreeMap<String, DisruptionRecord>,
     drains: BTreeMap<String, DrainRecord>,
-    /// Bytes of the records so far.
+    /// The bytes of the records that were added.
     bytes: usize,
 }
 
 impl PendingStops<'_> {
-    /// Adds a unit.
+    /// Adds a unit to be stopped.
     fn add(&mut self, unit_move: &Move) -> Addition {
         let replica = self.replica;
         let id = &unit_move.unit.id;
@@ -118,7 +119,7 @@
         Addition::Added
     }
 
-    /// The number of writes with one more unit.
+    /// The number of writes if this unit is added.
     fn writes_with(&self, unit_move: &Move, team: &str) -> usize {
         let new_job = usize::from(!self.jobs.contains_key(&unit_move.unit.id.job));
         let new_team = usize::from(!self.teams.contains_key(team));
@@ -149,7 +150,8 @@
     }
 }
 
-/// Marks a unit to be stopped. The leader places its replacement, as it holds the capacity.
+/// Marks a unit to be stopped. Its job is taken from its shard, because the leader places the
+/// replacement: only the leader holds the capacity for it.
 fn mark_stopped(controller: &Controller, job: &mut JobRecord, unit_move: &Move, now_ms: u64) {
     let id = &unit_move.unit.id;
     match unit_move.unit.work {
--- a/crates/daemon/tests/drains_loopback.rs
+++ b/crates/daemon/tests/drains_loopback.rs
@@ -1,8 +1,8 @@
-//! Two drains that overlap on twenty stand-in workers, with three controllers as processes of
-//! their own: a replacement does not come up, the leader is killed in mid-step and is back at
-//! once, the state service is away for longer than a cancellation may take, a machine that is
-//! drained dies, and a gang starts beside it all. What the workers did is held against the
-//! budgets. Every wait is for an event.
+//! Two concurrent drains on twenty emulated workers, with three controllers as separate processes.
+//! Meanwhile rented replacements do not boot, the leader is killed in mid-step and restarts at once,
+//! the key-value store is unavailable for longer than a cancellation may take, a drained machine
+//! dies, and a gang starts. The workers' history is checked against the budgets. The test waits for
+//! events, not for fixed times.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -19,20 +19,20 @@
 const SERVICE: &str = include_str!("../../../examples/service.toml");
 const OPERATORS: &str = "drains {\n enabled = true\n team \"looms\" {\n count = 2\n }\n}\n";
 const CANCEL_S: u64 = 14;
-const PER_SERVICE: usize = 1;
-const COUNT_LOOMS: usize = 2;
-/// Services of four replicas, two of which fill a machine.
+const SERVICE_BUDGET: usize = 1;
+const TEAM_BUDGET: usize = 2;
+/// Services of four replicas. Two replicas fill a machine.
 const SERVICES: u32 = 10;
 const REPLICAS: u32 = 4;
 const WORKERS: usize = 20;
 
-/// The example site with ports that are free here and shorter times.
+/// The example site with free ports of this machine and shorter times.
 fn site() -> SiteFile {
-    let taken: Vec<TcpListener> =
+    let listeners: Vec<TcpListener> =
         (0..14).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
     let mut text = SITE.to_owned();
     let ports = (8070..=8073).chain(8080..=8083).chain(8091..=8096);
-    for (port, free) in ports.zip(&taken) {
+    for (port, free) in ports.zip(&listeners) {
         let free = free.local_addr().expect("an address").to_string();
         text = text.replace(&format!("127.0.0.1:{port}\""), &format!("{free}\""));
     }
@@ -97,17 +97,17 @@
     }
 }
 
-/// Waits for something, and fails with its name if it does not come about.
-async fn until(what: &str, seconds: u64, mut so: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !so() {
-        assert!(begun.elapsed() < Duration::from_secs(seconds), "{what} does not come about");
+/// Waits until a condition holds. Fails with its description after the time limit.
+async fn until(description: &str, seconds: u64, mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < Duration::from_secs(seconds), "not within {seconds} s: {description}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    println!("{what}: after {:.1} s", begun.elapsed().as_secs_f64());
+    println!("{description}: after {:.1} s", started_at.elapsed().as_secs_f64());
 }
 
-/// `sageloom drain` with the settings of a controller: its output, or its error.
+/// Runs `sageloom drain` with the settings of a controller. Returns its output, or its error output.
 async fn drain(config: &Path, arguments: &[&str]) -> Result<String, String> {
     let mut command = Command::new(PROGRAM);
     command.arg("drain").arg("--config").arg(config).args(arguments);
@@ -124,13 +124,13 @@
     task.split('/').next().and_then(|j| j.strip_prefix("j-")?.parse::<u32>().ok()).is_some_and(|n| n < 100)
 }
 
-fn stops(emulation: &Emulation) -> usize {
+fn stop_count(emulation: &Emulation) -> usize {
     let stopped = |e: &&TaskEvent| e.kind == TaskEventKind::StopCommanded && is_service(&e.task);
     events(emulation).iter().filter(stopped).count()
 }
 
-/// Replicas that run.
-fn running(emulation: &Emulation) -> usize {
+/// The number of running replicas of services.
+fn running_replica_count(emulation: &Emulation) -> usize {
     let runs = |t: &wire::TaskStatus| t.state == TaskState::Running && is_service(&t.task);
     emulation.tasks().into_iter().filter(runs).count()
 }
@@ -141,28 +141,30 @@
     Some(name)
 }
 
-/// The machines with most replicas, by the workers' own word.
+/// The machines sorted by the number of running tasks that their workers report, most first.
 fn machines_with_replicas(emulation: &Emulation) -> Vec<String> {
     let mut machines = emulation.change_site(|site| {
-        let of = |w: &emulator::Worker| {
+        let rank = |w: &emulator::Worker| {
             let replicas = w.tasks().iter().filter(|t| t.state == TaskState::Running).count();
             (std::cmp::Reverse(replicas), w.info.name.clone())
         };
-        site.workers().map(of).collect::<Vec<_>>()
+        site.workers().map(rank).collect::<Vec<_>>()
     });
     machines.sort();
     machines.into_iter().map(|(_, name)| name).collect()
 }
 
-/// Holds the workers' history against the budgets and against `ran_twice`.
-fn check(events: &[TaskEvent]) -> (usize, usize) {
+/// Checks in the workers' history that no budget was exceeded and that no task ran on two machines
+/// at the same time. Returns the most replicas of one service, and of all, that were down at the
+/// same time.
+fn check_history(events: &[TaskEvent]) -> (usize, usize) {
     let mut down: BTreeMap<&str, u64> = BTreeMap::new();
-    let mut on: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-    let mut most = (0, 0);
+    let mut machines_of_task: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
+    let mut most_down = (0, 0);
     for e in events {
         match e.kind {
             TaskEventKind::Running => {
-                on.entry(&e.task).or_default().insert(&e.machine);
+                machines_of_task.entry(&e.task).or_default().insert(&e.machine);
                 if down.get(&*e.task).is_some_and(|stopped| e.attempt > *stopped) {
                     down.remove(&*e.task);
                 }
@@ -170,21 +172,25 @@
             TaskEventKind::StopCommanded if is_service(&e.task) => _ = down.insert(&e.task, e.attempt),
             TaskEventKind::StopCommanded => {}
             TaskEventKind::Ended => {
-                if let Some(machines) = on.get_mut(&*e.task) {
+                if let Some(machines) = machines_of_task.get_mut(&*e.task) {
                     machines.remove(&*e.machine);
                 }
             }
         }
-        assert!(on.get(&*e.task).is_none_or(|m| m.len() <= 1), "{} runs twice: {on:?}", e.task);
+        assert!(
+            machines_of_task.get(&*e.task).is_none_or(|m| m.len() <= 1),
+            "{} runs twice: {machines_of_task:?}",
+            e.task
+        );
         let mut of_service: BTreeMap<&str, usize> = BTreeMap::new();
         for task in down.keys() {
             *of_service.entry(task.split('/').next().unwrap_or_default()).or_default() += 1;
         }
         let of_service = of_service.into_values().max().unwrap_or(0);
-        most = (most.0.max(of_service), most.1.max(down.len()));
-        assert!(of_service <= PER_SERVICE && down.len() <= COUNT_LOOMS, "too many are down: {down:?}");
+        most_down = (most_down.0.max(of_service), most_down.1.max(down.len()));
+        assert!(of_service <= SERVICE_BUDGET && down.len() <= TEAM_BUDGET, "too many are down: {down:?}");
     }
-    most
+    most_down
 }
 
 async fn submit(emulation: &Emulation, spec: &JobSpec) {
@@ -217,7 +223,7 @@
 }
 
 #[tokio::test]
-async fn two_drains_overlap_while_much_goes_wrong() {
+async fn two_concurrent_drains_keep_budgets_and_finish_despite_failures() {
     let site = site();
     let emulation = Emulation::start(&site).await.expect("free ports");
     emulation.change_site(|site| site.history.record());
@@ -239,66 +245,70 @@
         submit(&emulation, &spec).await;
     }
     let all = (SERVICES * REPLICAS) as usize;
-    until("all replicas run", 60, || running(&emulation) == all).await;
+    until("all replicas run", 60, || running_replica_count(&emulation) == all).await;
     let machines = machines_with_replicas(&emulation);
     assert!(machines.len() >= WORKERS, "{} workers", machines.len());
 
-    // Replacements do not come up at first.
+    // Rented machines do not boot at first.
     let before: BTreeSet<String> = emulation.change_site(|site| {
         site.cloud.set_never_up(1.0);
         site.cloud.live().map(|info| info.name.clone()).collect()
     });
-    let named =
+    let machine_options =
         |list: &[String]| list.iter().flat_map(|m| ["--machine".to_owned(), m.clone()]).collect::<Vec<_>>();
     for (name, list) in [("rack-a", &machines[0..4]), ("rack-b", &machines[4..8])] {
         let mut arguments = vec!["start".to_owned(), name.to_owned(), "--give-up-s".into(), "100".into()];
-        arguments.extend(named(list));
+        arguments.extend(machine_options(list));
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-        let said = drain(&config, &arguments).await.expect("it starts");
-        assert!(said.contains("4 machines are cordoned"), "{said}");
-        let again = drain(&config, &arguments).await.expect("the same command again does no harm");
-        assert!(again.contains("was started already"), "{again}");
+        let output = drain(&config, &arguments).await.expect("the drain starts");
+        assert!(output.contains("4 machines are cordoned"), "{output}");
+        let repeated = drain(&config, &arguments).await.expect("repeating the command succeeds");
+        assert!(repeated.contains("was started already"), "{repeated}");
     }
-    let taken = drain(&config, &["start", "rack-c", "--machine", &machines[0]]).await;
-    assert!(taken.expect_err("it has a drain").contains("being drained by \"rack-a\""));
-    // By its name: machines that are given back meanwhile make their number smaller, so that a
-    // wait for more machines than before came to nothing, or until nothing was left to move.
-    until("a replacement is rented that does not come up", 60, || {
+    let refused = drain(&config, &["start", "rack-c", "--machine", &machines[0]]).await;
+    assert!(refused.expect_err("the machine has another drain").contains("being drained by \"rack-a\""));
+    // A new machine is recognized by its name, not by the number of machines. That number falls when
+    // emptied machines are released meanwhile, so a wait for a larger number never ended, or ended
+    // only when nothing was left to move.
+    until("a machine that does not boot is rented", 60, || {
         let names: Vec<String> =
             emulation.change_site(|site| site.cloud.live().map(|info| info.name.clone()).collect());
         names.iter().any(|name| !before.contains(name))
     })
     .await;
     emulation.change_site(|site| site.cloud.set_never_up(0.0));
-    until("a replica is moved", 60, || stops(&emulation) >= 1).await;
+    until("a replica is stopped to be moved", 60, || stop_count(&emulation) >= 1).await;
 
-    // The leader ends in mid-step and is back at once.
-    let first = leader(&emulation).expect("somebody leads");
+    // The leader is killed in mid-step and restarts at once.
+    let first = leader(&emulation).expect("there is a leader");
     processes.kill(&first);
     processes.start(&first);
     submit(&emulation, &gang()).await;
-    until("the next leader goes on", 60, || stops(&emulation) >= 3).await;
+    until("the next leader continues the drains", 60, || stop_count(&emulation) >= 3).await;
 
-    // The state service is away for longer than a cancellation may take.
+    // The key-value store is unavailable for longer than a cancellation may take.
     emulation.set_state_troubles(Troubles { outage: true, ..Troubles::default() });
-    let told = drain(&config, &["status", "rack-a"]).await.expect_err("it cannot be asked");
-    assert!(told.ends_with("nothing was written"), "{told}");
-    let away = Instant::now();
-    until("the outage lasts", CANCEL_S + 10, || away.elapsed() > Duration::from_secs(CANCEL_S + 2)).await;
+    let error = drain(&config, &["status", "rack-a"]).await.expect_err("the key-value store is unavailable");
+    assert!(error.ends_with("nothing was written"), "{error}");
+    let outage_began = Instant::now();
+    until("the outage has lasted long enough", CANCEL_S + 10, || {
+        outage_began.elapsed() > Duration::from_secs(CANCEL_S + 2)
+    })
+    .await;
     emulation.set_state_troubles(Troubles::default());
-    let before = stops(&emulation);
-    until("it goes on after the outage", 60, || stops(&emulation) > before).await;
+    let before = stop_count(&emulation);
+    until("the drains continue after the outage", 60, || stop_count(&emulation) > before).await;
 
-    // A machine that is drained dies.
-    let left = |m: &&String| emulation.change_site(|site| site.worker(m).is_some());
-    if let Some(victim) = machines[4..8].iter().find(left) {
+    // A drained machine dies.
+    let still_exists = |m: &&String| emulation.change_site(|site| site.worker(m).is_some());
+    if let Some(victim) = machines[4..8].iter().find(still_exists) {
         emulation.change_site(|site| site.cloud.kill(victim, Instant::now()));
     }
 
     let mut ends = BTreeMap::new();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while ends.len() < 2 {
-        assert!(begun.elapsed() < Duration::from_secs(150), "the drains do not end: {ends:?}");
+        assert!(started_at.elapsed() < Duration::from_secs(150), "the drains do not end: {ends:?}");
         for name in ["rack-a", "rack-b"] {
             let line = drain(&config, &["status", name]).await.unwrap_or_default();
             let line = line.lines().next().unwrap_or_default().to_owned();
@@ -308,15 +318,15 @@
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    println!("{ends:?} after {:.1} s", begun.elapsed().as_secs_f64());
+    println!("{ends:?} after {:.1} s", started_at.elapsed().as_secs_f64());
     assert!(ends.values().all(|line| line.contains(": finished;")), "{ends:?}");
     for machine in &machines[0..8] {
         assert!(emulation.change_site(|site| site.worker(machine).is_none()), "{machine} is still there");
     }
-    until("all replicas run again", 60, || running(&emulation) == all).await;
-    let most = check(&events(&emulation));
-    println!("{} replicas stopped; most down by choice: {most:?}", stops(&emulation));
-    assert!(stops(&emulation) >= 8 && most.1 >= 1);
+    until("all replicas run again", 60, || running_replica_count(&emulation) == all).await;
+    let most_down = check_history(&events(&emulation));
+    println!("{} replicas stopped; most down voluntarily: {most_down:?}", stop_count(&emulation));
+    assert!(stop_count(&emulation) >= 8 && most_down.1 >= 1);
     drop(processes);
     emulation.stop().await;
 }
