--- a/crates/daemon/src/drains/command/changes.rs
+++ b/crates/daemon/src/drains/command/changes.rs
@@ -170,7 +170,7 @@
     replica.members.keys().find(|name| !supports_drains(name)).cloned()
 }
 
-/// The first of these machines that another drain holds, with the name of that drain.
+/// One of these machines that another drain holds, with the name of that drain.
 fn drained_by_another(replica: &Replica, name: &str, machines: &[Name]) -> Option<(String, String)> {
     let others = replica.drains.cordons.iter().filter(|((drain, _), c)| drain != name && c.value.active);
     others.into_iter().find_map(|((drain, _), c)| {
--- a/crates/daemon/src/drains/eviction_budget.rs
+++ b/crates/daemon/src/drains/eviction_budget.rs
@@ -42,9 +42,9 @@
             service.is_some_and(|s| is_evicted(id) || budgets.teams.contains_key(&s.team))
         };
         let services: Vec<_> = replica.open_jobs().filter(is_affected).collect();
-        let capacity = DisruptionRecord::capacity(controller.state_limits().value_bytes);
+        let max_open = DisruptionRecord::capacity(controller.state_limits().value_bytes);
         let team_of = |id: &str| team_name(controller, id);
-        Self { ledger: view::ledger(replica, &services, budgets, &AssumeRunning, team_of, capacity) }
+        Self { ledger: view::ledger(replica, &services, budgets, &AssumeRunning, team_of, max_open) }
     }
 
     /// Debits an eviction. Returns the team and the disruption to add to its record; None if the
--- a/crates/daemon/src/drains/running_tasks.rs
+++ b/crates/daemon/src/drains/running_tasks.rs
@@ -23,7 +23,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 /// How long an answer is valid, counted from its request.
 const MAX_ANSWER_AGE: Duration = Duration::from_secs(4);
-/// Most bytes of an answer.
+/// The most bytes of an answer.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// The running tasks of the observed jobs, as observed by this controller and by the peers whose
--- a/crates/daemon/src/drains/unit_stops.rs
+++ b/crates/daemon/src/drains/unit_stops.rs
@@ -108,9 +108,10 @@
         }
         self.bytes += bytes;
         self.jobs.insert(id.job.clone(), job);
-        let by = DisruptionCause::Drain(unit_move.drain.clone());
+        let drain_cause = DisruptionCause::Drain(unit_move.drain.clone());
         let since_ms = self.now_ms;
-        let disruption = Disruption { job: id.job.clone(), task: id.task, attempt, cause: by, since_ms };
+        let disruption =
+            Disruption { job: id.job.clone(), task: id.task, attempt, cause: drain_cause, since_ms };
         let known = || DisruptionRecord { open: replica.drains.open_disruptions(&team).to_vec() };
         self.teams.entry(team.clone()).or_insert_with(known).open.push(disruption);
         let drain = self.drains.entry(unit_move.drain.clone()).or_insert_with(|| known_drain.value.clone());
@@ -150,8 +151,8 @@
     }
 }
 
-/// Marks a unit to be stopped. Its job is taken from its shard, because the leader places the
-/// replacement: only the leader holds the capacity for it.
+/// Marks a unit to be stopped, and leaves the placement of its replacement to the leader, which holds
+/// the capacity for it.
 fn mark_stopped(controller: &Controller, job: &mut JobRecord, unit_move: &Move, now_ms: u64) {
     let id = &unit_move.unit.id;
     match unit_move.unit.work {
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -271,7 +271,7 @@
     worker.receive_heartbeat(heartbeat(1, TaskState::Fetching), now);
     state.machines.workers.insert(machine.into(), worker);
     let is_observed = |state: &ControllerState, at| {
-        drain::view::Running::is_running(&observed_tasks(&controller, state, at), "j-1", task, 1)
+        drain::view::RunningTaskLookup::is_running(&observed_tasks(&controller, state, at), "j-1", task, 1)
     };
     assert!(!is_observed(&state, now), "the task fetches its image");
     let worker = state.machines.workers.get_mut(machine).expect("there");
@@ -290,7 +290,7 @@
         }],
     };
     let is_observed_by_peer = |state: &ControllerState| {
-        drain::view::Running::is_running(&observed_tasks(&controller, state, now), "j-1", 9, 3)
+        drain::view::RunningTaskLookup::is_running(&observed_tasks(&controller, state, now), "j-1", 9, 3)
     };
     assert!(
         !record_answer(&mut state, "n-1", &request, answer(8, 4, 2), now),
--- a/crates/daemon/tests/unit/drains_command.rs
+++ b/crates/daemon/tests/unit/drains_command.rs
@@ -170,7 +170,8 @@
     replica.drains.unreadable.insert("d".into());
     let unreadable = machines_of_drain(&replica, "d").expect_err("unreadable").to_string();
     assert!(unreadable.contains("sageloom/drains/d"), "{unreadable}");
-    // Nothing listens at this address: the command fails and tells whether anything was written.
+    // Nothing listens at this address: the command fails within seconds, and tells
+    // whether anything was written.
     let runtime = crate::process::runtime().expect("a runtime");
     let unreachable_store = KeyValueClient::new(Client::new(1), "127.0.0.1:1".into(), 1 << 20);
     let error = runtime
--- a/crates/drain/examples/measure.rs
+++ b/crates/drain/examples/measure.rs
@@ -91,16 +91,20 @@
 struct Simulation {
     replica: Replica,
     version: u64,
+    /// The simulated time, in milliseconds.
     now: u64,
     running: BTreeSet<(String, u32, u64)>,
     /// When stopped tasks exit, by job and task.
     exits: BTreeMap<(String, u32), u64>,
     /// The attempts of starting tasks, and when they run, by job and task.
     starts: BTreeMap<(String, u32), (u64, u64)>,
+    /// Since when stopped tasks are down, by job and task.
     down_since: BTreeMap<(String, u32), u64>,
     /// When rented machines will have booted.
     boots: Vec<u64>,
-    rented: usize,
+    /// The number of machines that ever existed, for the names of new ones.
+    machine_count: usize,
+    /// The changes that the rate limit of the key-value store allows now.
     changes: f64,
     numbers: RandomNumbers,
     outcome: Outcome,
@@ -126,14 +130,14 @@
             starts: BTreeMap::new(),
             down_since: BTreeMap::new(),
             boots: Vec::new(),
-            rented: machines,
+            machine_count: machines,
             changes: CHANGES_PER_SECOND,
             numbers,
             outcome: Outcome::default(),
         }
     }
 
-    fn put(&mut self, change: RecordChange) {
+    fn apply_change(&mut self, change: RecordChange) {
         self.version += 1;
         self.changes -= 1.0;
         self.outcome.changes += 1;
@@ -177,7 +181,7 @@
                 let fetch = 2000 + self.numbers.below(6000);
                 self.starts.insert((id.clone(), a.task), (a.attempt, self.now + fetch));
             }
-            self.put(RecordChange::Job(id, Some(job)));
+            self.apply_change(RecordChange::Job(id, Some(job)));
         }
         let up: Vec<((String, u32), u64)> = self
             .starts
@@ -195,9 +199,9 @@
         let booted = self.boots.iter().filter(|at| **at <= self.now).count();
         self.boots.retain(|at| *at > self.now);
         for _ in 0..booted {
-            let name = machine_name(self.rented);
-            self.rented += 1;
-            self.put(RecordChange::Machine(name, Some(site::machine("a"))));
+            let name = machine_name(self.machine_count);
+            self.machine_count += 1;
+            self.apply_change(RecordChange::Machine(name, Some(site::machine("a"))));
         }
     }
 
@@ -209,7 +213,7 @@
             let left: Vec<Disruption> =
                 open.iter().filter(|d| !view::is_resolved(&self.replica, d, &observed)).cloned().collect();
             if left.len() < open.len() {
-                self.put(RecordChange::Disruptions(team, Some(DisruptionRecord { open: left })));
+                self.apply_change(RecordChange::Disruptions(team, Some(DisruptionRecord { open: left })));
             }
         }
     }
@@ -220,11 +224,11 @@
         let Some(a) = job.assignments.iter_mut().find(|a| a.task == m.unit.id.task) else { return };
         a.desired = DesiredState::Stopped;
         let Assignment { task, attempt, .. } = a.clone();
-        self.put(RecordChange::Job(id.clone(), Some(job)));
+        self.apply_change(RecordChange::Job(id.clone(), Some(job)));
         let team = m.unit.team.clone();
         let mut open = self.replica.drains.open_disruptions(&team).to_vec();
-        let by = DisruptionCause::Drain("d".into());
-        open.push(Disruption { job: m.unit.id.job.clone(), task, attempt, cause: by, since_ms: self.now });
+        let drain = DisruptionCause::Drain("d".into());
+        open.push(Disruption { job: m.unit.id.job.clone(), task, attempt, cause: drain, since_ms: self.now });
         // The records of the team and the drain count once for the whole transaction, in `step`.
         self.replica.apply(RecordChange::Disruptions(team, Some(DisruptionRecord { open })), self.version);
         self.running.remove(&(id.clone(), task, attempt));
@@ -296,7 +300,7 @@
             let mut cordon = self.replica.drains.cordons[&("d".to_owned(), 0)].value.clone();
             cordon.note_gone(&machine);
             self.replica.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), self.version);
-            self.put(RecordChange::Machine(machine.to_string(), None));
+            self.apply_change(RecordChange::Machine(machine.to_string(), None));
         }
     }
 
@@ -341,17 +345,17 @@
     ];
     for (machines, drained) in [(20, 1), (20, 5), (20, 20), (1000, 50), (4000, 200)] {
         for (scenario, budgets) in &scenarios {
-            let o = Simulation::new(machines, drained).run(machines, budgets);
+            let outcome = Simulation::new(machines, drained).run(machines, budgets);
             println!(
                 "| {machines} | {drained} | {scenario} | {:.0} | {} | {} | {} | {:.0} | {:.0} | {:.2} | {:.1} ms |",
-                o.seconds,
-                o.moves,
-                o.changes,
-                o.max_replicas_down,
-                o.service_down_s,
-                o.lost_replica_s,
-                o.extra_machine_h,
-                o.longest_step.as_secs_f64() * 1000.0
+                outcome.seconds,
+                outcome.moves,
+                outcome.changes,
+                outcome.max_replicas_down,
+                outcome.service_down_s,
+                outcome.lost_replica_s,
+                outcome.extra_machine_h,
+                outcome.longest_step.as_secs_f64() * 1000.0
             );
         }
     }
--- a/crates/drain/src/budget.rs
+++ b/crates/drain/src/budget.rs
@@ -107,7 +107,7 @@
     budgets: &'b Budgets,
     services: BTreeMap<Name, BTreeSet<u32>>,
     teams: BTreeMap<String, TeamLedger>,
-    /// Most open disruptions that a team's record holds.
+    /// The most open disruptions that a team's record holds.
     max_open: usize,
 }
 
@@ -142,8 +142,8 @@
     }
 
     /// Checks whether a unit may be stopped. Every unit that is down counts against the budgets,
-    /// whether it was stopped or has failed. A unit that is down already may always be stopped
-    /// again if the others are within the budgets.
+    /// whether it was stopped or has failed. If the unit itself is down already, it is not counted
+    /// twice.
     pub fn check(&self, team: &str, unit: &UnitId) -> Result<(), BudgetExceeded> {
         if let Some(down) = self.services.get(&unit.job) {
             let others = down.iter().filter(|task| **task != unit.task).count();
--- a/crates/drain/src/capacity.rs
+++ b/crates/drain/src/capacity.rs
@@ -13,7 +13,7 @@
 pub struct InventoryCapacity<'a> {
     /// The replica of the records.
     pub records: &'a Replica,
-    /// The machines that may be used; cordoned machines must not be among them.
+    /// The inventory of machines; cordoned ones are not used.
     pub inventory: &'a mut Inventory,
     /// The teams, for their quotas.
     pub teams: &'a [Team],
@@ -39,9 +39,9 @@
 }
 
 /// The job without the assignments of a unit, and those assignments.
-fn without_unit(job: &JobRecord, unit: &UnitId, gang: bool) -> (JobRecord, Vec<Assignment>) {
+fn without_unit(job: &JobRecord, unit: &UnitId, is_gang: bool) -> (JobRecord, Vec<Assignment>) {
     let mut rest = job.clone();
-    let (moving, staying) = rest.assignments.drain(..).partition(|a| gang || a.task == unit.task);
+    let (moving, staying) = rest.assignments.drain(..).partition(|a| is_gang || a.task == unit.task);
     rest.assignments = staying;
     rest.vacated_machines.clear();
     rest.attempt += 1;
@@ -57,8 +57,8 @@
         let team = self.teams.iter().find(|t| t.name == spec.team)?;
         let size = Resources::of_task(spec);
         let (mut rest, moving) = without_unit(job, unit, spec.kind == JobKind::Gang);
-        // The resources that the unit uses now are free once it has stopped. A gang may use them
-        // again on its machines that are not cordoned.
+        // The resources that the unit uses now are free once it has stopped. A gang may use those on
+        // its uncordoned machines again. A replica's machine is cordoned, so nothing is placed there.
         self.occupy(&moving, size, &spec.team, -1.0);
         let limits = self.limits(moving.len());
         let placed = placement::place(self.records, self.inventory, &mut rest, team, |_| true, limits);
--- a/crates/drain/src/step.rs
+++ b/crates/drain/src/step.rs
@@ -98,8 +98,8 @@
     pub machines_awaiting_capacity: Vec<Name>,
 }
 
-/// Decides on one step of all drains, in the order given. The moves of a step are divided equally
-/// among the active drains, so that none of them keeps the others from progressing.
+/// Decides on one step of all drains, in the order given. Each active drain may use at most an equal
+/// share of the step's moves, rounded up, so that no drain keeps the others from progressing.
 pub fn decide(
     drains: &[Drain],
     ledger: &mut Ledger,
@@ -146,7 +146,8 @@
 }
 
 impl DrainEvaluation<'_> {
-    fn set_obstacle(&mut self, kind: ObstacleKind, machine: &Machine, unit: Option<&Unit>) {
+    /// Records an obstacle unless one was met before.
+    fn record_first_obstacle(&mut self, kind: ObstacleKind, machine: &Machine, unit: Option<&Unit>) {
         let obstacle = || Obstacle {
             kind,
             team: unit.map(|u| u.team.clone()).unwrap_or_default(),
@@ -169,17 +170,17 @@
     ) {
         if unit.stopping || stopped.contains_key(&unit.id) {
             self.only_unsaved_work_left = false;
-            return self.set_obstacle(ObstacleKind::Stopping, machine, Some(unit));
+            return self.record_first_obstacle(ObstacleKind::Stopping, machine, Some(unit));
         }
         let record = &self.drain.record;
         if unit.work == WorkKind::Unsaved {
             let waited_ms = self.limits.now_ms.saturating_sub(record.started_ms);
             if waited_ms < record.patience_ms {
                 self.only_unsaved_work_left = false;
-                return self.set_obstacle(ObstacleKind::CannotSave, machine, Some(unit));
+                return self.record_first_obstacle(ObstacleKind::CannotSave, machine, Some(unit));
             }
             if record.unsaved == UnsavedWork::Leave {
-                return self.set_obstacle(ObstacleKind::CannotSave, machine, Some(unit));
+                return self.record_first_obstacle(ObstacleKind::CannotSave, machine, Some(unit));
             }
         }
         self.only_unsaved_work_left = false;
@@ -187,7 +188,7 @@
             return;
         }
         if let Err(exceeded) = ledger.check(&unit.team, &unit.id) {
-            return self.set_obstacle(exceeded.into(), machine, Some(unit));
+            return self.record_first_obstacle(exceeded.into(), machine, Some(unit));
         }
         let Some(found) = capacity.find(&unit.id) else {
             self.capacity_missing = true;
@@ -196,7 +197,7 @@
             {
                 self.decision.machines_awaiting_capacity.push(machine.name.clone());
             }
-            return self.set_obstacle(ObstacleKind::NoCapacity, machine, Some(unit));
+            return self.record_first_obstacle(ObstacleKind::NoCapacity, machine, Some(unit));
         };
         ledger.debit(&unit.team, &unit.id);
         stopped.insert(unit.id.clone(), ());
@@ -213,7 +214,7 @@
     fn evaluate_machine(&mut self, machine: &Machine) {
         if machine.units.is_empty() {
             self.only_unsaved_work_left = false;
-            self.set_obstacle(ObstacleKind::ScalingIn, machine, None);
+            self.record_first_obstacle(ObstacleKind::ScalingIn, machine, None);
         }
     }
 
--- a/crates/drain/src/view.rs
+++ b/crates/drain/src/view.rs
@@ -15,7 +15,7 @@
 use crate::waves;
 
 /// Tells which attempts of tasks run.
-pub trait Running {
+pub trait RunningTaskLookup {
     /// Whether this attempt of a task is known to run.
     fn is_running(&self, job: &str, task: u32, attempt: u64) -> bool;
 }
@@ -24,7 +24,7 @@
 /// considers services whose replicas are all assigned to machines.
 pub struct AssumeRunning;
 
-impl Running for AssumeRunning {
+impl RunningTaskLookup for AssumeRunning {
     fn is_running(&self, _job: &str, _task: u32, _attempt: u64) -> bool {
         true
     }
@@ -34,7 +34,7 @@
     job.spec.as_ref().map(|s| s.kind)
 }
 
-fn unit(id: &str, job: &JobRecord, assignment: &Assignment) -> Option<Unit> {
+fn unit_of(id: &str, job: &JobRecord, assignment: &Assignment) -> Option<Unit> {
     let spec = job.spec.as_deref()?;
     let work = match spec.kind {
         JobKind::Service => WorkKind::Replica,
@@ -50,7 +50,7 @@
 pub fn units_on(replica: &Replica, machine: &str) -> Vec<Unit> {
     let mut units: Vec<Unit> = Vec::new();
     for (id, job, assignment) in replica.assignments(machine) {
-        let Some(unit) = unit(id, job, assignment) else { continue };
+        let Some(unit) = unit_of(id, job, assignment) else { continue };
         match units.iter_mut().find(|u| u.id == unit.id) {
             Some(known) => known.stopping |= unit.stopping,
             None => units.push(unit),
@@ -59,7 +59,8 @@
     units
 }
 
-/// The machines of a drain that still exist, in the order of its cordons.
+/// The machines of a drain that still exist, in the order of its cordons, which is
+/// that of the names.
 pub fn remaining_machines(replica: &Replica, drain: &str) -> Vec<Name> {
     let exists = |m: &&Name| replica.machines.contains_key(*m);
     let cordons = replica.drains.cordons_of(drain);
@@ -100,21 +101,21 @@
 
 /// The services whose health is needed to check the budgets for these drains: those with units
 /// on the machines, and all services of teams that have a budget and units there.
-pub fn affected_services<'w>(
-    replica: &'w Replica,
+pub fn affected_services<'r>(
+    replica: &'r Replica,
     drains: &[Drain],
     budgets: &Budgets,
-) -> Vec<(&'w String, &'w JobRecord)> {
+) -> Vec<(&'r String, &'r JobRecord)> {
     let units = drains.iter().flat_map(|d| &d.machines).flat_map(|m| &m.units);
     let jobs: HashSet<&str> = units.clone().map(|u| &*u.id.job).collect();
     let teams: HashSet<&str> =
         units.map(|u| u.team.as_str()).filter(|t| budgets.teams.contains_key(*t)).collect();
-    let concerned = |(id, job): &(&String, &JobRecord)| {
+    let is_affected = |(id, job): &(&String, &JobRecord)| {
         let Some(spec) = job.spec.as_deref() else { return false };
         let is_service = spec.kind == JobKind::Service && job.phase == Phase::Active;
         is_service && (jobs.contains(id.as_str()) || teams.contains(spec.team.as_str()))
     };
-    replica.open_jobs().filter(concerned).collect()
+    replica.open_jobs().filter(is_affected).collect()
 }
 
 /// The jobs whose running tasks have to be observed for a step: the affected services, and all
@@ -126,7 +127,7 @@
 }
 
 /// The health of a service; None if the job is not one.
-pub fn health(id: &str, job: &JobRecord, running: &impl Running) -> Option<ServiceHealth> {
+pub fn service_health(id: &str, job: &JobRecord, running: &impl RunningTaskLookup) -> Option<ServiceHealth> {
     let spec = job.spec.as_deref().filter(|s| s.kind == JobKind::Service)?;
     let is_up = |a: &&Assignment| job.should_run(a) && running.is_running(id, a.task, a.attempt);
     Some(ServiceHealth {
@@ -148,35 +149,35 @@
 }
 
 /// The ledger of a step: the replicas of these services that are down, and all open disruptions.
-/// `team_of` maps a team's id to its name; `capacity` is the most open disruptions that a team's
+/// `team_of` maps a team's id to its name; `max_open` is the most open disruptions that a team's
 /// record holds.
 pub fn ledger<'b>(
     replica: &Replica,
     services: &[(&String, &JobRecord)],
     budgets: &'b Budgets,
-    running: &impl Running,
+    running: &impl RunningTaskLookup,
     team_of: impl Fn(&str) -> String,
-    capacity: usize,
+    max_open: usize,
 ) -> Ledger<'b> {
-    let health = services.iter().filter_map(|(id, job)| health(id, job, running));
+    let health = services.iter().filter_map(|(id, job)| service_health(id, job, running));
     let open: Vec<(String, &Disruption)> =
         open_disruptions_by_team(&replica.drains).map(|(team, d)| (team_of(team), d)).collect();
-    Ledger::new(budgets, health, open.iter().map(|(team, d)| (team.as_str(), *d)), capacity)
+    Ledger::new(budgets, health, open.iter().map(|(team, d)| (team.as_str(), *d)), max_open)
 }
 
 /// Whether a disruption can be closed: the replacement runs, or there will be none because the
 /// job or the task is finished.
-pub fn is_resolved(replica: &Replica, disruption: &Disruption, running: &impl Running) -> bool {
+pub fn is_resolved(replica: &Replica, disruption: &Disruption, running: &impl RunningTaskLookup) -> bool {
     let Some(job) = replica.jobs.get(&*disruption.job).map(|j| &j.value) else { return true };
     if job.phase != Phase::Active {
         return true;
     }
-    let gang = kind_of(job) == Some(JobKind::Gang);
-    if !gang && job.done.contains(disruption.task) {
+    let is_gang = kind_of(job) == Some(JobKind::Gang);
+    if !is_gang && job.done.contains(disruption.task) {
         return true;
     }
     let replaced = |a: &&Assignment| {
-        (gang || a.task == disruption.task)
+        (is_gang || a.task == disruption.task)
             && a.attempt > disruption.attempt
             && running.is_running(&disruption.job, a.task, a.attempt)
     };
@@ -185,8 +186,8 @@
 
 /// The current attempt of a unit that is assigned; of a gang, the highest of its tasks' attempts.
 pub fn attempt_of(job: &JobRecord, unit: &UnitId) -> Option<u64> {
-    let gang = kind_of(job) == Some(JobKind::Gang);
-    job.assignments.iter().filter(|a| gang || a.task == unit.task).map(|a| a.attempt).max()
+    let is_gang = kind_of(job) == Some(JobKind::Gang);
+    job.assignments.iter().filter(|a| is_gang || a.task == unit.task).map(|a| a.attempt).max()
 }
 
 /// The tasks that run, as the controllers that own their machines observe them.
@@ -207,7 +208,7 @@
     }
 }
 
-impl Running for ObservedTasks {
+impl RunningTaskLookup for ObservedTasks {
     fn is_running(&self, job: &str, task: u32, attempt: u64) -> bool {
         self.0.get(job).and_then(|tasks| tasks.get(&task)) == Some(&attempt)
     }
--- a/crates/drain/src/waves/mod.rs
+++ b/crates/drain/src/waves/mod.rs
@@ -48,34 +48,34 @@
 /// The planning problem for these machines.
 pub fn problem(replica: &Replica, machines: &[Machine], budgets: &Budgets) -> Problem {
     let mut problem = Problem { limits: vec![MAX_MOVES_PER_WAVE], ..Problem::default() };
-    let mut limits: HashMap<(bool, String), usize> = HashMap::default();
-    let mut units: HashMap<crate::budget::UnitId, usize> = HashMap::default();
+    let mut limit_indices: HashMap<(bool, String), usize> = HashMap::default();
+    let mut unit_indices: HashMap<crate::budget::UnitId, usize> = HashMap::default();
     let replicas = replicas_by_team(replica);
-    for (i, machine) in machines.iter().enumerate() {
+    for (machine_index, machine) in machines.iter().enumerate() {
         problem.prices.push(price(replica, machine));
         for unit in &machine.units {
-            if let Some(known) = units.get(&unit.id) {
-                problem.units[*known].machines.push(i);
+            if let Some(known) = unit_indices.get(&unit.id) {
+                problem.units[*known].machines.push(machine_index);
                 continue;
             }
-            units.insert(unit.id.clone(), problem.units.len());
-            let mut of_unit = vec![0];
-            let mut limit = |is_team: bool, name: &str, most: u32| {
+            unit_indices.insert(unit.id.clone(), problem.units.len());
+            let mut limits_of_unit = vec![0];
+            let mut add_limit = |is_team: bool, name: &str, max_units: u32| {
                 let next = problem.limits.len();
-                let index = *limits.entry((is_team, name.to_owned())).or_insert(next);
+                let index = *limit_indices.entry((is_team, name.to_owned())).or_insert(next);
                 if index == next {
-                    problem.limits.push(most.max(1));
+                    problem.limits.push(max_units.max(1));
                 }
-                of_unit.push(index);
+                limits_of_unit.push(index);
             };
             if unit.work == crate::step::WorkKind::Replica {
-                limit(false, &unit.id.job, budgets.per_service);
+                add_limit(false, &unit.id.job, budgets.per_service);
             }
-            let of_team = replicas.get(unit.team.as_str()).copied().unwrap_or(0);
-            if let Some(most) = budgets.of_team(&unit.team, of_team) {
-                limit(true, &unit.team, most);
+            let team_replicas = replicas.get(unit.team.as_str()).copied().unwrap_or(0);
+            if let Some(max_units) = budgets.of_team(&unit.team, team_replicas) {
+                add_limit(true, &unit.team, max_units);
             }
-            problem.units.push(PlannedUnit { machines: vec![i], limits: of_unit });
+            problem.units.push(PlannedUnit { machines: vec![machine_index], limits: limits_of_unit });
         }
     }
     problem
@@ -93,8 +93,8 @@
 
 fn price(replica: &Replica, machine: &Machine) -> f64 {
     let Some(m) = replica.machines.get(&machine.name) else { return 0.0 };
-    let kind = replica.machine_types.get(&*m.value.machine_type);
-    kind.map_or(0.0, |t| if m.value.spot { t.spot_price } else { t.price })
+    let machine_type = replica.machine_types.get(&*m.value.machine_type);
+    machine_type.map_or(0.0, |t| if m.value.spot { t.spot_price } else { t.price })
 }
 
 /// How many units are on each machine.
--- a/crates/drain/src/waves/solver.rs
+++ b/crates/drain/src/waves/solver.rs
@@ -49,29 +49,29 @@
     let mut variables = ProblemVariables::new();
     let empty: Vec<Vec<Variable>> = (0..machines)
         .map(|_| {
-            let one = || if is_integer { variable().binary() } else { variable().min(0.0).max(1.0) };
-            (1..waves).map(|_| variables.add(one())).collect()
+            let new_variable = || if is_integer { variable().binary() } else { variable().min(0.0).max(1.0) };
+            (1..waves).map(|_| variables.add(new_variable())).collect()
         })
         .collect();
-    let mut paid = Expression::from(0.0);
+    let mut total_cost = Expression::from(0.0);
     for (machine, price) in problem.prices.iter().enumerate() {
         for after in &empty[machine] {
-            paid += *price * (1.0 - *after);
+            total_cost += *price * (1.0 - *after);
         }
     }
     let mut model =
-        variables.minimise(paid).using(microlp).with_time_limit(solver_limits.time_limit.as_secs_f64());
-    for of_machine in &empty {
-        for pair in of_machine.windows(2) {
+        variables.minimise(total_cost).using(microlp).with_time_limit(solver_limits.time_limit.as_secs_f64());
+    for waves_of_machine in &empty {
+        for pair in waves_of_machine.windows(2) {
             model = model.with(constraint!(pair[0] <= pair[1]));
         }
     }
-    for (limit, most) in problem.limits.iter().enumerate() {
+    for (limit, max_units) in problem.limits.iter().enumerate() {
         let taken = taken(problem, limit);
         for wave in (1..waves).map(|after| after - 1) {
             let sum: Expression = taken.iter().map(|(m, n)| *n * empty[*m][wave]).sum();
-            let so_far = f64::from(*most) * (wave + 1) as f64;
-            model = model.with(constraint!(sum <= so_far));
+            let max_so_far = f64::from(*max_units) * (wave + 1) as f64;
+            model = model.with(constraint!(sum <= max_so_far));
         }
     }
     let solution = model.solve().ok()?;
--- a/crates/drain/tests/state_machine.rs
+++ b/crates/drain/tests/state_machine.rs
@@ -13,7 +13,7 @@
 
 use drain::budget::{Budgets, Ledger, TeamBudget, UnitId};
 use drain::step::{self, Decision, Drain, FindCapacity, Limits, Move};
-use drain::view::{self, AssumeRunning, ObservedTasks, Running};
+use drain::view::{self, AssumeRunning, ObservedTasks, RunningTaskLookup};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -142,7 +142,7 @@
 /// of those that it was decided from.
 struct Stop {
     unit: UnitId,
-    by: DisruptionCause,
+    cause: DisruptionCause,
     job: Box<JobRecord>,
     job_version: u64,
     team_version: u64,
@@ -205,8 +205,8 @@
         let mut next = 0;
         for (id, replicas) in SERVICES {
             let mut job = JobRecord::new(test_records::spec(id, JobKind::Service, replicas), None, 0);
-            // A later attempt than the first: the service does not count as starting for the first
-            // time.
+            // The second attempt, as if a replica had ended before: the service does not count as
+            // starting for the first time.
             job.attempt = 2;
             for task in 0..replicas {
                 let machine = next % MACHINES.len();
@@ -231,14 +231,14 @@
         self.log.push((change, self.version));
     }
 
-    fn read(&mut self, n: usize) {
+    fn read(&mut self, leader_index: usize) {
         let mut observed = ObservedTasks::default();
         for ((job, task), (attempt, is_ready)) in self.machines.iter().flatten() {
             if *is_ready {
                 observed.note(job, *task, *attempt);
             }
         }
-        let leader = &mut self.leaders[n];
+        let leader = &mut self.leaders[leader_index];
         for (change, version) in &self.log[leader.changes_read..] {
             leader.replica.apply(change.clone(), *version);
         }
@@ -250,17 +250,17 @@
         &'a self,
         replica: &Replica,
         jobs: &[(&String, &JobRecord)],
-        running: &impl Running,
+        running: &impl RunningTaskLookup,
     ) -> Ledger<'a> {
         if self.without == Without::OpenDisruptions {
-            let health = jobs.iter().filter_map(|(id, job)| view::health(id, job, running));
+            let health = jobs.iter().filter_map(|(id, job)| view::service_health(id, job, running));
             return Ledger::new(&self.budgets, health, [], 99);
         }
         view::ledger(replica, jobs, &self.budgets, running, str::to_owned, 99)
     }
 
-    fn decide(&mut self, n: usize) {
-        let leader = &self.leaders[n];
+    fn decide(&mut self, leader_index: usize) {
+        let leader = &self.leaders[leader_index];
         let drains = view::active_drains(&leader.replica, &self.budgets, &view::Orders::default());
         let jobs = view::affected_services(&leader.replica, &drains, &self.budgets);
         let limits = Limits {
@@ -276,18 +276,18 @@
         let Decision { moves, .. } = step::decide(&drains, &mut ledger, &mut UnlimitedCapacity, &limits);
         let replica = &leader.replica;
         let stops = moves.iter().filter_map(|m: &Move| {
-            let by = DisruptionCause::Drain(m.drain.clone());
-            stop(replica, &m.unit.id, by)
+            let drain = DisruptionCause::Drain(m.drain.clone());
+            stop(replica, &m.unit.id, drain)
         });
         let stops = stops.collect();
-        self.leaders[n].stops = stops;
+        self.leaders[leader_index].stops = stops;
     }
 
     /// Decides on an eviction as the rescheduler does: by the records alone, and only from services
     /// whose replicas are all assigned.
-    fn evict(&mut self, n: usize, service: usize) {
+    fn evict(&mut self, leader_index: usize, service: usize) {
         let (id, replicas) = SERVICES[service];
-        let leader = &self.leaders[n];
+        let leader = &self.leaders[leader_index];
         let Some((id, job)) = leader.replica.open_jobs().find(|(job, _)| *job == id) else { return };
         if job.assignments.len() < replicas as usize || job.assignments.iter().any(|a| !job.should_run(a)) {
             return;
@@ -297,42 +297,42 @@
         let ledger = self.ledger(&leader.replica, &jobs, &AssumeRunning);
         if ledger.check(TEAM, &unit).is_ok() {
             let stop = stop(&leader.replica, &unit, DisruptionCause::Rescheduler);
-            self.leaders[n].stops.extend(stop);
+            self.leaders[leader_index].stops.extend(stop);
         }
     }
 
-    fn commit(&mut self, n: usize) {
-        for s in std::mem::take(&mut self.leaders[n].stops) {
-            let id = s.unit.job.to_string();
+    fn commit(&mut self, leader_index: usize) {
+        for decided in std::mem::take(&mut self.leaders[leader_index].stops) {
+            let id = decided.unit.job.to_string();
             let version = self.store.jobs.get(&id).map_or(0, |j| j.version);
             let team = self.store.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
-            let job_changed = version != s.job_version && self.without != Without::JobCondition;
-            let team_changed = team != s.team_version && self.without != Without::TeamCondition;
+            let job_changed = version != decided.job_version && self.without != Without::JobCondition;
+            let team_changed = team != decided.team_version && self.without != Without::TeamCondition;
             if job_changed || team_changed {
                 continue;
             }
-            if s.by != DisruptionCause::Rescheduler {
-                self.check_stop(&s);
+            if decided.cause != DisruptionCause::Rescheduler {
+                self.check_stop(&decided);
             }
-            let attempt = s.open.last().map_or(0, |d| d.attempt);
-            self.down_voluntarily.insert((id.clone(), s.unit.task), attempt);
-            self.change(RecordChange::Job(id, Some(s.job)));
-            let open = s.open;
+            let attempt = decided.open.last().map_or(0, |d| d.attempt);
+            self.down_voluntarily.insert((id.clone(), decided.unit.task), attempt);
+            self.change(RecordChange::Job(id, Some(decided.job)));
+            let open = decided.open;
             self.change(RecordChange::Disruptions(TEAM.into(), Some(DisruptionRecord { open })));
         }
     }
 
     /// Checks that a drain stops a replica only while all others of its service run.
-    fn check_stop(&self, s: &Stop) {
-        let id = s.unit.job.to_string();
+    fn check_stop(&self, decided: &Stop) {
+        let id = decided.unit.job.to_string();
         let replicas = SERVICES.iter().find(|(job, _)| *job == id).map_or(0, |s| s.1);
         let runs = |t: u32| self.machines.iter().any(|m| m.get(&(id.clone(), t)).is_some_and(|t| t.1));
-        let others_down = (0..replicas).filter(|t| *t != s.unit.task && !runs(*t)).count();
-        assert_eq!(others_down, 0, "{id}/{} is stopped while others are down", s.unit.task);
+        let others_down = (0..replicas).filter(|t| *t != decided.unit.task && !runs(*t)).count();
+        assert_eq!(others_down, 0, "{id}/{} is stopped while others are down", decided.unit.task);
     }
 
-    fn close_disruptions(&mut self, n: usize) {
-        let leader = &self.leaders[n];
+    fn close_disruptions(&mut self, leader_index: usize) {
+        let leader = &self.leaders[leader_index];
         let Some(known) = leader.replica.drains.disruptions.get(TEAM) else { return };
         let version = self.store.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
         if version != known.version && self.without != Without::TeamCondition {
@@ -348,8 +348,8 @@
         }
     }
 
-    fn decide_placements(&mut self, n: usize) {
-        let replica = &self.leaders[n].replica;
+    fn decide_placements(&mut self, leader_index: usize) {
+        let replica = &self.leaders[leader_index].replica;
         let mut inventory = placement::Inventory::new(replica, |_| true);
         let limits = placement::Limits {
             max_tasks: 9,
@@ -368,23 +368,23 @@
                 chosen.push(Placement { job, id: id.clone(), job_version, fence });
             }
         }
-        self.leaders[n].placements = chosen;
+        self.leaders[leader_index].placements = chosen;
     }
 
-    fn commit_placements(&mut self, n: usize) {
-        for p in std::mem::take(&mut self.leaders[n].placements) {
-            let version = self.store.jobs.get(&p.id).map_or(0, |j| j.version);
-            let is_fenced = p.fence != self.store.drains.fence && self.without != Without::CordonFence;
-            if version != p.job_version || is_fenced {
+    fn commit_placements(&mut self, leader_index: usize) {
+        for decided in std::mem::take(&mut self.leaders[leader_index].placements) {
+            let version = self.store.jobs.get(&decided.id).map_or(0, |j| j.version);
+            let is_fenced = decided.fence != self.store.drains.fence && self.without != Without::CordonFence;
+            if version != decided.job_version || is_fenced {
                 continue;
             }
             let before: BTreeSet<u32> =
-                self.store.jobs[&p.id].value.assignments.iter().map(|a| a.task).collect();
-            for a in p.job.assignments.iter().filter(|a| !before.contains(&a.task)) {
+                self.store.jobs[&decided.id].value.assignments.iter().map(|a| a.task).collect();
+            for a in decided.job.assignments.iter().filter(|a| !before.contains(&a.task)) {
                 let cordoned = self.store.drains.is_cordoned(&a.machine);
-                assert!(!cordoned, "{} is placed on a cordoned machine", p.id);
+                assert!(!cordoned, "{} is placed on a cordoned machine", decided.id);
             }
-            self.change(RecordChange::Job(p.id, Some(p.job)));
+            self.change(RecordChange::Job(decided.id, Some(decided.job)));
         }
     }
 
@@ -397,24 +397,24 @@
         }
     }
 
-    fn reconcile(&mut self, m: usize) {
+    fn reconcile(&mut self, machine_index: usize) {
         let wanted: Vec<(String, u32, u64, bool)> = self
             .store
-            .assignments(MACHINES[m].0)
+            .assignments(MACHINES[machine_index].0)
             .map(|(id, job, a)| (id.to_owned(), a.task, a.attempt, job.should_run(a)))
             .collect();
         for (id, task, attempt, wants) in wanted {
             if wants {
-                self.machines[m].entry((id, task)).or_insert((attempt, false));
+                self.machines[machine_index].entry((id, task)).or_insert((attempt, false));
             } else {
-                self.machines[m].remove(&(id.clone(), task));
+                self.machines[machine_index].remove(&(id.clone(), task));
                 self.end(&id, task, attempt, TerminationReason::Stopped);
             }
         }
     }
 
-    fn become_ready(&mut self, m: usize) {
-        for ((id, task), (attempt, is_ready)) in &mut self.machines[m] {
+    fn become_ready(&mut self, machine_index: usize) {
+        for ((id, task), (attempt, is_ready)) in &mut self.machines[machine_index] {
             *is_ready = true;
             let key = (id.clone(), *task);
             if self.down_voluntarily.get(&key).is_some_and(|stopped| *attempt > *stopped) {
@@ -423,11 +423,11 @@
         }
     }
 
-    fn fail(&mut self, m: usize) {
-        self.machines[m].clear();
+    fn fail(&mut self, machine_index: usize) {
+        self.machines[machine_index].clear();
         let lost: Vec<(String, u32, u64)> = self
             .store
-            .assignments(MACHINES[m].0)
+            .assignments(MACHINES[machine_index].0)
             .map(|(id, _, a)| (id.to_owned(), a.task, a.attempt))
             .collect();
         for (id, task, attempt) in lost {
@@ -435,8 +435,8 @@
         }
     }
 
-    fn start_drain(&mut self, m: usize) {
-        let (machine, _) = MACHINES[m];
+    fn start_drain(&mut self, machine_index: usize) {
+        let (machine, _) = MACHINES[machine_index];
         let cordoned = self.store.drains.cordons.len();
         // At most half of the machines are drained.
         if self.store.drains.is_cordoned(machine) || cordoned >= MACHINES.len() / 2 {
@@ -463,17 +463,17 @@
 }
 
 /// The stop of a unit as a leader with this replica would commit it.
-fn stop(replica: &Replica, unit: &UnitId, by: DisruptionCause) -> Option<Stop> {
+fn stop(replica: &Replica, unit: &UnitId, cause: DisruptionCause) -> Option<Stop> {
     let known = replica.jobs.get(&*unit.job)?;
     let mut job = known.value.clone();
     let attempt = view::attempt_of(&job, unit)?;
     sched::spot_notice::mark_to_stop(&mut job, unit.task);
     let mut open = replica.drains.open_disruptions(TEAM).to_vec();
     let disruption =
-        Disruption { job: unit.job.clone(), task: unit.task, attempt, cause: by.clone(), since_ms: 0 };
+        Disruption { job: unit.job.clone(), task: unit.task, attempt, cause: cause.clone(), since_ms: 0 };
     open.push(disruption);
     let team_version = replica.drains.disruptions.get(TEAM).map_or(0, |d| d.version);
-    Some(Stop { unit: unit.clone(), by, job, job_version: known.version, team_version, open })
+    Some(Stop { unit: unit.clone(), cause, job, job_version: known.version, team_version, open })
 }
 
 impl<const WITHOUT: usize> StateMachineTest for Operations<WITHOUT> {
--- a/crates/drain/tests/unit/budget.rs
+++ b/crates/drain/tests/unit/budget.rs
@@ -59,12 +59,12 @@
 
 #[test]
 fn shares_are_rounded_down_and_a_full_record_refuses_disruptions() {
-    let ten = budgets(Some(TeamBudget::Share(0.1)));
+    let ten_percent = budgets(Some(TeamBudget::Share(0.1)));
     assert_eq!(
-        (ten.of_team("t", 10), ten.of_team("t", 19), ten.of_team("t", 9)),
+        (ten_percent.of_team("t", 10), ten_percent.of_team("t", 19), ten_percent.of_team("t", 9)),
         (Some(1), Some(1), Some(0))
     );
-    assert_eq!(ten.of_team("u", 10), None);
+    assert_eq!(ten_percent.of_team("u", 10), None);
     let budgets = budgets(None);
     let open = disruption("j-9", 0);
     let ledger = Ledger::new(&budgets, [service("j-1", 2, &[0, 1], false)], [("t", &open)], 1);
--- a/crates/drain/tests/unit/selection.rs
+++ b/crates/drain/tests/unit/selection.rs
@@ -19,11 +19,11 @@
     let zone = |z: &str| Selection { zone: Some(z.into()), ..Selection::default() };
     assert_eq!(selected(&replica, named(&["m-3", "m-1"]), None), Ok("m-1 m-3".into()));
     assert_eq!(selected(&replica, zone("b"), None), Ok("m-2 m-3".into()));
-    let old = Selection { older_than_s: Some(60.0), ..zone("b") };
+    let old_in_zone_b = Selection { older_than_s: Some(60.0), ..zone("b") };
     let ages = [("m-1", 90.0), ("m-2", 90.0), ("m-3", 30.0)].map(|(m, age)| (m.to_owned(), age));
     let ages = ages.into_iter().collect();
-    assert_eq!(selected(&replica, old.clone(), Some(&ages)), Ok("m-2".into()));
-    assert_eq!(selected(&replica, old, None), Err(SelectionError::AgeUnknown));
+    assert_eq!(selected(&replica, old_in_zone_b.clone(), Some(&ages)), Ok("m-2".into()));
+    assert_eq!(selected(&replica, old_in_zone_b, None), Err(SelectionError::AgeUnknown));
 }
 
 #[test]
