--- a/crates/daemon/src/autoscaler/capacity_backoff.rs
+++ b/crates/daemon/src/autoscaler/capacity_backoff.rs
@@ -1,25 +1,25 @@
-//! The back-off from offers that the cloud has no capacity for.
+//! Back-off for offers that the cloud has no capacity for.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use sched::autoscaling::MachineOffer;
 
-/// The first back-off from an offer; each further one is twice as long.
+/// First back-off of an offer; each further one is twice as long.
 const MIN_CAPACITY_BACKOFF: Duration = Duration::from_secs(20);
-/// Longest back-off from an offer.
+/// Maximum back-off of an offer.
 const MAX_CAPACITY_BACKOFF: Duration = Duration::from_secs(60);
 
-/// The latest back-off from an offer.
+/// The latest back-off of an offer.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     /// When the offer may be requested again.
     ends_at: Instant,
-    /// How long it lasts.
+    /// How long it lasts; the next back-off is derived from it.
     duration: Duration,
 }
 
-/// Offers without capacity. An entry stays after its back-off has ended, until machines of the
+/// Offers that the cloud had no capacity for. An entry outlives its back-off, until machines of the
 /// offer are granted or released, so that the next back-off is longer.
 #[derive(Debug, Default)]
 pub struct CapacityBackoffs {
@@ -27,12 +27,12 @@
 }
 
 impl CapacityBackoffs {
-    /// Whether an offer is not to be requested now.
+    /// Whether the offer is in back-off and must not be requested now.
     pub fn is_active(&self, offer: &MachineOffer, now: Instant) -> bool {
         self.offers.get(offer).is_some_and(|backoff| now < backoff.ends_at)
     }
 
-    /// The cloud has no capacity for an offer.
+    /// Starts a back-off because the cloud has no capacity for the offer.
     pub fn start(&mut self, offer: MachineOffer, now: Instant) {
         let previous = self.offers.get(&offer);
         let duration =
@@ -40,7 +40,7 @@
         self.offers.insert(offer, Backoff { ends_at: now + duration, duration });
     }
 
-    /// There is capacity for an offer again.
+    /// Ends the back-off because there is capacity for the offer again; the next one is short.
     pub fn clear(&mut self, offer: &MachineOffer) {
         self.offers.remove(offer);
     }
--- a/crates/daemon/src/autoscaler/cloud_listing.rs
+++ b/crates/daemon/src/autoscaler/cloud_listing.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines, read page by page.
+//! The cloud's list of machines, fetched page by page.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -10,12 +10,12 @@
 
 use crate::clock;
 
-/// Most pages requested in one step: the cloud accepts few requests a second, and scale-out and
-/// scale-in are not to wait for a list of thousands of machines.
+/// Maximum number of pages requested per step: the cloud accepts few requests per second, and
+/// scale-out and scale-in must not wait for a list of thousands of machines.
 const MAX_PAGES_PER_STEP: usize = 2;
-/// How often a new listing is begun.
+/// Interval at which a new listing is started.
 const LISTING_INTERVAL: Duration = Duration::from_secs(5);
-/// After how long a page is requested again that the cloud refused or did not answer.
+/// Pause before a page that the cloud refused or did not answer is requested again.
 const PAGE_RETRY_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The latest complete list of the cloud's machines, and the listing in progress.
@@ -23,15 +23,15 @@
 pub struct CloudListing {
     /// The machines of the latest complete listing.
     machines: BTreeMap<Name, ListedMachine>,
-    /// When each of them was first listed.
+    /// When each of these machines was first listed.
     first_seen: HashMap<Name, Instant>,
-    /// When the latest listing was begun, complete or not.
+    /// When the latest listing was started, complete or not.
     started_at: Option<Instant>,
-    /// The listing that is not complete yet.
+    /// The listing that is not yet complete.
     in_progress: Option<PartialListing>,
 }
 
-/// The pages of a listing that have been read.
+/// The pages of a listing that have been fetched so far.
 #[derive(Debug)]
 struct PartialListing {
     machines: Vec<ListedMachine>,
@@ -40,34 +40,34 @@
 }
 
 impl CloudListing {
-    /// An empty list whose listing was begun at an instant.
+    /// An empty list whose first listing was started at `start`.
     #[cfg(any(test, feature = "bench"))]
     pub fn started_at(start: Instant) -> Self {
         Self { started_at: Some(start), ..Self::default() }
     }
 
-    /// Whether a listing has been begun.
+    /// Whether a listing has ever been started.
     pub fn has_started(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// The machines of the latest complete listing, in the order of their names.
+    /// The machines of the latest complete listing, sorted by name.
     pub fn machines(&self) -> &BTreeMap<Name, ListedMachine> {
         &self.machines
     }
 
-    /// How long ago the latest listing was begun, in seconds; 0 if none was.
+    /// Seconds since the latest listing was started; 0 if none was.
     pub fn age_s(&self) -> f64 {
         self.started_at.map_or(0.0, |at| clock::since(at).as_secs_f64())
     }
 
-    /// For how many seconds a machine has been listed.
+    /// Seconds since a machine was first listed; 0 if it is not listed.
     pub fn listed_for_s(&self, machine: &Name) -> f64 {
         self.first_seen.get(machine).map_or(0.0, |at| clock::since(*at).as_secs_f64())
     }
 
-    /// Continues the listing in progress, or begins one if it is time. Returns when the listing
-    /// was completed, if it was.
+    /// Continues the listing in progress, or starts one if it is due. Returns the time of
+    /// completion if this call completed the listing.
     pub async fn advance(&mut self, cloud: &CloudClient) -> Option<Instant> {
         let now = clock::now();
         self.start_if_due(now);
@@ -83,7 +83,7 @@
                     }
                 }
                 Err(error) => {
-                    debug!(%error, "machine list page not fetched from the cloud");
+                    debug!(%error, "failed to fetch a page of the cloud's machine list");
                     listing.next_page_at = clock::now() + PAGE_RETRY_BACKOFF;
                     return None;
                 }
@@ -101,7 +101,7 @@
         self.in_progress = Some(PartialListing { machines: Vec::new(), next_page_at: now });
     }
 
-    /// The last page has been read.
+    /// Replaces the list after the last page has been fetched.
     fn complete(&mut self, now: Instant) -> Option<Instant> {
         let listing = self.in_progress.take()?;
         self.machines =
--- a/crates/daemon/src/autoscaler/cluster_log.rs
+++ b/crates/daemon/src/autoscaler/cluster_log.rs
@@ -1,4 +1,4 @@
-//! The regular log line on what waits and how full the machines are.
+//! The periodic log line on waiting jobs and the usage of machines.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +11,15 @@
 /// The open jobs of a service class.
 #[derive(Default)]
 struct ClassLoad {
-    /// Jobs with tasks that wait.
+    /// Jobs that have waiting tasks.
     waiting_jobs: u32,
-    /// Tasks that wait.
+    /// Tasks that wait for a machine.
     waiting_tasks: u32,
     /// Tasks that are assigned to machines.
     assigned_tasks: u32,
 }
 
-/// The machines of a type, spot instances apart from others.
+/// The machines of a type; spot instances are counted apart from on-demand ones.
 #[derive(Default)]
 struct TypeUsage {
     machines: u32,
@@ -27,11 +27,11 @@
     cpus: f64,
 }
 
-/// Logs what waits, by class, and how full the machines are, by type.
+/// Logs the waiting jobs and tasks by service class, and the CPU usage by machine type.
 pub fn log_cluster(state: &ControllerState) {
     let waiting = waiting_by_class(&state.records.replica);
     let machines = usage_by_type(&state.records.replica);
-    info!(waiting = waiting.join("; "), machines = machines.join("; "), "cluster");
+    info!(waiting = waiting.join("; "), machines = machines.join("; "), "cluster load");
 }
 
 fn waiting_by_class(replica: &Replica) -> Vec<String> {
@@ -44,11 +44,11 @@
         load.waiting_tasks += waiting_tasks;
         load.assigned_tasks += job.value.assignments.len() as u32;
     }
-    let line = |(class, load): (&&str, &ClassLoad)| {
+    let format_line = |(class, load): (&&str, &ClassLoad)| {
         let ClassLoad { waiting_jobs, waiting_tasks, assigned_tasks } = load;
         format!("{class}: {waiting_jobs} jobs, {waiting_tasks} tasks, {assigned_tasks} running")
     };
-    classes.iter().map(line).collect()
+    classes.iter().map(format_line).collect()
 }
 
 fn usage_by_type(replica: &Replica) -> Vec<String> {
@@ -61,8 +61,8 @@
         usage.used_cpus += replica.machine_usage.get(id).map_or(0.0, |used| used.cpus);
         usage.cpus += machine_type.cpus;
     }
-    let line = |(name, usage): (&String, &TypeUsage)| {
+    let format_line = |(name, usage): (&String, &TypeUsage)| {
         format!("{name}: {}, {:.0}/{:.0} CPUs", usage.machines, usage.used_cpus, usage.cpus)
     };
-    types.iter().map(line).collect()
+    types.iter().map(format_line).collect()
 }
--- a/crates/daemon/src/autoscaler/expected_capacity.rs
+++ b/crates/daemon/src/autoscaler/expected_capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity that is there or will be without further scale-out.
+//! The capacity that exists, or will exist without further scale-out.
 
 use sched::autoscaling::{ExpectedCapacity, MachineOffer};
 use sched::hash::HashSet;
@@ -11,8 +11,8 @@
 use crate::state::ControllerState;
 
 impl Autoscaler {
-    /// All capacity that may be used: of machines that were requested and are not up yet, of those
-    /// that the cloud lists and nobody has heard from, and what is free on those that are up.
+    /// All usable capacity: that of requested machines that are not up yet, that of machines that
+    /// the cloud lists but that have not registered, and the free capacity of machines that are up.
     pub(super) fn expected_capacity(&self, state: &ControllerState) -> Vec<ExpectedCapacity> {
         let replica = &state.records.replica;
         let mut expected = Vec::with_capacity(state.scheduling.inventory.slots.len());
@@ -25,7 +25,7 @@
                 }
                 None => scale_out.count as usize,
             };
-            let machine = empty_machine(replica, offer_of_scale_out(scale_out));
+            let machine = capacity_of_new_machine(replica, offer_of_scale_out(scale_out));
             expected.extend(std::iter::repeat_n(machine, count));
         }
         expected.extend(self.listed_capacity(replica, &requested));
@@ -40,8 +40,8 @@
         expected
     }
 
-    /// The capacity of machines that the cloud lists, without those that have a record, belong to a
-    /// scale-out or have been released.
+    /// The capacity of machines that the cloud lists, except machines that have a record, belong to
+    /// a scale-out, have been released or have failed.
     fn listed_capacity<'a>(
         &'a self,
         replica: &'a Replica,
@@ -59,13 +59,13 @@
                 zone: machine.zone.as_str().into(),
                 spot: machine.spot,
             };
-            Some(empty_machine(replica, offer))
+            Some(capacity_of_new_machine(replica, offer))
         })
     }
 }
 
-/// The capacity of a machine of an offer that is not up yet.
-fn empty_machine(replica: &Replica, offer: MachineOffer) -> ExpectedCapacity {
+/// The capacity of a machine of the offer that is not up yet.
+fn capacity_of_new_machine(replica: &Replica, offer: MachineOffer) -> ExpectedCapacity {
     let free = replica.machine_types.get(&*offer.machine_type).map(Resources::of_type).unwrap_or_default();
     ExpectedCapacity {
         machine_type: offer.machine_type,
--- a/crates/daemon/src/autoscaler/fleet_record.rs
+++ b/crates/daemon/src/autoscaler/fleet_record.rs
@@ -1,4 +1,4 @@
-//! Changes of the fleet's record, and how large it may become.
+//! Updates of the fleet's record, and the limit on its size.
 
 use sched::records::{FleetRecord, ScaleOut};
 use store::{KeyWrite, key};
@@ -7,26 +7,27 @@
 use super::leader_write::write_as_leader;
 use crate::controller::Controller;
 
-/// How often a change of the record is tried.
+/// Maximum number of attempts to update the record.
 const MAX_UPDATE_ATTEMPTS: usize = 3;
-/// Most bytes that a machine's name takes in the record beside the one before it: most names hold
-/// six digits, and a character has five bits.
+/// Maximum number of bytes that a machine's name takes in the record, where it is stored as a
+/// difference from the name before it: most names hold six digits, and a character encodes five
+/// bits.
 const MAX_NAME_BYTES: usize = 4;
-/// How many values of the key-value store the record may take where values are small: each change
-/// of the record costs one write more for each of them.
+/// Maximum number of key-value store values that the record may span where values are small: each
+/// further value costs one more write per change of the record.
 const MAX_RECORD_VALUES: f64 = 3.0;
-/// The part of the greatest size that is used.
+/// Share of the maximum size that is used.
 const USABLE_SIZE_FRACTION: f64 = 0.95;
-/// Bytes in a kilobyte of the settings.
+/// Number of bytes in a kilobyte, as the settings use the unit.
 const BYTES_PER_KB: f64 = 1024.0;
 
-/// Changes the scale-outs of the fleet's record. Returns whether that was written.
+/// Changes the scale-outs in the fleet's record. Returns whether the change was committed.
 pub async fn update_scale_outs(controller: &Controller, change: impl Fn(&mut Vec<ScaleOut>)) -> bool {
     update_fleet_record(controller, |fleet| change(&mut fleet.scale_outs)).await
 }
 
-/// Changes the fleet's record, again on the newer record if another change came first. Returns
-/// whether that was written.
+/// Changes the fleet's record, and retries on the newer version if a concurrent change was
+/// committed first. Returns whether the change was committed.
 pub async fn update_fleet_record(controller: &Controller, change: impl Fn(&mut FleetRecord)) -> bool {
     for _ in 0..MAX_UPDATE_ATTEMPTS {
         let (mut fleet, version) = {
@@ -47,15 +48,15 @@
     false
 }
 
-/// How many more names of machines the record surely holds. Without this bound the key-value store
-/// could refuse the record once hundreds of machines are requested and lost at a time, and no
-/// removal would be recorded any more.
-pub fn free_names(fleet: &FleetRecord, controller: &Controller) -> usize {
+/// How many more machine names are certain to fit into the record. Without this bound the key-value
+/// store could refuse the record when hundreds of machines are requested and lost at a time, and no
+/// further removal could be recorded.
+pub fn remaining_name_capacity(fleet: &FleetRecord, controller: &Controller) -> usize {
     max_record_bytes(controller).saturating_sub(record_bytes(fleet)) / MAX_NAME_BYTES
 }
 
-/// Whether removed machines should be deleted from the record although other writes wait: the next
-/// change might not fit otherwise.
+/// Whether the record is so large that removed machines should be deleted from it even while other
+/// writes wait; otherwise the next change might not fit.
 pub fn is_half_full(fleet: &FleetRecord, controller: &Controller) -> bool {
     record_bytes(fleet) > max_record_bytes(controller) / 2
 }
--- a/crates/daemon/src/autoscaler/leader_write.rs
+++ b/crates/daemon/src/autoscaler/leader_write.rs
@@ -11,31 +11,30 @@
 use crate::controller::Controller;
 use crate::load::Purpose;
 
-/// How long is waited for the replica to contain what was committed.
-const REPLICA_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a transaction that was refused, or whose outcome is unknown.
+/// Maximum time to wait until the replica contains a committed transaction.
+const REPLICA_CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a transaction that was refused or whose outcome is unknown.
 const WRITE_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Commits a transaction as the leader: on the condition also that the cluster map is the one by
-/// which this controller is the leader. Returns whether it was committed and the replica contains
-/// it.
+/// Commits a transaction on the additional condition that the cluster map still names this
+/// controller as the leader. Returns whether it was committed and the replica contains it.
 pub async fn write_as_leader(
     controller: &Controller,
     mut conditions: Vec<Condition>,
     writes: Vec<KeyWrite>,
 ) -> bool {
-    let Some(map_condition) = leadership_condition(controller) else { return false };
-    conditions.push(map_condition);
-    // Machines take long to boot: a request for some does not wait behind scheduling cycles that
-    // have overdrawn the rate limit.
+    let Some(leadership) = leadership_condition(controller) else { return false };
+    conditions.push(leadership);
+    // The writes count towards the rate limit but do not wait for it: machines take long to boot,
+    // so a scale-out must not queue behind scheduling cycles that have overdrawn the limit.
     controller.state().writes.limiter.acquire(writes.len() as f64, 0.0, clock::now());
     controller.load.spend(Purpose::Autoscaler, writes.len());
     match controller.commit(conditions, writes).await {
         Ok(TxnOutcome::Committed { revision }) => {
-            controller.wait_for_revision(revision, REPLICA_TIMEOUT).await
+            controller.wait_for_revision(revision, REPLICA_CATCH_UP_TIMEOUT).await
         }
         Ok(TxnOutcome::Conflict { revision, .. }) => {
-            controller.wait_for_revision(revision, REPLICA_TIMEOUT).await;
+            controller.wait_for_revision(revision, REPLICA_CATCH_UP_TIMEOUT).await;
             false
         }
         Err(error) => {
@@ -47,7 +46,7 @@
     }
 }
 
-/// That the cluster map has not changed; `None` if this controller is not the leader by it.
+/// The condition that the cluster map has not changed; `None` if this controller is not its leader.
 fn leadership_condition(controller: &Controller) -> Option<Condition> {
     let state = controller.state();
     let cluster_map = state.records.replica.cluster_map.as_ref();
--- a/crates/daemon/src/autoscaler/machine_offers.rs
+++ b/crates/daemon/src/autoscaler/machine_offers.rs
@@ -1,9 +1,9 @@
-//! The offer of the cloud that a machine comes from.
+//! Conversions of machines and scale-outs to the cloud's offers.
 
 use sched::autoscaling::MachineOffer;
 use sched::records::{MachineRecord, ScaleOut};
 
-/// The offer of a machine.
+/// The offer that a machine belongs to.
 pub fn offer_of_machine(machine: &MachineRecord) -> MachineOffer {
     MachineOffer {
         machine_type: machine.machine_type.clone(),
--- a/crates/daemon/src/autoscaler/machine_types.rs
+++ b/crates/daemon/src/autoscaler/machine_types.rs
@@ -1,4 +1,4 @@
-//! The refresh of the machine types, which the cloud defines and the records repeat.
+//! The periodic refresh of the record of machine types, a copy of what the cloud defines.
 
 use std::time::{Duration, Instant};
 
@@ -12,20 +12,20 @@
 use crate::clock;
 use crate::controller::Controller;
 
-/// How often the machine types are fetched.
+/// Interval at which the machine types are fetched.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(60);
-/// How often they are fetched while none are known.
+/// Interval at which the machine types are fetched while none are known.
 const FIRST_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Keeps the record of the machine types as the cloud has them.
+/// Keeps the record of the machine types in line with the cloud.
 #[derive(Debug, Default)]
 pub struct MachineTypesRefresh {
-    /// When the machine types were last fetched, or the attempt was made.
+    /// When a fetch of the machine types was last attempted.
     last_attempt: Option<Instant>,
 }
 
 impl MachineTypesRefresh {
-    /// Fetches the machine types if it is time, and writes them if they have changed.
+    /// Fetches the machine types if that is due, and records them if they have changed.
     pub async fn refresh_if_due(&mut self, controller: &Controller) {
         let any_known = !controller.state().records.replica.machine_types.is_empty();
         let interval = if any_known { REFRESH_INTERVAL } else { FIRST_FETCH_INTERVAL };
@@ -35,7 +35,7 @@
         self.last_attempt = Some(clock::now());
         match controller.cloud.machine_types().await {
             Ok(types) => record_if_changed(controller, types).await,
-            Err(error) => warn!(%error, "machine types not fetched from the cloud"),
+            Err(error) => warn!(%error, "failed to fetch the machine types from the cloud"),
         }
     }
 }
--- a/crates/daemon/src/autoscaler/mod.rs
+++ b/crates/daemon/src/autoscaler/mod.rs
@@ -1,19 +1,19 @@
-//! The leader's autoscaler: it requests machines from the cloud (scale-out) and releases those
-//! that are lost or not needed (scale-in).
+//! The leader's autoscaler: requests machines from the cloud (scale-out) and releases those that
+//! are lost or not needed (scale-in).
 //!
-//! [`run_autoscaler`] runs [`Autoscaler::step`] for as long as the process lives; a controller
+//! [`run_autoscaler`] repeats [`Autoscaler::step`] for the lifetime of the process; a controller
 //! that is not the leader keeps no state. Every write is conditional on the cluster map
-//! (`leader_write`), so that a former leader changes nothing.
+//! (`leader_write`), so that a former leader cannot change any record.
 //!
-//! The cloud's list of machines is followed by `cloud_listing`, its machine types by
-//! `machine_types`.
+//! `cloud_listing` fetches the cloud's list of machines, `machine_types` its machine types.
 //!
-//! Scale-out: `demand` and `expected_capacity` are what `scale_out_plan` plans from, `scale_out`
-//! sends the requests, `scale_out_records` records them, and `scale_out_completion` removes them
-//! once their machines are up.
+//! Scale-out: `scale_out_plan` compares `demand` with `expected_capacity`, `scale_out` sends the
+//! requests, `scale_out_records` records them, and `scale_out_completion` removes them once their
+//! machines are up.
 //!
-//! Scale-in: `release_candidates` decides what goes, with `owner_contact` and `idle_machines`;
-//! `release_rate` decides how fast; `scale_in` releases, and `removed_machines` updates the records.
+//! Scale-in: `release_candidates` selects the machines to release, with `owner_reachability` and
+//! `idle_machines`; `release_rate` limits how many are released at a time; `scale_in` releases
+//! them, and `removed_machines` updates the records.
 
 mod capacity_backoff;
 mod cloud_listing;
@@ -26,7 +26,7 @@
 mod leader_write;
 mod machine_offers;
 mod machine_types;
-mod owner_contact;
+mod owner_reachability;
 mod release_candidates;
 mod release_rate;
 mod removed_machines;
@@ -54,51 +54,52 @@
 use crate::clock;
 use crate::controller::Controller;
 
-/// Least pause between two steps.
+/// Minimum pause between two steps.
 const MIN_STEP_INTERVAL: Duration = Duration::from_millis(300);
-/// A step leaves this many times the time that its planning took to everything else.
-const PAUSE_PER_PLANNING_TIME: u32 = 8;
-/// How often the state of the cluster is logged.
+/// The pause after a step is at least this many times its planning time, so that planning takes
+/// only a small share of the process's time.
+const PLANNING_PAUSE_FACTOR: u32 = 8;
+/// Interval between two log lines on the state of the cluster.
 const CLUSTER_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// How long a released machine is remembered: the cloud's list may still contain it.
-const RELEASED_MEMORY: Duration = Duration::from_secs(300);
+/// How long released machines are remembered: the cloud's list may still contain them.
+const RELEASED_RETENTION: Duration = Duration::from_secs(300);
 
 /// The autoscaler of one term of leadership.
 #[derive(Default)]
 pub(crate) struct Autoscaler {
-    /// Since when this controller has been the leader.
+    /// When this controller became the leader.
     leader_since: Option<Instant>,
-    /// How many requests for machines this process has made; they are numbered by it.
+    /// Number of scale-out requests that this process has made; part of each request's id.
     request_count: u64,
     /// The cloud's list of machines.
     listing: CloudListing,
-    /// The refresh of the machine types.
+    /// Keeps the record of the machine types up to date.
     machine_types: MachineTypesRefresh,
-    /// Offers that are not requested for now, as the cloud has no capacity for them.
+    /// Offers that are not requested for now because the cloud has no capacity for them.
     backoffs: CapacityBackoffs,
     /// When the state of the cluster was last logged.
     cluster_logged_at: Option<Instant>,
     /// Since when each idle machine has been idle.
     idle_since: HashMap<Name, Instant>,
-    /// Machines whose release the cloud has confirmed, and when. Until the cloud's list no longer
-    /// contains them they are not to be taken for new ones.
+    /// When the cloud confirmed the release of each machine. The cloud's list may contain such a
+    /// machine for some time; it must not be counted as a new one.
     released: HashMap<Name, Instant>,
-    /// For each silent machine, when the leases of all tasks on it have surely expired.
-    lease_expiry_of_silent: HashMap<Name, Instant>,
-    /// How the demand for GPU tasks grows.
+    /// For each silent machine, the time by which the leases of all its tasks have expired.
+    silent_machine_lease_expiry: HashMap<Name, Instant>,
+    /// Samples of the demand for GPU tasks, used to forecast its growth.
     gpu_demand: GpuDemand,
-    /// One job of each shape that waits for capacity within its team's quota.
+    /// Specs of the jobs that wait for capacity within their team's quota, one per shape.
     waiting_specs: Vec<JobSpec>,
-    /// The garbage collection of chunks.
+    /// Garbage collector of the chunks in the key-value store.
     chunk_collector: ChunkCollector,
 }
 
-/// Runs the autoscaler, while this controller is the leader, for as long as the process lives.
+/// Runs the autoscaler whenever this controller is the leader, for the lifetime of the process.
 pub async fn run_autoscaler(controller: Arc<Controller>) {
     let mut autoscaler = Autoscaler::default();
     let mut planning_time = Duration::ZERO;
     loop {
-        sleep(MIN_STEP_INTERVAL.max(planning_time * PAUSE_PER_PLANNING_TIME)).await;
+        sleep(MIN_STEP_INTERVAL.max(planning_time * PLANNING_PAUSE_FACTOR)).await;
         planning_time = Duration::ZERO;
         if !controller.state().is_leader(&controller.identity) {
             autoscaler = Autoscaler { request_count: autoscaler.request_count, ..Autoscaler::default() };
@@ -110,14 +111,14 @@
 }
 
 impl Autoscaler {
-    /// The autoscaler of a controller that has been the leader, and has had the cloud's list, since
-    /// an instant.
+    /// An autoscaler whose controller became the leader, and began listing the cloud's machines, at
+    /// `start`.
     #[cfg(any(test, feature = "bench"))]
     pub(crate) fn leading_since(start: Instant) -> Self {
         Self { leader_since: Some(start), listing: CloudListing::started_at(start), ..Self::default() }
     }
 
-    /// Does once all that is due. Returns how long the planning of the scale-out took.
+    /// Runs every task that is due once. Returns how long the planning of the scale-out took.
     async fn step(&mut self, controller: &Controller) -> Duration {
         self.machine_types.refresh_if_due(controller).await;
         self.advance_listing(controller).await;
@@ -131,7 +132,7 @@
 
     async fn advance_listing(&mut self, controller: &Controller) {
         if let Some(completed_at) = self.listing.advance(&controller.cloud).await {
-            self.released.retain(|_, at| completed_at.saturating_duration_since(*at) < RELEASED_MEMORY);
+            self.released.retain(|_, at| completed_at.saturating_duration_since(*at) < RELEASED_RETENTION);
         }
     }
 
@@ -150,12 +151,12 @@
     }
 }
 
-/// Whether something is to be done again that was last done at an instant, or never.
+/// Whether a periodic task is due, given when it was last run (`None`: never).
 fn is_due(last: Option<Instant>, interval: Duration) -> bool {
     last.is_none_or(|last| clock::since(last) >= interval)
 }
 
-/// The names of machines, for a request to the cloud.
+/// Machine names in the form that the cloud's API takes.
 fn to_strings(machines: &[Name]) -> Vec<String> {
     machines.iter().map(|machine| machine.to_string()).collect()
 }
--- a/crates/daemon/src/autoscaler/release_candidates.rs
+++ b/crates/daemon/src/autoscaler/release_candidates.rs
@@ -1,4 +1,4 @@
-//! Which machines are to be released, and why.
+//! Selects the machines to release, each with its reason.
 
 use std::time::{Duration, Instant};
 
@@ -8,51 +8,51 @@
 use wire::{ListedMachine, MachineStatus};
 
 use super::Autoscaler;
-use super::idle_machines::IdleMachines;
-use super::owner_contact::SilenceLimits;
+use super::idle_machines::IdleRetention;
+use super::owner_reachability::SilenceLimits;
 use super::scale_out_completion::DEFAULT_BOOT_S;
 use crate::controller::Controller;
 use crate::drains;
 use crate::state::{ControllerState, MachineHealth, MachineView};
 
-/// A listed machine that no scale-out names counts as one that will never register after this many
-/// times its type's usual boot time …
+/// A listed machine that belongs to no scale-out counts as one that will never register once its
+/// age exceeds this many times its type's usual boot time …
 const REGISTRATION_TIMEOUT_FACTOR: f64 = 4.0;
-/// … and so many seconds more.
+/// … plus this many seconds …
 const REGISTRATION_TIMEOUT_EXTRA_S: f64 = 30.0;
-/// For how many seconds this leader has to have seen it on the cloud's list.
+/// … and once this leader has seen it on the cloud's list for longer than this many seconds.
 const MIN_LISTED_S: f64 = 30.0;
 
 /// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// An earlier leader, or an earlier step, marked it.
+    /// An earlier leader or an earlier step marked it for release.
     Marked,
     /// A drain has moved all its tasks.
     Drained,
-    /// Nothing has been heard from it for too long.
+    /// It has been silent for longer than its limit.
     Silent,
-    /// It fails what it is given.
+    /// The tasks that it is given fail on it.
     Unhealthy,
     /// It has been idle for too long.
     Idle,
-    /// It has failed by the cloud's list.
+    /// The cloud lists it as failed.
     Failed,
     /// The cloud lists it, but it has never registered.
     NeverRegistered,
 }
 
 impl ReleaseReason {
-    /// The reason as it is logged.
+    /// The reason as text for log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Marked => "marked",
             Self::Drained => "drained",
             Self::Silent => "silent",
-            Self::Unhealthy => "sick",
+            Self::Unhealthy => "unhealthy",
             Self::Idle => "idle",
             Self::Failed => "failed",
-            Self::NeverRegistered => "never came up",
+            Self::NeverRegistered => "never registered",
         }
     }
 }
@@ -67,8 +67,9 @@
 }
 
 impl Autoscaler {
-    /// The machines to release, in the order of their names; then those that have no record, or
-    /// have failed by the cloud's list. The inventory has to be up to date.
+    /// The machines to release: first those with a record, sorted by name, then those that the
+    /// cloud lists as failed or that have never registered. A machine may be in both parts. The
+    /// inventory must be up to date.
     pub(crate) fn release_candidates(
         &mut self,
         controller: &Controller,
@@ -81,8 +82,8 @@
         }
         let views: Vec<MachineView> = state.machine_views(&controller.identity, now).collect();
         let silence_limits = SilenceLimits::new(controller.silence_limit(), &views);
-        self.retain_idle(&state.records.replica);
-        let mut idle_machines = IdleMachines::new(controller, state, &views);
+        self.drop_busy_machines(&state.records.replica);
+        let mut idle_retention = IdleRetention::new(controller, state, &views);
         let drained = drained_machines(controller, state);
         for view in views.iter().filter(|view| view.is_current) {
             let Some(health) = view.health else { continue };
@@ -91,42 +92,49 @@
             } else if view.used.is_none() && drained.contains(view.id) {
                 ReleaseReason::Drained
             } else if health.silent >= silence_limits.limit_of(view, health) {
-                self.note_silent(controller, view.id, health, now);
+                self.store_lease_expiry(controller, view.id, health, now);
                 ReleaseReason::Silent
             } else if health.unhealthy {
                 ReleaseReason::Unhealthy
-            } else if view.used.is_none() && self.is_idle_too_long(view, &mut idle_machines, now) {
+            } else if view.used.is_none() && self.is_idle_too_long(view, &mut idle_retention, now) {
                 ReleaseReason::Idle
             } else {
                 continue;
             };
             candidates.push(ReleaseCandidate { machine: view.id.clone(), reason });
         }
-        self.retain_silent(&candidates);
-        candidates.extend(self.lost_by_listing(&state.records.replica));
+        self.drop_lease_expiry_of_responsive(&candidates);
+        candidates.extend(self.lost_listed_machines(&state.records.replica));
         candidates
     }
 
-    /// Notes when the leases of all tasks on a silent machine have surely expired.
-    fn note_silent(&mut self, controller: &Controller, id: &Name, health: MachineHealth, now: Instant) {
-        // Before its present owner heard from it, another controller that is isolated together with
-        // the machine may have renewed its lease, for as long as that is allowed at all.
+    /// Stores the time by which the leases of all tasks on a silent machine have expired.
+    fn store_lease_expiry(
+        &mut self,
+        controller: &Controller,
+        id: &Name,
+        health: MachineHealth,
+        now: Instant,
+    ) {
+        // If the present owner has never heard from the machine, another controller that is
+        // isolated together with it may still have renewed its lease, but no longer than the
+        // renewal bound.
         let max_renewal =
             if health.heard_from { Duration::ZERO } else { controller.settings.renewal_bound() };
         let lease = controller.worker_limits(None).lease + max_renewal;
         let expires_at = now + lease.saturating_sub(health.silent);
-        self.lease_expiry_of_silent.entry(id.clone()).or_insert(expires_at);
+        self.silent_machine_lease_expiry.entry(id.clone()).or_insert(expires_at);
     }
 
-    /// Forgets the lease expiry of machines that are no longer silent.
-    fn retain_silent(&mut self, candidates: &[ReleaseCandidate]) {
+    /// Drops the lease expiry of machines that are no longer silent.
+    fn drop_lease_expiry_of_responsive(&mut self, candidates: &[ReleaseCandidate]) {
         let silent = candidates.iter().filter(|candidate| candidate.reason == ReleaseReason::Silent);
         let silent: HashSet<&Name> = silent.map(|candidate| &candidate.machine).collect();
-        self.lease_expiry_of_silent.retain(|id, _| silent.contains(id));
+        self.silent_machine_lease_expiry.retain(|id, _| silent.contains(id));
     }
 
-    /// The machines that failed by the cloud's list, or have never registered.
-    fn lost_by_listing(&self, replica: &Replica) -> Vec<ReleaseCandidate> {
+    /// The machines that the cloud lists as failed, or that are listed but have never registered.
+    fn lost_listed_machines(&self, replica: &Replica) -> Vec<ReleaseCandidate> {
         let scale_outs = replica.fleet.iter().flat_map(|fleet| fleet.value.scale_outs.iter());
         let requested: HashSet<&Name> =
             scale_outs.filter_map(|scale_out| scale_out.machines.as_ref()).flatten().collect();
@@ -151,7 +159,7 @@
         lost
     }
 
-    /// Whether a machine that the cloud lists should have registered by now.
+    /// Whether a listed machine should have registered by now.
     fn is_overdue(&self, replica: &Replica, id: &Name, machine: &ListedMachine, listing_age_s: f64) -> bool {
         let machine_type = replica.machine_types.get(&machine.machine_type);
         let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
@@ -161,8 +169,8 @@
     }
 }
 
-/// The machines to release as soon as they have no tasks. Nothing can be placed there meanwhile,
-/// unless a controller of an older version does not know of drains.
+/// The drained machines, which are released as soon as they have no tasks. None while a controller
+/// of an older version does not support drains: it could still place tasks there.
 fn drained_machines<'a>(controller: &Controller, state: &'a ControllerState) -> HashSet<&'a Name> {
     let replica = &state.records.replica;
     if !controller.operators.drains.enabled || drains::unsupporting_controller(controller, replica).is_some()
--- a/crates/daemon/src/autoscaler/removed_machines.rs
+++ b/crates/daemon/src/autoscaler/removed_machines.rs
@@ -1,40 +1,41 @@
-//! The records of machines that have been released: the removal is recorded at once, the machines'
-//! own records are deleted later.
+//! The records of released machines: the removal is recorded in the fleet's record immediately, and
+//! the machines' own records are deleted later.
 
 use sched::records::{FleetRecord, Name};
 use store::{KeyWrite, key};
 use wire::Condition;
 
 use super::Autoscaler;
-use super::fleet_record::{free_names, is_half_full, update_fleet_record};
+use super::fleet_record::{is_half_full, remaining_name_capacity, update_fleet_record};
 use super::leader_write::write_as_leader;
 use crate::clock;
 use crate::controller::Controller;
 
-/// Records are deleted while the rate limit of writes has at least this part of a second's writes
-/// left, so that nothing else waits for them.
+/// Records are deleted only while the rate limit leaves at least as many writes as it allows in
+/// this many seconds, so that no other write has to wait for a deletion.
 const MIN_AVAILABLE_WRITES_S: f64 = 0.6;
 
-/// A machine whose removal is recorded.
+/// A machine whose removal is recorded and whose own record is to be deleted.
 struct RemovedMachine {
     id: Name,
-    /// The version of its own record.
+    /// The version of the machine's own record.
     version: u64,
 }
 
-/// A deletion of records of removed machines.
+/// A transaction that deletes the records of removed machines.
 struct RecordDeletion {
     machines: Vec<RemovedMachine>,
-    /// The fleet's record, which still names them.
+    /// The fleet's record, which still names these machines.
     fleet: FleetRecord,
     /// The version of the fleet's record.
     fleet_version: u64,
 }
 
 impl Autoscaler {
-    /// Records that machines are removed, as their release is confirmed: no task on them runs.
+    /// Records the removal of machines whose release the cloud has confirmed: no task runs on them
+    /// any more.
     pub(super) async fn record_removal(&self, controller: &Controller, machines: Vec<Name>) {
-        let recorded = recordable(controller, &machines);
+        let recorded = recordable_removals(controller, &machines);
         if recorded.is_empty() {
             return;
         }
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Deletes the records of removed machines, while nothing else needs the writes.
+    /// Deletes records of removed machines while no other work needs the writes.
     pub(super) async fn delete_removed_machines(&self, controller: &Controller) {
         let Some(deletion) = next_deletion(controller) else { return };
         let RecordDeletion { machines, mut fleet, fleet_version } = deletion;
@@ -60,27 +61,31 @@
         }
         fleet.removed_machines = fleet.removed_machines.filter(|removed| !removed.is_empty());
         let mut conditions = vec![Condition { key: key::FLEET.into(), version: fleet_version }];
-        conditions
-            .extend(machines.iter().map(|m| Condition { key: key::machine(&m.id), version: m.version }));
+        conditions.extend(
+            machines
+                .iter()
+                .map(|machine| Condition { key: key::machine(&machine.id), version: machine.version }),
+        );
         let mut writes = vec![KeyWrite::new(key::FLEET.into(), &fleet)];
-        writes.extend(machines.iter().map(|m| KeyWrite::delete(key::machine(&m.id))));
+        writes.extend(machines.iter().map(|machine| KeyWrite::delete(key::machine(&machine.id))));
         write_as_leader(controller, conditions, writes).await;
     }
 }
 
-/// Those of the machines that have a record, with their addresses: as many as the fleet's record
-/// has space for.
-fn recordable(controller: &Controller, machines: &[Name]) -> Vec<(Name, String)> {
+/// The names and addresses of the machines that have a record, at most as many as the fleet's
+/// record has space for.
+fn recordable_removals(controller: &Controller, machines: &[Name]) -> Vec<(Name, String)> {
     let state = controller.state();
     let replica = &state.records.replica;
-    let max_names = replica.fleet.as_ref().map_or(usize::MAX, |fleet| free_names(&fleet.value, controller));
+    let max_names =
+        replica.fleet.as_ref().map_or(usize::MAX, |fleet| remaining_name_capacity(&fleet.value, controller));
     let with_address =
         |id: &Name| replica.machines.get(id).map(|machine| (id.clone(), machine.value.addr.clone()));
     machines.iter().filter_map(with_address).take(max_names).collect()
 }
 
-/// The next records to delete, as many as a transaction may change. The fleet's record is changed in
-/// the same transaction.
+/// The next records to delete: as many as fit in a transaction, which changes the fleet's record,
+/// too. `None` if there are none or the writes are needed otherwise.
 fn next_deletion(controller: &Controller) -> Option<RecordDeletion> {
     let max_writes = controller.state_limits().txn_ops;
     let mut state = controller.state();
--- a/crates/daemon/src/autoscaler/scale_in.rs
+++ b/crates/daemon/src/autoscaler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale-in: the release of machines.
+//! Scale-in: releases machines to the cloud.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -20,32 +20,32 @@
 use crate::load::sample_names;
 use crate::state::ControllerState;
 
-/// The pause after a release that the cloud did not confirm.
+/// Pause after a release that the cloud did not confirm.
 const RELEASE_FAILURE_BACKOFF: Duration = Duration::from_millis(700);
 
-/// A machine that is marked in its record before it is released.
+/// A machine to be marked in its record before it is released.
 struct MachineToMark {
     id: Name,
     record: MachineRecord,
-    /// The version of the record.
+    /// The version of the record that the mark replaces.
     version: u64,
     reason: ReleaseReason,
 }
 
-/// The machines of one step of the scale-in.
+/// The machines that one step of the scale-in handles.
 #[derive(Default)]
 struct ReleaseBatch {
-    /// Machines to mark first.
+    /// Machines to mark before their release.
     to_mark: Vec<MachineToMark>,
     /// Machines to release now.
     ready: Vec<Name>,
-    /// Why machines that are or become ready are released. A machine may be a candidate twice: the
-    /// later reason stands.
+    /// The reason for the release of each machine that is ready or becomes so. A machine may be a
+    /// candidate twice; the later reason is kept.
     reasons: HashMap<Name, ReleaseReason>,
 }
 
 impl ReleaseBatch {
-    /// A machine is ready for release.
+    /// Adds a machine that is ready for release.
     fn add_ready(&mut self, id: Name, reason: ReleaseReason) {
         self.reasons.insert(id.clone(), reason);
         self.ready.push(id);
@@ -53,15 +53,15 @@
 }
 
 impl Autoscaler {
-    /// Releases the machines that are lost or not needed, as fast as that is allowed.
+    /// Releases machines that are lost or not needed, within the limit of the release rate.
     pub(super) async fn scale_in(&mut self, controller: &Controller) {
         let now = clock::now();
         self.record_earlier_releases(controller).await;
-        let candidates = self.affordable_candidates(controller, now);
+        let candidates = self.candidates_within_write_limit(controller, now);
         if candidates.is_empty() {
             return;
         }
-        let mut batch = self.batch(&controller.state(), candidates);
+        let mut batch = self.divide_candidates(&controller.state(), candidates);
         self.limit_release_rate(controller, &controller.state(), &mut batch.ready, now);
         batch.to_mark.truncate(controller.state_limits().txn_ops);
         if !batch.to_mark.is_empty() && !mark_for_release(controller, &mut batch).await {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Records the removal of machines that were released before, if the key-value store did not
-    /// accept that then.
+    /// Records the removal of machines released in earlier steps for which the key-value store did
+    /// not accept the record then.
     async fn record_earlier_releases(&self, controller: &Controller) {
         let has_record = |id: &&Name| controller.state().records.replica.machines.contains_key(*id);
         let unrecorded: Vec<Name> = self.released.keys().filter(has_record).cloned().collect();
@@ -83,9 +83,13 @@
         }
     }
 
-    /// The machines to release; while the rate limit of writes is overdrawn, without idle ones, which
-    /// cost nothing but money.
-    fn affordable_candidates(&mut self, controller: &Controller, now: Instant) -> Vec<ReleaseCandidate> {
+    /// The machines to release. Idle ones are left out while the rate limit of writes is overdrawn:
+    /// keeping them does no harm except for their price.
+    fn candidates_within_write_limit(
+        &mut self,
+        controller: &Controller,
+        now: Instant,
+    ) -> Vec<ReleaseCandidate> {
         let mut candidates = {
             let mut state = controller.state();
             state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), now);
@@ -97,15 +101,15 @@
         candidates
     }
 
-    /// Divides the machines to release. Those that placement might choose meanwhile are marked
-    /// first. On a silent or failed one nothing is placed; when a whole zone becomes silent, hundreds
-    /// of marks would take a minute.
-    fn batch(&self, state: &ControllerState, candidates: Vec<ReleaseCandidate>) -> ReleaseBatch {
+    /// Divides the candidates into machines to mark first and machines to release now. Machines on
+    /// which tasks could still be placed are marked first. Nothing is placed on silent or failed
+    /// ones, and when a whole zone becomes silent, hundreds of marks would take a minute.
+    fn divide_candidates(&self, state: &ControllerState, candidates: Vec<ReleaseCandidate>) -> ReleaseBatch {
         let mut batch = ReleaseBatch::default();
         for ReleaseCandidate { machine: id, reason } in candidates {
-            let may_be_chosen = matches!(reason, ReleaseReason::Idle | ReleaseReason::Drained);
+            let is_schedulable = matches!(reason, ReleaseReason::Idle | ReleaseReason::Drained);
             match state.records.replica.machines.get(&id) {
-                Some(machine) if may_be_chosen && !machine.value.release => {
+                Some(machine) if is_schedulable && !machine.value.release => {
                     let (record, version) = (machine.value.clone(), machine.version);
                     batch.to_mark.push(MachineToMark { id, record, version, reason });
                 }
@@ -116,23 +120,24 @@
         batch
     }
 
-    /// Releases the machines that are ready, and records their removal once the cloud confirms it.
+    /// Releases the machines that are ready, and records their removal if the cloud confirms it.
     async fn release(&mut self, controller: &Controller, batch: ReleaseBatch, now: Instant) {
         let ReleaseBatch { ready, reasons, .. } = batch;
         if let Err(error) = controller.cloud.release(to_strings(&ready)).await {
-            warn!(%error, "machine release not confirmed by the cloud");
+            warn!(%error, "the cloud did not confirm the release of machines");
             sleep(RELEASE_FAILURE_BACKOFF).await;
             return;
         }
         log_releases(&ready, &reasons);
         for id in &ready {
-            self.note_released(controller, id, now);
+            self.handle_released(controller, id, now);
         }
         self.record_removal(controller, ready).await;
     }
 
-    /// The cloud has confirmed the release of a machine: it has capacity for one of its offer again.
-    fn note_released(&mut self, controller: &Controller, id: &Name, now: Instant) {
+    /// Remembers a release that the cloud has confirmed, and ends the back-off of the machine's
+    /// offer: the cloud has capacity for one more machine of it.
+    fn handle_released(&mut self, controller: &Controller, id: &Name, now: Instant) {
         self.released.insert(id.clone(), now);
         let state = controller.state();
         if let Some(machine) = state.records.replica.machines.get(id) {
@@ -141,8 +146,8 @@
     }
 }
 
-/// Marks machines in their records, so that nothing is placed there any more; those without tasks
-/// are ready then. Returns whether that was written.
+/// Marks machines in their records so that no more tasks are placed there, and adds those without
+/// tasks to the machines that are ready. Returns whether the marks were committed.
 async fn mark_for_release(controller: &Controller, batch: &mut ReleaseBatch) -> bool {
     let to_mark = std::mem::take(&mut batch.to_mark);
     let condition =
@@ -158,7 +163,7 @@
     }
     for MachineToMark { id, reason, .. } in to_mark {
         debug!(machine = &*id, reason = reason.as_str(), "machine marked for release");
-        // A task may have been placed there just before the mark.
+        // A task may have been placed on the machine just before it was marked.
         let has_tasks = controller.state().records.replica.jobs_by_machine.contains_key(&id);
         if has_tasks {
             batch.reasons.insert(id, reason);
@@ -178,7 +183,7 @@
     for (reason, machines) in by_reason {
         info!(count = machines.len(), machines = sample_names(&machines), reason, "machines released");
     }
-    debug!(machines = ?released, "machine release confirmed");
+    debug!(machines = ?released, "the cloud confirmed the release of machines");
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/autoscaler/scale_out.rs
+++ b/crates/daemon/src/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: requests for machines to the cloud.
+//! Scale-out: requests machines from the cloud.
 
 use std::time::{Duration, Instant};
 
@@ -10,32 +10,32 @@
 use wire::RentRequest;
 
 use super::Autoscaler;
-use super::fleet_record::{free_names, update_scale_outs};
+use super::fleet_record::{remaining_name_capacity, update_scale_outs};
 use super::machine_offers::offer_of_scale_out;
 use super::scale_out_records::{ScaleOutResult, add_requests, record_results};
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 
-/// Most offers that machines are requested of before the demand is looked at again.
+/// Maximum number of offers that machines are requested of before the demand is computed again.
 const MAX_OFFERS_PER_STEP: usize = 6;
-/// How many names of machines the record of a request takes as much space as, until the machines
-/// themselves are known.
-pub(super) const REQUEST_RECORD_NAMES: usize = 60;
-/// How often a request is repeated whose response was lost.
+/// Space that a request takes in the fleet's record until its machines are known, expressed as a
+/// number of machine names.
+pub(super) const REQUEST_SIZE_IN_NAMES: usize = 60;
+/// Maximum number of retries of a request whose response was lost.
 const MAX_REQUEST_RETRIES: usize = 2;
-/// The pause before a request is repeated.
+/// Pause before a request is retried.
 const REQUEST_RETRY_BACKOFF: Duration = Duration::from_millis(500);
-/// The pause after a request that failed for another reason than missing capacity.
+/// Pause after a request that failed for another reason than missing capacity.
 const REQUEST_FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Machines to request of one offer.
+/// The number of machines to request of an offer.
 struct OfferCount {
     offer: MachineOffer,
     count: u32,
 }
 
 impl Autoscaler {
-    /// Requests the machines that are needed. Returns how long the planning took.
+    /// Plans the scale-out and requests the machines. Returns how long the planning took.
     pub(super) async fn scale_out(&mut self, controller: &Controller) -> Duration {
         let now = clock::now();
         let planned = {
@@ -54,12 +54,14 @@
         planning_time
     }
 
-    /// Requests machines of some offers: with two changes of the fleet's record for all of them, as
-    /// each costs more where the record is larger than a value of the key-value store.
+    /// Requests machines of the given offers. All requests share two changes of the fleet's record,
+    /// one before and one after: a change takes several writes where the record is larger than a
+    /// value of the key-value store.
     async fn request_offers(&mut self, controller: &Controller, offers: Vec<OfferCount>, now: Instant) {
         let requests: Vec<ScaleOut> =
             offers.into_iter().map(|offer| self.new_request(controller, offer)).collect();
-        // Recorded first, so that the next leader knows which machines may still come.
+        // Requests are recorded before they are sent, so that the next leader knows which machines
+        // may still come up.
         if !update_scale_outs(controller, |scale_outs| add_requests(scale_outs, &requests)).await {
             return;
         }
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Sends requests to the cloud. A request whose outcome is unknown has no result.
+    /// Sends requests to the cloud. No result is returned for a request whose outcome is unknown.
     async fn send_requests(
         &mut self,
         controller: &Controller,
@@ -89,18 +91,18 @@
         now: Instant,
     ) -> Vec<ScaleOutResult> {
         let mut results = Vec::new();
-        let mut cloud_fails = false;
+        let mut cloud_failed = false;
         for request in requests {
             let result = |machines| ScaleOutResult { request: request.request.clone(), machines };
-            if cloud_fails {
-                // Not sent: it would fail after as long a wait.
+            if cloud_failed {
+                // Not sent: it would most likely fail, too, after an equally long wait.
                 results.push(result(None));
                 continue;
             }
             match self.send_request(controller, request, now).await {
                 Ok(machines) => results.push(result(Some(machines))),
                 Err(error) => {
-                    cloud_fails = !matches!(error, CloudError::NoCapacity);
+                    cloud_failed = !matches!(error, CloudError::NoCapacity);
                     if !matches!(error, CloudError::Net(_) | CloudError::Answer(_)) {
                         results.push(result(None));
                     }
@@ -110,7 +112,7 @@
         results
     }
 
-    /// Sends a request to the cloud. Returns the machines that it granted.
+    /// Sends a request to the cloud. Returns the granted machines.
     async fn send_request(
         &mut self,
         controller: &Controller,
@@ -120,17 +122,17 @@
         match send_with_retries(controller, scale_out).await {
             Ok(machines) => {
                 let machines: Vec<Name> = machines.iter().map(|machine| machine.as_str().into()).collect();
-                self.note_granted(scale_out, &machines, now);
+                self.handle_granted(scale_out, &machines, now);
                 Ok(machines)
             }
             Err(error) => {
-                self.note_failed(scale_out, &error, now).await;
+                self.handle_failure(scale_out, &error, now).await;
                 Err(error)
             }
         }
     }
 
-    fn note_granted(&mut self, scale_out: &ScaleOut, machines: &[Name], now: Instant) {
+    fn handle_granted(&mut self, scale_out: &ScaleOut, machines: &[Name], now: Instant) {
         let ScaleOut { request, machine_type, zone, spot, count, .. } = scale_out;
         info!(
             request,
@@ -150,9 +152,9 @@
         }
     }
 
-    async fn note_failed(&mut self, scale_out: &ScaleOut, error: &CloudError, now: Instant) {
+    async fn handle_failure(&mut self, scale_out: &ScaleOut, error: &CloudError, now: Instant) {
         let ScaleOut { request, machine_type, zone, spot, .. } = scale_out;
-        debug!(request, kind = &**machine_type, zone = &**zone, spot, %error, "scale-out not granted");
+        debug!(request, kind = &**machine_type, zone = &**zone, spot, %error, "scale-out request failed");
         if matches!(error, CloudError::NoCapacity) {
             self.backoffs.start(offer_of_scale_out(scale_out), now);
         } else {
@@ -161,7 +163,8 @@
     }
 }
 
-/// Counts machines by their offer, in the order in which the offers come first.
+/// Counts the planned machines by offer, at most [`RENT_MAX`] each. Offers keep the order in which
+/// they first occur.
 fn count_by_offer(planned: Vec<MachineOffer>) -> Vec<OfferCount> {
     let mut counts: Vec<OfferCount> = Vec::new();
     for offer in planned {
@@ -173,17 +176,17 @@
     counts
 }
 
-/// For how many requests the fleet's record has space: it may be full until some of the machines
-/// are up.
+/// How many requests the fleet's record has space for. It may be full until some of the requested
+/// machines are up.
 fn max_recordable_offers(controller: &Controller) -> usize {
     let state = controller.state();
     let fleet = state.records.replica.fleet.as_ref();
-    let names = fleet.map_or(usize::MAX, |fleet| free_names(&fleet.value, controller));
-    names / (REQUEST_RECORD_NAMES + RENT_MAX as usize)
+    let name_capacity = fleet.map_or(usize::MAX, |fleet| remaining_name_capacity(&fleet.value, controller));
+    name_capacity / (REQUEST_SIZE_IN_NAMES + RENT_MAX as usize)
 }
 
-/// Sends a request, again if its response was lost. The id stays the same, so that the cloud does
-/// not grant it twice.
+/// Sends a request and retries it if the response was lost. The request id stays the same, so that
+/// the cloud does not grant the request twice.
 async fn send_with_retries(controller: &Controller, scale_out: &ScaleOut) -> Result<Vec<String>, CloudError> {
     let request = RentRequest {
         request: scale_out.request.clone(),
--- a/crates/daemon/src/autoscaler/scale_out_completion.rs
+++ b/crates/daemon/src/autoscaler/scale_out_completion.rs
@@ -1,4 +1,4 @@
-//! The end of scale-outs: their machines are up, or are released as they never came up.
+//! Removes scale-outs whose machines are up, and releases machines that are overdue.
 
 use std::time::Instant;
 
@@ -17,29 +17,29 @@
 use crate::load::sample_names;
 use crate::state::ControllerState;
 
-/// How long a request may stay without an answer, in seconds. Whatever machines come of it later
-/// register by themselves.
+/// How long a request without an answer stays recorded, in seconds. Machines that the cloud starts
+/// for it later register without the record.
 const MAX_REQUEST_AGE_S: f64 = 30.0;
-/// A machine is overdue after this many times its type's usual boot time …
+/// A machine is overdue after this many times the usual boot time of its type …
 const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
-/// … and so many seconds more.
+/// … plus this many seconds.
 const BOOT_TIMEOUT_EXTRA_S: f64 = 15.0;
-/// The boot time of a machine of an unknown type, in seconds.
+/// Boot time assumed for machines of an unknown type, in seconds.
 pub(super) const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// The fleet's record after scale-outs have ended.
+/// A change of the fleet's record that removes ended scale-outs.
 #[derive(Debug)]
 pub(super) struct ScaleOutCompletion {
-    /// The record without the scale-outs that have ended.
+    /// The record without the ended scale-outs.
     pub(super) record: FleetRecord,
-    /// The version of the record that it replaces.
+    /// The version of the record that `record` replaces.
     pub(super) version: u64,
     /// Machines that never came up, to be released.
     pub(super) overdue: Vec<Name>,
 }
 
 impl Autoscaler {
-    /// Removes the scale-outs whose machines are all up, and releases machines that are overdue.
+    /// Removes the scale-outs whose machines are all up, and releases overdue machines.
     pub(super) async fn complete_scale_outs(&mut self, controller: &Controller) {
         let completion = self.scale_out_completion(&controller.state(), clock::now(), wall_ms());
         let Some(ScaleOutCompletion { record, version, overdue }) = completion else { return };
@@ -52,24 +52,25 @@
             for machine in &overdue {
                 self.released.insert(machine.clone(), clock::now());
             }
-            self.back_off_from_overdue(controller, &overdue);
+            self.back_off_overdue_offers(controller, &overdue);
         }
         let condition = Condition { key: key::FLEET.into(), version };
         let write = KeyWrite::new(key::FLEET.into(), &record);
         write_as_leader(controller, vec![condition], vec![write]).await;
     }
 
-    /// Where a drain waits for capacity, an offer whose machines did not come up is not requested
-    /// for a while, so that the next attempt is made with another.
-    fn back_off_from_overdue(&mut self, controller: &Controller, overdue: &[Name]) {
+    /// Starts a back-off of the offers of overdue machines while a drain waits for capacity, so
+    /// that the next attempt is made with another offer.
+    fn back_off_overdue_offers(&mut self, controller: &Controller, overdue: &[Name]) {
         let offers: Vec<MachineOffer> = {
             let state = controller.state();
             if state.drains.machines_awaiting_capacity.is_empty() {
                 return;
             }
             let scale_outs = state.records.replica.fleet.iter().flat_map(|fleet| &fleet.value.scale_outs);
-            let is_overdue =
-                |scale_out: &&ScaleOut| scale_out.machines.iter().flatten().any(|m| overdue.contains(m));
+            let is_overdue = |scale_out: &&ScaleOut| {
+                scale_out.machines.iter().flatten().any(|machine| overdue.contains(machine))
+            };
             scale_outs.filter(is_overdue).map(offer_of_scale_out).collect()
         };
         for offer in offers {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// The fleet's record without the scale-outs that have ended; `None` if nothing has changed.
-    /// With a stale replica nothing ends: machines that are up and busy would seem overdue.
+    /// The change that removes ended scale-outs; `None` if there is nothing to change or the
+    /// replica is stale: by a stale replica, machines that are up and busy would seem overdue.
     pub(super) fn scale_out_completion(
         &self,
         state: &ControllerState,
@@ -88,8 +89,8 @@
         let replica = &state.records.replica;
         let fleet = replica.fleet.as_ref().filter(|_| state.may_stop_work(now))?;
         let mut overdue: Vec<Name> = Vec::new();
-        let pending_part = |scale_out| self.pending_part(replica, scale_out, now_ms, &mut overdue);
-        let scale_outs: Vec<ScaleOut> = fleet.value.scale_outs.iter().filter_map(pending_part).collect();
+        let still_pending = |scale_out| self.still_pending(replica, scale_out, now_ms, &mut overdue);
+        let scale_outs: Vec<ScaleOut> = fleet.value.scale_outs.iter().filter_map(still_pending).collect();
         if scale_outs == fleet.value.scale_outs && overdue.is_empty() {
             return None;
         }
@@ -98,8 +99,9 @@
         Some(ScaleOutCompletion { record, version: fleet.version, overdue })
     }
 
-    /// What is left of a scale-out, if anything. Overdue machines are taken from it.
-    fn pending_part(
+    /// The scale-out without the machines that are up or released; `None` if it has ended. Overdue
+    /// machines are moved to `overdue`.
+    fn still_pending(
         &self,
         replica: &Replica,
         scale_out: &ScaleOut,
@@ -113,7 +115,9 @@
         let Some(machines) = &mut scale_out.machines else {
             return (age_s <= MAX_REQUEST_AGE_S).then_some(scale_out);
         };
-        machines.retain(|m| !replica.machines.contains_key(m) && !self.released.contains_key(m));
+        machines.retain(|machine| {
+            !replica.machines.contains_key(machine) && !self.released.contains_key(machine)
+        });
         if age_s > boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S {
             overdue.append(machines);
         }
--- a/crates/daemon/src/autoscaler/scale_out_plan.rs
+++ b/crates/daemon/src/autoscaler/scale_out_plan.rs
@@ -1,4 +1,4 @@
-//! Which machines to request.
+//! Plans which machines to request.
 
 use std::time::{Duration, Instant};
 
@@ -16,12 +16,12 @@
 use crate::controller::{Controller, wall_ms};
 use crate::state::ControllerState;
 
-/// How long a new leader waits before it plans: until then peers have told of their machines.
-const MIN_LEADERSHIP: Duration = Duration::from_secs(2);
+/// How long a new leader waits before it plans; by then its peers have reported their machines.
+const MIN_LEADERSHIP_TIME: Duration = Duration::from_secs(2);
 
 impl Autoscaler {
-    /// The machines to request: what is in demand beyond the capacity that is there or expected.
-    /// The inventory has to be up to date.
+    /// The machines to request: those that the demand needs beyond existing and expected capacity.
+    /// The inventory must be up to date.
     pub(crate) fn plan_scale_out(
         &mut self,
         controller: &Controller,
@@ -34,12 +34,12 @@
         }
         let now_ms = wall_ms();
         let waiting = waiting_demands(controller, state, now, now_ms);
-        // The next steps of pipelines, before they are ready.
+        // Jobs of pipelines that are about to become ready.
         let next_steps: Vec<&JobSpec> = forecast::next_steps(replica).collect();
-        self.remember_waiting(waiting.iter().map(|job| job.demand.spec).chain(next_steps.iter().copied()));
+        self.store_waiting_specs(waiting.iter().map(|job| job.demand.spec).chain(next_steps.iter().copied()));
         let service_count = waiting.partition_point(|job| job.demand.spec.kind == JobKind::Service);
         let mut demands: Vec<Demand> = waiting.into_iter().map(|job| job.demand).collect();
-        // After what waits, as they may be late.
+        // After the waiting jobs: the next steps of pipelines may become ready later than forecast.
         demands.extend(next_steps.into_iter().map(|spec| Demand {
             unsuitable_types: unsuitable_types(controller, state, spec),
             ..demand_for(spec, spec.tasks)
@@ -65,14 +65,15 @@
         )
     }
 
-    /// Whether the controller has been the leader for long enough and the listing has begun.
+    /// Whether the controller has been the leader for long enough and a listing has been started.
     fn may_plan(&self, now: Instant) -> bool {
-        let is_long_enough = |since: Instant| now.saturating_duration_since(since) > MIN_LEADERSHIP;
+        let is_long_enough = |since: Instant| now.saturating_duration_since(since) > MIN_LEADERSHIP_TIME;
         self.leader_since.is_some_and(is_long_enough) && self.listing.has_started()
     }
 
-    /// Remembers one job of each shape that waits: machines that suit it are not released.
-    fn remember_waiting<'s>(&mut self, specs: impl Iterator<Item = &'s JobSpec>) {
+    /// Stores one spec of each shape that waits for capacity: idle machines that suit one of them
+    /// are not released.
+    fn store_waiting_specs<'s>(&mut self, specs: impl Iterator<Item = &'s JobSpec>) {
         self.waiting_specs.clear();
         for spec in specs {
             if !self.waiting_specs.iter().any(|known| has_same_shape(known, spec)) {
@@ -82,13 +83,13 @@
     }
 }
 
-/// Whether the same machines suit tasks of two jobs.
+/// Whether the same machines suit the tasks of both jobs.
 fn has_same_shape(a: &JobSpec, b: &JobSpec) -> bool {
     (a.kind, a.spot, &a.types, &a.zone) == (b.kind, b.spot, &b.types, &b.zone)
         && Resources::of_task(a) == Resources::of_task(b)
 }
 
-/// The demands of jobs, in the order in which they are served.
+/// The demands of jobs, in the order in which capacity is planned for them.
 fn waiting_demands<'a>(
     controller: &Controller,
     state: &'a ControllerState,
@@ -96,7 +97,7 @@
     now_ms: u64,
 ) -> Vec<JobDemand<'a>> {
     let mut demands = job_demands(controller, state, now, now_ms);
-    // Jobs that are to start within a time of their class come before others.
+    // Jobs of classes with an objective for the waiting time come before others.
     let rank = |job: &JobRecord| {
         let starts_in_time = |spec: &JobSpec| controller.settings.starts_in_time(&spec.class);
         let is_deferred = !job.spec.as_deref().is_some_and(starts_in_time);
--- a/crates/daemon/tests/unit/autoscaler_scale_in.rs
+++ b/crates/daemon/tests/unit/autoscaler_scale_in.rs
@@ -5,14 +5,15 @@
 use sched::replica::RecordChange;
 use wire::JobKind;
 
-use super::super::release_rate::REPLICAS_PER_RELEASED;
+use super::super::release_rate::RELEASED_REPLICA_DIVISOR;
 use super::*;
 use crate::scale;
 
-/// The replicas of a silent zone run until their leases expire: their machines are released as fast
-/// as the replicas find capacity, and capacity for all of them is requested at once.
+/// All machines of a zone become silent. Their replicas keep running until their leases expire, so
+/// the machines must be released only as fast as the replicas find capacity elsewhere, while
+/// capacity for all replicas is requested at once.
 #[test]
-fn silent_zone_is_released_as_its_replicas_find_capacity() {
+fn silent_zone_is_released_gradually_until_its_leases_expire() {
     let controller = scale::controller(2400, 1);
     let now = Instant::now();
     scale::fill(&controller, now);
@@ -36,63 +37,69 @@
     };
     receive_heartbeats(&mut state, later);
     let mut autoscaler = Autoscaler::leading_since(now - Duration::from_secs(60));
-    let replicas = |state: &ControllerState, ids: &[Name]| {
+    let service_replicas = |state: &ControllerState, ids: &[Name]| {
         let of = |id: &Name| {
             let service = |j: &JobRecord| j.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service);
             state.records.replica.assignments(id).filter(|(_, j, _)| service(j)).count()
         };
         ids.iter().map(of).sum::<usize>()
     };
-    let all = replicas(&state, &silent_zone);
-    assert!(all > 100, "{all}");
+    let total = service_replicas(&state, &silent_zone);
+    assert!(total > 100, "{total}");
     let types = state.records.replica.machine_types.clone();
     let cpus =
         |offers: &[MachineOffer]| offers.iter().map(|o| types[&*o.machine_type].cpus).sum::<f64>() as usize;
     state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), later);
     assert!(
-        cpus(&autoscaler.plan_scale_out(&controller, &state, later)) >= all * 4,
-        "capacity for all of them is requested"
+        cpus(&autoscaler.plan_scale_out(&controller, &state, later)) >= total * 4,
+        "capacity for all replicas of the silent zone is requested"
     );
-    let resume = |state: &mut ControllerState, at: Instant| {
+    let mark_state_fresh = |state: &mut ControllerState, at: Instant| {
         (state.records.fresh_at, state.pauses) = (Some(at), crate::state::PauseDetector::new(at))
     };
-    resume(&mut state, later);
-    assert_eq!(autoscaler.release_candidates(&controller, &state, later), [], "too early to release them");
-    let silent = now + controller.silence_limit();
-    receive_heartbeats(&mut state, silent);
-    resume(&mut state, silent);
+    mark_state_fresh(&mut state, later);
+    assert_eq!(
+        autoscaler.release_candidates(&controller, &state, later),
+        [],
+        "machines must not be released before the limit of silence"
+    );
+    let silence_limit_reached = now + controller.silence_limit();
+    receive_heartbeats(&mut state, silence_limit_reached);
+    mark_state_fresh(&mut state, silence_limit_reached);
     let mut ready: Vec<Name> = autoscaler
-        .release_candidates(&controller, &state, silent)
+        .release_candidates(&controller, &state, silence_limit_reached)
         .into_iter()
         .map(|candidate| candidate.machine)
         .collect();
     assert_eq!(ready.len(), silent_zone.len());
-    autoscaler.limit_release_rate(&controller, &state, &mut ready, silent);
-    let first = replicas(&state, &ready);
-    assert!(first > 0 && first <= all / REPLICAS_PER_RELEASED + 16, "{first} of {all}");
-    // They find no capacity: hardly any others follow.
+    autoscaler.limit_release_rate(&controller, &state, &mut ready, silence_limit_reached);
+    let first = service_replicas(&state, &ready);
+    assert!(first > 0 && first <= total / RELEASED_REPLICA_DIVISOR + 16, "{first} of {total}");
+    // The replicas on the released machines find no capacity, so no further machine may be released
+    // yet.
     let removed = Some(ready.clone());
     state.records.replica.apply(
         RecordChange::Fleet(Some(FleetRecord { scale_outs: Vec::new(), removed_machines: removed })),
         1 << 40,
     );
-    let mut more: Vec<Name> = autoscaler
-        .release_candidates(&controller, &state, silent)
+    let mut next_ready: Vec<Name> = autoscaler
+        .release_candidates(&controller, &state, silence_limit_reached)
         .into_iter()
         .map(|candidate| candidate.machine)
         .collect();
-    let left = more.clone();
-    autoscaler.limit_release_rate(&controller, &state, &mut more, silent);
-    assert!(more.is_empty(), "{}", more.len());
-    // Once their leases have expired there is nothing to wait for.
-    let over = silent + controller.worker_limits(None).lease;
-    let mut rest = left.clone();
-    autoscaler.limit_release_rate(&controller, &state, &mut rest, over);
-    assert_eq!(rest, left);
+    let still_silent = next_ready.clone();
+    autoscaler.limit_release_rate(&controller, &state, &mut next_ready, silence_limit_reached);
+    assert!(next_ready.is_empty(), "{}", next_ready.len());
+    // Once the leases have expired, no replica runs any more and all remaining machines may be
+    // released.
+    let leases_expired = silence_limit_reached + controller.worker_limits(None).lease;
+    let mut ready_after_expiry = still_silent.clone();
+    autoscaler.limit_release_rate(&controller, &state, &mut ready_after_expiry, leases_expired);
+    assert_eq!(ready_after_expiry, still_silent);
 }
 
-/// In the state of a controller whose process was paused for half a minute, all its machines have
-/// been silent for so long. It releases none of them for that.
+/// After a controller's process was paused for half a minute, its state shows all its machines as
+/// silent for that long. It must not release any of them for it.
 #[test]
 fn nothing_is_released_after_a_process_pause() {
     let controller = scale::controller(100, 1);
@@ -102,7 +109,7 @@
     let mut autoscaler = Autoscaler::default();
     state.tick(now);
     let resumed = now + Duration::from_secs(32);
-    // Some heartbeats are processed before anything else runs.
+    // After the pause, some heartbeats are processed before the first tick.
     state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_heartbeat_at(resumed));
     assert_eq!(autoscaler.release_candidates(&controller, &state, resumed), [], "before the tick");
     state.records.fresh_at = Some(resumed);
@@ -115,6 +122,6 @@
     assert_eq!(
         autoscaler.release_candidates(&controller, &state, later).len(),
         60,
-        "but those that are silent now"
+        "machines that stay silent after the pause are released"
     );
 }
