--- a/crates/daemon/src/autoscaler/owner_reachability.rs
+++ b/crates/daemon/src/autoscaler/owner_reachability.rs
@@ -12,7 +12,7 @@
 const ISOLATED_FRACTION: (u32, u32) = (7, 8);
 /// Minimum number of machines of an owner that may count as isolated when machines are released.
 const MIN_MACHINES_FOR_ISOLATION: u32 = 3;
-/// Factor by which the limit of silence is longer if the owner is probably isolated.
+/// Factor on the limit of silence if the owner is probably isolated.
 const ISOLATED_OWNER_FACTOR: u32 = 4;
 
 /// The number of machines of an owner, and how many of them are silent.
--- a/crates/daemon/src/autoscaler/release_candidates.rs
+++ b/crates/daemon/src/autoscaler/release_candidates.rs
@@ -32,7 +32,7 @@
     Drained,
     /// It has been silent for longer than its limit.
     Silent,
-    /// The tasks that it is given fail on it.
+    /// Tasks of several jobs have failed on it.
     Unhealthy,
     /// It has been idle for too long.
     Idle,
--- a/crates/daemon/src/autoscaler/scale_out_completion.rs
+++ b/crates/daemon/src/autoscaler/scale_out_completion.rs
@@ -99,8 +99,8 @@
         Some(ScaleOutCompletion { record, version: fleet.version, overdue })
     }
 
-    /// The scale-out without the machines that are up or released; `None` if it has ended. Overdue
-    /// machines are moved to `overdue`.
+    /// The scale-out without the machines that are up or released; `None` if none is left, or if the
+    /// request has stayed without an answer for too long. Overdue machines are moved to `overdue`.
     fn still_pending(
         &self,
         replica: &Replica,
--- a/crates/daemon/tests/unit/autoscaler_scale_in.rs
+++ b/crates/daemon/tests/unit/autoscaler_scale_in.rs
@@ -23,7 +23,7 @@
         .replica
         .machines
         .iter()
-        .filter(|(_, m)| *m.value.zone == *"d")
+        .filter(|(_, machine)| *machine.value.zone == *"d")
         .map(|(id, _)| id.clone())
         .collect();
     let later = now + controller.heartbeat_interval() * 3;
@@ -33,22 +33,24 @@
             .workers
             .iter_mut()
             .filter(|(id, _)| !silent_zone.contains(id))
-            .for_each(|(_, w)| w.set_last_heartbeat_at(at));
+            .for_each(|(_, worker)| worker.set_last_heartbeat_at(at));
     };
     receive_heartbeats(&mut state, later);
     let mut autoscaler = Autoscaler::leading_since(now - Duration::from_secs(60));
     let service_replicas = |state: &ControllerState, ids: &[Name]| {
-        let of = |id: &Name| {
-            let service = |j: &JobRecord| j.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service);
-            state.records.replica.assignments(id).filter(|(_, j, _)| service(j)).count()
+        let count_on = |id: &Name| {
+            let is_service =
+                |job: &JobRecord| job.spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Service);
+            state.records.replica.assignments(id).filter(|(_, job, _)| is_service(job)).count()
         };
-        ids.iter().map(of).sum::<usize>()
+        ids.iter().map(count_on).sum::<usize>()
     };
     let total = service_replicas(&state, &silent_zone);
     assert!(total > 100, "{total}");
     let types = state.records.replica.machine_types.clone();
-    let cpus =
-        |offers: &[MachineOffer]| offers.iter().map(|o| types[&*o.machine_type].cpus).sum::<f64>() as usize;
+    let cpus = |offers: &[MachineOffer]| {
+        offers.iter().map(|offer| types[&*offer.machine_type].cpus).sum::<f64>() as usize
+    };
     state.refresh_inventory(&controller.identity, controller.heartbeat_interval(), later);
     assert!(
         cpus(&autoscaler.plan_scale_out(&controller, &state, later)) >= total * 4,
@@ -110,7 +112,7 @@
     state.tick(now);
     let resumed = now + Duration::from_secs(32);
     // After the pause, some heartbeats are processed before the first tick.
-    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_heartbeat_at(resumed));
+    state.machines.workers.values_mut().take(40).for_each(|worker| worker.set_last_heartbeat_at(resumed));
     assert_eq!(autoscaler.release_candidates(&controller, &state, resumed), [], "before the tick");
     state.records.fresh_at = Some(resumed);
     state.tick(resumed);
@@ -118,7 +120,7 @@
     let later = resumed + controller.silence_limit();
     (0..9).for_each(|n| state.tick(resumed + controller.silence_limit() * n / 8));
     state.records.fresh_at = Some(later);
-    state.machines.workers.values_mut().take(40).for_each(|w| w.set_last_heartbeat_at(later));
+    state.machines.workers.values_mut().take(40).for_each(|worker| worker.set_last_heartbeat_at(later));
     assert_eq!(
         autoscaler.release_candidates(&controller, &state, later).len(),
         60,
