--- a/crates/daemon/src/autoscaler/scale_in.rs
+++ b/crates/daemon/src/autoscaler/scale_in.rs
@@ -84,7 +84,7 @@
     }
 
     /// The machines to release. Idle ones are left out while the rate limit of writes is overdrawn:
-    /// keeping them does no harm except for their price.
+    /// keeping them only costs money.
     fn candidates_within_write_limit(
         &mut self,
         controller: &Controller,
