--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -423,7 +423,7 @@
             .value,
             version: 1,
         };
-        wire::encode(&Items { items: (0..400).map(item).collect(), more: true, revision: 1 })
+        wire::encode(&Items { items: (0..400).map(item).collect(), has_more: true, revision: 1 })
     }
 
     /// Requests of a report's size on a connection that stays open, with what a bare
--- a/crates/daemon/src/api/heartbeats.rs
+++ b/crates/daemon/src/api/heartbeats.rs
@@ -49,7 +49,7 @@
         Ok(heartbeat) => heartbeat,
         Err(error) => return ApiError::InvalidHeartbeat(error.to_string()).into(),
     };
-    if !heartbeat.is_named() {
+    if !heartbeat.has_valid_machine_name() {
         return ApiError::InvalidMachineName.into();
     }
     LoadCounters::add(&controller.load.heartbeats, 1);
--- a/crates/daemon/src/api/submission.rs
+++ b/crates/daemon/src/api/submission.rs
@@ -9,7 +9,7 @@
 use sched::replica::RecordChange;
 use store::{KeyWrite, TxnOutcome, key};
 use tracing::debug;
-use wire::{BadJob, Condition, JobSpec, JobState, JobStatus};
+use wire::{Condition, InvalidJobSpec, JobSpec, JobState, JobStatus};
 
 use super::CONFLICT_TIMEOUT;
 use super::error::ApiError;
@@ -41,8 +41,8 @@
 }
 
 impl Submission {
-    fn parse(body: &[u8]) -> Result<Self, BadJob> {
-        let mut spec = JobSpec::read(body)?;
+    fn parse(body: &[u8]) -> Result<Self, InvalidJobSpec> {
+        let mut spec = JobSpec::from_submission(body)?;
         let mut dependencies: Vec<Name> =
             spec.dependencies.take().unwrap_or_default().iter().map(|n| n.as_str().into()).collect();
         dependencies.sort_unstable();
@@ -57,7 +57,7 @@
     let submission = match Submission::parse(body) {
         Ok(submission) => submission,
         Err(invalid) => {
-            let error = ApiError::InvalidDescription(invalid.why);
+            let error = ApiError::InvalidDescription(invalid.reason);
             return reject_unless_accepted(controller, invalid.id.as_deref(), error).await;
         }
     };
--- a/crates/daemon/src/autoscaler/cloud_listing.rs
+++ b/crates/daemon/src/autoscaler/cloud_listing.rs
@@ -76,7 +76,7 @@
             let last_machine = listing.machines.last().map(|machine| machine.id.as_str());
             match cloud.list_page(last_machine).await {
                 Ok(page) => {
-                    let has_more = page.more && !page.machines.is_empty();
+                    let has_more = page.has_more && !page.machines.is_empty();
                     listing.machines.extend(page.machines);
                     if !has_more {
                         return self.complete(clock::now());
--- a/crates/daemon/src/drains/command/service.rs
+++ b/crates/daemon/src/drains/command/service.rs
@@ -102,7 +102,7 @@
             let page = cloud.list_page(after.as_deref()).await?;
             after = page.machines.last().map(|m| m.id.clone());
             ages.extend(page.machines.into_iter().map(|m| (m.id, m.age_s)));
-            if !page.more || after.is_none() {
+            if !page.has_more || after.is_none() {
                 return Ok(Some(ages));
             }
         }
--- a/crates/daemon/src/read_records.rs
+++ b/crates/daemon/src/read_records.rs
@@ -34,7 +34,7 @@
         }
         after = page.items.last().map(|item| item.key.clone());
         apply_page(&mut replica, &mut reader, page.items);
-        if !page.more || after.is_none() {
+        if !page.has_more || after.is_none() {
             return Ok((replica, reader));
         }
     }
--- a/crates/daemon/src/worker/reconcile.rs
+++ b/crates/daemon/src/worker/reconcile.rs
@@ -119,7 +119,7 @@
 /// one of them is not answered yet.
 pub fn stops_of_cancelled_jobs(tasks: &[TaskStatus], replica: &Replica) -> Vec<Command> {
     let is_cancelled = |t: &&TaskStatus| {
-        let job_state = t.parts().and_then(|(job, _)| replica.state_of(job));
+        let job_state = t.job_and_task_number().and_then(|(job, _)| replica.state_of(job));
         t.state != TaskState::Exited && job_state == Some(JobState::Cancelled)
     };
     let stop = |t: &TaskStatus| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 };
--- a/crates/daemon/src/worker/tracked_tasks.rs
+++ b/crates/daemon/src/worker/tracked_tasks.rs
@@ -81,7 +81,7 @@
         }
         self.statuses = statuses;
         for status in &self.statuses {
-            if let Some((job, task)) = status.parts() {
+            if let Some((job, task)) = status.job_and_task_number() {
                 let attempt = status.attempt;
                 self.present.insert(AssignmentId { job: job.to_owned(), task, attempt });
             }
@@ -195,7 +195,8 @@
     pub(super) fn find_orphans(&mut self, findings: &mut Findings<'_>, context: &Context<'_>) {
         let mut orphaned_since = HashMap::default();
         for status in &self.statuses {
-            let assigned_attempt = status.parts().and_then(|(job, task)| findings.attempts.get(&(job, task)));
+            let assigned_attempt =
+                status.job_and_task_number().and_then(|(job, task)| findings.attempts.get(&(job, task)));
             if assigned_attempt == Some(&status.attempt) {
                 continue;
             }
@@ -228,7 +229,9 @@
         Some(ExitReason::Error) => TerminationReason::Error,
         Some(ExitReason::GangIncomplete) => TerminationReason::GangIncomplete,
         // The machine did not take the task: it is avoided for a while.
-        Some(ExitReason::NoCapacity | ExitReason::Busy | ExitReason::Unknown) => TerminationReason::Rejected,
+        Some(ExitReason::NoCapacity | ExitReason::TaskInUse | ExitReason::UnknownJob) => {
+            TerminationReason::Rejected
+        }
         _ => TerminationReason::Stopped,
     }
 }
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -48,7 +48,7 @@
                 item("j-2", KeyWrite::new(key::job("j-2"), &done)),
                 item("j-3", KeyWrite::new(key::job("j-3"), &"from another version")),
             ];
-            Reply::new(200, &Items { items, more: false, revision: 7 })
+            Reply::new(200, &Items { items, has_more: false, revision: 7 })
         }
     };
     let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
--- a/crates/daemon/tests/unit/fault_days/cloud.rs
+++ b/crates/daemon/tests/unit/fault_days/cloud.rs
@@ -104,7 +104,7 @@
             ("GET", _) => {
                 let after = query.split('&').find_map(|p| p.strip_prefix("after=")).unwrap_or_default();
                 let machines = self.lock().listed(after);
-                (200, wire::encode(&MachineList { machines, more: false }))
+                (200, wire::encode(&MachineList { machines, has_more: false }))
             }
             (_, "/machines") => match wire::decode::<RentRequest>(&request.body) {
                 Ok(r) => match self.lock().rent(&r) {
--- a/crates/daemon/tests/unit/fault_days/machines.rs
+++ b/crates/daemon/tests/unit/fault_days/machines.rs
@@ -295,7 +295,7 @@
                         continue;
                     }
                     let refused = if m.tasks.iter().any(|((t, _), s)| t == task && s.is_on()) {
-                        Some(ExitReason::Busy)
+                        Some(ExitReason::TaskInUse)
                     } else if m.used() + super::users::cpus_of(task) > super::cpus(&m.machine_type) + 1e-6 {
                         Some(ExitReason::NoCapacity)
                     } else if sabotage == Sabotage::Starts {
--- a/crates/daemon/tests/unit/fault_days/state.rs
+++ b/crates/daemon/tests/unit/fault_days/state.rs
@@ -10,7 +10,7 @@
 use store::key;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
-use wire::{Changes, Event, Item, Items, Lease, LeaseRequest, Op, Txn, TxnAnswer};
+use wire::{Changes, Event, Item, Items, Lease, LeaseRequest, Op, Txn, TxnResponse};
 
 use super::{All, Sabotage, Site};
 
@@ -143,7 +143,7 @@
             return error(400, "no such lease");
         }
         if !failed.is_empty() {
-            return (409, wire::encode(&TxnAnswer { failed, revision: self.revision }));
+            return (409, wire::encode(&TxnResponse { failed, revision: self.revision }));
         }
         self.revision += 1;
         for op in txn.ops.iter().cloned() {
@@ -153,7 +153,7 @@
             }
         }
         self.news.send_replace(self.revision);
-        ok(&TxnAnswer { failed: Vec::new(), revision: self.revision })
+        ok(&TxnResponse { failed: Vec::new(), revision: self.revision })
     }
 
     fn list(&self, after: &str) -> (u16, Vec<u8>) {
@@ -162,7 +162,7 @@
             |(k, e): (&String, &Entry)| Item { key: k.clone(), value: e.value.clone(), version: e.version };
         let items: Vec<_> = some.map(item).take(201).collect();
         let more = items.len() > 200;
-        ok(&Items { items: items.into_iter().take(200).collect(), more, revision: self.revision })
+        ok(&Items { items: items.into_iter().take(200).collect(), has_more: more, revision: self.revision })
     }
 
     fn changes(&self, after: u64) -> (u16, Vec<u8>) {
--- a/crates/daemon/tests/unit/sim/machines.rs
+++ b/crates/daemon/tests/unit/sim/machines.rs
@@ -168,7 +168,7 @@
                     }
                     let busy = self.machines[m].tasks.keys().any(|(t, _)| t == task);
                     let state = if busy {
-                        (TaskState::Exited, Some(ExitReason::Busy))
+                        (TaskState::Exited, Some(ExitReason::TaskInUse))
                     } else {
                         (TaskState::Fetching, None)
                     };
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -240,7 +240,7 @@
             .map(|(k, (v, at, _))| Item { key: k.clone(), value: v.clone(), version: *at })
             .collect();
         let more = items.last().is_some_and(|i| store.keys.keys().next_back() != Some(&i.key));
-        Reply::new(200, &Items { items, more, revision: store.revision })
+        Reply::new(200, &Items { items, has_more: more, revision: store.revision })
     }
 
     /// A way to the state service for one controller.
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -310,10 +310,10 @@
         for (_, m) in self.machines.range_mut::<str, _>(range) {
             let Some(listed) = m.listed(lag, now) else { continue };
             if machines.len() == page {
-                return MachineList { machines, more: true };
+                return MachineList { machines, has_more: true };
             }
             machines.push(listed);
         }
-        MachineList { machines, more: false }
+        MachineList { machines, has_more: false }
     }
 }
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rmpv::Value;
 use tracing::error;
-use wire::{Changes, Items, Lease, NoKey, Op, StoredKey, Txn, TxnAnswer};
+use wire::{Changes, Items, KeyNotFound, Lease, Op, StoredKey, Txn, TxnResponse};
 
 use super::requests::{self, Ask};
 use super::{Change, Data, Write, json_len};
@@ -207,7 +207,7 @@
             Ok(Ask::Key(key)) => self.key(key),
             Ok(Ask::List { prefix, after, page }) => {
                 let (items, more) = self.data.page(&prefix, &after, page, PAGE_BYTES);
-                Reply::new(200, &Items { items, more, revision: self.data.revision })
+                Reply::new(200, &Items { items, has_more: more, revision: self.data.revision })
             }
             Ok(Ask::Txn(txn)) => self.txn(txn, now),
             Ok(Ask::Grant { ttl_ms }) => self.grant(ttl_ms, now),
@@ -245,7 +245,7 @@
                 let value = e.value.clone();
                 Reply::new(200, &StoredKey { key, value, version: e.version, lease: e.lease })
             }
-            None => Reply::new(404, &NoKey { revision: self.data.revision }),
+            None => Reply::new(404, &KeyNotFound { revision: self.data.revision }),
         }
     }
 
@@ -277,7 +277,7 @@
         }
         let failed = self.data.failed(&txn.conditions);
         if !failed.is_empty() {
-            return Reply::new(409, &TxnAnswer { failed, revision: self.data.revision });
+            return Reply::new(409, &TxnResponse { failed, revision: self.data.revision });
         }
         if !txn.ops.is_empty() {
             let writes = txn.ops.into_iter().map(|op| match op {
@@ -286,7 +286,7 @@
             });
             self.commit(Change::Writes(writes.collect()));
         }
-        Reply::new(200, &TxnAnswer { failed: Vec::new(), revision: self.data.revision })
+        Reply::new(200, &TxnResponse { failed: Vec::new(), revision: self.data.revision })
     }
 
     fn grant(&mut self, ttl_ms: u64, now: Instant) -> Reply {
--- a/crates/emulator/src/worker/tasks.rs
+++ b/crates/emulator/src/worker/tasks.rs
@@ -116,8 +116,8 @@
         let (job, number) = parts.map_or((String::new(), 0), |(job, n)| (job.to_owned(), n));
         let in_use = self.all.iter().any(|((t, _), o)| t == task && o.state != TaskState::Exited);
         let refused = match &known {
-            None => Some(ExitReason::Unknown),
-            Some(_) if in_use => Some(ExitReason::Busy),
+            None => Some(ExitReason::UnknownJob),
+            Some(_) if in_use => Some(ExitReason::TaskInUse),
             Some(spec) if !self.fits(spec) => Some(ExitReason::NoCapacity),
             Some(_) => None,
         };
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -5,7 +5,7 @@
 use net::{Answer, Client, NetError};
 use rmpv::Value;
 use serde::de::DeserializeOwned;
-use wire::{Changes, Condition, Items, Lease, LeaseRequest, Op, Txn, TxnAnswer};
+use wire::{Changes, Condition, Items, Lease, LeaseRequest, Op, Txn, TxnResponse};
 
 use crate::codec::KeyWrite;
 use crate::key;
@@ -178,11 +178,11 @@
         let response = self.send(Request::new("POST", "/txn"), body).await?;
         match response.status {
             STATUS_OK => {
-                let TxnAnswer { revision, .. } = wire::decode(&response.body)?;
+                let TxnResponse { revision, .. } = wire::decode(&response.body)?;
                 Ok(TxnOutcome::Committed { revision })
             }
             STATUS_CONFLICT => {
-                let TxnAnswer { failed, revision } = wire::decode(&response.body)?;
+                let TxnResponse { failed, revision } = wire::decode(&response.body)?;
                 Ok(TxnOutcome::Conflict { failed, revision })
             }
             STATUS_BAD_REQUEST if is_expired_lease(&response) => Err(StoreError::LeaseExpired),
--- a/crates/wire/src/outside.rs
+++ b/crates/wire/src/cloud_and_store.rs
@@ -81,7 +81,7 @@
     #[serde(rename = "frames")]
     pub machines: Vec<ListedMachine>,
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -99,7 +99,7 @@
     #[serde(rename = "entries")]
     pub items: Vec<Item<V>>,
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -119,7 +119,7 @@
 
 /// The body of a 404 for a key that does not exist.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct NoKey {
+pub struct KeyNotFound {
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
@@ -158,7 +158,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TxnResponse {
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
     #[serde(rename = "epoch")]
--- a/crates/wire/src/jobs.rs
+++ b/crates/wire/src/jobs.rs
@@ -77,12 +77,12 @@
 
 /// A submission that describes no job.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{why}")]
-pub struct BadJob {
+#[error("{reason}")]
+pub struct InvalidJobSpec {
     /// The id that it names all the same, if it is one: it may repeat a job that was
     /// accepted.
     pub id: Option<String>,
-    pub why: String,
+    pub reason: String,
 }
 
 /// What of a submission tells whether it is a repetition.
@@ -93,12 +93,12 @@
 
 impl JobSpec {
     /// Reads a submission's body.
-    pub fn read(body: &[u8]) -> Result<Self, BadJob> {
+    pub fn from_submission(body: &[u8]) -> Result<Self, InvalidJobSpec> {
         // A list of the fields' values would be read as well, and is none of the protocol's.
         if !crate::is_map(body) {
-            return Err(BadJob { id: None, why: "not a map".into() });
+            return Err(InvalidJobSpec { id: None, reason: "not a map".into() });
         }
-        let why = match crate::decode::<Self>(body) {
+        let reason = match crate::decode::<Self>(body) {
             Ok(spec) => match spec.invalid_field() {
                 None => return Ok(spec),
                 Some(field) => format!("invalid field: {field}"),
@@ -106,7 +106,7 @@
             Err(e) => e.to_string(),
         };
         let id = crate::decode::<Named>(body).ok().map(|n| n.id).filter(|id| is_job_id(id));
-        Err(BadJob { id, why })
+        Err(InvalidJobSpec { id, reason })
     }
 
     /// Names the first invalid field, if there is one.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,12 +1,12 @@
 //! The messages that sageloom exchanges with users, workers, the cloud and the
 //! state service. Names here are the field's; the wire's names are serde renames.
 
+mod cloud_and_store;
 mod jobs;
-mod outside;
 mod workers;
 
+pub use cloud_and_store::*;
 pub use jobs::*;
-pub use outside::*;
 pub use workers::*;
 
 use std::time::Duration;
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -31,9 +31,9 @@
     #[serde(rename = "no_room")]
     NoCapacity,
     #[serde(rename = "in_use")]
-    Busy,
+    TaskInUse,
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownJob,
     /// A cause that this version does not know; the task has ended all the same.
     #[serde(other)]
     Other,
@@ -55,7 +55,7 @@
 
 impl TaskStatus {
     /// The job and the task's number, or None if the name has another form.
-    pub fn parts(&self) -> Option<(&str, u32)> {
+    pub fn job_and_task_number(&self) -> Option<(&str, u32)> {
         let (job, n) = self.task.split_once('/')?;
         Some((job, n.parse().ok()?))
     }
@@ -91,7 +91,7 @@
 impl Heartbeat {
     /// Whether the machine's name can be one: recorded with any other, it would make the
     /// records of all that are written with it fail.
-    pub fn is_named(&self) -> bool {
+    pub fn has_valid_machine_name(&self) -> bool {
         let plain = |c: char| !c.is_whitespace() && !c.is_control();
         (1..=NAME_MOST).contains(&self.machine.len()) && self.machine.chars().all(plain)
     }
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -5,6 +5,8 @@
 
 extern crate sageloom_wire as wire;
 
+#[path = "golden/cloud_and_store.rs"]
+mod cloud_and_store;
 #[path = "golden/files.rs"]
 mod files;
 #[path = "golden/job_specs.rs"]
@@ -15,7 +17,5 @@
 mod machine_types;
 #[path = "golden/messages.rs"]
 mod messages;
-#[path = "golden/outside.rs"]
-mod outside;
 #[path = "golden/workers.rs"]
 mod workers;
--- a/crates/wire/tests/golden/outside.rs
+++ b/crates/wire/tests/golden/cloud_and_store.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Value as Json, json};
 use wire::{
-    Changes, Condition, Event, Item, Items, Lease, LeaseRequest, ListedMachine, MachineList, MachineNames,
-    MachineStatus, MachineType, MachineTypes, NoKey, Op, RentRequest, StoredKey, Txn, TxnAnswer,
+    Changes, Condition, Event, Item, Items, KeyNotFound, Lease, LeaseRequest, ListedMachine, MachineList,
+    MachineNames, MachineStatus, MachineType, MachineTypes, Op, RentRequest, StoredKey, Txn, TxnResponse,
 };
 
 use crate::machine_types;
@@ -104,9 +104,9 @@
 
 #[test]
 fn machine_list() {
-    let list = MachineList { machines: vec![listed_machine(MachineStatus::Running)], more: true };
+    let list = MachineList { machines: vec![listed_machine(MachineStatus::Running)], has_more: true };
     check("machine-list-full.msgpack", &list);
-    let empty = MachineList { machines: Vec::new(), more: false };
+    let empty = MachineList { machines: Vec::new(), has_more: false };
     check("machine-list-empty.msgpack", &empty);
     check_read(&json!({ "frames": [] }), &empty);
 }
@@ -115,8 +115,8 @@
 fn items() {
     let item = Item { key: "sageloom/jobs/j-1".into(), value: value(), version: 72_003 };
     check("item.msgpack", &item);
-    check("items-full.msgpack", &Items { items: vec![item], more: true, revision: 72_004 });
-    let empty: Items<Json> = Items { items: Vec::new(), more: false, revision: 72_005 };
+    check("items-full.msgpack", &Items { items: vec![item], has_more: true, revision: 72_004 });
+    let empty: Items<Json> = Items { items: Vec::new(), has_more: false, revision: 72_005 };
     check("items-empty.msgpack", &empty);
     check_read(&json!({ "entries": [], "epoch": 72_005 }), &empty);
 }
@@ -132,7 +132,7 @@
 
 #[test]
 fn no_key() {
-    check("no-key.msgpack", &NoKey { revision: 72_009 });
+    check("no-key.msgpack", &KeyNotFound { revision: 72_009 });
 }
 
 fn condition() -> Condition {
@@ -175,8 +175,8 @@
 #[test]
 fn transaction_answer() {
     let failed = vec!["sageloom/map".into(), "sageloom/leader".into()];
-    check("transaction-answer-conflict.msgpack", &TxnAnswer { failed, revision: 72_012 });
-    check("transaction-answer-committed.msgpack", &TxnAnswer { failed: Vec::new(), revision: 72_013 });
+    check("transaction-answer-conflict.msgpack", &TxnResponse { failed, revision: 72_012 });
+    check("transaction-answer-committed.msgpack", &TxnResponse { failed: Vec::new(), revision: 72_013 });
 }
 
 #[test]
--- a/crates/wire/tests/golden/workers.rs
+++ b/crates/wire/tests/golden/workers.rs
@@ -35,8 +35,8 @@
         (ExitReason::GangIncomplete, "alone"),
         (ExitReason::Error, "error"),
         (ExitReason::NoCapacity, "no-room"),
-        (ExitReason::Busy, "busy"),
-        (ExitReason::Unknown, "unknown"),
+        (ExitReason::TaskInUse, "busy"),
+        (ExitReason::UnknownJob, "unknown"),
         (ExitReason::Other, "other"),
     ];
     for (cause, name) in causes {
--- a/crates/wire/tests/unit/lib.rs
+++ b/crates/wire/tests/unit/lib.rs
@@ -34,7 +34,7 @@
                        {"thread":"j-000398/0","try":1,"status":"ended","cause":"some_new_cause"}]}"#,
     ))
     .expect("a report");
-    assert_eq!(report.tasks[0].parts(), Some(("j-000412", 3)));
+    assert_eq!(report.tasks[0].job_and_task_number(), Some(("j-000412", 3)));
     assert_eq!(report.tasks[1].cause, Some(ExitReason::Other));
     same::<HeartbeatResponse>(
         r#"{"baton":41,"orders":[{"verb":"launch","thread":"j-000412/4","try":2},
