--- a/crates/cloud/src/lib.rs
+++ b/crates/cloud/src/lib.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use net::{Answer, Client, NetError};
+use net::{Client, NetError, Response};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use wire::{MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
@@ -20,10 +20,10 @@
     NoCapacity,
     /// The request may have been carried out, or may be later.
     #[error(transparent)]
-    Net(#[from] NetError),
+    Network(#[from] NetError),
     /// The answer could not be read.
     #[error("answer not understood: {0}")]
-    Answer(#[from] wire::DecodeError),
+    InvalidResponse(#[from] wire::DecodeError),
 }
 
 /// A client of the cloud's interface.
@@ -34,9 +34,9 @@
 }
 
 /// Most machines in one rental and names in one release.
-pub const RENT_MAX: u32 = 50;
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Most names in one release.
-pub const RELEASE_MAX: usize = 100;
+pub const MAX_MACHINES_PER_RELEASE: usize = 100;
 /// Machines in one page of the list, the most that the cloud gives.
 const LIST_PAGE: usize = 500;
 /// Most bytes of an answer: a page has some 150 for each machine.
@@ -54,12 +54,12 @@
         method: &str,
         path: &str,
         body: Option<&T>,
-    ) -> Result<Answer, CloudError> {
+    ) -> Result<Response, CloudError> {
         let body = body.map(wire::encode).unwrap_or_default();
         Ok(self.client.request(&self.addr, method, path, body, ANSWER_BYTES, DEADLINE).await?)
     }
 
-    fn read<T: DeserializeOwned>(answer: &Answer) -> Result<T, CloudError> {
+    fn read<T: DeserializeOwned>(answer: &Response) -> Result<T, CloudError> {
         match answer.status {
             200 => Ok(wire::decode(&answer.body)?),
             s => Err(CloudError::Refused(s)),
--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -207,7 +207,7 @@
         for m in [&me, &other] {
             site.apply(KeyWrite::new(key::member(&m.name), m));
             site.apply(KeyWrite::new(
-                key::upgraded(&m.name),
+                key::schema_marker(&m.name),
                 &SchemaMarker { schema_version: SCHEMA_VERSION },
             ));
         }
@@ -305,7 +305,7 @@
             incarnation: 2,
             sequence: count,
             epoch: EPOCH,
-            state_silent_ms: 10,
+            store_silent_ms: 10,
             machines: (0..self.machines).filter(|n| !n.is_multiple_of(2)).map(row).collect(),
         }
     }
--- a/crates/daemon/src/autoscaler/removed_machines.rs
+++ b/crates/daemon/src/autoscaler/removed_machines.rs
@@ -46,7 +46,7 @@
         };
         if update_fleet_record(controller, add_removed).await {
             for (_, address) in &recorded {
-                controller.worker_http.forget(address);
+                controller.worker_http.close_idle(address);
             }
         }
     }
--- a/crates/daemon/src/autoscaler/scale_in.rs
+++ b/crates/daemon/src/autoscaler/scale_in.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use cloud::RELEASE_MAX;
+use cloud::MAX_MACHINES_PER_RELEASE;
 use sched::hash::HashMap;
 use sched::records::{MachineRecord, Name};
 use store::{KeyWrite, key};
@@ -67,7 +67,7 @@
         if !batch.to_mark.is_empty() && !mark_for_release(controller, &mut batch).await {
             return;
         }
-        batch.ready.truncate(RELEASE_MAX);
+        batch.ready.truncate(MAX_MACHINES_PER_RELEASE);
         if !batch.ready.is_empty() {
             self.release(controller, batch, now).await;
         }
--- a/crates/daemon/src/autoscaler/scale_out.rs
+++ b/crates/daemon/src/autoscaler/scale_out.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use cloud::{CloudError, RENT_MAX};
+use cloud::{CloudError, MAX_MACHINES_PER_RENTAL};
 use sched::autoscaling::MachineOffer;
 use sched::records::{Name, ScaleOut};
 use tokio::time::sleep;
@@ -101,7 +101,7 @@
                 Ok(machines) => results.push(result(Some(machines))),
                 Err(error) => {
                     cloud_fails = !matches!(error, CloudError::NoCapacity);
-                    if !matches!(error, CloudError::Net(_) | CloudError::Answer(_)) {
+                    if !matches!(error, CloudError::Network(_) | CloudError::InvalidResponse(_)) {
                         results.push(result(None));
                     }
                 }
@@ -166,7 +166,7 @@
     let mut counts: Vec<OfferCount> = Vec::new();
     for offer in planned {
         match counts.iter_mut().find(|known| known.offer == offer) {
-            Some(known) => known.count = (known.count + 1).min(RENT_MAX),
+            Some(known) => known.count = (known.count + 1).min(MAX_MACHINES_PER_RENTAL),
             None => counts.push(OfferCount { offer, count: 1 }),
         }
     }
@@ -179,7 +179,7 @@
     let state = controller.state();
     let fleet = state.records.replica.fleet.as_ref();
     let names = fleet.map_or(usize::MAX, |fleet| free_names(&fleet.value, controller));
-    names / (REQUEST_RECORD_NAMES + RENT_MAX as usize)
+    names / (REQUEST_RECORD_NAMES + MAX_MACHINES_PER_RENTAL as usize)
 }
 
 /// Sends a request, again if its response was lost. The id stays the same, so that the cloud does
@@ -194,7 +194,7 @@
     };
     let mut response = controller.cloud.rent(&request).await;
     for _ in 0..MAX_REQUEST_RETRIES {
-        if !matches!(response, Err(CloudError::Net(_))) {
+        if !matches!(response, Err(CloudError::Network(_))) {
             break;
         }
         sleep(REQUEST_RETRY_BACKOFF).await;
--- a/crates/daemon/src/autoscaler/scale_out_plan.rs
+++ b/crates/daemon/src/autoscaler/scale_out_plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use cloud::RENT_MAX;
+use cloud::MAX_MACHINES_PER_RENTAL;
 use sched::autoscaling::{Demand, MachineOffer, plan_scale_out};
 use sched::forecast;
 use sched::placement;
@@ -61,7 +61,7 @@
             &replica.machine_types,
             replica.latest_gpu_job.as_deref(),
             |offer| self.backoffs.is_active(offer, now),
-            RENT_MAX as usize,
+            MAX_MACHINES_PER_RENTAL as usize,
         )
     }
 
--- a/crates/daemon/src/client.rs
+++ b/crates/daemon/src/client.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use net::{Answer, Client, NetError};
+use net::{Client, NetError, Response};
 use wire::{ErrorBody, JobSpec, JobStatus};
 
 /// Arguments of `sageloom job`.
@@ -103,7 +103,7 @@
     }
 }
 
-fn describe(answer: &Answer) -> Result<String, ClientError> {
+fn describe(answer: &Response) -> Result<String, ClientError> {
     if matches!(answer.status, 200 | 201) {
         let status: JobStatus = wire::decode(&answer.body)
             .map_err(|e| ClientError::Refused { status: answer.status, why: e.to_string() })?;
--- a/crates/daemon/src/load_log.rs
+++ b/crates/daemon/src/load_log.rs
@@ -27,7 +27,7 @@
     info!(
         connections = open_connections(controller),
         closed_for_want =
-            controller.public_connections.take_closed() + controller.peer_connections.take_closed(),
+            controller.public_connections.take_rejected() + controller.peer_connections.take_rejected(),
         changes = counters.take_changes(),
         conflicts = take(&counters.conflicts),
         cycles,
@@ -40,14 +40,14 @@
 
 /// How many connections are open, by whom they are with.
 fn open_connections(controller: &Controller) -> String {
-    let public = controller.public_connections.by_share();
+    let public = controller.public_connections.open_by_class();
     let public: Vec<String> = public.map(|(name, n)| format!("{name} {n}")).collect();
     format!(
         "{}, peers {}, to workers {}, to the key-value store {}, to peers and the cloud {}",
         public.join(", "),
-        controller.peer_connections.open(),
-        controller.worker_http.open(),
-        controller.kv_http.open(),
-        controller.peer_and_cloud_http.open()
+        controller.peer_connections.open_connections(),
+        controller.worker_http.open_connections(),
+        controller.kv_http.open_connections(),
+        controller.peer_and_cloud_http.open_connections()
     )
 }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -230,7 +230,8 @@
                 let mut writes = vec![KeyWrite::leased(entry_key, me, lease)];
                 if records_schema {
                     // With the entry, so that no live controller passes for an old one.
-                    writes.push(KeyWrite::new(key::upgraded(&me.name), &SchemaMarker { schema_version }));
+                    writes
+                        .push(KeyWrite::new(key::schema_marker(&me.name), &SchemaMarker { schema_version }));
                 }
                 ClaimTransaction { conditions, writes }
             }
--- a/crates/daemon/src/peer_status.rs
+++ b/crates/daemon/src/peer_status.rs
@@ -36,7 +36,7 @@
         incarnation: controller.identity.incarnation,
         sequence: controller.load.peer_statuses.fetch_add(1, Ordering::Relaxed) + 1,
         epoch: state.epoch(),
-        state_silent_ms: store_silence.map_or(u64::MAX, whole_millis),
+        store_silent_ms: store_silence.map_or(u64::MAX, whole_millis),
         machines: own_machines(controller, &state, now),
     }
 }
--- a/crates/daemon/src/prober.rs
+++ b/crates/daemon/src/prober.rs
@@ -76,7 +76,7 @@
     let status = match fetch_status(controller, &worker.machine, &worker.addr, PROBE_TIMEOUT).await {
         Ok(status) => status,
         // No connection was free: the worker was not asked at all.
-        Err(NetError::Busy(_)) => return,
+        Err(NetError::ConnectionLimit(_)) => return,
         Err(_) => None,
     };
     if let Some(known) = controller.state().machines.workers.get_mut(&worker.machine) {
--- a/crates/daemon/src/state/peers.rs
+++ b/crates/daemon/src/state/peers.rs
@@ -62,7 +62,7 @@
     pub fn any_reaches_store(&self, now: Instant) -> bool {
         let max_silence_ms = MAX_STORE_SILENCE.as_millis() as u64;
         self.statuses.values().any(|peer| {
-            peer.is_younger_than(MAX_STATUS_AGE, now) && peer.status.state_silent_ms < max_silence_ms
+            peer.is_younger_than(MAX_STATUS_AGE, now) && peer.status.store_silent_ms < max_silence_ms
         })
     }
 
--- a/crates/daemon/tests/unit/autoscaler_fleet_record.rs
+++ b/crates/daemon/tests/unit/autoscaler_fleet_record.rs
@@ -1,4 +1,4 @@
-use cloud::RENT_MAX;
+use cloud::MAX_MACHINES_PER_RENTAL;
 use sched::records::Name;
 
 use super::super::scale_out::REQUEST_RECORD_NAMES;
@@ -12,17 +12,17 @@
     let controller = scale::controller(4, 1);
     let mut fleet = FleetRecord::default();
     let mut host = 0u32;
-    while free_names(&fleet, &controller) >= REQUEST_RECORD_NAMES + RENT_MAX as usize {
+    while free_names(&fleet, &controller) >= REQUEST_RECORD_NAMES + MAX_MACHINES_PER_RENTAL as usize {
         // Names far apart, as when several controllers' requests cross.
-        host += RENT_MAX;
+        host += MAX_MACHINES_PER_RENTAL;
         let number = |n: u32| u64::from(host + n) * 7919 % 1_000_000;
-        let names = (0..RENT_MAX).map(|n| format!("host-{:06}", number(n)).as_str().into());
+        let names = (0..MAX_MACHINES_PER_RENTAL).map(|n| format!("host-{:06}", number(n)).as_str().into());
         fleet.scale_outs.push(ScaleOut {
             request: format!("controller-4-{:x}-{host}", u64::MAX >> 12),
             machine_type: "machine-type".into(),
             zone: "zone-of-a-name".into(),
             spot: true,
-            count: RENT_MAX,
+            count: MAX_MACHINES_PER_RENTAL,
             requested_ms: 1_796_169_600_000,
             machines: Some(names.collect()),
         });
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -5,13 +5,13 @@
 use sched::records::ClusterMap;
 use sched::replica::RecordChange;
 
-fn summary(name: &str, epoch: u64, state_silent_ms: u64) -> PeerStatus {
+fn summary(name: &str, epoch: u64, store_silent_ms: u64) -> PeerStatus {
     PeerStatus {
         name: name.into(),
         incarnation: 9,
         sequence: 1,
         epoch,
-        state_silent_ms,
+        store_silent_ms,
         machines: Vec::new(),
     }
 }
--- a/crates/daemon/tests/unit/fault_days/controllers.rs
+++ b/crates/daemon/tests/unit/fault_days/controllers.rs
@@ -69,7 +69,7 @@
         let mut all = self.lock();
         all.incarnations += 1;
         let incarnation = all.incarnations * 1000 + n as u64;
-        let client = || Client::over(link(self, n, incarnation));
+        let client = || Client::with_transport(link(self, n, incarnation));
         let clients = HttpClients { key_value_store: client(), peers_and_cloud: client(), workers: client() };
         let settings = settings(n, all.sabotage, all.drains);
         let operators = if all.drains { super::drains::operators() } else { Operators::default() };
--- a/crates/daemon/tests/unit/fault_days/drains.rs
+++ b/crates/daemon/tests/unit/fault_days/drains.rs
@@ -162,7 +162,7 @@
         let n = (0..CONTROLLERS).find(|n| all.controllers[*n].controller.is_some()).unwrap_or_default();
         let incarnation = all.controllers[n].incarnation;
         drop(all);
-        let client = Client::over(link(self, n, incarnation));
+        let client = Client::with_transport(link(self, n, incarnation));
         Service::new(KeyValueClient::new(client, STATE.into(), 1 << 20), None)
     }
 }
--- a/crates/daemon/tests/unit/fault_days/network.rs
+++ b/crates/daemon/tests/unit/fault_days/network.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use net::{Answer, Exchange, NetError, Request, Transport};
+use net::{NetError, Request, Response, ResponseFuture, Transport};
 use rand::RngExt;
 use tokio::sync::oneshot;
 use tokio::time::sleep;
@@ -69,7 +69,7 @@
 }
 
 impl Transport for Link {
-    fn request(&self, addr: &str, method: &str, path: &str, body: Vec<u8>) -> Exchange {
+    fn request(&self, addr: &str, method: &str, path: &str, body: Vec<u8>) -> ResponseFuture {
         let (site, n, incarnation) = (self.site.clone(), self.n, self.incarnation);
         let (addr, to) = (addr.to_owned(), Party::at(addr));
         let request = Request { method: method.into(), path: path.into(), body: Bytes::from(body) };
@@ -91,7 +91,7 @@
 impl Site {
     /// Sends a request. No answer within the caller's patience is no proof of anything;
     /// None: nobody listens there.
-    pub(super) async fn exchange(&self, from: Party, to: Party, request: Request) -> Option<Answer> {
+    pub(super) async fn exchange(&self, from: Party, to: Party, request: Request) -> Option<Response> {
         let (sender, answer) = oneshot::channel();
         let site = self.clone();
         // It goes on by itself when the caller gives up.
@@ -104,7 +104,7 @@
             if !site.pass(&to, &from, false, &path).await {
                 std::future::pending::<()>().await;
             }
-            let _ = sender.send(served.map(|(status, body)| Answer { status, body: Bytes::from(body) }));
+            let _ = sender.send(served.map(|(status, body)| Response { status, body: Bytes::from(body) }));
         });
         answer.await.ok().flatten()
     }
--- a/crates/daemon/tests/unit/fault_days/users.rs
+++ b/crates/daemon/tests/unit/fault_days/users.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use net::{Answer, Request};
+use net::{Request, Response};
 use rand::RngExt;
 use tokio::time::{sleep, timeout};
 use wire::{JobKind, JobSpec, JobState, JobStatus, Priority};
@@ -153,7 +153,7 @@
         path: String,
         body: Vec<u8>,
         patience_ms: u64,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let request = Request { method: method.into(), path, body: Bytes::from(body) };
         let exchange = self.exchange(Party::User, Party::Controller(n), request);
         let answer = timeout(Duration::from_millis(patience_ms), exchange).await.ok().flatten()?;
@@ -161,16 +161,16 @@
         match sabotage {
             // Nobody answers a question, once all troubles are over.
             Sabotage::Mute if self.lock().is_calm() => None,
-            Sabotage::Odd if matches!(answer.status, 400 | 422) => Some(Answer { status: 201, ..answer }),
+            Sabotage::Odd if matches!(answer.status, 400 | 422) => Some(Response { status: 201, ..answer }),
             Sabotage::Called
                 if method == "GET" && answer.status == 200 && self.lock().rng.random_bool(0.02) =>
             {
                 let status = wire::decode::<JobStatus>(&answer.body).ok()?;
                 let status = JobStatus { state: JobState::Cancelled, ..status };
-                Some(Answer { body: Bytes::from(wire::encode(&status)), ..answer })
+                Some(Response { body: Bytes::from(wire::encode(&status)), ..answer })
             }
             Sabotage::Unknown if method == "GET" && self.lock().rng.random_bool(0.02) => {
-                Some(Answer { status: 404, ..answer })
+                Some(Response { status: 404, ..answer })
             }
             _ => Some(answer),
         }
--- a/crates/daemon/tests/unit/peer_status.rs
+++ b/crates/daemon/tests/unit/peer_status.rs
@@ -14,7 +14,7 @@
     );
     let controller =
         Controller::new(Settings::parse("example", &text).expect("valid"), Operators::default(), 1);
-    let receive = |incarnation, count, state_silent_ms| {
+    let receive = |incarnation, count, store_silent_ms| {
         let name = "n-1".to_owned();
         receive_status(
             &controller,
@@ -23,11 +23,11 @@
                 incarnation,
                 sequence: count,
                 epoch: 3,
-                state_silent_ms,
+                store_silent_ms,
                 machines: Vec::new(),
             },
         );
-        controller.state().peers.statuses["n-1"].status.state_silent_ms
+        controller.state().peers.statuses["n-1"].status.store_silent_ms
     };
     assert_eq!(receive(7, 1, 60_000), 60_000, "an outage");
     assert_eq!(receive(7, 2, 100), 100);
--- a/crates/daemon/tests/unit/production.rs
+++ b/crates/daemon/tests/unit/production.rs
@@ -300,7 +300,7 @@
             assert_eq!(read(&put.key, &put.value.expect("a value")), Read::Ignored);
         }
         let mark = KeyWrite::new(
-            store::key::upgraded("n-1"),
+            store::key::schema_marker("n-1"),
             &now::SchemaMarker { schema_version: now::SCHEMA_VERSION },
         );
         assert_eq!(read(&mark.key, &mark.value.expect("a value")), Read::Ignored);
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -33,7 +33,7 @@
         self.old[n] = false;
         self.back(n);
         let put = KeyWrite::new(
-            key::upgraded(&self.nodes[n].identity.name),
+            key::schema_marker(&self.nodes[n].identity.name),
             &SchemaMarker { schema_version: SCHEMA_VERSION },
         );
         assert!(self.state.txn(&[], vec![put]) == Outcome::Committed);
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -288,7 +288,7 @@
         for controller in nodes {
             store.put(KeyWrite::new(key::member(&controller.identity.name), &controller.identity));
             store.put(KeyWrite::new(
-                key::upgraded(&controller.identity.name),
+                key::schema_marker(&controller.identity.name),
                 &SchemaMarker { schema_version: SCHEMA_VERSION },
             ));
         }
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -54,8 +54,8 @@
 /// Gives a new machine's address; None if there is none left.
 pub type Addresses = Box<dyn FnMut(&str) -> Option<String> + Send>;
 
-const RENT_MAX: u32 = 50;
-const RELEASE_MAX: usize = 100;
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
+const MAX_MACHINES_PER_RELEASE: usize = 100;
 const PAGE_MAX: usize = 500;
 /// Bursts of so many seconds' worth are allowed.
 const BURST_S: f64 = 2.0;
@@ -158,7 +158,7 @@
                 Err(_) => Reply::error(400, "not a rental request"),
             },
             ("POST", "/machines/release") => match wire::decode::<MachineNames>(&request.body) {
-                Ok(names) if names.machines.len() <= RELEASE_MAX => {
+                Ok(names) if names.machines.len() <= MAX_MACHINES_PER_RELEASE => {
                     names.machines.iter().for_each(|name| self.delete(name, now));
                     Reply::new(200, &MachineNames { machines: names.machines })
                 }
@@ -185,7 +185,10 @@
         let Some(kind) = self.settings.types.iter().find(|t| t.name == r.machine_type).cloned() else {
             return Reply::error(400, "no such shape");
         };
-        if !kind.zones.contains(&r.zone) || !(1..=RENT_MAX).contains(&r.count) || r.request.is_empty() {
+        if !kind.zones.contains(&r.zone)
+            || !(1..=MAX_MACHINES_PER_RENTAL).contains(&r.count)
+            || r.request.is_empty()
+        {
             return Reply::error(400, "malformed rental request");
         }
         let all = self.settings.capacity.get(&(r.machine_type.clone(), r.zone.clone()));
--- a/crates/emulator/src/live/relay.rs
+++ b/crates/emulator/src/live/relay.rs
@@ -84,7 +84,7 @@
         }
         std::future::ready(())
     };
-    let there = net::read_along(from_client, to_server, wire::BODY_LIMIT, upload);
+    let there = net::relay_and_inspect(from_client, to_server, wire::BODY_LIMIT, upload);
     let back = tokio::io::copy(&mut from_server, &mut to_client);
     // A client that has said all still gets its answer: the controller ends it.
     let there = async {
--- a/crates/emulator/src/live/services.rs
+++ b/crates/emulator/src/live/services.rs
@@ -152,7 +152,7 @@
         Err(_) => (None, &[][..]),
     };
     if status != Some(200) {
-        client.forget(front);
+        client.close_idle(front);
     }
     live.site.lock().heard(&machine, ticket, status, body, Instant::now());
 }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -19,10 +19,10 @@
     Connect(String, String),
     /// Nor was it here: all connections that there may be are in use.
     #[error("no connection to {0}: too many requests are open")]
-    Busy(String),
+    ConnectionLimit(String),
     /// The request may have been carried out, or may still be.
     #[error("no answer from {0}: {1}")]
-    Unknown(String, String),
+    NoResponse(String, String),
     /// There was an answer, and it was not read to its end.
     #[error("the answer from {0} has more than {1} bytes")]
     TooLarge(String, usize),
@@ -30,7 +30,7 @@
 
 /// The answer to a request.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The body.
@@ -41,11 +41,11 @@
 /// as one that lies in memory.
 pub trait Transport: Send + Sync {
     /// Sends one request; never ends if there is no answer.
-    fn request(&self, addr: &str, method: &str, path: &str, body: Vec<u8>) -> Exchange;
+    fn request(&self, addr: &str, method: &str, path: &str, body: Vec<u8>) -> ResponseFuture;
 }
 
 /// A request on its way, and its answer.
-pub type Exchange = Pin<Box<dyn Future<Output = Result<Answer, NetError>> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Result<Response, NetError>> + Send>>;
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -94,7 +94,7 @@
         }
     }
 
-    fn forget(&mut self, addr: &str) {
+    fn remove(&mut self, addr: &str) {
         for (at, _) in self.by_addr.remove(addr).unwrap_or_default() {
             self.by_use.remove(&at);
         }
@@ -134,7 +134,7 @@
     }
 
     /// A client whose requests something else carries than connections of its own.
-    pub fn over(transport: Arc<dyn Transport>) -> Self {
+    pub fn with_transport(transport: Arc<dyn Transport>) -> Self {
         Self { transport: Some(transport), ..Self::new(Semaphore::MAX_PERMITS) }
     }
 
@@ -147,13 +147,13 @@
     }
 
     /// How many connections are open, idle ones too.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.in_use() + self.idle().by_use.len()
     }
 
     /// Drops the idle connections to an address that is not needed any more.
-    pub fn forget(&self, addr: &str) {
-        self.idle().forget(addr);
+    pub fn close_idle(&self, addr: &str) {
+        self.idle().remove(addr);
     }
 
     /// Sends one request and reads the whole answer before the deadline.
@@ -165,9 +165,9 @@
         body: Vec<u8>,
         limit: usize,
         deadline: Duration,
-    ) -> Result<Answer, NetError> {
-        let unknown = |why: String| NetError::Unknown(addr.to_owned(), why);
-        let busy = || NetError::Busy(addr.to_owned());
+    ) -> Result<Response, NetError> {
+        let unknown = |why: String| NetError::NoResponse(addr.to_owned(), why);
+        let busy = || NetError::ConnectionLimit(addr.to_owned());
         let until = Instant::now() + deadline;
         if let Some(transport) = &self.transport {
             let exchange = transport.request(addr, method, path, body);
@@ -205,7 +205,7 @@
                 .await
                 .map_err(|e| if e.is::<LengthLimitError>() { too_large() } else { unknown(e.to_string()) })?
                 .to_bytes();
-            Ok::<_, NetError>((Answer { status, body }, closing))
+            Ok::<_, NetError>((Response { status, body }, closing))
         };
         let (answer, closing) =
             timeout_at(until, exchange).await.map_err(|_| unknown("deadline passed".into()))??;
--- a/crates/net/src/read_along.rs
+++ b/crates/net/src/inspecting_relay.rs
@@ -15,7 +15,7 @@
 /// passes to `read`. What passes is not changed, nor is it held back for longer than
 /// `read` takes. Bytes that are not HTTP pass all the same; no request is seen in them, nor
 /// after a body larger than `body_limit`.
-pub async fn read_along<F: Future<Output = ()>>(
+pub async fn relay_and_inspect<F: Future<Output = ()>>(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     body_limit: usize,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -4,9 +4,9 @@
 #![warn(missing_docs)]
 
 mod client;
-mod read_along;
+mod inspecting_relay;
 mod server;
 
-pub use client::{Answer, Client, Exchange, NetError, Transport};
-pub use read_along::read_along;
+pub use client::{Client, NetError, Response, ResponseFuture, Transport};
+pub use inspecting_relay::relay_and_inspect;
 pub use server::{Connections, Reply, Request, serve};
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -110,17 +110,17 @@
     }
 
     /// How many are open now, of any kind.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
     /// How many are open of each kind now.
-    pub fn by_share(&self) -> impl Iterator<Item = (&'static str, usize)> + '_ {
+    pub fn open_by_class(&self) -> impl Iterator<Item = (&'static str, usize)> + '_ {
         self.shares.iter().map(|s| (s.name, s.open.load(Ordering::Relaxed)))
     }
 
     /// How many were closed at once for want of sockets, since the last call.
-    pub fn take_closed(&self) -> usize {
+    pub fn take_rejected(&self) -> usize {
         self.closed.swap(0, Ordering::Relaxed)
     }
 }
--- a/crates/net/tests/read_along.rs
+++ b/crates/net/tests/inspecting_relay.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use sageloom_net::{Request, read_along};
+use sageloom_net::{Request, relay_and_inspect};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// What comes out, and the requests that were seen.
@@ -23,7 +23,7 @@
     };
     let mut out = Vec::new();
     let (passed, (), read) =
-        tokio::join!(read_along(inside, outside, 1024, read), all, to.read_to_end(&mut out));
+        tokio::join!(relay_and_inspect(inside, outside, 1024, read), all, to.read_to_end(&mut out));
     passed.expect("both sides were open");
     read.expect("read");
     let seen = seen.lock().expect("not poisoned").clone();
--- a/crates/net/tests/unit/client.rs
+++ b/crates/net/tests/unit/client.rs
@@ -32,20 +32,20 @@
             .collect();
         for a in all {
             assert_eq!(a.await.expect("ends").expect("an answer").status, 200);
-            assert!(client.open() <= 5, "{}", client.open());
+            assert!(client.open_connections() <= 5, "{}", client.open_connections());
         }
     }
     // Only those that were used last are still open.
-    let open = || workers.iter().map(|w| w.1.open()).sum::<usize>();
+    let open = || workers.iter().map(|w| w.1.open_connections()).sum::<usize>();
     for _ in 0..100 {
         if open() <= 5 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert!(open() <= 5 && client.open() == 5, "{} {}", open(), client.open());
-    client.forget(&workers[29].0);
-    assert!(client.open() <= 5);
+    assert!(open() <= 5 && client.open_connections() == 5, "{} {}", open(), client.open_connections());
+    client.close_idle(&workers[29].0);
+    assert!(client.open_connections() <= 5);
     stop.cancel();
 }
 
--- a/crates/net/tests/unit/server.rs
+++ b/crates/net/tests/unit/server.rs
@@ -43,7 +43,7 @@
         kept.push(stream);
     }
     assert!(ask(&mut kept[0], "/hello").await.starts_with("HTTP/1.1 200"), "those that stayed go on");
-    assert_eq!(connections.take_closed(), 0);
+    assert_eq!(connections.take_rejected(), 0);
     stop.cancel();
 }
 
@@ -84,6 +84,6 @@
         }
         assert!(kept.iter().flatten().count() <= 100);
     }
-    assert_eq!(connections.take_closed(), 0, "none was refused");
+    assert_eq!(connections.take_rejected(), 0, "none was refused");
     stop.cancel();
 }
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -37,7 +37,7 @@
     /// The epoch of the newest cluster map that the sender knows.
     pub epoch: u64,
     /// The time since the sender's last contact with the key-value store, in milliseconds.
-    pub state_silent_ms: u64,
+    pub store_silent_ms: u64,
     /// The machines that the sender owns.
     pub machines: Vec<MachineStatusRow>,
 }
--- a/crates/peer/tests/golden/messages.rs
+++ b/crates/peer/tests/golden/messages.rs
@@ -40,7 +40,7 @@
         incarnation: 7_700_000_000_000_000_003,
         sequence: 77_004,
         epoch: 77_005,
-        state_silent_ms: 77_006,
+        store_silent_ms: 77_006,
         machines: machines(),
     };
     check("summary-full.rkyv", &Message::PeerStatus(summary));
@@ -49,7 +49,7 @@
         incarnation: 77_007,
         sequence: 77_008,
         epoch: 77_009,
-        state_silent_ms: 77_010,
+        store_silent_ms: 77_010,
         machines: Vec::new(),
     };
     check("summary-without-machines.rkyv", &Message::PeerStatus(empty));
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use net::{Answer, Client, NetError};
+use net::{Client, NetError, Response};
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use wire::{Changes, Condition, Items, Lease, LeaseRequest, Op, Txn, TxnResponse};
@@ -109,7 +109,7 @@
         Self { client, addr, max_changes_bytes }
     }
 
-    async fn send(&self, request: Request<'_>, body: Vec<u8>) -> Result<Answer, StoreError> {
+    async fn send(&self, request: Request<'_>, body: Vec<u8>) -> Result<Response, StoreError> {
         let Request { method, path, max_response_bytes, timeout } = request;
         let response =
             self.client.request(&self.addr, method, path, body, max_response_bytes, timeout).await?;
@@ -120,7 +120,7 @@
         }
     }
 
-    fn decode<T: DeserializeOwned>(response: &Answer) -> Result<T, StoreError> {
+    fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, StoreError> {
         match response.status {
             STATUS_OK => Ok(wire::decode(&response.body)?),
             status => Err(StoreError::Refused(status)),
@@ -237,6 +237,6 @@
     }
 }
 
-fn is_expired_lease(response: &Answer) -> bool {
+fn is_expired_lease(response: &Response) -> bool {
     response.body.windows(NO_SUCH_LEASE.len()).any(|window| window == NO_SUCH_LEASE)
 }
--- a/crates/store/src/key.rs
+++ b/crates/store/src/key.rs
@@ -38,7 +38,7 @@
 
 /// The schema version of a controller, written without a lease: it does not restart with a version
 /// that writes none.
-pub fn upgraded(name: &str) -> String {
+pub fn schema_marker(name: &str) -> String {
     format!("sageloom/upgraded/{name}")
 }
 
--- a/crates/store/tests/golden/keys.rs
+++ b/crates/store/tests/golden/keys.rs
@@ -18,7 +18,7 @@
     assert_eq!(key::job("j-000412"), "sageloom/jobs/j-000412");
     assert_eq!(key::machine("host-000231"), "sageloom/machines/host-000231");
     assert_eq!(key::team("team-a"), "sageloom/teams/team-a");
-    assert_eq!(key::upgraded("controller-1"), "sageloom/upgraded/controller-1");
+    assert_eq!(key::schema_marker("controller-1"), "sageloom/upgraded/controller-1");
     assert_eq!(key::drain("drain-a"), "sageloom/drains/drain-a");
     assert_eq!(key::cordon("drain-a", 7), "sageloom/cordons/drain-a/7");
     assert_eq!(key::disruptions("team-a"), "sageloom/disruptions/team-a");
