--- a/crates/cloud/src/lib.rs
+++ b/crates/cloud/src/lib.rs
@@ -1,4 +1,4 @@
-//! The cloud's interface.
+//! A client of the cloud API: renting, releasing and listing machines.
 
 #![warn(missing_docs)]
 
@@ -9,88 +9,89 @@
 use serde::de::DeserializeOwned;
 use wire::{MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
 
-/// Why a request to the cloud was not carried out, or may not have been.
+/// Why a request to the cloud failed, or may have failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// 429 or an outage: nothing was done.
-    #[error("the cloud answered {0}")]
+    /// The cloud refused the request with this HTTP status (429, or an outage): nothing was done.
+    #[error("the cloud responded with HTTP status {0}")]
     Refused(u16),
-    /// No machine of this type, zone and kind is available.
+    /// No machine of this type is available in this zone (as a spot machine, if one was requested).
     #[error("no capacity")]
     NoCapacity,
-    /// The request may have been carried out, or may be later.
+    /// The request may have been carried out, or may still be carried out later.
     #[error(transparent)]
     Network(#[from] NetError),
-    /// The answer could not be read.
-    #[error("answer not understood: {0}")]
+    /// The response could not be decoded.
+    #[error("invalid response from the cloud: {0}")]
     InvalidResponse(#[from] wire::DecodeError),
 }
 
-/// A client of the cloud's interface.
+/// A client of the cloud API.
 #[derive(Clone)]
 pub struct CloudClient {
     client: Client,
     addr: String,
 }
 
-/// Most machines in one rental and names in one release.
+/// Most machines in one rental request.
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// Most names in one release.
+/// Most machines in one release request.
 pub const MAX_MACHINES_PER_RELEASE: usize = 100;
-/// Machines in one page of the list, the most that the cloud gives.
-const LIST_PAGE: usize = 500;
-/// Most bytes of an answer: a page has some 150 for each machine.
-const ANSWER_BYTES: usize = 1 << 20;
-const DEADLINE: Duration = Duration::from_secs(5);
+/// Machines in one page of the list: the cloud's maximum.
+const LIST_PAGE_MACHINES: usize = 500;
+/// Most bytes of a response: a page of the list has about 150 for each machine.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl CloudClient {
-    /// A client of the cloud at this address.
+    /// Creates a client of the cloud at this address.
     pub fn new(client: Client, addr: String) -> Self {
         Self { client, addr }
     }
 
-    async fn call<T: Serialize>(
+    async fn send<T: Serialize>(
         &self,
         method: &str,
         path: &str,
         body: Option<&T>,
     ) -> Result<Response, CloudError> {
         let body = body.map(wire::encode).unwrap_or_default();
-        Ok(self.client.request(&self.addr, method, path, body, ANSWER_BYTES, DEADLINE).await?)
+        Ok(self.client.request(&self.addr, method, path, body, MAX_RESPONSE_BYTES, REQUEST_TIMEOUT).await?)
     }
 
-    fn read<T: DeserializeOwned>(answer: &Response) -> Result<T, CloudError> {
-        match answer.status {
-            200 => Ok(wire::decode(&answer.body)?),
-            s => Err(CloudError::Refused(s)),
+    fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, CloudError> {
+        match response.status {
+            200 => Ok(wire::decode(&response.body)?),
+            status => Err(CloudError::Refused(status)),
         }
     }
 
-    /// All machine types, with their present prices.
+    /// Reads all machine types, with their current prices.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
-        let list: MachineTypes = Self::read(&self.call::<()>("GET", "/machine_types", None).await?)?;
+        let list: MachineTypes = Self::decode(&self.send::<()>("GET", "/machine_types", None).await?)?;
         Ok(list.types)
     }
 
-    /// Rents machines; their names. The same request again gets the same answer.
+    /// Rents machines and returns their names. Idempotent: a repeated request gets the same response.
     pub async fn rent(&self, request: &RentRequest) -> Result<Vec<String>, CloudError> {
-        let answer = self.call("POST", "/machines", Some(request)).await?;
-        if answer.status == 503 && answer.body.windows(11).any(|w| w == b"no capacity") {
+        let response = self.send("POST", "/machines", Some(request)).await?;
+        if response.status == 503 && response.body.windows(11).any(|window| window == b"no capacity") {
             return Err(CloudError::NoCapacity);
         }
-        Ok(Self::read::<MachineNames>(&answer)?.machines)
+        Ok(Self::decode::<MachineNames>(&response)?.machines)
     }
 
-    /// Once this is Ok, the machines and all that was on them are gone.
+    /// Releases machines. After `Ok`, the machines and everything on them are gone.
     pub async fn release(&self, machines: Vec<String>) -> Result<(), CloudError> {
-        let answer = self.call("POST", "/machines/release", Some(&MachineNames { machines })).await?;
-        if answer.status == 200 { Ok(()) } else { Err(CloudError::Refused(answer.status)) }
+        let response = self.send("POST", "/machines/release", Some(&MachineNames { machines })).await?;
+        if response.status == 200 { Ok(()) } else { Err(CloudError::Refused(response.status)) }
     }
 
-    /// The next page of all machines, in the order of their names.
+    /// Reads a page of the list of all machines, ordered by name: those after this name, or the first
+    /// ones.
     pub async fn list_page(&self, after: Option<&str>) -> Result<MachineList, CloudError> {
-        let after = after.map(|a| format!("after={a}&")).unwrap_or_default();
-        let path = format!("/machines?{after}page={LIST_PAGE}");
-        Self::read(&self.call::<()>("GET", &path, None).await?)
+        let after = after.map(|name| format!("after={name}&")).unwrap_or_default();
+        let path = format!("/machines?{after}page={LIST_PAGE_MACHINES}");
+        Self::decode(&self.send::<()>("GET", &path, None).await?)
     }
 }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -11,24 +11,24 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, timeout_at};
 
-/// Why a request has no answer.
+/// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum NetError {
-    /// Nothing was sent, so nothing can have been carried out.
+    /// Nothing was sent: the request was certainly not carried out.
     #[error("no connection to {0}: {1}")]
     Connect(String, String),
-    /// Nor was it here: all connections that there may be are in use.
-    #[error("no connection to {0}: too many requests are open")]
+    /// Nothing was sent: the client's connections were all in use until the deadline.
+    #[error("no connection to {0}: all of the client's connections are in use")]
     ConnectionLimit(String),
-    /// The request may have been carried out, or may still be.
-    #[error("no answer from {0}: {1}")]
+    /// The request may have been carried out, or may still be carried out later.
+    #[error("no response from {0}: {1}")]
     NoResponse(String, String),
-    /// There was an answer, and it was not read to its end.
-    #[error("the answer from {0} has more than {1} bytes")]
+    /// There was a response, but it is larger than the limit.
+    #[error("the response from {0} has more than {1} bytes")]
     TooLarge(String, usize),
 }
 
-/// The answer to a request.
+/// The response to a request, with its whole body.
 #[derive(Debug)]
 pub struct Response {
     /// The HTTP status.
@@ -37,153 +37,161 @@
     pub body: Bytes,
 }
 
-/// What carries requests in place of connections: a network of a kind of its own, such
-/// as one that lies in memory.
+/// Carries requests in place of the client's TCP connections, for instance over a simulated network.
 pub trait Transport: Send + Sync {
-    /// Sends one request; never ends if there is no answer.
+    /// Sends one request. The future never completes if there is no response.
     fn request(&self, addr: &str, method: &str, path: &str, body: Vec<u8>) -> ResponseFuture;
 }
 
-/// A request on its way, and its answer.
+/// The pending response to a request.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Result<Response, NetError>> + Send>>;
 
-type Sender = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
-const IDLE_PER_HOST: usize = 4;
+const MAX_IDLE_PER_ADDRESS: usize = 4;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Connections without a request, each with its place in the order of last use.
+/// The idle connections. Each has a sequence number, the higher the later it was last used.
 #[derive(Default)]
-struct Idle {
-    by_addr: HashMap<String, Vec<(u64, Sender)>>,
-    by_use: BTreeMap<u64, String>,
-    uses: u64,
+struct IdleConnections {
+    by_address: HashMap<String, Vec<(u64, RequestSender)>>,
+    by_last_use: BTreeMap<u64, String>,
+    last_sequence: u64,
 }
 
-impl Idle {
-    fn take(&mut self, addr: &str) -> Option<Sender> {
-        let list = self.by_addr.get_mut(addr)?;
+impl IdleConnections {
+    fn take(&mut self, addr: &str) -> Option<RequestSender> {
+        let connections = self.by_address.get_mut(addr)?;
         let mut found = None;
-        while let Some((at, sender)) = list.pop() {
-            self.by_use.remove(&at);
+        while let Some((sequence, sender)) = connections.pop() {
+            self.by_last_use.remove(&sequence);
             if !sender.is_closed() && sender.is_ready() {
                 found = Some(sender);
                 break;
             }
         }
-        if list.is_empty() {
-            self.by_addr.remove(addr);
+        if connections.is_empty() {
+            self.by_address.remove(addr);
         }
         found
     }
 
-    fn keep(&mut self, addr: &str, sender: Sender) {
-        let list = self.by_addr.entry(addr.to_owned()).or_default();
-        let by_use = &mut self.by_use;
-        list.retain(|(at, s)| {
-            let open = !s.is_closed();
-            if !open {
-                by_use.remove(at);
+    fn insert(&mut self, addr: &str, sender: RequestSender) {
+        let connections = self.by_address.entry(addr.to_owned()).or_default();
+        let by_last_use = &mut self.by_last_use;
+        connections.retain(|(sequence, sender)| {
+            let is_open = !sender.is_closed();
+            if !is_open {
+                by_last_use.remove(sequence);
             }
-            open
+            is_open
         });
-        if list.len() < IDLE_PER_HOST {
-            self.uses += 1;
-            list.push((self.uses, sender));
-            self.by_use.insert(self.uses, addr.to_owned());
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            self.last_sequence += 1;
+            connections.push((self.last_sequence, sender));
+            self.by_last_use.insert(self.last_sequence, addr.to_owned());
         }
     }
 
     fn remove(&mut self, addr: &str) {
-        for (at, _) in self.by_addr.remove(addr).unwrap_or_default() {
-            self.by_use.remove(&at);
+        for (sequence, _) in self.by_address.remove(addr).unwrap_or_default() {
+            self.by_last_use.remove(&sequence);
         }
     }
 
-    /// Closes those that were not used for longest, until there are `most`.
-    fn shrink(&mut self, most: usize) {
-        while self.by_use.len() > most
-            && let Some((at, addr)) = self.by_use.pop_first()
+    /// Closes the least recently used connections until at most `max` are left.
+    fn shrink_to(&mut self, max: usize) {
+        while self.by_last_use.len() > max
+            && let Some((closed, addr)) = self.by_last_use.pop_first()
         {
-            if let Some(list) = self.by_addr.get_mut(&addr) {
-                list.retain(|(a, _)| *a != at);
-                if list.is_empty() {
-                    self.by_addr.remove(&addr);
+            if let Some(connections) = self.by_address.get_mut(&addr) {
+                connections.retain(|(sequence, _)| *sequence != closed);
+                if connections.is_empty() {
+                    self.by_address.remove(&addr);
                 }
             }
         }
     }
 }
 
-/// A client that keeps a few idle connections for each address, and never has
-/// more connections open than it was made for: those idle for longest are closed
-/// when others are needed, and a request waits for its turn, within its deadline.
+/// An HTTP client that keeps a few idle connections to each address and limits the number of open
+/// connections. When the limit is reached, the least recently used idle connections are closed, and
+/// requests wait for a connection until their deadline.
 #[derive(Clone)]
 pub struct Client {
-    idle: Arc<Mutex<Idle>>,
-    most: usize,
-    turns: Arc<Semaphore>,
+    idle: Arc<Mutex<IdleConnections>>,
+    max_connections: usize,
+    /// One permit for each connection that may carry a request.
+    permits: Arc<Semaphore>,
     transport: Option<Arc<dyn Transport>>,
 }
 
 impl Client {
-    /// A client that keeps so many connections open at the most.
-    pub fn new(most: usize) -> Self {
-        let most = most.clamp(1, Semaphore::MAX_PERMITS);
-        Self { idle: Arc::default(), most, turns: Arc::new(Semaphore::new(most)), transport: None }
+    /// Creates a client with at most `max_connections` open connections, idle ones included.
+    pub fn new(max_connections: usize) -> Self {
+        let max_connections = max_connections.clamp(1, Semaphore::MAX_PERMITS);
+        Self {
+            idle: Arc::default(),
+            max_connections,
+            permits: Arc::new(Semaphore::new(max_connections)),
+            transport: None,
+        }
     }
 
-    /// A client whose requests something else carries than connections of its own.
+    /// Creates a client that sends its requests over a transport instead of TCP connections.
     pub fn with_transport(transport: Arc<dyn Transport>) -> Self {
         Self { transport: Some(transport), ..Self::new(Semaphore::MAX_PERMITS) }
     }
 
-    fn idle(&self) -> MutexGuard<'_, Idle> {
+    fn idle(&self) -> MutexGuard<'_, IdleConnections> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn in_use(&self) -> usize {
-        self.most - self.turns.available_permits()
+        self.max_connections - self.permits.available_permits()
     }
 
-    /// How many connections are open, idle ones too.
+    /// The number of open connections, idle ones included.
     pub fn open_connections(&self) -> usize {
-        self.in_use() + self.idle().by_use.len()
+        self.in_use() + self.idle().by_last_use.len()
     }
 
-    /// Drops the idle connections to an address that is not needed any more.
+    /// Closes the idle connections to an address that is no longer needed.
     pub fn close_idle(&self, addr: &str) {
         self.idle().remove(addr);
     }
 
-    /// Sends one request and reads the whole answer before the deadline.
+    /// Sends one request and reads the whole response, of at most `max_response_bytes`, within
+    /// `timeout`.
     pub async fn request(
         &self,
         addr: &str,
         method: &str,
         path: &str,
         body: Vec<u8>,
-        limit: usize,
-        deadline: Duration,
+        max_response_bytes: usize,
+        timeout: Duration,
     ) -> Result<Response, NetError> {
-        let unknown = |why: String| NetError::NoResponse(addr.to_owned(), why);
-        let busy = || NetError::ConnectionLimit(addr.to_owned());
-        let until = Instant::now() + deadline;
+        let no_response = |reason: String| NetError::NoResponse(addr.to_owned(), reason);
+        let limit_reached = || NetError::ConnectionLimit(addr.to_owned());
+        let deadline = Instant::now() + timeout;
         if let Some(transport) = &self.transport {
             let exchange = transport.request(addr, method, path, body);
-            return timeout_at(until, exchange).await.map_err(|_| unknown("deadline passed".into()))?;
+            return timeout_at(deadline, exchange)
+                .await
+                .map_err(|_| no_response("deadline passed".into()))?;
         }
-        let turn = timeout_at(until, self.turns.acquire()).await;
-        let _turn = turn.ok().and_then(Result::ok).ok_or_else(busy)?;
+        let permit = timeout_at(deadline, self.permits.acquire()).await;
+        let _permit = permit.ok().and_then(Result::ok).ok_or_else(limit_reached)?;
         let idle = {
             let mut idle = self.idle();
             let found = idle.take(addr);
-            idle.shrink(self.most - self.in_use());
+            idle.shrink_to(self.max_connections - self.in_use());
             found
         };
         let mut sender = match idle {
             Some(sender) => sender,
-            None => self.connect(addr, until.min(Instant::now() + CONNECT_TIMEOUT)).await?,
+            None => self.connect(addr, deadline.min(Instant::now() + CONNECT_TIMEOUT)).await?,
         };
         let request = hyper::Request::builder()
             .method(method)
@@ -193,41 +201,43 @@
             .body(Full::new(Bytes::from(body)))
             .map_err(|e| NetError::Connect(addr.to_owned(), e.to_string()))?;
         let exchange = async {
-            let response = sender.send_request(request).await.map_err(|e| unknown(e.to_string()))?;
+            let response = sender.send_request(request).await.map_err(|e| no_response(e.to_string()))?;
             let status = response.status().as_u16();
-            let closing = response
+            let server_closes = response
                 .headers()
                 .get("connection")
-                .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
-            let too_large = || NetError::TooLarge(addr.to_owned(), limit);
-            let body = Limited::new(response.into_body(), limit)
+                .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
+            let too_large = || NetError::TooLarge(addr.to_owned(), max_response_bytes);
+            let body = Limited::new(response.into_body(), max_response_bytes)
                 .collect()
                 .await
-                .map_err(|e| if e.is::<LengthLimitError>() { too_large() } else { unknown(e.to_string()) })?
+                .map_err(
+                    |e| if e.is::<LengthLimitError>() { too_large() } else { no_response(e.to_string()) },
+                )?
                 .to_bytes();
-            Ok::<_, NetError>((Response { status, body }, closing))
+            Ok::<_, NetError>((Response { status, body }, server_closes))
         };
-        let (answer, closing) =
-            timeout_at(until, exchange).await.map_err(|_| unknown("deadline passed".into()))??;
-        if !closing && sender.ready().await.is_ok() {
+        let (response, server_closes) =
+            timeout_at(deadline, exchange).await.map_err(|_| no_response("deadline passed".into()))??;
+        if !server_closes && sender.ready().await.is_ok() {
             let mut idle = self.idle();
-            idle.keep(addr, sender);
-            // This request's own turn passes on to the idle connection.
-            idle.shrink(self.most + 1 - self.in_use());
+            idle.insert(addr, sender);
+            // This request still holds its permit, but its connection is idle and counted as such.
+            idle.shrink_to(self.max_connections + 1 - self.in_use());
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    async fn connect(&self, addr: &str, until: Instant) -> Result<Sender, NetError> {
-        let failed = |why: String| NetError::Connect(addr.to_owned(), why);
-        let stream = timeout_at(until, TcpStream::connect(addr))
+    async fn connect(&self, addr: &str, deadline: Instant) -> Result<RequestSender, NetError> {
+        let failed = |reason: String| NetError::Connect(addr.to_owned(), reason);
+        let stream = timeout_at(deadline, TcpStream::connect(addr))
             .await
             .map_err(|_| failed("timed out".into()))?
             .map_err(|e| failed(e.to_string()))?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) =
             handshake(TokioIo::new(stream)).await.map_err(|e| failed(e.to_string()))?;
-        // Ends by itself once the sender is dropped or the peer closes.
+        // This task ends when the sender is dropped or the peer closes the connection.
         tokio::spawn(async move {
             let _ = connection.await;
         });
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as sageloom speaks it: whole bodies with a size limit, a deadline
-//! on everything, one request at a time on a connection.
+//! An HTTP/1.1 client and server. Bodies are read as a whole and limited in size, every operation
+//! has a time limit, and a connection carries one request at a time.
 
 #![warn(missing_docs)]
 
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -27,29 +27,29 @@
     pub body: Bytes,
 }
 
-/// The answer to a request.
+/// The response to a request.
 #[derive(Debug)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
-    /// After how many seconds the client should ask again.
+    /// The value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
 }
 
 impl Reply {
-    /// An answer with a value as MessagePack.
+    /// A response whose body is a value encoded as MessagePack.
     pub fn new<T: Serialize>(status: u16, body: &T) -> Self {
         Self { status, body: wire::encode(body), retry_after: None }
     }
 
-    /// An answer that says what is wrong.
+    /// A response whose body is an error message.
     pub fn error(status: u16, message: &str) -> Self {
         Self::new(status, &wire::ErrorBody { error: message.to_owned() })
     }
 
-    /// A 503 that tells the client when to come back.
+    /// A 503 with a `Retry-After` header, in seconds.
     pub fn busy(message: &str, retry_after: u64) -> Self {
         Self { retry_after: Some(retry_after), ..Self::error(503, message) }
     }
@@ -67,105 +67,115 @@
     }
 }
 
-/// Also ends connections that are idle for so long.
+/// Time limit for the headers of a request. It also closes connections that are idle for as long.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What some of a server's connections are for, and how many of them may stay
-/// open between requests.
+/// A class of a server's connections, with a limit of how many of them are kept open between
+/// requests.
 #[derive(Debug)]
-pub struct Share {
+pub struct ConnectionClass {
     pub name: &'static str,
-    keep: usize,
+    max_kept_open: usize,
     open: AtomicUsize,
 }
 
-/// The connections of one server, counted by what they are for.
+/// Counts the open connections of a server by class and limits their number.
 ///
-/// Whoever comes beyond its share is answered as well, but its connection is
-/// closed after the answer: a few sockets then serve any number of clients, and
-/// none of one kind keeps out those of another.
+/// A connection beyond the limit of its class is served, too, but closed after the first response.
+/// So a few sockets serve any number of clients, and the clients of one class do not use up the
+/// connections of another.
 #[derive(Debug)]
 pub struct Connections {
-    most: usize,
+    max_open: usize,
     open: AtomicUsize,
-    shares: Vec<Share>,
-    /// Tells by the path which share a request belongs to.
-    share_of: fn(&str) -> usize,
-    closed: AtomicUsize,
+    classes: Vec<ConnectionClass>,
+    /// The index of the class of a connection, by the path of its first request.
+    class_of: fn(&str) -> usize,
+    /// Connections that were closed on arrival.
+    rejected: AtomicUsize,
 }
 
 impl Connections {
-    /// At most `most` at a time, and of each kind as many as given kept open.
-    pub fn new(most: usize, shares: &[(&'static str, usize)], share_of: fn(&str) -> usize) -> Self {
-        let share =
-            |(name, keep): &(&'static str, usize)| Share { name, keep: *keep, open: AtomicUsize::new(0) };
+    /// Allows `max_open` connections at a time. Each class has a name and the number of its
+    /// connections that are kept open between requests.
+    pub fn new(max_open: usize, classes: &[(&'static str, usize)], class_of: fn(&str) -> usize) -> Self {
+        let class = |(name, max_kept_open): &(&'static str, usize)| ConnectionClass {
+            name,
+            max_kept_open: *max_kept_open,
+            open: AtomicUsize::new(0),
+        };
         Self {
-            most,
+            max_open,
             open: AtomicUsize::new(0),
-            shares: shares.iter().map(share).collect(),
-            share_of,
-            closed: AtomicUsize::new(0),
+            classes: classes.iter().map(class).collect(),
+            class_of,
+            rejected: AtomicUsize::new(0),
         }
     }
 
-    /// How many are open now, of any kind.
+    /// The number of open connections of all classes.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// How many are open of each kind now.
+    /// The name of each class and the number of its open connections.
     pub fn open_by_class(&self) -> impl Iterator<Item = (&'static str, usize)> + '_ {
-        self.shares.iter().map(|s| (s.name, s.open.load(Ordering::Relaxed)))
+        self.classes.iter().map(|class| (class.name, class.open.load(Ordering::Relaxed)))
     }
 
-    /// How many were closed at once for want of sockets, since the last call.
+    /// The number of connections that were closed on arrival since the last call, because the limit
+    /// was reached.
     pub fn take_rejected(&self) -> usize {
-        self.closed.swap(0, Ordering::Relaxed)
+        self.rejected.swap(0, Ordering::Relaxed)
     }
 }
 
-/// One open connection; counted until it is dropped.
-struct Counted {
-    of: Arc<Connections>,
-    share: OnceLock<usize>,
+/// An open connection. It is counted until this is dropped.
+struct CountedConnection {
+    connections: Arc<Connections>,
+    /// The index of its class, once the first request has arrived.
+    class: OnceLock<usize>,
 }
 
-impl Counted {
-    fn new(of: Arc<Connections>) -> Option<Self> {
-        if of.open.load(Ordering::Relaxed) >= of.most {
-            of.closed.fetch_add(1, Ordering::Relaxed);
+impl CountedConnection {
+    fn new(connections: Arc<Connections>) -> Option<Self> {
+        if connections.open.load(Ordering::Relaxed) >= connections.max_open {
+            connections.rejected.fetch_add(1, Ordering::Relaxed);
             return None;
         }
-        of.open.fetch_add(1, Ordering::Relaxed);
-        Some(Self { of, share: OnceLock::new() })
+        connections.open.fetch_add(1, Ordering::Relaxed);
+        Some(Self { connections, class: OnceLock::new() })
     }
 
-    /// Counts the connection for what its first request is; false if there are
-    /// too many of the kind for this one to stay open.
-    fn stays(&self, path: &str) -> bool {
-        let i = *self.share.get_or_init(|| {
-            let i = (self.of.share_of)(path);
-            if let Some(share) = self.of.shares.get(i) {
-                share.open.fetch_add(1, Ordering::Relaxed);
+    /// Assigns the connection to the class of its first request. Returns false if the class has too
+    /// many connections for this one to stay open after the response.
+    fn may_stay_open(&self, path: &str) -> bool {
+        let index = *self.class.get_or_init(|| {
+            let index = (self.connections.class_of)(path);
+            if let Some(class) = self.connections.classes.get(index) {
+                class.open.fetch_add(1, Ordering::Relaxed);
             }
-            i
+            index
         });
-        self.of.shares.get(i).is_none_or(|s| s.open.load(Ordering::Relaxed) <= s.keep)
+        self.connections
+            .classes
+            .get(index)
+            .is_none_or(|class| class.open.load(Ordering::Relaxed) <= class.max_kept_open)
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountedConnection {
     fn drop(&mut self) {
-        self.of.open.fetch_sub(1, Ordering::Relaxed);
-        if let Some(share) = self.share.get().and_then(|i| self.of.shares.get(*i)) {
-            share.open.fetch_sub(1, Ordering::Relaxed);
+        self.connections.open.fetch_sub(1, Ordering::Relaxed);
+        if let Some(class) = self.class.get().and_then(|index| self.connections.classes.get(*index)) {
+            class.open.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Serves connections until cancelled. Connections above the most are closed at
-/// once, so that the process never runs out of sockets.
+/// Serves connections until cancelled. Connections beyond the limit are closed on arrival, so that
+/// the process does not run out of sockets.
 pub async fn serve<H, F>(
     listener: TcpListener,
     connections: Arc<Connections>,
@@ -180,20 +190,21 @@
     loop {
         let accepted = tokio::select! {
             _ = stop.cancelled() => return,
-            a = listener.accept() => a,
+            accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of sockets, most likely: let some close first.
+            // Most likely the process is out of sockets: wait for connections to close.
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let Some(counted) = Counted::new(connections.clone()) else { continue };
+        let Some(counted) = CountedConnection::new(connections.clone()) else { continue };
         let counted = Arc::new(counted);
         let _ = stream.set_nodelay(true);
         let (handler, stop) = (handler.clone(), stop.clone());
         tasks.spawn(async move {
-            let of = counted.clone();
-            let service = service_fn(move |request| answer(request, body_limit, handler.clone(), of.clone()));
+            let guard = counted.clone();
+            let service =
+                service_fn(move |request| respond(request, body_limit, handler.clone(), guard.clone()));
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT).max_buf_size(96 * 1024);
             let connection = builder.serve_connection(TokioIo::new(stream), service);
@@ -210,18 +221,18 @@
     }
 }
 
-async fn answer<H, F>(
+async fn respond<H, F>(
     request: hyper::Request<Incoming>,
     body_limit: usize,
     handler: H,
-    counted: Arc<Counted>,
+    counted: Arc<CountedConnection>,
 ) -> Result<hyper::Response<Full<Bytes>>, Infallible>
 where
     H: Fn(Request) -> F,
     F: Future<Output = Reply>,
 {
     let (parts, body) = request.into_parts();
-    let stays = counted.stays(parts.uri.path());
+    let stays_open = counted.may_stay_open(parts.uri.path());
     let reply = match timeout(BODY_TIMEOUT, Limited::new(body, body_limit).collect()).await {
         Ok(Ok(body)) => {
             let path = parts.uri.path_and_query().map_or("/", |p| p.as_str()).to_owned();
@@ -231,7 +242,7 @@
         Err(_) => Reply::error(400, "the body did not arrive in time"),
     };
     let mut response = reply.into_response();
-    if !stays {
+    if !stays_open {
         let close = hyper::header::HeaderValue::from_static("close");
         response.headers_mut().insert(hyper::header::CONNECTION, close);
     }
--- a/crates/net/tests/unit/server.rs
+++ b/crates/net/tests/unit/server.rs
@@ -2,22 +2,23 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-async fn ask(stream: &mut TcpStream, path: &str) -> String {
+async fn get(stream: &mut TcpStream, path: &str) -> String {
     let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n");
     stream.write_all(request.as_bytes()).await.expect("sent");
     let mut buffer = vec![0; 4096];
-    let n = stream.read(&mut buffer).await.expect("an answer");
-    String::from_utf8_lossy(&buffer[..n]).into_owned()
+    let length = stream.read(&mut buffer).await.expect("a response");
+    String::from_utf8_lossy(&buffer[..length]).into_owned()
 }
 
-/// One controller is left with all the workers: they take no more than their
-/// share of the sockets, and all are answered; so are users and health checks.
+/// Guards against workers using up the sockets of the only remaining controller: every worker is
+/// answered, but only as many connections as the limit of their class stay open. Users and health
+/// checks are answered as well.
 #[tokio::test]
-async fn clients_beyond_their_share_are_answered_and_closed() {
+async fn connections_are_answered_and_closed_when_their_class_is_at_its_limit() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let share_of = |path: &str| usize::from(path != "/hello");
-    let connections = Arc::new(Connections::new(12, &[("workers", 4), ("users", 2)], share_of));
+    let class_of = |path: &str| usize::from(path != "/hello");
+    let connections = Arc::new(Connections::new(12, &[("workers", 4), ("users", 2)], class_of));
     let handler = |_| async { Reply::new(200, &"fine") };
     let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
     tokio::spawn(serve(listener, connections.clone(), 1 << 16, handler, stop.clone(), tasks));
@@ -25,9 +26,9 @@
     let mut closed = 0;
     for _ in 0..40 {
         let mut stream = TcpStream::connect(addr).await.expect("accepted");
-        let answer = ask(&mut stream, "/hello").await;
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        if answer.contains("connection: close") {
+        let response = get(&mut stream, "/hello").await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+        if response.contains("connection: close") {
             closed += 1;
             assert_eq!(stream.read(&mut [0; 1]).await.expect("the end"), 0);
         } else {
@@ -35,55 +36,58 @@
         }
     }
     assert_eq!((kept.len(), closed), (4, 36));
-    for n in 0..3 {
+    for number in 0..3 {
         let mut stream = TcpStream::connect(addr).await.expect("accepted");
-        let answer = ask(&mut stream, "/healthz").await;
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        assert_eq!(answer.contains("connection: close"), n == 2);
+        let response = get(&mut stream, "/healthz").await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+        assert_eq!(response.contains("connection: close"), number == 2);
         kept.push(stream);
     }
-    assert!(ask(&mut kept[0], "/hello").await.starts_with("HTTP/1.1 200"), "those that stayed go on");
+    assert!(
+        get(&mut kept[0], "/hello").await.starts_with("HTTP/1.1 200"),
+        "kept connections are still served"
+    );
     assert_eq!(connections.take_rejected(), 0);
     stop.cancel();
 }
 
-/// Four thousand workers report to the one controller that is left, which has far fewer
-/// sockets: they are served in turns, none of them is refused, and neither are health checks.
+/// Guards against refused heartbeats when 4000 workers report to the only remaining controller, which
+/// has far fewer sockets: all workers are served in turns, and health checks are served, too.
 #[tokio::test]
 async fn thousands_of_workers_are_served_in_turns() {
     const WORKERS: usize = 4000;
-    const AT_ONCE: usize = 20;
+    const BATCH: usize = 20;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let share_of = |path: &str| usize::from(path != "/hello");
-    let connections = Arc::new(Connections::new(160, &[("workers", 100), ("users", 30)], share_of));
+    let class_of = |path: &str| usize::from(path != "/hello");
+    let connections = Arc::new(Connections::new(160, &[("workers", 100), ("users", 30)], class_of));
     let handler = |_| async { Reply::new(200, &"fine") };
     let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
     tokio::spawn(serve(listener, connections.clone(), 1 << 16, handler, stop.clone(), tasks));
     let mut kept: Vec<Option<TcpStream>> = (0..WORKERS).map(|_| None).collect();
     for _ in 0..2 {
-        for some in kept.chunks_mut(AT_ONCE) {
-            let mut reports = Vec::new();
-            for stream in some.iter_mut() {
+        for batch in kept.chunks_mut(BATCH) {
+            let mut heartbeats = Vec::new();
+            for stream in batch.iter_mut() {
                 let stream = stream.take();
-                reports.push(tokio::spawn(async move {
+                heartbeats.push(tokio::spawn(async move {
                     let mut stream = match stream {
                         Some(stream) => stream,
                         None => TcpStream::connect(addr).await.expect("accepted"),
                     };
-                    let answer = ask(&mut stream, "/hello").await;
-                    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-                    (!answer.contains("connection: close")).then_some(stream)
+                    let response = get(&mut stream, "/hello").await;
+                    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+                    (!response.contains("connection: close")).then_some(stream)
                 }));
             }
-            for (stream, report) in some.iter_mut().zip(reports) {
-                *stream = report.await.expect("answered");
+            for (stream, heartbeat) in batch.iter_mut().zip(heartbeats) {
+                *stream = heartbeat.await.expect("answered");
             }
-            let mut check = TcpStream::connect(addr).await.expect("accepted");
-            assert!(ask(&mut check, "/healthz").await.starts_with("HTTP/1.1 200"));
+            let mut health_check = TcpStream::connect(addr).await.expect("accepted");
+            assert!(get(&mut health_check, "/healthz").await.starts_with("HTTP/1.1 200"));
         }
         assert!(kept.iter().flatten().count() <= 100);
     }
-    assert_eq!(connections.take_rejected(), 0, "none was refused");
+    assert_eq!(connections.take_rejected(), 0, "no connection was rejected");
     stop.cancel();
 }
