--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -20,8 +20,8 @@
     rkyv::to_bytes::<Error>(value).map(|bytes| bytes.to_vec()).unwrap_or_default()
 }
 
-/// Validates the bytes and decodes them. They are copied first, as those of a request are not
-/// aligned.
+/// Validates the bytes and decodes them. They are copied into an aligned buffer first, because the
+/// body of a request need not be aligned.
 fn decode_archived<T>(bytes: &[u8]) -> Option<T>
 where
     T: Archive,
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages that controllers exchange all the time.
+//! Messages that controllers exchange regularly.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -32,7 +32,8 @@
     pub name: String,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// Counts the sender's statuses, so that a delayed duplicate of an older one is ignored.
+    /// Increases with every status of the sender, so that receivers can ignore older ones that arrive
+    /// late.
     pub sequence: u64,
     /// The epoch of the newest cluster map that the sender knows.
     pub epoch: u64,
@@ -46,12 +47,12 @@
 /// the worker cannot reach the owner.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct RelayedHeartbeat {
-    /// The body of the heartbeat, as it was received.
+    /// The body of the heartbeat, unchanged.
     pub heartbeat: Vec<u8>,
 }
 
-/// The termination of an assignment that the owner of its machine has proven, for the controller
-/// that schedules the job.
+/// Reports that an assignment has terminated, as proven by the owner of its machine. It is sent to the
+/// controller that schedules the job.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationProof {
     /// The id of the job.
@@ -60,16 +61,16 @@
     pub task: u32,
     /// The attempt that ended.
     pub attempt: u64,
-    /// The machine that it was on.
+    /// The machine of the assignment.
     pub machine: String,
-    /// The code of the reason, by `TerminationReason::code` of the records.
+    /// The reason, encoded by `TerminationReason::code`.
     pub reason_code: u8,
 }
 
-/// Termination proofs. They hold only under the cluster map with this epoch.
+/// Termination proofs. They are valid only under the cluster map with this epoch.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct TerminationProofs {
-    /// The epoch of the cluster map by which the sender owns the machines.
+    /// The epoch of the cluster map under which the sender owns the machines.
     pub epoch: u64,
     /// The proofs.
     pub proofs: Vec<TerminationProof>,
@@ -80,9 +81,9 @@
 pub enum Message {
     /// The sender's status. The response is the receiver's.
     PeerStatus(PeerStatus),
-    /// A heartbeat for the owner of the machine. The response is [`Message::HeartbeatResponse`].
+    /// A heartbeat, relayed to the owner of the machine. The response is [`Message::HeartbeatResponse`].
     RelayedHeartbeat(RelayedHeartbeat),
-    /// Proofs for the scheduler of the jobs. The response is [`Message::Acknowledged`].
+    /// Termination proofs, for the controller that schedules the jobs. The response is [`Message::Acknowledged`].
     TerminationProofs(TerminationProofs),
     /// The proofs were accepted.
     Acknowledged,
@@ -90,7 +91,7 @@
     HeartbeatResponse {
         /// The HTTP status.
         status: u16,
-        /// The body, as the worker is to receive it.
+        /// The body, to be sent to the worker unchanged.
         body: Vec<u8>,
     },
 }
--- a/crates/peer/src/running_tasks.rs
+++ b/crates/peer/src/running_tasks.rs
@@ -1,13 +1,13 @@
-//! Which tasks a controller sees running on its machines.
+//! Messages about the tasks that run on a controller's machines.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Asks a controller which tasks of some jobs it sees running on its machines. It has a path and a
-/// type of its own, as controllers without drains know neither.
+/// Asks a controller which tasks of the given jobs run on its machines. The message has its own path
+/// and type, because controllers of versions without drains know neither.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct RunningTasksRequest {
-    /// Identifies this request, so that a delayed duplicate of another's response is not taken for
-    /// its own.
+    /// Identifies the request, so that a delayed response to another request is not taken for the
+    /// response to this one.
     pub nonce: u64,
     /// The epoch of the newest cluster map that the sender knows.
     pub epoch: u64,
@@ -15,8 +15,8 @@
     pub jobs: Vec<String>,
 }
 
-/// The tasks that its sender sees running on the machines that it owns, by heartbeats that are not
-/// older than a worker may be silent for.
+/// The tasks that run on the machines that the sender owns, according to heartbeats that are no older
+/// than the longest time for which a worker may be silent.
 #[derive(Debug, Clone, PartialEq, Archive, Serialize, Deserialize)]
 pub struct RunningTasks {
     /// The nonce of the request.
@@ -25,7 +25,7 @@
     pub name: String,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// The epoch of the cluster map by which it owns its machines.
+    /// The epoch of the cluster map under which the sender owns the machines.
     pub epoch: u64,
     /// The running tasks by job.
     pub jobs: Vec<RunningTasksOfJob>,
@@ -40,7 +40,7 @@
     pub tasks: Vec<RunningTask>,
 }
 
-/// A task that runs.
+/// A running task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RunningTask {
     /// The number of the task.
--- a/crates/peer/tests/golden.rs
+++ b/crates/peer/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Golden data: files with the bytes of every message between controllers. The code has to write
-//! and to read just these.
+//! Golden tests: the files have the bytes of every message between controllers, which the code has
+//! to encode and decode exactly.
 //!
-//! A file is only replaced where the protocol itself is changed on purpose.
+//! A file is replaced only when the protocol itself is changed on purpose.
 
 extern crate sageloom_peer as peer;
 
@@ -14,7 +14,7 @@
 #[path = "golden/running_tasks.rs"]
 mod running_tasks;
 
-/// Checks that a message is written as the bytes of a file, and that these are read as it.
+/// Checks that a message is encoded to the bytes of a file, and that these are decoded to the message.
 fn check<T: PartialEq + std::fmt::Debug>(
     file: &str,
     message: &T,
@@ -22,6 +22,6 @@
     decode: fn(&[u8]) -> Option<T>,
 ) {
     let golden = files::read(file);
-    assert_eq!(files::printable(&encode(message)), files::printable(&golden), "{file} is written");
-    assert_eq!(decode(&golden).as_ref(), Some(message), "{file} is read");
+    assert_eq!(files::printable(&encode(message)), files::printable(&golden), "{file} is encoded");
+    assert_eq!(decode(&golden).as_ref(), Some(message), "{file} is decoded");
 }
--- a/crates/peer/tests/golden/messages.rs
+++ b/crates/peer/tests/golden/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that are sent to every peer, and their answers.
+//! Golden tests of the messages that controllers exchange regularly, and of their responses.
 
 use peer::{MachineStatusRow, Message, PeerStatus, RelayedHeartbeat, TerminationProof, TerminationProofs};
 
@@ -6,7 +6,8 @@
     crate::check(file, message, peer::encode, peer::decode);
 }
 
-/// Two machines, whose flags together tell all flags from each other.
+/// Two machines. Every flag has another combination of values than the others, so that swapped flags
+/// are noticed.
 fn machines() -> Vec<MachineStatusRow> {
     let first = MachineStatusRow {
         id: "host-000231".into(),
@@ -34,8 +35,8 @@
 }
 
 #[test]
-fn summary() {
-    let summary = PeerStatus {
+fn peer_status() {
+    let full = PeerStatus {
         name: "controller-1".into(),
         incarnation: 7_700_000_000_000_000_003,
         sequence: 77_004,
@@ -43,7 +44,7 @@
         store_silent_ms: 77_006,
         machines: machines(),
     };
-    check("summary-full.rkyv", &Message::PeerStatus(summary));
+    check("summary-full.rkyv", &Message::PeerStatus(full));
     let empty = PeerStatus {
         name: "c".into(),
         incarnation: 77_007,
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn relay() {
+fn relayed_heartbeat() {
     check(
         "relay.rkyv",
         &Message::RelayedHeartbeat(RelayedHeartbeat { heartbeat: vec![0x81, 0xa1, 0x61, 0x07, 0x00, 0xff] }),
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn proofs() {
+fn termination_proofs() {
     let first = TerminationProof {
         job: "j-000412".into(),
         task: 77_011,
@@ -90,11 +91,11 @@
 }
 
 #[test]
-fn taken() {
+fn acknowledged() {
     check("taken.rkyv", &Message::Acknowledged);
 }
 
 #[test]
-fn relayed() {
+fn heartbeat_response() {
     check("relayed.rkyv", &Message::HeartbeatResponse { status: 421, body: vec![0x80, 0x01, 0x02, 0xfe] });
 }
--- a/crates/peer/tests/golden/read_index.rs
+++ b/crates/peer/tests/golden/read_index.rs
@@ -1,4 +1,4 @@
-//! The read index.
+//! Golden tests of the read index and its request.
 
 use peer::{CancelledJob, ReadIndex, ReadIndexRequest};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn request() {
+fn read_index_request() {
     let request = ReadIndexRequest { nonce: 7_700_000_000_000_000_101, after: 77_102 };
     crate::check(
         "read-index-request.rkyv",
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn index_with_cancelled_jobs() {
+fn read_index_with_cancelled_jobs() {
     let cancelled = vec![
         CancelledJob { id: "j-000412".into(), version: 77_103, record: vec![0x81, 0xa1, 0x62] },
         CancelledJob { id: "j-000000000000000413".into(), version: 77_104, record: vec![0xc0] },
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn index_without_cancelled_jobs() {
+fn read_index_without_cancelled_jobs() {
     let index = ReadIndex {
         nonce: 77_109,
         name: "c".into(),
--- a/crates/peer/tests/golden/running_tasks.rs
+++ b/crates/peer/tests/golden/running_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that run.
+//! Golden tests of the messages about running tasks.
 
 use peer::{RunningTask, RunningTasks, RunningTasksOfJob, RunningTasksRequest};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn request() {
+fn running_tasks_request() {
     let jobs = vec!["j-000412".into(), "j-1".into()];
     let request = RunningTasksRequest { nonce: 7_700_000_000_000_000_201, epoch: 77_202, jobs };
     check_request("running-tasks-request-full.rkyv", &request);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn tasks_of_jobs() {
+fn running_tasks_of_jobs() {
     let tasks = vec![
         RunningTask { task: 77_205, attempt: 77_206 },
         RunningTask { task: 77_207, attempt: 7_700_000_000_000_000_208 },
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn no_tasks() {
+fn running_tasks_without_jobs() {
     let running = RunningTasks {
         nonce: 77_212,
         name: "c".into(),
