--- a/crates/store/src/chunks/chunk_key.rs
+++ b/crates/store/src/chunks/chunk_key.rs
@@ -2,19 +2,19 @@
 
 use crate::key;
 
-/// What the key of a chunk consists of.
+/// The components of the key of a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct ChunkKey {
     /// The key of the record.
     pub(super) record_key: String,
-    /// Drawn anew each time the record is written in chunks.
+    /// Differs each time the record is written in chunks.
     pub(super) nonce: String,
     /// The number of the chunk.
     pub(super) number: usize,
 }
 
 impl ChunkKey {
-    /// Takes a key apart; `None` if it is not one of a chunk.
+    /// Parses a key; `None` if it is not the key of a chunk.
     pub(super) fn parse(key: &str) -> Option<Self> {
         let rest = key.strip_prefix(key::CHUNKS)?;
         let (rest, number) = rest.rsplit_once('/')?;
@@ -24,7 +24,7 @@
     }
 }
 
-/// The key of a chunk.
+/// Formats the key of a chunk.
 pub(super) fn chunk_key(record_key: &str, nonce: &str, number: usize) -> String {
     let record = record_key.strip_prefix(key::PREFIX).unwrap_or(record_key);
     format!("{}{record}/{nonce}/{number}", key::CHUNKS)
--- a/crates/store/src/chunks/mod.rs
+++ b/crates/store/src/chunks/mod.rs
@@ -1,9 +1,9 @@
-//! Records that are larger than one value of the key-value store.
+//! Records that are too large for one value of the key-value store.
 //!
-//! Such a record is stored in chunks, under keys of their own that are written once and never
-//! changed; a small head under the record's key names them. The chunks are written first, the first
-//! of them last, and the transaction that writes the head is conditional on the first chunk: so a
-//! head never names chunks that do not exist, however late it is committed.
+//! Such a record is stored in chunks, whose keys are written once and never changed. A small head
+//! under the record's key identifies them. The chunks are written before the head, and the first chunk
+//! last. The transaction that writes the head is conditional on the first chunk, so that a head never
+//! refers to chunks that do not exist, however late it is committed.
 
 mod chunk_key;
 mod head;
--- a/crates/store/src/chunks/split.rs
+++ b/crates/store/src/chunks/split.rs
@@ -8,22 +8,22 @@
 use super::head::Head;
 use crate::codec::KeyWrite;
 
-/// What the value of a chunk takes beside its text, in bytes.
+/// Size of a chunk's value in addition to its text, in bytes.
 const CHUNK_OVERHEAD_BYTES: usize = 16;
-/// Least length of the text of a chunk, in bytes.
+/// Lower bound of the length at which the text is split, in bytes.
 const MIN_CHUNK_BYTES: usize = 64;
 
-/// A record in chunks: these are written first, in this order; then the head.
+/// A record in chunks. The chunks are written before the head.
 #[derive(Debug)]
 pub struct ChunkedRecord {
-    /// Its chunks, in the order in which they are written.
+    /// The chunks, in the order in which they are written: the first chunk last.
     pub chunks: Vec<KeyWrite>,
-    /// The head that names them.
+    /// The head that refers to the chunks.
     pub head: KeyWrite,
 }
 
-/// Splits the value of a write into chunks that each fit into a value of `value_bytes`. The nonce
-/// must never have been used for this key. `None` if the write is a deletion.
+/// Splits the value of a write into chunks that each fit into a value of `value_bytes`. The nonce must
+/// never have been used for this key. Returns `None` if the write is a deletion.
 pub fn split_record(write: &KeyWrite, nonce: u64, value_bytes: usize) -> Option<ChunkedRecord> {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, write.value.as_ref()?).ok()?;
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -10,43 +10,45 @@
 use crate::codec::KeyWrite;
 use crate::key;
 
-/// Why the key-value store did not carry out a request, or may not have.
+/// Why a request to the key-value store failed, or may have failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The request was refused with this HTTP status: it was not carried out and never will be.
-    #[error("refused with {0}")]
+    /// The key-value store refused the request with this HTTP status: it was not carried out and never
+    /// will be.
+    #[error("the key-value store responded with HTTP status {0}")]
     Refused(u16),
-    /// It exceeds the rate limit of the key-value store: nothing was carried out.
-    #[error("above the rate limit")]
+    /// The request exceeds the rate limit of the key-value store: it was not carried out.
+    #[error("the rate limit of the key-value store is exceeded")]
     RateLimited,
-    /// It was not sent, as the value of this key is too large.
-    #[error("larger than a value may be: {0}")]
+    /// The request was not sent, because the value of this key is too large.
+    #[error("the value of key {0} is too large")]
     ValueTooLarge(String),
-    /// The request may have been carried out, or may be later.
+    /// The request may have been carried out, or may still be carried out later.
     #[error(transparent)]
     Network(#[from] NetError),
     /// The response could not be decoded.
-    #[error("answer not understood: {0}")]
+    #[error("invalid response from the key-value store: {0}")]
     InvalidResponse(#[from] wire::DecodeError),
-    /// The changes are no longer kept that far back, or are too many for one response.
-    #[error("the changes cannot be followed from there")]
+    /// The changes since the requested revision are no longer kept, or are too many for one response.
+    #[error("the changes since the requested revision are no longer kept or too large")]
     Compacted,
-    /// The lease has expired: whatever was attached to it is deleted.
-    #[error("the lease is over")]
+    /// The lease has expired: the keys attached to it are deleted.
+    #[error("the lease has expired")]
     LeaseExpired,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Debug)]
 pub enum TxnOutcome {
-    /// It was committed.
+    /// The transaction was committed.
     Committed {
-        /// The revision that it made.
+        /// The revision of the commit.
         revision: u64,
     },
-    /// It was not, as some keys have other versions than its conditions ask for.
+    /// The transaction was not committed, because some keys do not have the versions that its
+    /// conditions require.
     Conflict {
-        /// These keys.
+        /// The keys with other versions.
         failed: Vec<String>,
         /// The current revision.
         revision: u64,
@@ -64,16 +66,16 @@
 
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 const LEASE_RENEWAL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Most records of one page of a list.
+/// Most records in one page of a list.
 const LIST_PAGE_RECORDS: usize = 400;
 /// Most bytes of a response other than one with changes: a page has 512 KiB at most.
 const MAX_RESPONSE_BYTES: usize = 2 << 20;
-/// The part of a process's memory that a response with changes may take, as a divisor, within the
-/// bounds below. The response is held several times over while it is read.
+/// A response with changes may take the process's memory divided by this, within the bounds below:
+/// several copies of the response are held while it is decoded.
 const CHANGES_MEMORY_DIVISOR: usize = 16;
-/// Lower bound of the limit for a response with changes.
+/// Lower bound of the limit for a response with changes, in bytes.
 const MIN_CHANGES_BYTES: usize = 2 << 20;
-/// Upper bound of the limit for a response with changes.
+/// Upper bound of the limit for a response with changes, in bytes.
 const MAX_CHANGES_BYTES: usize = 16 << 20;
 
 const STATUS_OK: u16 = 200;
@@ -84,10 +86,9 @@
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 
-/// What the body of a response says if a transaction names a lease that has expired.
+/// The text in the body of a response to a transaction that names an expired lease.
 const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
-/// A request.
 struct Request<'a> {
     method: &'a str,
     path: &'a str,
@@ -102,7 +103,8 @@
 }
 
 impl KeyValueClient {
-    /// A client of the key-value store at this address, in a process that may hold `memory_bytes`.
+    /// Creates a client of the key-value store at this address, for a process with a memory limit of
+    /// `memory_bytes`.
     pub fn new(client: Client, addr: String, memory_bytes: usize) -> Self {
         let max_changes_bytes =
             (memory_bytes / CHANGES_MEMORY_DIVISOR).clamp(MIN_CHANGES_BYTES, MAX_CHANGES_BYTES);
@@ -127,24 +129,24 @@
         }
     }
 
-    /// Reads one page of all records, those after a key.
+    /// Reads one page of the list of all records: those after this key, or the first ones.
     ///
     /// # Errors
     ///
-    /// Those of the request; nothing has changed.
+    /// Those of the request. Nothing was changed.
     pub async fn list(&self, after: Option<&str>) -> Result<Items<Value>, StoreError> {
         let after = after.map(|key| format!("&after={key}")).unwrap_or_default();
         let path = format!("/keys?prefix={}{after}&page={LIST_PAGE_RECORDS}", key::PREFIX);
         Self::decode(&self.send(Request::new("GET", &path), Vec::new()).await?)
     }
 
-    /// Waits up to `wait` for changes of the records after a revision. A response has them all and
-    /// may have any size.
+    /// Waits up to `wait` for changes of the records after a revision. A response has all changes since
+    /// then and may be of any size.
     ///
     /// # Errors
     ///
     /// [`StoreError::Compacted`] if the changes are no longer kept or the response is too large: the
-    /// records have to be read again, in pages. Others are those of the request.
+    /// records have to be read again with [`Self::list`]. Other errors are those of the request.
     pub async fn watch(&self, after: u64, wait: Duration) -> Result<Changes<Value>, StoreError> {
         let path = format!("/follow?prefix={}&after={after}&hold_ms={}", key::PREFIX, wait.as_millis());
         let request = Request {
@@ -160,20 +162,20 @@
         }
     }
 
-    /// Commits a transaction: all writes or none, if every key has the version that its condition
-    /// asks for.
+    /// Commits a transaction: all writes if every key has the version that its condition requires,
+    /// otherwise none.
     ///
     /// # Errors
     ///
     /// [`StoreError::LeaseExpired`] if a write names a lease that has expired. After
-    /// [`StoreError::Network`] and [`StoreError::InvalidResponse`] it may have been committed, or may
-    /// be later.
+    /// [`StoreError::Network`] and [`StoreError::InvalidResponse`] the transaction may have been
+    /// committed, or may still be committed later.
     pub async fn txn(
         &self,
         conditions: Vec<Condition>,
         writes: Vec<KeyWrite>,
     ) -> Result<TxnOutcome, StoreError> {
-        let ops = writes.into_iter().map(operation).collect();
+        let ops = writes.into_iter().map(to_operation).collect();
         let body = wire::encode(&Txn { conditions, ops });
         let response = self.send(Request::new("POST", "/txn"), body).await?;
         match response.status {
@@ -205,8 +207,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::LeaseExpired`] if it has expired. Others are those of the request; the lease may
-    /// have been renewed nevertheless.
+    /// [`StoreError::LeaseExpired`] if the lease has expired. Other errors are those of the request; the
+    /// lease may have been renewed nevertheless.
     pub async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
         let path = format!("/leases/{lease}/touch");
         let request = Request { timeout: LEASE_RENEWAL_TIMEOUT, ..Request::new("POST", &path) };
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Revokes a lease at once, which deletes what is attached to it.
+    /// Revokes a lease, which deletes the keys attached to it.
     ///
     /// # Errors
     ///
@@ -228,8 +230,8 @@
     }
 }
 
-/// The operation of a transaction that a write stands for.
-fn operation(write: KeyWrite) -> Op<Value> {
+/// Converts a write to an operation of a transaction.
+fn to_operation(write: KeyWrite) -> Op<Value> {
     let KeyWrite { key, value, lease } = write;
     match value {
         Some(value) => Op::Put { put: key, value, lease },
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of records as values of the key-value store.
+//! Encoding records as values of the key-value store, and decoding changes of keys.
 
 use rmpv::Value;
 use sched::drain_records::{DRAIN_SCHEMA, DrainRecord};
@@ -10,7 +10,7 @@
 
 use crate::key;
 
-/// What a write takes of a transaction beside its key and value, in bytes.
+/// Size of a write in a transaction in addition to its key and value, in bytes.
 const WRITE_OVERHEAD_BYTES: usize = 20;
 
 /// A put or a deletion of a key, as part of a transaction.
@@ -20,14 +20,14 @@
     pub key: String,
     /// The value; `None` deletes the key.
     pub value: Option<Value>,
-    /// The lease that the key is attached to.
+    /// The lease to which the key is attached.
     pub lease: Option<u64>,
 }
 
 impl KeyWrite {
-    /// A put of a record.
+    /// Puts a record.
     pub fn new<T: Serialize>(key: String, record: &T) -> Self {
-        // By way of bytes, so that the value is exactly what a reader will see.
+        // Encoded to bytes and decoded again, so that the value is exactly what a reader will see.
         let value = rmp_serde::to_vec_named(record)
             .ok()
             .and_then(|bytes| rmpv::decode::read_value(&mut bytes.as_slice()).ok())
@@ -35,58 +35,58 @@
         Self { key, value: Some(value), lease: None }
     }
 
-    /// A put of a record that is attached to a lease.
+    /// Puts a record whose key is attached to a lease.
     pub fn leased<T: Serialize>(key: String, record: &T, lease: u64) -> Self {
         Self { lease: Some(lease), ..Self::new(key, record) }
     }
 
-    /// A deletion.
+    /// Deletes a key.
     pub fn delete(key: String) -> Self {
         Self { key, value: None, lease: None }
     }
 
-    /// About how many bytes the write takes of a transaction, written as JSON: the limits are
-    /// measured so.
+    /// Approximate size of the write in a transaction, in bytes of JSON, which is how the limits are
+    /// measured.
     pub fn json_len(&self) -> usize {
         self.key.len() + WRITE_OVERHEAD_BYTES + self.value_len()
     }
 
-    /// The length of its value written as JSON, in bytes.
+    /// Length of the value written as JSON, in bytes.
     pub fn value_len(&self) -> usize {
         self.value.as_ref().map_or(0, json_len)
     }
 }
 
-/// The most bytes that a character takes that JSON escapes.
+/// Most bytes of a character that is escaped in JSON.
 const MAX_ESCAPED_BYTES: usize = 6;
 
-/// The length of a value written as JSON.
+/// Length of a value written as JSON, in bytes; that of escaped characters is an upper bound.
 fn json_len(value: &Value) -> usize {
     match value {
         Value::Map(entries) => entries.iter().map(|(k, v)| json_len(k) + json_len(v) + 2).sum::<usize>() + 2,
         Value::Array(items) => items.iter().map(|item| json_len(item) + 1).sum::<usize>() + 2,
         Value::String(text) => {
             let bytes = text.as_bytes();
-            let plain = bytes.iter().filter(|b| **b >= 0x20 && **b != b'"' && **b != b'\\').count();
-            plain + (bytes.len() - plain) * MAX_ESCAPED_BYTES + 2
+            let unescaped = bytes.iter().filter(|b| **b >= 0x20 && **b != b'"' && **b != b'\\').count();
+            unescaped + (bytes.len() - unescaped) * MAX_ESCAPED_BYTES + 2
         }
         other => other.to_string().len(),
     }
 }
 
-/// Decodes a value; `None` if it is not a `T`.
+/// Decodes a value; `None` if it is not a valid `T`.
 fn decode_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
-    // By way of bytes: rmpv's own deserializer does not read enums from text.
+    // Encoded to bytes first: rmpv's own deserializer does not read enums from text.
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, value).ok()?;
     rmp_serde::from_slice(&bytes).ok()
 }
 
-/// What a key holds.
+/// A decoded value of a key.
 struct Decoded<T> {
-    /// `None` if there is no value, or none that can be read.
+    /// `None` if there is no value, or it cannot be decoded.
     record: Option<T>,
-    /// There is a value that cannot be read.
+    /// Whether there is a value that cannot be decoded.
     is_unreadable: bool,
 }
 
@@ -99,13 +99,13 @@
 }
 
 impl<T> Decoded<T> {
-    /// The change of the record, and whether there is a value that cannot be read.
+    /// The change of the record, and whether there is a value that cannot be decoded.
     fn into_change(self, change: impl FnOnce(Option<T>) -> RecordChange) -> (RecordChange, bool) {
         (change(self.record), self.is_unreadable)
     }
 }
 
-/// The change of a record that a key's value decodes to.
+/// Decodes a key's value to the change of a record.
 fn decode<T: DeserializeOwned>(
     value: Option<Value>,
     change: impl FnOnce(Option<T>) -> RecordChange,
@@ -113,15 +113,15 @@
     Decoded::from_value(value).into_change(change)
 }
 
-/// A drain's record; one of a later schema cannot be read.
+/// Decodes a drain's record. A record of another schema counts as one that cannot be decoded.
 fn decode_drain(value: Option<Value>) -> Decoded<DrainRecord> {
     let decoded = Decoded::<DrainRecord>::from_value(value);
     let has_other_schema = decoded.record.as_ref().is_some_and(|record| record.schema != DRAIN_SCHEMA);
     if has_other_schema { Decoded { record: None, is_unreadable: true } } else { decoded }
 }
 
-/// The schema version that a controller had. Whatever the record says otherwise, it stands for the
-/// first version that wrote one.
+/// Decodes the schema version of a controller. A marker that cannot be decoded stands for
+/// [`SCHEMA_VERSION`], the first version that wrote markers.
 fn decode_schema_version(value: &Value) -> u32 {
     decode_value::<SchemaMarker>(value).map_or(SCHEMA_VERSION, |marker| marker.schema_version)
 }
@@ -131,8 +131,8 @@
     Some((drain.to_owned(), number.parse().ok()?))
 }
 
-/// Decodes the change of a key; a value of `None` is its deletion. The second part tells that there
-/// is a value that cannot be read.
+/// Decodes the change of a key; a value of `None` is its deletion. The second part of the result is
+/// true if there is a value that cannot be decoded.
 pub fn decode_change(key: &str, value: Option<Value>) -> (RecordChange, bool) {
     const UNKNOWN: (RecordChange, bool) = (RecordChange::Other, false);
     let Some(rest) = key.strip_prefix(key::PREFIX) else { return UNKNOWN };
@@ -157,11 +157,11 @@
     }
 }
 
-/// Decodes the change of a key of which there is only one.
+/// Decodes the change of a key without an id, such as that of the cluster map.
 fn decode_single(key: &str, value: Option<Value>) -> (RecordChange, bool) {
     match key {
-        // Only its version matters: were one that cannot be read ignored, no placement would be
-        // conditional on the version that it has.
+        // Only the version of the fence matters. If a fence that cannot be decoded were ignored, no
+        // placement would be conditional on its version.
         key::CORDON_FENCE => {
             let fence = value.map(|value| decode_value(&value).unwrap_or_default());
             (RecordChange::CordonFence(fence), false)
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,4 @@
-//! Access to the key-value store: a client, the encoding of the records, and the rate limit for
-//! requests.
+//! Access to the key-value store: a client, the encoding of records, and a rate limit for requests.
 
 #![deny(missing_docs)]
 #![cfg_attr(not(test), deny(clippy::too_many_lines))]
--- a/crates/store/src/rate_limiter.rs
+++ b/crates/store/src/rate_limiter.rs
@@ -1,75 +1,76 @@
-//! The rate limit for requests to the key-value store.
+//! Rate limit for requests to the key-value store.
 
 use std::time::{Duration, Instant};
 
-/// A token bucket that callers wait on before they use the key-value store.
+/// A token bucket: callers take tokens and wait as long as it says before they send a request to the
+/// key-value store.
 #[derive(Debug)]
 pub struct RateLimiter {
-    /// Tokens that are added a second.
+    /// Tokens that are added per second.
     per_s: f64,
-    /// Most tokens that the bucket holds.
+    /// The capacity of the bucket, in tokens.
     burst: f64,
-    /// Tokens that it holds as of `filled_at`; negative while there is debt.
+    /// Tokens in the bucket as of `filled_at`; negative while there is debt.
     tokens: f64,
     filled_at: Instant,
     /// Since when scheduling cycles have had no allowance.
     denied_since: Option<Instant>,
 }
 
-/// How long scheduling cycles wait for the debt of others before they have an allowance all the
-/// same: where users' changes take up a controller's whole rate, placements would otherwise wait for
-/// as long as these go on.
+/// Longest time for which scheduling cycles get no allowance because of the debt of other callers.
+/// Without this bound, placements would wait for as long as users' changes take up the controller's
+/// whole rate.
 const MAX_DENIAL: Duration = Duration::from_secs(2);
-/// The allowance after that: a change and its fence.
+/// The allowance after [`MAX_DENIAL`], in changes: enough for a change and its fence.
 const ALLOWANCE_AFTER_DENIAL: usize = 2;
-/// Changes that a cycle may have beyond those that there are tokens for.
+/// Changes that a cycle may make beyond the available tokens.
 const EXTRA_ALLOWANCE: usize = 2;
-/// For how long a cycle may use up the rate ahead of time.
+/// A cycle may use the tokens of this much time in advance, in seconds.
 const ALLOWANCE_AHEAD_S: f64 = 0.5;
 
-/// Most debt, in seconds of the rate, and longest wait.
+/// Longest wait in seconds, and the most debt: as many tokens as are added in this time.
 const MAX_DEBT_S: f64 = 2.0;
 
 impl RateLimiter {
-    /// A bucket that is full now and fills at this rate.
+    /// Creates a full bucket.
     pub fn new(per_s: f64, burst: f64, now: Instant) -> Self {
         Self { per_s, burst, tokens: burst, filled_at: now, denied_since: None }
     }
 
-    /// The rate at which it fills, in tokens a second.
+    /// The rate at which the bucket fills, in tokens per second.
     pub fn per_second(&self) -> f64 {
         self.per_s
     }
 
     fn fill(&mut self, now: Instant) {
-        let gained = now.saturating_duration_since(self.filled_at).as_secs_f64() * self.per_s;
-        self.tokens = (self.tokens + gained).min(self.burst);
+        let added = now.saturating_duration_since(self.filled_at).as_secs_f64() * self.per_s;
+        self.tokens = (self.tokens + added).min(self.burst);
         self.filled_at = now;
     }
 
-    /// How long until there are this many tokens.
+    /// The time until the bucket has this many tokens, at most [`MAX_DEBT_S`].
     fn time_until(&mut self, tokens: f64, now: Instant) -> Duration {
         self.fill(now);
         wire::seconds(((tokens - self.tokens) / self.per_s).min(MAX_DEBT_S))
     }
 
-    /// Takes tokens, going into debt, and returns how long to wait first. `reserve` tokens are left
-    /// for more urgent callers.
+    /// Takes tokens, if need be by going into debt, and returns how long the caller has to wait before
+    /// it uses them. `reserve` tokens are left for more urgent callers.
     pub fn acquire(&mut self, tokens: f64, reserve: f64, now: Instant) -> Duration {
         let wait = self.time_until(tokens + reserve, now);
-        // Debt is bounded: what could not be done is not done later.
+        // The debt is bounded: requests that could not be made are not made up for later.
         self.tokens = (self.tokens - tokens).max(-MAX_DEBT_S * self.per_s);
         wait
     }
 
-    /// Notes that the key-value store refused a request by its own rate limit: there are no tokens.
+    /// Records that the key-value store refused a request by its own rate limit: no tokens are left.
     pub fn note_refusal(&mut self, now: Instant) {
         self.fill(now);
         self.tokens = self.tokens.min(0.0);
     }
 
-    /// How many changes a scheduling cycle may have now: none while there is debt, though not for
-    /// more than a while, and the more the more tokens there are.
+    /// How many changes a scheduling cycle may make now. The number grows with the tokens; it is zero
+    /// while there is less than one token, but for no longer than `MAX_DENIAL` at a time.
     pub fn allowance(&mut self, now: Instant) -> usize {
         self.fill(now);
         if self.tokens >= 1.0 {
@@ -84,14 +85,14 @@
         ALLOWANCE_AFTER_DENIAL
     }
 
-    /// Changes the rate: the share of a controller depends on how many there are.
+    /// Changes the rate: each controller's share depends on the number of controllers.
     pub fn set_rate(&mut self, per_s: f64, now: Instant) {
         self.fill(now);
         self.per_s = per_s;
         self.burst = per_s;
     }
 
-    /// How many tokens there are now.
+    /// The number of tokens in the bucket; negative while there is debt.
     pub fn available(&mut self, now: Instant) -> f64 {
         self.fill(now);
         self.tokens
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden data: the keys and values of all records in the state service.
+//! Golden tests of the keys and values of all records in the key-value store.
 //!
-//! The files of whole records are those of the package `sched`.
+//! The files with whole records belong to the package `sched`.
 
 extern crate sageloom_store as store;
 
--- a/crates/store/tests/golden/changes.rs
+++ b/crates/store/tests/golden/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of keys: how records are put, and how each key's value is read.
+//! Golden tests of writes of records, and of how changes of keys are decoded.
 
 use rmpv::Value;
 use sched::records::SCHEMA_VERSION;
@@ -11,12 +11,12 @@
 use crate::values::{from_bytes, to_bytes};
 use crate::{drain_records, files, jobs, records};
 
-/// The file of a record, which lies in the package `sched`.
+/// Reads the file of a record, which belongs to the package `sched`.
 fn read_record(file: &str) -> Vec<u8> {
     files::read(&format!("../../sched/testdata/{file}"))
 }
 
-/// Checks that the records are put as the bytes of their files, and that these are read as the
+/// Checks that the records are encoded to the bytes of their files, and that these are decoded to the
 /// expected change.
 fn check<T: Serialize + Clone>(
     key: &str,
@@ -25,105 +25,105 @@
 ) {
     for Fixture { file, record } in fixtures {
         let golden = read_record(file);
-        let put = KeyWrite::new(key.to_owned(), record);
-        let written = put.value.as_ref().map(to_bytes).expect("a value");
-        assert_eq!(files::printable(&written), files::printable(&golden), "{file} is put");
+        let write = KeyWrite::new(key.to_owned(), record);
+        let encoded = write.value.as_ref().map(to_bytes).expect("a value");
+        assert_eq!(files::printable(&encoded), files::printable(&golden), "{file} is encoded");
         check_change(key, Some(from_bytes(&golden)), &expected(Some(record.clone())), false);
     }
     check_change(key, None, &expected(None), false);
 }
 
-fn check_change(key: &str, value: Option<Value>, expected: &RecordChange, expected_bad: bool) {
-    let (change, bad) = decode_change(key, value);
+fn check_change(key: &str, value: Option<Value>, expected: &RecordChange, expected_unreadable: bool) {
+    let (change, is_unreadable) = decode_change(key, value);
     assert_eq!(format!("{change:?}"), format!("{expected:?}"), "{key}");
-    assert_eq!(bad, expected_bad, "{key}");
+    assert_eq!(is_unreadable, expected_unreadable, "{key}");
 }
 
-/// A value that is no record is flagged, and read as if there were none.
+/// Checks that a value that is not a record is reported as unreadable, and decoded like no record.
 fn check_unreadable(key: &str, expected: &RecordChange) {
     check_change(key, Some(Value::from("no record")), expected, true);
 }
 
 #[test]
-fn jobs_by_key() {
+fn jobs_are_decoded_by_key() {
     let job = |record| RecordChange::Job("j-000412".into(), record);
     check("sageloom/jobs/j-000412", &jobs::job_records(), |record| job(record.map(Box::new)));
     check_unreadable("sageloom/jobs/j-000412", &job(None));
 }
 
 #[test]
-fn machines_by_key() {
+fn machines_are_decoded_by_key() {
     let machine = |record| RecordChange::Machine("host-000231".into(), record);
     check("sageloom/machines/host-000231", &records::machine_records(), machine);
     check_unreadable("sageloom/machines/host-000231", &machine(None));
 }
 
 #[test]
-fn teams_by_key() {
+fn teams_are_decoded_by_key() {
     let team = |record| RecordChange::Team("team_a".into(), record);
     check("sageloom/teams/team_a", &records::team_records(), team);
     check_unreadable("sageloom/teams/team_a", &team(None));
 }
 
 #[test]
-fn members_by_key() {
+fn members_are_decoded_by_key() {
     let member = |record| RecordChange::Member("controller-1".into(), record);
     check("sageloom/members/controller-1", &records::members(), member);
     check_unreadable("sageloom/members/controller-1", &member(None));
 }
 
 #[test]
-fn leader_by_key() {
+fn leader_is_decoded_by_key() {
     check("sageloom/leader", &records::members(), RecordChange::Leader);
     check_unreadable("sageloom/leader", &RecordChange::Leader(None));
 }
 
 #[test]
-fn map_by_key() {
+fn map_is_decoded_by_key() {
     check("sageloom/map", &records::map_records(), RecordChange::Map);
     check_unreadable("sageloom/map", &RecordChange::Map(None));
 }
 
 #[test]
-fn types_by_key() {
+fn machine_types_are_decoded_by_key() {
     check("sageloom/types", &records::types_records(), RecordChange::Types);
     check_unreadable("sageloom/types", &RecordChange::Types(None));
 }
 
 #[test]
-fn fleet_by_key() {
+fn fleet_is_decoded_by_key() {
     check("sageloom/fleet", &records::fleet_records(), RecordChange::Fleet);
     check_unreadable("sageloom/fleet", &RecordChange::Fleet(None));
 }
 
-/// A record that cannot be read stands for the first schema that left one.
+/// A marker that cannot be decoded stands for the first schema version that wrote markers.
 #[test]
-fn upgraded_by_key() {
+fn schema_markers_are_decoded_by_key() {
     let key = "sageloom/upgraded/controller-1";
-    let upgraded = |schema| RecordChange::SchemaMarker("controller-1".into(), schema);
-    check(key, &records::upgraded_records(), |record| upgraded(record.map(|r| r.schema_version)));
+    let marker = |schema| RecordChange::SchemaMarker("controller-1".into(), schema);
+    check(key, &records::upgraded_records(), |record| marker(record.map(|r| r.schema_version)));
     assert_eq!(SCHEMA_VERSION, 2);
-    check_change(key, Some(Value::from("no record")), &upgraded(Some(2)), false);
+    check_change(key, Some(Value::from("no record")), &marker(Some(2)), false);
 }
 
 #[test]
-fn drains_by_key() {
+fn drains_are_decoded_by_key() {
     let drain = |record| RecordChange::Drain("drain-a".into(), record);
     check("sageloom/drains/drain-a", &drain_records::drain_records(), drain);
     check_unreadable("sageloom/drains/drain-a", &drain(None));
 }
 
 #[test]
-fn drains_of_another_schema_cannot_be_read() {
+fn drains_are_unreadable_when_they_have_another_schema() {
     for mut record in drain_records::drain_records().into_iter().map(|fixture| fixture.record) {
         record.schema += 1;
-        let put = KeyWrite::new("sageloom/drains/drain-a".into(), &record);
-        check_change(&put.key, put.value, &RecordChange::Drain("drain-a".into(), None), true);
+        let write = KeyWrite::new("sageloom/drains/drain-a".into(), &record);
+        check_change(&write.key, write.value, &RecordChange::Drain("drain-a".into(), None), true);
     }
 }
 
 #[test]
-fn cordons_by_key() {
+fn cordons_are_decoded_by_key() {
     let cordon = |record| RecordChange::Cordon(("drain-a".into(), 7), record);
     check("sageloom/cordons/drain-a/7", &drain_records::cordon_records(), cordon);
     check_unreadable("sageloom/cordons/drain-a/7", &cordon(None));
@@ -132,9 +132,9 @@
     }
 }
 
-/// Only the version of the fence matters, so one that cannot be read is as good as any.
+/// Only the version of the fence matters, so a fence that cannot be decoded counts as present.
 #[test]
-fn cordon_fence_by_key() {
+fn cordon_fence_is_decoded_by_key() {
     let key = "sageloom/cordon-fence";
     check(key, &drain_records::cordon_fences(), RecordChange::CordonFence);
     let fence = sched::drain_records::CordonFence { generation: 0 };
@@ -142,14 +142,14 @@
 }
 
 #[test]
-fn disruptions_by_key() {
+fn disruptions_are_decoded_by_key() {
     let disruptions = |record| RecordChange::Disruptions("team_a".into(), record);
     check("sageloom/disruptions/team_a", &drain_records::disruption_records(), disruptions);
     check_unreadable("sageloom/disruptions/team_a", &disruptions(None));
 }
 
 #[test]
-fn other_keys_are_passed_over() {
+fn other_keys_are_ignored() {
     let keys =
         ["sageloom/", "sageloom/other", "sageloom/other/a", "sageloom/parts/map/7/0", "other", "jobs/j-1"];
     for key in keys {
@@ -158,23 +158,23 @@
     }
 }
 
-/// A transaction as the state service gets it, with records and a lease.
+/// A transaction as it is sent to the key-value store, with records and a lease.
 #[test]
 fn transaction_with_records() {
     let member = records::members().remove(0).record;
     let team = records::team_records().remove(0).record;
-    let puts = [
+    let writes = [
         KeyWrite::new(key::team("team-a"), &team),
         KeyWrite::leased(key::LEADER.into(), &member, 76_001),
         KeyWrite::delete(key::job("j-000412")),
     ];
-    let operation = |put: KeyWrite| match put.value {
-        Some(value) => Op::Put { put: put.key, value, lease: put.lease },
-        None => Op::Delete { delete: put.key },
+    let operation = |write: KeyWrite| match write.value {
+        Some(value) => Op::Put { put: write.key, value, lease: write.lease },
+        None => Op::Delete { delete: write.key },
     };
     let transaction = Txn {
         conditions: vec![Condition { key: key::MAP.into(), version: 76_002 }],
-        ops: puts.into_iter().map(operation).collect(),
+        ops: writes.into_iter().map(operation).collect(),
     };
     let golden = files::read("transaction-with-records.msgpack");
     assert_eq!(files::printable(&wire::encode(&transaction)), files::printable(&golden));
--- a/crates/store/tests/golden/keys.rs
+++ b/crates/store/tests/golden/keys.rs
@@ -1,9 +1,9 @@
-//! The names of keys.
+//! Golden tests of the keys.
 
 use store::key;
 
 #[test]
-fn keys_of_single_records() {
+fn keys_without_ids() {
     assert_eq!(key::PREFIX, "sageloom/");
     assert_eq!(key::CHUNKS, "sageloom/parts/");
     assert_eq!(key::LEADER, "sageloom/leader");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn keys_of_records_with_names() {
+fn keys_with_ids() {
     assert_eq!(key::job("j-000412"), "sageloom/jobs/j-000412");
     assert_eq!(key::machine("host-000231"), "sageloom/machines/host-000231");
     assert_eq!(key::team("team-a"), "sageloom/teams/team-a");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn keys_have_no_white_space_of_team_names() {
+fn whitespace_is_replaced_when_a_team_name_becomes_part_of_a_key() {
     assert_eq!(key::team_id("a team\tof\u{a0}ours"), "a_team_of_ours");
     assert_eq!(key::team("a team"), "sageloom/teams/a_team");
     assert_eq!(key::disruptions("a team"), "sageloom/disruptions/a_team");
--- a/crates/store/tests/unit/codec.rs
+++ b/crates/store/tests/unit/codec.rs
@@ -2,7 +2,7 @@
 use sched::records::*;
 
 #[test]
-fn records_survive_the_round_trip() {
+fn job_records_are_unchanged_after_a_round_trip() {
     let mut job: JobRecord = rmp_serde::from_slice(
         &rmp_serde::to_vec_named(&JobRecord {
             phase: Phase::Active,
@@ -31,15 +31,15 @@
     )
     .expect("decodes");
     job.last_failure_ms = 10;
-    let put = KeyWrite::new(key::job("j-1"), &job);
-    let (change, bad) = decode_change(&put.key, put.value);
-    assert!(!bad);
-    let RecordChange::Job(id, Some(back)) = change else { unreachable!("a job") };
-    assert_eq!((id.as_str(), *back), ("j-1", job));
+    let write = KeyWrite::new(key::job("j-1"), &job);
+    let (change, is_unreadable) = decode_change(&write.key, write.value);
+    assert!(!is_unreadable);
+    let RecordChange::Job(id, Some(decoded)) = change else { unreachable!("a job") };
+    assert_eq!((id.as_str(), *decoded), ("j-1", job));
 }
 
 #[test]
-fn unreadable_values_are_flagged() {
+fn values_are_reported_as_unreadable_when_they_are_not_records() {
     assert!(decode_change(key::MAP, Some(Value::from("x"))).1);
     assert!(!decode_change(key::MAP, None).1);
 }
