--- a/crates/store/tests/unit/rate_limiter.rs
+++ b/crates/store/tests/unit/rate_limiter.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn callers_wait_when_tokens_are_missing() {
-    let start = Instant::start();
+    let start = Instant::now();
     let mut limiter = RateLimiter::new(10.0, 5.0, start);
     assert_eq!(limiter.acquire(5.0, 0.0, start), Duration::ZERO);
     assert_eq!(limiter.acquire(1.0, 0.0, start), Duration::from_millis(100));
