--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -121,7 +121,7 @@
 pub struct Client {
     idle: Arc<Mutex<IdleConnections>>,
     max_connections: usize,
-    /// One permit for each connection that may carry a request.
+    /// A request holds a permit while it uses a connection.
     permits: Arc<Semaphore>,
     transport: Option<Arc<dyn Transport>>,
 }
@@ -222,7 +222,8 @@
         if !server_closes && sender.ready().await.is_ok() {
             let mut idle = self.idle();
             idle.insert(addr, sender);
-            // This request still holds its permit, but its connection is idle and counted as such.
+            // One more, because this request still holds its permit although its connection already counts
+            // as idle.
             idle.shrink_to(self.max_connections + 1 - self.in_use());
         }
         Ok(response)
