--- a/crates/daemon/src/autoscaler/scale_out.rs
+++ b/crates/daemon/src/autoscaler/scale_out.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use cloud::{CloudError, RENT_MAX};
+use cloud::{CloudError, MAX_MACHINES_PER_RENTAL};
 use sched::autoscaling::MachineOffer;
 use sched::records::{Name, ScaleOut};
 use tokio::time::sleep;
@@ -103,7 +103,7 @@
                 Ok(machines) => results.push(result(Some(machines))),
                 Err(error) => {
                     cloud_failed = !matches!(error, CloudError::NoCapacity);
-                    if !matches!(error, CloudError::Net(_) | CloudError::Answer(_)) {
+                    if !matches!(error, CloudError::Network(_) | CloudError::InvalidResponse(_)) {
                         results.push(result(None));
                     }
                 }
@@ -163,13 +163,13 @@
     }
 }
 
-/// Counts the planned machines by offer, at most [`RENT_MAX`] each. Offers keep the order in which
+/// Counts the planned machines by offer, at most [`MAX_MACHINES_PER_RENTAL`] each. Offers keep the order in which
 /// they first occur.
 fn count_by_offer(planned: Vec<MachineOffer>) -> Vec<OfferCount> {
     let mut counts: Vec<OfferCount> = Vec::new();
     for offer in planned {
         match counts.iter_mut().find(|known| known.offer == offer) {
-            Some(known) => known.count = (known.count + 1).min(RENT_MAX),
+            Some(known) => known.count = (known.count + 1).min(MAX_MACHINES_PER_RENTAL),
             None => counts.push(OfferCount { offer, count: 1 }),
         }
     }
@@ -182,7 +182,7 @@
     let state = controller.state();
     let fleet = state.records.replica.fleet.as_ref();
     let name_capacity = fleet.map_or(usize::MAX, |fleet| remaining_name_capacity(&fleet.value, controller));
-    name_capacity / (REQUEST_SIZE_IN_NAMES + RENT_MAX as usize)
+    name_capacity / (REQUEST_SIZE_IN_NAMES + MAX_MACHINES_PER_RENTAL as usize)
 }
 
 /// Sends a request and retries it if the response was lost. The request id stays the same, so that
@@ -197,7 +197,7 @@
     };
     let mut response = controller.cloud.rent(&request).await;
     for _ in 0..MAX_REQUEST_RETRIES {
-        if !matches!(response, Err(CloudError::Net(_))) {
+        if !matches!(response, Err(CloudError::Network(_))) {
             break;
         }
         sleep(REQUEST_RETRY_BACKOFF).await;
--- a/crates/daemon/tests/unit/autoscaler_fleet_record.rs
+++ b/crates/daemon/tests/unit/autoscaler_fleet_record.rs
@@ -1,4 +1,4 @@
-use cloud::RENT_MAX;
+use cloud::MAX_MACHINES_PER_RENTAL;
 use sched::records::Name;
 
 use super::super::scale_out::REQUEST_SIZE_IN_NAMES;
@@ -12,17 +12,17 @@
     let controller = scale::controller(4, 1);
     let mut fleet = FleetRecord::default();
     let mut first_host = 0u32;
-    while remaining_name_capacity(&fleet, &controller) >= REQUEST_SIZE_IN_NAMES + RENT_MAX as usize {
+    while remaining_name_capacity(&fleet, &controller) >= REQUEST_SIZE_IN_NAMES + MAX_MACHINES_PER_RENTAL as usize {
         // Names far apart, as when the requests of several controllers are interleaved.
-        first_host += RENT_MAX;
+        first_host += MAX_MACHINES_PER_RENTAL;
         let number = |n: u32| u64::from(first_host + n) * 7919 % 1_000_000;
-        let names = (0..RENT_MAX).map(|n| format!("host-{:06}", number(n)).as_str().into());
+        let names = (0..MAX_MACHINES_PER_RENTAL).map(|n| format!("host-{:06}", number(n)).as_str().into());
         fleet.scale_outs.push(ScaleOut {
             request: format!("controller-4-{:x}-{first_host}", u64::MAX >> 12),
             machine_type: "machine-type".into(),
             zone: "zone-of-a-name".into(),
             spot: true,
-            count: RENT_MAX,
+            count: MAX_MACHINES_PER_RENTAL,
             requested_ms: 1_796_169_600_000,
             machines: Some(names.collect()),
         });
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 as sageloom speaks it: whole bodies with a size limit, a deadline
-//! on everything, one request at a time on a connection.
+//! An HTTP/1.1 client and server. Bodies are read as a whole and limited in size, every operation
+//! has a time limit, and a connection carries one request at a time.
 
 #![warn(missing_docs)]
 
 mod client;
-mod read_along;
+mod inspecting_relay;
 mod server;
 
-pub use client::{Answer, Client, Exchange, NetError, Transport};
-pub use read_along::read_along;
+pub use client::{Client, NetError, Response, ResponseFuture, Transport};
+pub use inspecting_relay::relay_and_inspect;
 pub use server::{Connections, Reply, Request, serve};
--- a/crates/wire/tests/golden/outside.rs
+++ b/crates/wire/tests/golden/cloud_and_store.rs
@@ -1,15 +1,15 @@
-//! Messages between controllers and the cloud, and between controllers and the state service.
+//! Golden tests of the messages with the cloud and with the key-value store.
 
 use serde_json::{Value as Json, json};
 use wire::{
-    Changes, Condition, Event, Item, Items, Lease, LeaseRequest, ListedMachine, MachineList, MachineNames,
-    MachineStatus, MachineType, MachineTypes, NoKey, Op, RentRequest, StoredKey, Txn, TxnAnswer,
+    Changes, Condition, Event, Item, Items, KeyNotFound, Lease, LeaseRequest, ListedMachine, MachineList,
+    MachineNames, MachineStatus, MachineType, MachineTypes, Op, RentRequest, StoredKey, Txn, TxnResponse,
 };
 
 use crate::machine_types;
 use crate::messages::{check, check_read};
 
-/// A value of the state service.
+/// A value of the key-value store.
 fn value() -> Json {
     json!({ "field": "text", "number": 72_001 })
 }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn machine_types_list() {
+fn machine_types() {
     check("machine-types.msgpack", &MachineTypes { types: vec![machine_types::full()] });
 }
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn listed_machine_of_every_status() {
+fn listed_machine_with_every_status() {
     let statuses = [
         (MachineStatus::Booting, "booting"),
         (MachineStatus::Running, "running"),
@@ -104,9 +104,9 @@
 
 #[test]
 fn machine_list() {
-    let list = MachineList { machines: vec![listed_machine(MachineStatus::Running)], more: true };
+    let list = MachineList { machines: vec![listed_machine(MachineStatus::Running)], has_more: true };
     check("machine-list-full.msgpack", &list);
-    let empty = MachineList { machines: Vec::new(), more: false };
+    let empty = MachineList { machines: Vec::new(), has_more: false };
     check("machine-list-empty.msgpack", &empty);
     check_read(&json!({ "frames": [] }), &empty);
 }
@@ -115,8 +115,8 @@
 fn items() {
     let item = Item { key: "sageloom/jobs/j-1".into(), value: value(), version: 72_003 };
     check("item.msgpack", &item);
-    check("items-full.msgpack", &Items { items: vec![item], more: true, revision: 72_004 });
-    let empty: Items<Json> = Items { items: Vec::new(), more: false, revision: 72_005 };
+    check("items-full.msgpack", &Items { items: vec![item], has_more: true, revision: 72_004 });
+    let empty: Items<Json> = Items { items: Vec::new(), has_more: false, revision: 72_005 };
     check("items-empty.msgpack", &empty);
     check_read(&json!({ "entries": [], "epoch": 72_005 }), &empty);
 }
@@ -131,8 +131,8 @@
 }
 
 #[test]
-fn no_key() {
-    check("no-key.msgpack", &NoKey { revision: 72_009 });
+fn key_not_found() {
+    check("no-key.msgpack", &KeyNotFound { revision: 72_009 });
 }
 
 fn condition() -> Condition {
@@ -173,10 +173,10 @@
 }
 
 #[test]
-fn transaction_answer() {
+fn transaction_response() {
     let failed = vec!["sageloom/map".into(), "sageloom/leader".into()];
-    check("transaction-answer-conflict.msgpack", &TxnAnswer { failed, revision: 72_012 });
-    check("transaction-answer-committed.msgpack", &TxnAnswer { failed: Vec::new(), revision: 72_013 });
+    check("transaction-answer-conflict.msgpack", &TxnResponse { failed, revision: 72_012 });
+    check("transaction-answer-committed.msgpack", &TxnResponse { failed: Vec::new(), revision: 72_013 });
 }
 
 #[test]
