--- a/crates/model/src/budget.rs
+++ b/crates/model/src/budget.rs
@@ -1,12 +1,15 @@
-//! The disruption budget: a drain and the rescheduler, of which each may have been replaced
-//! without knowing it (it then goes on by an old view, beside its successor), and a team of two services, one of two replicas, whose budget is one. A small world of its own: what may be on which machine
-//! at a time is the other model's concern.
+//! A model of the disruption budget, separate from that of the protocol, which covers where tasks
+//! may run at a time.
 //!
-//! A stop is a transaction that marks a replica and enters it into the team's record. It is
-//! decided by records and reports that may be old, may be carried out at any later time, and
-//! is conditional on the versions that it was decided by. An entry goes by a transaction, too,
-//! once its stopper sees the replacement run. The drain goes by what is seen running, the
-//! rescheduler by the records alone.
+//! There are two stoppers, a drain and the rescheduler. Either may have been replaced without
+//! knowing it, and then continues with an outdated view beside its successor. The team has two
+//! services, one of them with two replicas, and a budget of one.
+//!
+//! A stop is a transaction that marks a replica and adds an entry to the team's record. It is decided
+//! by records and reports that may be outdated, may be applied at any later time, and is conditional
+//! on the versions that it was decided by. An entry is removed by another transaction, once a stopper
+//! sees the replacement run. The drain considers which replicas are seen running, the rescheduler
+//! only the records.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -15,67 +18,69 @@
 
 use crate::explore::Model;
 
-/// Replicas of the team, and the service of each.
+/// The replicas of the team, and the service of each.
 const REPLICAS: usize = 3;
-const SERVICE: [usize; REPLICAS] = [0, 0, 1];
+const SERVICE_OF: [usize; REPLICAS] = [0, 0, 1];
 const SERVICES: usize = 2;
-/// Stoppers, and transactions on their way at one time.
 const STOPPERS: usize = 2;
-/// The drain among the stoppers; the other is the rescheduler.
+/// The index of the drain; the other stopper is the rescheduler.
 const DRAIN: usize = 0;
-const TRANSACTIONS: usize = 2;
+/// The largest number of transactions in transit at a time.
+const MAX_TRANSACTIONS: usize = 2;
 
-/// What holds the budget, each of which can be taken away.
+/// A mechanism that keeps the invariants of the budget. Each can be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, ValueEnum)]
 pub enum Mechanism {
-    /// A stop, and the end of an entry, are conditional on the team's record.
+    /// A stop, and the removal of an entry, are conditional on the version of the team's record.
     TeamCondition,
-    /// A stop is conditional on the record of what it stops.
+    /// A stop is conditional on the version of the service's record.
     JobCondition,
-    /// What the team's record names counts as down.
+    /// A replica with an entry in the team's record counts as down.
     OpenEntries,
-    /// An entry goes only once the replacement is seen running, not once it has a place.
+    /// An entry is removed only once the replacement is seen running, not once it is placed.
     SeenRunning,
-    /// Only a replica that is seen running counts as up.
-    FailuresCount,
+    /// For the drain, a replica counts as up only if it is seen running.
+    #[value(name = "failures-count")]
+    FailuresCountAsDown,
 }
 
-/// How much of everything there is.
+/// The model: the removed mechanism, and the limits.
 #[derive(Debug, Clone, Copy)]
-pub struct Budget {
-    pub without: Option<Mechanism>,
-    /// Most attempts of a replica, and replicas that fail.
+pub struct BudgetModel {
+    pub removed: Option<Mechanism>,
+    /// The largest numbers of attempts of each replica, and of failures.
     pub attempts: u8,
     pub failures: u8,
 }
 
-impl Budget {
-    /// The size that is explored in full.
-    pub const fn whole(without: Option<Mechanism>) -> Self {
-        Self { without, attempts: 2, failures: 1 }
+impl BudgetModel {
+    /// The limits of the full exploration.
+    pub const fn full(removed: Option<Mechanism>) -> Self {
+        Self { removed, attempts: 2, failures: 1 }
     }
 
     fn has(&self, mechanism: Mechanism) -> bool {
-        self.without != Some(mechanism)
+        self.removed != Some(mechanism)
     }
 }
 
-/// A replica in its service's record.
+/// A replica, as its service's record has it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Replica {
     attempt: u8,
-    /// It has a place; it is to go on there.
     placed: bool,
+    /// Not marked as to be stopped.
     wanted: bool,
 }
 
-/// The team's record: the attempts that are down by choice.
+/// The team's record, with an entry for each attempt that was stopped on purpose.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Team {
     version: u8,
-    open: [Option<u8>; REPLICAS],
+    open_entries: [Option<u8>; REPLICAS],
 }
 
+/// The records in the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Records {
     replicas: [Replica; REPLICAS],
@@ -84,212 +89,232 @@
     team: Team,
 }
 
-/// What a stopper goes by: the records and the reports of one moment.
+/// What a stopper knows: the records and the reports of one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct View {
     records: Records,
     running: [bool; REPLICAS],
 }
 
+/// The change that a transaction makes, with the index of the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Change {
-    /// By the drain, or by the rescheduler.
+    /// The flag is true for a stop by the drain, false for one by the rescheduler.
     Stop(u8, bool),
-    Settle(u8),
+    RemoveEntry(u8),
 }
 
-/// A transaction on its way, with the versions that it was decided by.
+/// A transaction in transit, with the view that it was decided by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Transaction {
     change: Change,
     view: View,
 }
 
+/// The state of the whole system.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     records: Records,
-    /// In truth.
+    /// The replicas that really run.
     running: [bool; REPLICAS],
-    /// The attempt that was stopped by choice and has not been replaced by a running one.
-    down_by_choice: [Option<u8>; REPLICAS],
+    /// The attempts that were stopped on purpose and that no running attempt has replaced yet.
+    down_on_purpose: [Option<u8>; REPLICAS],
     views: [Option<View>; STOPPERS],
-    transactions: [Option<Transaction>; TRANSACTIONS],
+    transactions: [Option<Transaction>; MAX_TRANSACTIONS],
     failures: u8,
-    /// A drain stopped a replica while another of its service was down already.
-    on_top: bool,
+    /// Whether the drain has stopped a replica while another one of its service was down.
+    drain_stop_while_sibling_down: bool,
 }
 
-/// What can happen.
+/// A step. Stoppers, replicas and transactions are numbered from 0.
 #[derive(Debug, Clone, Copy)]
 pub enum Step {
-    Read(usize),
-    Stop(usize, usize),
-    Settle(usize, usize),
-    CarriedOut(usize),
-    Lost(usize),
-    Exits(usize),
-    Placed(usize),
-    Runs(usize),
-    Fails(usize),
+    RecordsRead(usize),
+    StopRequested(usize, usize),
+    EntryRemovalRequested(usize, usize),
+    TransactionApplied(usize),
+    TransactionLost(usize),
+    ReplicaExited(usize),
+    ReplicaPlaced(usize),
+    ReplicaStarted(usize),
+    ReplicaFailed(usize),
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Step::Read(s) => write!(f, "stopper {s} reads the records and hears what runs"),
-            Step::Stop(s, r) => write!(f, "stopper {s} asks to stop replica {r}"),
-            Step::Settle(s, r) => write!(f, "stopper {s} asks to take off the entry of replica {r}"),
-            Step::CarriedOut(t) => write!(f, "transaction {t} is carried out, if it still may be"),
-            Step::Lost(t) => write!(f, "transaction {t} is lost"),
-            Step::Exits(r) => write!(f, "replica {r} has exited"),
-            Step::Placed(r) => write!(f, "replica {r} has a place again"),
-            Step::Runs(r) => write!(f, "replica {r} runs"),
-            Step::Fails(r) => write!(f, "replica {r} fails"),
+            Step::RecordsRead(s) => {
+                write!(f, "stopper {s} reads the records and the reports of running replicas")
+            }
+            Step::StopRequested(s, r) => write!(f, "stopper {s} sends a transaction that stops replica {r}"),
+            Step::EntryRemovalRequested(s, r) => {
+                write!(f, "stopper {s} sends a transaction that removes the entry of replica {r}")
+            }
+            Step::TransactionApplied(t) => {
+                write!(f, "transaction {t} is applied if its conditions still hold")
+            }
+            Step::TransactionLost(t) => write!(f, "transaction {t} is lost"),
+            Step::ReplicaExited(r) => write!(f, "replica {r} has exited"),
+            Step::ReplicaPlaced(r) => write!(f, "replica {r} is placed again"),
+            Step::ReplicaStarted(r) => write!(f, "replica {r} starts running"),
+            Step::ReplicaFailed(r) => write!(f, "replica {r} fails"),
         }
     }
 }
 
-/// What must hold.
+/// A property that must hold in every state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rule {
-    /// No more than the budget is down by choice.
-    Budget,
-    /// Nothing is stopped on top of what has failed of the same service.
-    OnTop,
+pub enum Invariant {
+    /// No more replicas are down on purpose than the budget allows.
+    WithinBudget,
+    /// The drain stops no replica while another one of the same service is down.
+    NoDrainStopWhileSiblingDown,
 }
 
-impl Budget {
-    fn stops(&self, view: &View, replica: usize, by_drain: bool) -> bool {
-        let r = view.records.replicas[replica];
+impl BudgetModel {
+    fn may_stop(&self, view: &View, replica: usize, by_drain: bool) -> bool {
+        let record = view.records.replicas[replica];
         let is_down = |other: usize| {
-            let o = view.records.replicas[other];
-            let by_records = !by_drain || !self.has(Mechanism::FailuresCount);
-            let up = o.placed && o.wanted && (view.running[other] || by_records);
-            !up || self.has(Mechanism::OpenEntries) && view.records.team.open[other].is_some()
+            let other_record = view.records.replicas[other];
+            let placed_suffices = !by_drain || !self.has(Mechanism::FailuresCountAsDown);
+            let is_up =
+                other_record.placed && other_record.wanted && (view.running[other] || placed_suffices);
+            !is_up || self.has(Mechanism::OpenEntries) && view.records.team.open_entries[other].is_some()
         };
-        r.placed && r.wanted && (0..REPLICAS).filter(|o| *o != replica).all(|o| !is_down(o))
+        record.placed
+            && record.wanted
+            && (0..REPLICAS).filter(|other| *other != replica).all(|other| !is_down(other))
     }
 
-    fn settles(&self, view: &View, replica: usize) -> bool {
-        let r = view.records.replicas[replica];
-        let replaced = |stopped: u8| r.placed && r.attempt > stopped;
-        let seen = view.running[replica] || !self.has(Mechanism::SeenRunning);
-        view.records.team.open[replica].is_some_and(replaced) && seen
+    fn may_remove_entry(&self, view: &View, replica: usize) -> bool {
+        let record = view.records.replicas[replica];
+        let is_replaced = |stopped: u8| record.placed && record.attempt > stopped;
+        let seen_running = view.running[replica] || !self.has(Mechanism::SeenRunning);
+        view.records.team.open_entries[replica].is_some_and(is_replaced) && seen_running
     }
 
-    fn may_be_carried_out(&self, state: &State, t: &Transaction) -> bool {
-        let team = state.records.team.version == t.view.records.team.version;
-        let job = match t.change {
-            Change::Stop(r, _) => {
-                let service = SERVICE[usize::from(r)];
-                state.records.services[service] == t.view.records.services[service]
+    fn conditions_hold(&self, state: &State, transaction: &Transaction) -> bool {
+        let team_unchanged = state.records.team.version == transaction.view.records.team.version;
+        let job_unchanged = match transaction.change {
+            Change::Stop(replica, _) => {
+                let service = SERVICE_OF[usize::from(replica)];
+                state.records.services[service] == transaction.view.records.services[service]
             }
-            Change::Settle(_) => true,
+            Change::RemoveEntry(_) => true,
         };
-        (team || !self.has(Mechanism::TeamCondition)) && (job || !self.has(Mechanism::JobCondition))
+        (team_unchanged || !self.has(Mechanism::TeamCondition))
+            && (job_unchanged || !self.has(Mechanism::JobCondition))
     }
 
-    fn carry_out(&self, state: &mut State, t: &Transaction) {
-        if !self.may_be_carried_out(state, t) {
+    fn apply(&self, state: &mut State, transaction: &Transaction) {
+        if !self.conditions_hold(state, transaction) {
             return;
         }
-        // What is written is made of the view that it was decided by.
-        let mut open = t.view.records.team.open;
-        match t.change {
-            Change::Stop(r, by_drain) => {
-                let r = usize::from(r);
-                let of_service = (0..REPLICAS).filter(|o| SERVICE[*o] == SERVICE[r]);
-                let others_down = of_service.clone().any(|o| o != r && !state.running[o]);
-                state.on_top |= by_drain && others_down;
-                let attempt = t.view.records.replicas[r].attempt;
-                of_service.for_each(|o| state.records.replicas[o] = t.view.records.replicas[o]);
-                state.records.replicas[r].wanted = false;
-                state.records.services[SERVICE[r]] += 1;
-                open[r] = Some(attempt);
-                state.down_by_choice[r] = Some(attempt);
+        // The written records derive from the view that the transaction was decided by.
+        let mut open_entries = transaction.view.records.team.open_entries;
+        match transaction.change {
+            Change::Stop(replica, by_drain) => {
+                let replica = usize::from(replica);
+                let in_service = (0..REPLICAS).filter(|other| SERVICE_OF[*other] == SERVICE_OF[replica]);
+                let others_down = in_service.clone().any(|other| other != replica && !state.running[other]);
+                state.drain_stop_while_sibling_down |= by_drain && others_down;
+                let attempt = transaction.view.records.replicas[replica].attempt;
+                in_service.for_each(|other| {
+                    state.records.replicas[other] = transaction.view.records.replicas[other]
+                });
+                state.records.replicas[replica].wanted = false;
+                state.records.services[SERVICE_OF[replica]] += 1;
+                open_entries[replica] = Some(attempt);
+                state.down_on_purpose[replica] = Some(attempt);
             }
-            Change::Settle(r) => open[usize::from(r)] = None,
+            Change::RemoveEntry(replica) => open_entries[usize::from(replica)] = None,
         }
         let version = state.records.team.version + 1;
-        state.records.team = Team { version, open };
+        state.records.team = Team { version, open_entries };
     }
 
-    fn exit(&self, state: &mut State, r: usize) {
-        let record = &mut state.records.replicas[r];
+    fn exit(&self, state: &mut State, replica: usize) {
+        let record = &mut state.records.replicas[replica];
         record.placed = false;
         record.attempt += 1;
-        state.records.services[SERVICE[r]] += 1;
-        state.running[r] = false;
+        state.records.services[SERVICE_OF[replica]] += 1;
+        state.running[replica] = false;
     }
 
+    /// The state with one more transaction in transit, if a slot is free.
     fn send(state: &State, view: View, change: Change) -> Option<State> {
-        let free = state.transactions.iter().position(Option::is_none)?;
+        let free_slot = state.transactions.iter().position(Option::is_none)?;
         let mut next = state.clone();
-        next.transactions[free] = Some(Transaction { change, view });
+        next.transactions[free_slot] = Some(Transaction { change, view });
         Some(next)
     }
 
-    fn of_stopper(&self, state: &State, s: usize, out: &mut Vec<(Step, State)>) {
-        let now = View { records: state.records, running: state.running };
-        if state.views[s] != Some(now) {
+    fn stopper_steps(&self, state: &State, stopper: usize, successors: &mut Vec<(Step, State)>) {
+        let current = View { records: state.records, running: state.running };
+        if state.views[stopper] != Some(current) {
             let mut next = state.clone();
-            next.views[s] = Some(now);
-            out.push((Step::Read(s), next));
+            next.views[stopper] = Some(current);
+            successors.push((Step::RecordsRead(stopper), next));
         }
-        let Some(view) = state.views[s] else { return };
-        for r in 0..REPLICAS {
-            let n = r as u8;
-            let by_drain = s == DRAIN;
-            if self.stops(&view, r, by_drain) {
-                let change = Change::Stop(n, by_drain);
-                out.extend(Self::send(state, view, change).map(|next| (Step::Stop(s, r), next)));
+        let Some(view) = state.views[stopper] else { return };
+        for replica in 0..REPLICAS {
+            let replica_number = replica as u8;
+            let by_drain = stopper == DRAIN;
+            if self.may_stop(&view, replica, by_drain) {
+                let change = Change::Stop(replica_number, by_drain);
+                successors.extend(
+                    Self::send(state, view, change).map(|next| (Step::StopRequested(stopper, replica), next)),
+                );
             }
-            if self.settles(&view, r) {
-                out.extend(Self::send(state, view, Change::Settle(n)).map(|next| (Step::Settle(s, r), next)));
+            if self.may_remove_entry(&view, replica) {
+                successors.extend(
+                    Self::send(state, view, Change::RemoveEntry(replica_number))
+                        .map(|next| (Step::EntryRemovalRequested(stopper, replica), next)),
+                );
             }
         }
     }
 
-    fn of_replica(&self, state: &State, r: usize, out: &mut Vec<(Step, State)>) {
-        let record = state.records.replicas[r];
-        let step = |change: &dyn Fn(&mut State)| {
+    fn replica_steps(&self, state: &State, replica: usize, successors: &mut Vec<(Step, State)>) {
+        let record = state.records.replicas[replica];
+        let changed = |change: &dyn Fn(&mut State)| {
             let mut next = state.clone();
             change(&mut next);
             next
         };
         if record.placed && !record.wanted {
-            out.push((Step::Exits(r), step(&|next| self.exit(next, r))));
+            successors.push((Step::ReplicaExited(replica), changed(&|next| self.exit(next, replica))));
         }
         if !record.placed && record.attempt < self.attempts {
             let place = |next: &mut State| {
-                let record = &mut next.records.replicas[r];
+                let record = &mut next.records.replicas[replica];
                 (record.placed, record.wanted) = (true, true);
-                next.records.services[SERVICE[r]] += 1;
+                next.records.services[SERVICE_OF[replica]] += 1;
             };
-            out.push((Step::Placed(r), step(&place)));
+            successors.push((Step::ReplicaPlaced(replica), changed(&place)));
         }
-        if record.placed && record.wanted && !state.running[r] {
+        if record.placed && record.wanted && !state.running[replica] {
             let run = |next: &mut State| {
-                next.running[r] = true;
-                if next.down_by_choice[r].is_some_and(|stopped| record.attempt > stopped) {
-                    next.down_by_choice[r] = None;
+                next.running[replica] = true;
+                if next.down_on_purpose[replica].is_some_and(|stopped| record.attempt > stopped) {
+                    next.down_on_purpose[replica] = None;
                 }
             };
-            out.push((Step::Runs(r), step(&run)));
+            successors.push((Step::ReplicaStarted(replica), changed(&run)));
         }
-        if state.running[r] && state.failures < self.failures {
+        if state.running[replica] && state.failures < self.failures {
             let fail = |next: &mut State| {
-                self.exit(next, r);
+                self.exit(next, replica);
                 next.failures += 1;
             };
-            out.push((Step::Fails(r), step(&fail)));
+            successors.push((Step::ReplicaFailed(replica), changed(&fail)));
         }
     }
 }
 
-/// Brings states that differ in nothing that matters to the same form: versions are compared
-/// for equality only, and so become ranks; transactions are sorted.
-fn canonical(state: &mut State) {
+/// Replaces a state by the representative of its equivalent states: versions are compared for
+/// equality only and become ranks, and transactions are sorted.
+fn canonicalize(state: &mut State) {
     rank(state, |records| &mut records.team.version);
     for service in 0..SERVICES {
         rank(state, |records| &mut records.services[service]);
@@ -297,62 +322,63 @@
     state.transactions.sort();
 }
 
+/// Replaces each copy of one version number by its rank.
 fn rank(state: &mut State, version: impl Fn(&mut Records) -> &mut u8) {
     let State { records, views, transactions, .. } = state;
-    let of_views = views.iter_mut().flatten().map(|v| &mut v.records);
-    let of_transactions = transactions.iter_mut().flatten().map(|t| &mut t.view.records);
+    let in_views = views.iter_mut().flatten().map(|view| &mut view.records);
+    let in_transactions = transactions.iter_mut().flatten().map(|transaction| &mut transaction.view.records);
     let mut all: Vec<&mut u8> =
-        std::iter::once(records).chain(of_views).chain(of_transactions).map(&version).collect();
-    let mut known: Vec<u8> = all.iter().map(|v| **v).collect();
+        std::iter::once(records).chain(in_views).chain(in_transactions).map(&version).collect();
+    let mut known: Vec<u8> = all.iter().map(|number| **number).collect();
     known.sort_unstable();
     known.dedup();
-    for v in &mut all {
-        **v = known.partition_point(|k| *k < **v) as u8;
+    for number in &mut all {
+        **number = known.partition_point(|k| *k < **number) as u8;
     }
 }
 
-impl Model for Budget {
+impl Model for BudgetModel {
     type State = State;
     type Step = Step;
-    type Rule = Rule;
+    type Invariant = Invariant;
 
-    fn starts(&self) -> Vec<State> {
+    fn initial_states(&self) -> Vec<State> {
         let replica = Replica { attempt: 0, placed: true, wanted: true };
         let (replicas, services) = ([replica; REPLICAS], [0; SERVICES]);
         let records = Records { replicas, services, team: Team::default() };
         vec![State {
             records,
             running: [true; REPLICAS],
-            down_by_choice: [None; REPLICAS],
+            down_on_purpose: [None; REPLICAS],
             views: [None; STOPPERS],
-            transactions: [None; TRANSACTIONS],
+            transactions: [None; MAX_TRANSACTIONS],
             failures: 0,
-            on_top: false,
+            drain_stop_while_sibling_down: false,
         }]
     }
 
-    fn next(&self, state: &State) -> Vec<(Step, State)> {
-        let mut out = Vec::new();
-        (0..STOPPERS).for_each(|s| self.of_stopper(state, s, &mut out));
-        (0..REPLICAS).for_each(|r| self.of_replica(state, r, &mut out));
-        for (i, transaction) in state.transactions.iter().enumerate() {
+    fn successors(&self, state: &State) -> Vec<(Step, State)> {
+        let mut successors = Vec::new();
+        (0..STOPPERS).for_each(|stopper| self.stopper_steps(state, stopper, &mut successors));
+        (0..REPLICAS).for_each(|replica| self.replica_steps(state, replica, &mut successors));
+        for (slot, transaction) in state.transactions.iter().enumerate() {
             let Some(transaction) = transaction else { continue };
             let mut next = state.clone();
-            next.transactions[i] = None;
-            let mut carried_out = next.clone();
-            self.carry_out(&mut carried_out, transaction);
-            out.push((Step::Lost(i), next));
-            out.push((Step::CarriedOut(i), carried_out));
+            next.transactions[slot] = None;
+            let mut applied = next.clone();
+            self.apply(&mut applied, transaction);
+            successors.push((Step::TransactionLost(slot), next));
+            successors.push((Step::TransactionApplied(slot), applied));
         }
-        out.iter_mut().for_each(|(_, next)| canonical(next));
-        out
+        successors.iter_mut().for_each(|(_, next)| canonicalize(next));
+        successors
     }
 
-    fn broken(&self, state: &State) -> Option<Rule> {
-        if state.down_by_choice.iter().flatten().count() > 1 {
-            return Some(Rule::Budget);
+    fn violation(&self, state: &State) -> Option<Invariant> {
+        if state.down_on_purpose.iter().flatten().count() > 1 {
+            return Some(Invariant::WithinBudget);
         }
-        state.on_top.then_some(Rule::OnTop)
+        state.drain_stop_while_sibling_down.then_some(Invariant::NoDrainStopWhileSiblingDown)
     }
 
     fn hash(&self, state: &State, hasher: &mut impl Hasher) {
--- a/crates/model/src/explore.rs
+++ b/crates/model/src/explore.rs
@@ -1,9 +1,9 @@
-//! A breadth-first walk over all states, by several threads.
+//! A multi-threaded breadth-first search over all reachable states of a model.
 //!
-//! What was seen is kept as 64-bit fingerprints, each with that of the state before. So
-//! the first broken rule is found in the fewest steps, and the way there is walked again
-//! to be told. Two states with the same fingerprint would pass for one: with ten
-//! million states the chance is one in about 400,000.
+//! Visited states are kept as 64-bit fingerprints, each with the fingerprint of its predecessor.
+//! The first violation is therefore found in the fewest possible steps, and its trace is rebuilt
+//! by running the model again along the predecessors. Two states with the same fingerprint would
+//! be taken for one; with ten million states the probability is about one in 400,000.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -14,51 +14,51 @@
 
 use foldhash::quality::FixedState;
 
-/// A world in which anything may happen next that its steps tell.
+/// A state machine to be checked: any of a state's successors may come next.
 pub trait Model: Sync {
     type State: Clone + Send + Sync;
     type Step: Send;
-    /// What must hold in every state.
-    type Rule: Copy + Send;
-
-    /// The states that it begins with.
-    fn starts(&self) -> Vec<Self::State>;
-    /// What can happen next, and the states after it.
-    fn next(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
-    /// The rule that is broken in a state.
-    fn broken(&self, state: &Self::State) -> Option<Self::Rule>;
-    /// Feeds all that tells one state from another.
+    /// A property that must hold in every state.
+    type Invariant: Copy + Send;
+
+    fn initial_states(&self) -> Vec<Self::State>;
+    /// The possible steps from a state, each with the state it leads to.
+    fn successors(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
+    /// The invariant that a state violates.
+    fn violation(&self, state: &Self::State) -> Option<Self::Invariant>;
+    /// Feeds everything that distinguishes two states to the hasher.
     fn hash(&self, state: &Self::State, hasher: &mut impl Hasher);
 }
 
-/// The steps from a start to a state, with the states between.
-pub type Way<M> = Vec<(<M as Model>::Step, <M as Model>::State)>;
+/// The steps from an initial state to another one, each with the state it leads to.
+pub type Trace<M> = Vec<(<M as Model>::Step, <M as Model>::State)>;
 
-/// The fingerprint of a state that breaks a rule, and the rule.
-type Breach<M> = (u64, <M as Model>::Rule);
+/// The fingerprint of a state that violates an invariant, and the invariant.
+type Violation<M> = (u64, <M as Model>::Invariant);
 
-/// How many threads, and how many states at the most.
+/// The number of threads, and the number of states after which the search stops.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     pub threads: usize,
     pub states: usize,
 }
 
+/// The result of a search.
 pub struct Outcome<M: Model> {
     pub states: usize,
-    /// The longest shortest way to a state, in steps.
+    /// The largest distance of a state from the initial states, in steps.
     pub depth: usize,
-    pub took: Duration,
-    /// All states were seen, or a rule was broken before.
-    pub whole: bool,
-    pub broken: Option<(M::Rule, Way<M>)>,
+    pub duration: Duration,
+    /// Whether the search ended before the limit: all states were visited or a violation was found.
+    pub exhaustive: bool,
+    pub violation: Option<(M::Invariant, Trace<M>)>,
 }
 
-/// Fingerprints are hashes already.
+/// Passes fingerprints through: they are hashes already.
 #[derive(Default)]
-struct AsItIs(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for AsItIs {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -70,116 +70,139 @@
     }
 }
 
-/// The state before, and whether there is one.
-type Seen = HashMap<u64, u64, BuildHasherDefault<AsItIs>>;
+/// The fingerprint of each visited state's predecessor; 0 for an initial state.
+type Predecessors = HashMap<u64, u64, BuildHasherDefault<IdentityHasher>>;
 
 const SHARDS: usize = 64;
 
-struct Walk<M> {
-    world: M,
-    seen: Vec<Mutex<Seen>>,
+struct Search<M> {
+    model: M,
+    predecessors: Vec<Mutex<Predecessors>>,
 }
 
-impl<M: Model> Walk<M> {
-    /// Never 0, which stands for "none".
+impl<M: Model> Search<M> {
+    /// Never 0, which stands for "no predecessor".
     fn fingerprint(&self, state: &M::State) -> u64 {
         let mut hasher = FixedState::default().build_hasher();
-        self.world.hash(state, &mut hasher);
+        self.model.hash(state, &mut hasher);
         hasher.finish().max(1)
     }
 
-    /// Whether a state is new.
-    fn enter(&self, print: u64, before: u64) -> bool {
-        let shard = &self.seen[(print >> 58) as usize % SHARDS];
-        match shard.lock().unwrap_or_else(PoisonError::into_inner).entry(print) {
+    /// Returns false if the state was visited before.
+    fn insert_if_new(&self, fingerprint: u64, predecessor: u64) -> bool {
+        let shard = &self.predecessors[(fingerprint >> 58) as usize % SHARDS];
+        match shard.lock().unwrap_or_else(PoisonError::into_inner).entry(fingerprint) {
             Entry::Occupied(_) => false,
-            Entry::Vacant(v) => {
-                v.insert(before);
+            Entry::Vacant(entry) => {
+                entry.insert(predecessor);
                 true
             }
         }
     }
 
-    fn before(&self, print: u64) -> u64 {
-        let shard = &self.seen[(print >> 58) as usize % SHARDS];
-        shard.lock().unwrap_or_else(PoisonError::into_inner).get(&print).copied().unwrap_or(0)
+    fn predecessor(&self, fingerprint: u64) -> u64 {
+        let shard = &self.predecessors[(fingerprint >> 58) as usize % SHARDS];
+        shard.lock().unwrap_or_else(PoisonError::into_inner).get(&fingerprint).copied().unwrap_or(0)
     }
 
-    /// The new states after some, and the least fingerprint among those that break a rule.
-    fn expand(&self, states: &[M::State]) -> (Vec<M::State>, Option<Breach<M>>) {
-        let (mut found, mut broken) = (Vec::new(), None::<(u64, M::Rule)>);
+    /// The new successors of some states, and the violation with the lowest fingerprint among them.
+    fn expand(&self, states: &[M::State]) -> (Vec<M::State>, Option<Violation<M>>) {
+        let (mut new_states, mut violation) = (Vec::new(), None::<(u64, M::Invariant)>);
         for state in states {
-            let before = self.fingerprint(state);
-            for (_, next) in self.world.next(state) {
-                let print = self.fingerprint(&next);
-                if !self.enter(print, before) {
+            let predecessor = self.fingerprint(state);
+            for (_, next) in self.model.successors(state) {
+                let fingerprint = self.fingerprint(&next);
+                if !self.insert_if_new(fingerprint, predecessor) {
                     continue;
                 }
-                match self.world.broken(&next) {
-                    Some(rule) if broken.is_none_or(|(p, _)| print < p) => broken = Some((print, rule)),
+                match self.model.violation(&next) {
+                    Some(invariant) if violation.is_none_or(|(lowest, _)| fingerprint < lowest) => {
+                        violation = Some((fingerprint, invariant))
+                    }
                     Some(_) => {}
-                    None => found.push(next),
+                    None => new_states.push(next),
                 }
             }
         }
-        (found, broken)
+        (new_states, violation)
     }
 
-    /// The steps from a start to the state with this fingerprint.
-    fn way(&self, starts: &[M::State], last: u64) -> Way<M> {
-        let mut prints = vec![last];
-        let mut print = last;
-        while self.before(print) != 0 {
-            print = self.before(print);
-            prints.push(print);
+    /// The trace from an initial state to the state with this fingerprint.
+    fn trace_to(&self, initial_states: &[M::State], last: u64) -> Trace<M> {
+        let mut fingerprints = vec![last];
+        let mut fingerprint = last;
+        while self.predecessor(fingerprint) != 0 {
+            fingerprint = self.predecessor(fingerprint);
+            fingerprints.push(fingerprint);
         }
-        prints.reverse();
-        let Some(mut at) = starts.iter().find(|s| self.fingerprint(s) == prints[0]).cloned() else {
+        fingerprints.reverse();
+        let Some(mut current) =
+            initial_states.iter().find(|s| self.fingerprint(s) == fingerprints[0]).cloned()
+        else {
             return Vec::new();
         };
-        let mut way = Vec::new();
-        for print in &prints[1..] {
-            let Some((step, state)) =
-                self.world.next(&at).into_iter().find(|(_, s)| self.fingerprint(s) == *print)
+        let mut trace = Vec::new();
+        for fingerprint in &fingerprints[1..] {
+            let Some((step, state)) = self
+                .model
+                .successors(&current)
+                .into_iter()
+                .find(|(_, s)| self.fingerprint(s) == *fingerprint)
             else {
-                return way;
+                return trace;
             };
-            at = state.clone();
-            way.push((step, state));
+            current = state.clone();
+            trace.push((step, state));
         }
-        way
+        trace
     }
 }
 
-pub fn explore<M: Model>(world: M, limits: Limits) -> Outcome<M> {
-    let begun = Instant::now();
-    let walk = Walk { world, seen: (0..SHARDS).map(|_| Mutex::default()).collect() };
-    let starts = walk.world.starts();
-    let mut level: Vec<M::State> =
-        starts.iter().filter(|s| walk.enter(walk.fingerprint(s), 0)).cloned().collect();
-    let (mut states, mut depth) = (level.len(), 0);
-    let outcome =
-        |states, depth, whole, broken| Outcome { states, depth, took: begun.elapsed(), whole, broken };
-    while !level.is_empty() {
+/// Searches the model until a violation is found, all states are visited or the limit is reached.
+pub fn explore<M: Model>(model: M, limits: Limits) -> Outcome<M> {
+    let started = Instant::now();
+    let search = Search { model, predecessors: (0..SHARDS).map(|_| Mutex::default()).collect() };
+    let initial_states = search.model.initial_states();
+    let mut frontier: Vec<M::State> =
+        initial_states.iter().filter(|s| search.insert_if_new(search.fingerprint(s), 0)).cloned().collect();
+    let (mut states, mut depth) = (frontier.len(), 0);
+    let outcome = |states, depth, exhaustive, violation| Outcome {
+        states,
+        depth,
+        duration: started.elapsed(),
+        exhaustive,
+        violation,
+    };
+    while !frontier.is_empty() {
         if states > limits.states {
             return outcome(states, depth, false, None);
         }
-        let share = level.len().div_ceil(limits.threads.max(1));
-        let parts: Vec<_> = thread::scope(|scope| {
-            let work: Vec<_> = level.chunks(share).map(|part| scope.spawn(|| walk.expand(part))).collect();
-            work.into_iter().filter_map(|w| w.join().ok()).collect()
+        let chunk_size = frontier.len().div_ceil(limits.threads.max(1));
+        let results: Vec<_> = thread::scope(|scope| {
+            let handles: Vec<_> =
+                frontier.chunks(chunk_size).map(|chunk| scope.spawn(|| search.expand(chunk))).collect();
+            handles.into_iter().filter_map(|handle| handle.join().ok()).collect()
         });
-        level.clear();
-        let mut broken = None::<(u64, M::Rule)>;
-        for (found, b) in parts {
-            level.extend(found);
-            broken = [broken, b].into_iter().flatten().min_by_key(|(print, _)| *print);
+        frontier.clear();
+        let mut violation = None::<(u64, M::Invariant)>;
+        for (new_states, chunk_violation) in results {
+            frontier.extend(new_states);
+            violation = [violation, chunk_violation]
+                .into_iter()
+                .flatten()
+                .min_by_key(|(fingerprint, _)| *fingerprint);
         }
-        states = walk.seen.iter().map(|s| s.lock().unwrap_or_else(PoisonError::into_inner).len()).sum();
-        if let Some((print, rule)) = broken {
-            return outcome(states, depth + 1, true, Some((rule, walk.way(&starts, print))));
+        states =
+            search.predecessors.iter().map(|s| s.lock().unwrap_or_else(PoisonError::into_inner).len()).sum();
+        if let Some((fingerprint, invariant)) = violation {
+            return outcome(
+                states,
+                depth + 1,
+                true,
+                Some((invariant, search.trace_to(&initial_states, fingerprint))),
+            );
         }
-        depth += usize::from(!level.is_empty());
+        depth += usize::from(!frontier.is_empty());
     }
     outcome(states, depth, true, None)
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,13 +1,13 @@
-//! A model of what keeps the rules, explored exhaustively for small sizes.
+//! A model of the protocol between controllers and workers, checked exhaustively for small sizes.
 //!
-//! `state` holds what there is at one moment, `steps` what can happen next (in
-//! `controller` and `machine` for the two sides), `explore` walks all of it in breadth
-//! and gives the shortest way to a broken rule. Each mechanism can be removed. What the
-//! model leaves out stands in docs/design.md.
+//! `state` defines the state of the system, `steps` the possible transitions (`controller` and
+//! `worker` define those of the two sides), and `explore` searches all states breadth-first for the
+//! shortest trace to a violated invariant. Each mechanism of the protocol can be removed.
+//! docs/design.md lists what the model leaves out.
 
+mod canonical;
 mod controller;
-mod machine;
-mod order;
+mod worker;
 
 pub mod budget;
 pub mod explore;
--- a/crates/model/src/mechanism.rs
+++ b/crates/model/src/mechanism.rs
@@ -1,66 +1,80 @@
-//! What keeps the rules, each of which can be taken away.
+//! The mechanisms of the protocol that keep the invariants. Each can be removed from the model.
 
 use clap::ValueEnum;
 
-/// One mechanism of the controllers or of the workers.
+/// A mechanism of the controllers or of the workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, ValueEnum)]
 pub enum Mechanism {
-    /// A worker drops answers and commands with a token below the highest it has seen.
+    /// A worker drops answers and commands whose token is below the highest it has seen.
     TokenCheck,
-    /// Absence is a proof only after a token above every launch that may be on its way.
-    LaterToken,
-    /// An exit counts only in a report that answers its owner or shows its token.
+    /// A task's absence proves its end only if the worker's token is above that of every launch in transit.
+    #[value(name = "later-token")]
+    AbsenceNeedsLaterToken,
+    /// An exit counts only if reported in reply to the owner's request, or with a token of its ownership.
     TrustedReport,
-    /// The owner counts the lease longer than a worker's slow clock may make it.
+    /// The owner waits longer than the lease before it counts it as over, for a worker with a slow clock.
     LeaseSlack,
-    /// A lease is held over only if the worker has shown a token of the present map.
+    /// A lease counts as over only if the worker has shown a token of the current map.
     LeaseToken,
-    /// The renewal counts from the moment the report was sent.
+    /// A worker counts the renewal of its lease from the moment it sent the report.
     LeaseFromSend,
-    /// Placements and ends are conditional on the map.
+    /// Placements and ends of assignments are conditional on the epoch of the map.
     EpochFence,
-    /// A placement is committed before it is launched.
-    RecordFirst,
-    /// What was proven over is not launched any more.
-    EndedStays,
-    /// An owner that lost a machine and has it again knows nothing of it.
-    NewOwnerForgets,
-    /// A user is told of a cancellation only once it is committed.
+    /// A placement is committed before the task is launched.
+    #[value(name = "record-first")]
+    CommitBeforeLaunch,
+    /// An attempt that is proven to be over is never launched again.
+    #[value(name = "ended-stays")]
+    NoLaunchAfterEnd,
+    /// An owner that lost a worker and owns it again discards what it knew of it.
+    #[value(name = "new-owner-forgets")]
+    ResetOnReacquire,
+    /// A cancellation is confirmed to the user only once it is committed.
     ConfirmCommitted,
-    /// Answers to reports end a while after what is known was last fresh.
+    /// A controller answers reports only within a bound after the last confirmation of its records.
     RenewalBound,
-    /// Launches sent straight to workers end at the same bound.
+    /// Launches that are sent to workers as commands end at the renewal bound, too.
     LaunchBound,
-    /// Each answer that renews carries the stops, also while a request is unanswered.
+    /// Each answer that renews a lease carries the stop, even while a command is unanswered.
     StopWithAnswer,
-    /// It carries them for what the report does not show: a launch may be on its way.
-    StopUnseen,
-    /// So does the one answer of a controller that does not own the machine.
-    FirstAnswerStops,
-    /// Every configured peer's word is needed, not that of one.
+    /// The answer also carries the stop of a task that is not in the report: its launch may be in transit.
+    #[value(name = "stop-unseen")]
+    StopUnreported,
+    /// A controller that does not own the worker sends the stop, too, in the one answer that it gives.
+    #[value(name = "first-answer-stops")]
+    NonOwnerStops,
+    /// Renewal without the state service needs the answers of all configured peers, not of just one.
     AllPeers,
-    /// What a peer has read or committed beyond the mirror is applied before its word counts.
+    /// What a peer has read or committed beyond the asker's mirror is applied before its answer counts.
     ReadIndex,
-    /// An answer that lacks a part of it does not count.
-    Complete,
-    /// An answer is matched to its request.
+    /// A peer's answer that is incomplete does not count.
+    #[value(name = "complete")]
+    CompleteAnswer,
+    /// A peer's answer is matched to the request by a nonce.
     Nonce,
-    /// A peer's word counts from when it was asked, not from when the answer came.
-    AskTime,
-    /// A process that has read nothing counts only if it was heard of before the own reading.
-    Incarnation,
-    /// A process that has read nothing counts at all only by that rule.
-    Unread,
-    /// "Has read" is of the process's life: one that reads anew still has confirmed.
-    EverRead,
-    /// What is read late does not replace a newer record.
-    NewerWins,
-    /// Reading all records anew keeps what was committed or learnt meanwhile.
-    RereadKeeps,
-    /// A peer that knows a newer map does not count.
+    /// The age of a peer's answer counts from the request, not from the arrival of the answer.
+    #[value(name = "ask-time")]
+    AgeFromRequest,
+    /// A peer that has read no records counts only if its incarnation was known before the asker's last read.
+    #[value(name = "incarnation")]
+    KnownIncarnation,
+    /// The answer of a peer that has read no records does not count unconditionally.
+    #[value(name = "unread")]
+    UnreadPeerCheck,
+    /// A peer counts as having read the records once it did since its start, also while it rereads them.
+    #[value(name = "ever-read")]
+    ReadSinceStart,
+    /// A read whose answer arrives late does not replace a newer record.
+    #[value(name = "newer-wins")]
+    NewerRecordWins,
+    /// Rereading all records keeps what was committed or learned from peers in the meantime.
+    #[value(name = "reread-keeps")]
+    RereadKeepsNewer,
+    /// The answer of a peer that knows a newer map does not count.
     PeerEpoch,
-    /// The rule until now was another: that all peers say they have no state service either.
-    NotBySilence,
+    /// Renewal needs confirmed records; formerly it sufficed that all peers reported an outage, too.
+    #[value(name = "not-by-silence")]
+    NoRenewalByOutage,
 }
 
 impl Mechanism {
@@ -69,16 +83,16 @@
     }
 }
 
-/// Which mechanisms are taken away.
+/// The mechanisms in effect: all but the removed ones, which are kept as a bit set.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Without(u32);
+pub struct Mechanisms(u32);
 
-impl Without {
-    pub fn one(mechanism: Mechanism) -> Self {
+impl Mechanisms {
+    pub fn all_except(mechanism: Mechanism) -> Self {
         Self(mechanism.bit())
     }
 
-    pub fn and(self, mechanism: Mechanism) -> Self {
+    pub fn without(self, mechanism: Mechanism) -> Self {
         Self(self.0 | mechanism.bit())
     }
 
--- a/crates/model/src/size.rs
+++ b/crates/model/src/size.rs
@@ -1,38 +1,40 @@
-//! How large a world is explored, and from where.
+//! The sizes of the modelled system, and its initial states.
 
 use crate::state::*;
 
-/// What the world begins with.
+/// An initial state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
     /// The task runs on the first worker, which the first controller owns.
     Running,
-    /// It is recorded there and not launched yet.
+    /// By its record, the task is placed on the first worker; it is not launched yet.
     Placed,
-    /// It failed there, as its owner knows; the worker's lease is over since.
+    /// The task failed on the first worker, which the owner knows. The worker's lease has expired since.
     Failed,
-    /// It failed there in an earlier session, of which a late copy of a report tells; its
-    /// owner knows no more than that it is recorded there.
-    Copied,
+    /// The task failed on the first worker in an earlier session, and a delayed copy of a report about
+    /// it is in transit. The owner knows only that the task is placed on this worker.
+    LateReport,
 }
 
-/// The size of a world. Times are in ticks, the rest are the most there are of each.
+/// The size of the modelled system. Times are in ticks; the other numbers are maxima.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
     pub name: &'static str,
     pub controllers: usize,
     pub workers: usize,
-    /// How long a worker's lease is, and by how much its slow clock may lengthen it.
+    /// The length of a worker's lease.
     pub lease: u8,
-    pub drift: u8,
-    /// How long an owner answers reports after what it knows was fresh. `None`: always
-    /// (where only starting twice is looked at, which the bound has no part in).
-    pub bound: Option<u8>,
-    /// How long a command is waited for, and a report's answer.
-    pub request: u8,
-    pub response: u8,
-    /// How long a task may be on a machine after its cancellation was told.
-    pub cancel: u8,
+    /// How much longer a slow clock may make the lease.
+    pub clock_drift: u8,
+    /// How long a controller answers reports after its records were last confirmed. `None` is without
+    /// limit, for sizes that only check that a task runs at most once, which the bound does not affect.
+    pub renewal_bound: Option<u8>,
+    /// How long a controller waits for the answer to a command.
+    pub command_timeout: u8,
+    /// How long a worker waits for the answer to a report.
+    pub answer_timeout: u8,
+    /// How long a task may still run after its cancellation was confirmed to a user.
+    pub cancel_limit: u8,
     pub starts: &'static [Start],
     pub maps: u8,
     pub restarts: u8,
@@ -40,32 +42,33 @@
     pub cancels: u8,
     pub evictions: u8,
     pub attempts: u8,
-    /// Tasks that exit by themselves.
+    /// Tasks that exit without having been stopped.
     pub exits: u8,
-    /// Readings that take time, and readings of everything anew.
-    pub slow_readings: u8,
-    pub rereadings: u8,
-    /// How many commands sent straight to a worker are on their way at once.
+    /// Reads of the records whose answers take time.
+    pub slow_reads: u8,
+    /// Rereads of all records.
+    pub rereads: u8,
+    /// Commands in transit to a worker at a time.
     pub commands: usize,
-    /// Which controller asks which for its read index.
-    pub asks: &'static [(usize, usize)],
-    /// How many of the workers, from the first on, may change owners.
-    pub moving: usize,
-    /// Whether answers may lack a part.
-    pub partial: bool,
+    /// Pairs of controllers, the first of which asks the second for its read index.
+    pub read_index_pairs: &'static [(usize, usize)],
+    /// How many of the workers, counted from the first, may change owners.
+    pub movable_workers: usize,
+    /// Whether peers' answers may be incomplete.
+    pub partial_answers: bool,
 }
 
-/// The renewal bound among two controllers and one worker, with a peer that forgets.
+/// The renewal bound with two controllers and one worker, and a peer that restarts.
 pub const RENEWAL: Size = Size {
     name: "renewal",
     controllers: 2,
     workers: 1,
     lease: 2,
-    drift: 1,
-    bound: Some(2),
-    request: 1,
-    response: 1,
-    cancel: 4,
+    clock_drift: 1,
+    renewal_bound: Some(2),
+    command_timeout: 1,
+    answer_timeout: 1,
+    cancel_limit: 4,
     starts: &[Start::Running],
     maps: 0,
     restarts: 2,
@@ -74,89 +77,108 @@
     evictions: 0,
     attempts: 1,
     exits: 0,
-    slow_readings: 0,
-    rereadings: 0,
+    slow_reads: 0,
+    rereads: 0,
     commands: 0,
-    asks: &[(0, 1)],
-    moving: 0,
-    partial: true,
+    read_index_pairs: &[(0, 1)],
+    movable_workers: 0,
+    partial_answers: true,
 };
 
-/// The same with the shortest times: one tick for the lease and one for its slack, and
-/// answers within the tick.
-pub const fn quick(size: Size) -> Size {
-    Size { lease: 1, bound: Some(1), request: 0, response: 0, cancel: 1, ..size }
+/// A size with the shortest possible times: one tick for the lease and one for its slack, and answers
+/// within the tick.
+pub const fn with_shortest_times(size: Size) -> Size {
+    Size { lease: 1, renewal_bound: Some(1), command_timeout: 0, answer_timeout: 0, cancel_limit: 1, ..size }
 }
 
-/// Readings whose answers take time, beside a peer that forgets.
-pub const READING: Size = Size { name: "reading", slow_readings: 1, restarts: 1, partial: false, ..RENEWAL };
+/// Reads whose answers take time, and a peer that restarts.
+pub const READING: Size =
+    Size { name: "reading", slow_reads: 1, restarts: 1, partial_answers: false, ..RENEWAL };
 
-/// The same beside a new map, so that a late answer is news.
-pub const READING_LATE: Size =
-    quick(Size { name: "reading-late", slow_readings: 1, restarts: 0, maps: 1, partial: false, ..RENEWAL });
+/// Reads whose answers take time while a new map is written, so that a late answer brings a change.
+pub const READING_LATE: Size = with_shortest_times(Size {
+    name: "reading-late",
+    slow_reads: 1,
+    restarts: 0,
+    maps: 1,
+    partial_answers: false,
+    ..RENEWAL
+});
 
-/// Readings of all records anew, where the state service no longer has the changes.
+/// Rereads of all records, as needed when the state service no longer has the changes.
 pub const READING_ANEW: Size =
-    Size { name: "reading-anew", rereadings: 1, restarts: 0, partial: false, ..RENEWAL };
+    Size { name: "reading-anew", rereads: 1, restarts: 0, partial_answers: false, ..RENEWAL };
 
-/// Three controllers, two of which learn of cancellations from others.
+/// Three controllers, two of which learn of cancellations from other ones.
 pub const LEARNING: Size = Size {
     name: "learning",
     controllers: 3,
     restarts: 0,
-    asks: &[(0, 1), (0, 2), (1, 2)],
-    partial: false,
+    read_index_pairs: &[(0, 1), (0, 2), (1, 2)],
+    partial_answers: false,
     ..RENEWAL
 };
 
-/// Three controllers, where one that the owner asks forgets.
-pub const FORGETTING: Size =
-    quick(Size { name: "forgetting", controllers: 3, restarts: 1, asks: &[(0, 1), (0, 2)], ..RENEWAL });
+/// Three controllers, where a peer that the owner asks restarts.
+pub const FORGETTING: Size = with_shortest_times(Size {
+    name: "forgetting",
+    controllers: 3,
+    restarts: 1,
+    read_index_pairs: &[(0, 1), (0, 2)],
+    ..RENEWAL
+});
 
-/// Commands straight to the worker, which may be late, while the job is cancelled.
-pub const COMMANDS_LATE: Size =
-    Size { name: "commands", starts: &[Start::Placed], restarts: 0, commands: 1, asks: &[], ..RENEWAL };
+/// Commands to the worker, which may arrive late, while the job is cancelled.
+pub const COMMANDS_LATE: Size = Size {
+    name: "commands",
+    starts: &[Start::Placed],
+    restarts: 0,
+    commands: 1,
+    read_index_pairs: &[],
+    ..RENEWAL
+};
 
-/// A cancellation while the owner changes.
-pub const HANDOVER: Size = Size { name: "handover", maps: 1, restarts: 0, asks: &[], moving: 1, ..RENEWAL };
+/// A cancellation while the worker changes owners.
+pub const HANDOVER: Size =
+    Size { name: "handover", maps: 1, restarts: 0, read_index_pairs: &[], movable_workers: 1, ..RENEWAL };
 
-/// The same where each of two controllers asks the other.
+/// A cancellation while the worker changes owners, where each of two controllers asks the other.
 pub const HANDOVER_ASKING: Size =
-    quick(Size { name: "handover-asking", asks: &[(0, 1), (1, 0)], ..HANDOVER });
+    with_shortest_times(Size { name: "handover-asking", read_index_pairs: &[(0, 1), (1, 0)], ..HANDOVER });
 
-/// One owner, two workers and one task that is moved from one to the other.
+/// One owner, and a task that moves from one worker to another.
 pub const MOVING: Size = Size {
     name: "moving",
     controllers: 1,
     workers: 2,
     lease: 1,
-    request: 0,
-    response: 0,
-    bound: None,
+    command_timeout: 0,
+    answer_timeout: 0,
+    renewal_bound: None,
     starts: &[Start::Placed],
     restarts: 0,
     cancels: 0,
     evictions: 1,
     attempts: 2,
     commands: 2,
-    asks: &[],
-    partial: false,
+    read_index_pairs: &[],
+    partial_answers: false,
     ..RENEWAL
 };
 
-/// A second owner, to whom the first of two workers may go.
+/// Two controllers, where the first of two workers may change owners.
 pub const OWNERS: Size =
-    Size { name: "owners", controllers: 2, maps: 1, moving: 1, evictions: 0, commands: 1, ..MOVING };
+    Size { name: "owners", controllers: 2, maps: 1, movable_workers: 1, evictions: 0, commands: 1, ..MOVING };
 
-/// A task that fails, and a late copy of a report that tells of it.
+/// A task that failed, and a delayed copy of a report about it.
 pub const LATE_REPORT: Size =
-    Size { name: "late-report", starts: &[Start::Copied], late_reports: 1, drift: 0, ..OWNERS };
+    Size { name: "late-report", starts: &[Start::LateReport], late_reports: 1, clock_drift: 0, ..OWNERS };
 
-/// The same where the first owner may have the machine again two maps later.
+/// A task that failed, and a first owner that may own the worker again two maps later.
 pub const OWNERS_AGAIN: Size =
-    Size { name: "owners-again", starts: &[Start::Failed], maps: 2, drift: 0, ..OWNERS };
+    Size { name: "owners-again", starts: &[Start::Failed], maps: 2, clock_drift: 0, ..OWNERS };
 
-pub const ALL: [Size; 13] = [
+pub const ALL_SIZES: [Size; 13] = [
     RENEWAL,
     READING,
     READING_LATE,
@@ -173,82 +195,95 @@
 ];
 
 impl Size {
-    pub fn named(name: &str) -> Option<Self> {
-        ALL.into_iter().find(|s| s.name == name)
+    pub fn by_name(name: &str) -> Option<Self> {
+        ALL_SIZES.into_iter().find(|size| size.name == name)
     }
 
-    /// Whether the ends of assignments are written: without a further attempt nothing
-    /// follows from them.
-    pub fn ends(&self) -> bool {
+    /// Whether the ends of assignments are recorded. Without a further attempt they have no effect.
+    pub fn records_ends(&self) -> bool {
         self.attempts > 1
     }
 
-    /// The states that the world begins with.
-    pub fn starts(&self) -> Vec<State> {
-        self.starts.iter().map(|s| self.start(*s)).collect()
+    pub fn initial_states(&self) -> Vec<State> {
+        self.starts.iter().map(|start| self.initial_state(*start)).collect()
     }
 
-    fn start(&self, start: Start) -> State {
-        let place = Some((0, 0));
-        let job = Job { revision: 1, cancelled: false, place, evict: false, next_attempt: 1 };
-        let records = Records { revision: 1, epoch: 1, live: [1; CONTROLLERS], owner: [0; WORKERS], job };
-        let peer = Peer { confirmed: LONG, asked: LONG, heard: 1, heard_before: 1, answer: None };
+    fn initial_state(&self, start: Start) -> State {
+        let placement = Some((0, 0));
+        let job = Job { revision: 1, cancelled: false, placement, evict: false, next_attempt: 1 };
+        let records = Records {
+            revision: 1,
+            epoch: 1,
+            incarnations: [1; MAX_CONTROLLERS],
+            owner: [0; MAX_WORKERS],
+            job,
+        };
+        let peer = Peer {
+            confirmation_age: LONG_AGO,
+            request_age: LONG_AGO,
+            incarnation: 1,
+            incarnation_at_read: 1,
+            answer: None,
+        };
         let mut controller = Controller {
             incarnation: 1,
-            read: true,
+            has_read: true,
             ready: true,
             mirror: records,
-            fresh: 0,
-            peers: [peer; CONTROLLERS],
-            owned: [None; WORKERS],
-            reading: None,
+            last_read_age: 0,
+            peers: [peer; MAX_CONTROLLERS],
+            owned: [None; MAX_WORKERS],
+            pending_read: None,
         };
-        let mut machine = Machine {
+        let mut worker = Worker {
             session: 1,
             seq: 1,
             token: Token::first(1),
-            lease: 0,
-            tasks: [Task::Absent; ATTEMPTS],
+            lease_age: 0,
+            tasks: [Task::Absent; MAX_ATTEMPTS],
             answer: None,
-            commands: [None; COMMANDS],
-            late: None,
+            commands: [None; MAX_COMMANDS],
+            late_report: None,
         };
-        let mut machines = [machine; WORKERS];
+        let mut workers = [worker; MAX_WORKERS];
         if start == Start::Running {
-            machine.tasks[0] = Task::Running;
-            machines[0] = machine;
+            worker.tasks[0] = Task::Running;
+            workers[0] = worker;
         }
-        let mut known = machines.map(|m| m.tasks);
+        let mut known_tasks = workers.map(|worker| worker.tasks);
         if start == Start::Failed {
-            known[0][0] = Task::Exited;
-            (machines[0].session, machines[0].seq) = (2, 2);
+            known_tasks[0][0] = Task::Exited;
+            (workers[0].session, workers[0].seq) = (2, 2);
         }
-        if start == Start::Copied {
+        if start == Start::LateReport {
             let tasks = [Task::Exited, Task::Absent];
-            machines[0].late = Some(Report { session: 1, seq: 1, token: Token::first(1), tasks });
-            (machines[0].session, machines[0].seq) = (2, 2);
+            workers[0].late_report = Some(Report { session: 1, seq: 1, token: Token::first(1), tasks });
+            (workers[0].session, workers[0].seq) = (2, 2);
         }
-        let other = controller;
-        for (w, tasks) in known.into_iter().enumerate().take(self.workers) {
-            controller.owned[w] = Some(Owned {
-                session: if start == Start::Failed { 1 } else { machines[w].session },
-                seq: if start == Start::Failed { 1 } else { machines[w].seq },
-                seen: Token::first(1),
-                renewed: 0,
-                heard: 0,
+        let non_owner = controller;
+        for (worker_id, tasks) in known_tasks.into_iter().enumerate().take(self.workers) {
+            controller.owned[worker_id] = Some(OwnedWorker {
+                session: if start == Start::Failed { 1 } else { workers[worker_id].session },
+                seq: if start == Start::Failed { 1 } else { workers[worker_id].seq },
+                shown_token: Token::first(1),
+                renewal_age: 0,
+                report_age: 0,
                 trusted: true,
                 tasks,
-                present: [tasks[0] != Task::Absent, false],
-                ..Owned::new(1)
+                ever_reported: [tasks[0] != Task::Absent, false],
+                ..OwnedWorker::new(1)
             });
         }
         State {
             records,
-            controllers: [controller, other, other],
-            machines,
-            transactions: [None; TRANSACTIONS],
-            told: None,
-            used: Used { late_reports: u8::from(start == Start::Copied), ..Used::default() },
+            controllers: [controller, non_owner, non_owner],
+            workers,
+            transactions: [None; MAX_TRANSACTIONS],
+            cancel_ack_age: None,
+            counts: EventCounts {
+                late_reports: u8::from(start == Start::LateReport),
+                ..EventCounts::default()
+            },
         }
     }
 }
--- a/crates/model/src/steps.rs
+++ b/crates/model/src/steps.rs
@@ -1,84 +1,99 @@
-//! What can happen next.
+//! The possible steps of the modelled system.
 //!
-//! Nothing has to happen but time's own work: a lease that is over, an answer that
-//! comes too late, a command that is given up. So refusals of the state service, to one
-//! or to all, cuts between any two and machines that hang are all in it: whoever they
-//! hit does nothing, or what it sent is lost. Only the first worker meets all that; the
-//! second, where there is one, is a place to start on that gets what it is sent.
+//! No step has to happen except for what the passing of time causes: the end of a lease, the loss
+//! of an answer that is too late, the time-out of a command. The model therefore covers errors of the
+//! state service towards one or all controllers, network partitions between any two processes, and
+//! hung processes: whoever is affected takes no step, or its messages are lost. Only the first worker
+//! is subject to these faults. The second one, if there is one, is another place to start the task
+//! on, and receives whatever is sent to it.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
+use crate::canonical::canonicalize;
 use crate::controller::Orders;
 use crate::explore::Model;
-use crate::mechanism::{Mechanism, Without};
-use crate::order::canonical;
+use crate::mechanism::{Mechanism, Mechanisms};
 use crate::size::Size;
 use crate::state::*;
 
-/// One step. Controllers and workers are numbered from 0.
+/// A step. Controllers and workers are numbered from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     Tick,
-    /// A worker's lease ends by its own clock, before the slowest clock says so.
-    LeaseEnds(usize),
-    /// The task fails on its own.
-    Fails(usize),
-    Reads(usize),
-    BeginsReading(usize, bool),
-    FinishesReading(usize),
-    Restarts(usize),
-    /// A new map, with the owners of the workers.
-    NewMap([u8; WORKERS]),
-    Sends(usize, Change),
-    Applied(Transaction),
-    Answered(Transaction),
-    Lost(Transaction),
-    /// A user asks and is told from the mirror.
-    Tells(usize),
-    Hears(usize, usize),
-    Asks(usize, usize, bool),
-    TakesWord(usize, usize),
-    /// A worker's report is answered, with what and how.
-    Reports(usize, usize, Option<Answer>),
-    Heeds(usize),
-    Copies(usize),
-    LateReport(usize, usize),
-    Probes(usize, usize),
-    Commands(usize, usize, Orders),
-    Executes(usize, Command, bool),
-    Drops(usize, Command),
-    GivesUp(usize, usize),
+    /// The worker's lease ends by its own clock, which is not the slowest possible one.
+    LeaseExpired(usize),
+    /// The task exits without having been stopped.
+    TaskFailed(usize),
+    RecordsRead(usize),
+    /// Whether all records are reread.
+    ReadStarted(usize, bool),
+    ReadFinished(usize),
+    ControllerRestarted(usize),
+    /// The owners of the workers in the new map.
+    MapWritten([u8; MAX_WORKERS]),
+    TransactionSent(usize, Change),
+    TransactionApplied(Transaction),
+    TransactionConfirmed(Transaction),
+    TransactionLost(Transaction),
+    /// A user asks, and the controller confirms the cancellation from its mirror.
+    CancellationConfirmed(usize),
+    /// The controller, and the peer whose new incarnation it learns of.
+    IncarnationLearned(usize, usize),
+    /// The controller, the peer, and whether the answer is complete.
+    ReadIndexRequested(usize, usize, bool),
+    ReadIndexReceived(usize, usize),
+    /// The worker, the controller, and the answer to the worker's report.
+    ReportAnswered(usize, usize, Option<ReportAnswer>),
+    ReportAnswerReceived(usize),
+    ReportDelayed(usize),
+    LateReportReceived(usize, usize),
+    StatusRequested(usize, usize),
+    CommandSent(usize, usize, Orders),
+    /// The worker, the command, and whether the worker's answer arrives.
+    CommandExecuted(usize, Command, bool),
+    CommandLost(usize, Command),
+    CommandTimedOut(usize, usize),
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
             Step::Tick => write!(f, "a tick passes"),
-            Step::LeaseEnds(w) => write!(f, "worker {w}: its lease is over; it kills all tasks"),
-            Step::Fails(w) => write!(f, "worker {w}: its task exits on its own"),
-            Step::Reads(c) => write!(f, "controller {c} reads the state service"),
-            Step::BeginsReading(c, false) => write!(f, "controller {c}: a reading sees the records"),
-            Step::BeginsReading(c, true) => write!(f, "controller {c} begins to read all records anew"),
-            Step::FinishesReading(c) => write!(f, "controller {c}: the answer to its reading arrives"),
-            Step::Restarts(c) => write!(f, "controller {c} ends and is started again"),
-            Step::NewMap(owners) => write!(f, "a new map is written; owners of the workers: {owners:?}"),
-            Step::Sends(c, change) => write!(f, "controller {c} sends a transaction: {change:?}"),
-            Step::Applied(t) => {
-                write!(f, "the state service carries out controller {}'s {:?}", t.from, t.change)
-            }
-            Step::Answered(t) => write!(f, "controller {} is told that {:?} is committed", t.from, t.change),
-            Step::Lost(t) => write!(f, "controller {}'s {:?}, or its answer, is lost", t.from, t.change),
-            Step::Tells(c) => {
-                write!(f, "controller {c} tells a user from its mirror that the job is cancelled")
-            }
-            Step::Hears(c, p) => write!(f, "controller {c} hears of controller {p}'s present process"),
-            Step::Asks(c, p, true) => write!(f, "controller {c} asks controller {p} for its read index"),
-            Step::Asks(c, p, false) => {
-                write!(f, "controller {c} asks controller {p}, whose answer lacks a part")
-            }
-            Step::TakesWord(c, p) => write!(f, "controller {c} takes in controller {p}'s answer"),
-            Step::Reports(w, c, Some(a)) => {
+            Step::LeaseExpired(w) => write!(f, "worker {w}: its lease has expired; it kills all tasks"),
+            Step::TaskFailed(w) => write!(f, "worker {w}: its task exits on its own"),
+            Step::RecordsRead(c) => write!(f, "controller {c} reads the state service"),
+            Step::ReadStarted(c, false) => {
+                write!(f, "controller {c} sends a read, which returns the current records")
+            }
+            Step::ReadStarted(c, true) => write!(f, "controller {c} starts to reread all records"),
+            Step::ReadFinished(c) => write!(f, "controller {c} receives the answer to its read"),
+            Step::ControllerRestarted(c) => write!(f, "controller {c} restarts"),
+            Step::MapWritten(owners) => write!(f, "a new map is written; owners of the workers: {owners:?}"),
+            Step::TransactionSent(c, change) => write!(f, "controller {c} sends a transaction: {change:?}"),
+            Step::TransactionApplied(t) => {
+                write!(f, "the state service applies or rejects controller {}'s {:?}", t.from, t.change)
+            }
+            Step::TransactionConfirmed(t) => {
+                write!(f, "controller {} learns that its {:?} is committed", t.from, t.change)
+            }
+            Step::TransactionLost(t) => {
+                write!(f, "controller {}'s {:?}, or its answer, is lost", t.from, t.change)
+            }
+            Step::CancellationConfirmed(c) => {
+                write!(f, "controller {c} confirms the cancellation to a user, from its mirror")
+            }
+            Step::IncarnationLearned(c, p) => {
+                write!(f, "controller {c} learns of controller {p}'s current incarnation")
+            }
+            Step::ReadIndexRequested(c, p, true) => {
+                write!(f, "controller {c} asks controller {p} for its read index")
+            }
+            Step::ReadIndexRequested(c, p, false) => {
+                write!(f, "controller {c} asks controller {p} for its read index; the answer is incomplete")
+            }
+            Step::ReadIndexReceived(c, p) => write!(f, "controller {c} receives controller {p}'s read index"),
+            Step::ReportAnswered(w, c, Some(a)) => {
                 write!(
                     f,
                     "worker {w} reports to controller {c}; the answer: token {}.{}",
@@ -87,201 +102,211 @@
                 a.stop.map_or(Ok(()), |a| write!(f, ", stop attempt {a}"))?;
                 a.launch.map_or(Ok(()), |a| write!(f, ", launch attempt {a}"))
             }
-            Step::Reports(w, c, None) => write!(f, "worker {w} reports to controller {c}; not answered"),
-            Step::Heeds(w) => write!(f, "worker {w}: the answer to its report arrives"),
-            Step::Copies(w) => write!(f, "worker {w}: a copy of a report is held back on its way"),
-            Step::LateReport(w, c) => {
-                write!(f, "the late copy of worker {w}'s report reaches controller {c}")
+            Step::ReportAnswered(w, c, None) => {
+                write!(f, "worker {w} reports to controller {c}; not answered")
+            }
+            Step::ReportAnswerReceived(w) => write!(f, "worker {w} receives the answer to its report"),
+            Step::ReportDelayed(w) => {
+                write!(f, "worker {w} sends a report, and a copy of it is delayed in transit")
             }
-            Step::Probes(c, w) => write!(f, "controller {c} asks worker {w} for its status"),
-            Step::Commands(c, w, o) => write!(f, "controller {c} sends worker {w} commands: {o:?}"),
-            Step::Executes(w, c, answered) => {
-                write!(f, "worker {w} gets controller {}'s commands", c.from)?;
+            Step::LateReportReceived(w, c) => {
+                write!(f, "controller {c} receives the delayed copy of worker {w}'s report")
+            }
+            Step::StatusRequested(c, w) => write!(f, "controller {c} asks worker {w} for its status"),
+            Step::CommandSent(c, w, o) => write!(f, "controller {c} sends worker {w} commands: {o:?}"),
+            Step::CommandExecuted(w, c, answered) => {
+                write!(f, "worker {w} receives controller {}'s commands", c.from)?;
                 write!(f, ", {}", if answered { "and its answer arrives" } else { "its answer is lost" })
             }
-            Step::Drops(w, c) => write!(f, "controller {}'s commands to worker {w} are lost", c.from),
-            Step::GivesUp(c, w) => write!(f, "controller {c} gives up waiting for worker {w}'s answer"),
+            Step::CommandLost(w, c) => write!(f, "controller {}'s commands to worker {w} are lost", c.from),
+            Step::CommandTimedOut(c, w) => {
+                write!(f, "controller {c} stops waiting for worker {w}'s answer")
+            }
         }
     }
 }
 
-/// A world: its size, and what keeps its rules.
+/// The modelled system: its size, and the mechanisms in effect.
 #[derive(Debug, Clone, Copy)]
-pub struct World {
+pub struct ProtocolModel {
     pub size: Size,
-    pub without: Without,
+    pub mechanisms: Mechanisms,
 }
 
-type Next = Vec<(Step, State)>;
+type Successors = Vec<(Step, State)>;
 
-impl World {
-    pub fn starts(&self) -> Vec<State> {
-        let mut starts = self.size.starts();
-        starts.iter_mut().for_each(|s| canonical(s, &self.size, self.without));
-        starts
+impl ProtocolModel {
+    pub fn initial_states(&self) -> Vec<State> {
+        let mut initial_states = self.size.initial_states();
+        initial_states.iter_mut().for_each(|state| canonicalize(state, &self.size, self.mechanisms));
+        initial_states
     }
 
-    /// All that can happen in a state, with what comes of it. Steps that change nothing
-    /// are left out.
-    pub fn next(&self, state: &State) -> Next {
-        let mut next = Vec::with_capacity(32);
-        if self.settled(state) {
-            return next;
+    /// All possible steps from a state, with the resulting states. Steps that change nothing are omitted.
+    pub fn successors(&self, state: &State) -> Successors {
+        let mut successors = Vec::with_capacity(32);
+        if self.is_settled(state) {
+            return successors;
         }
-        self.time(state, &mut next);
-        for c in 0..self.size.controllers {
-            self.records(state, c, &mut next);
-            self.peers(state, c, &mut next);
-            for w in 0..self.size.workers {
-                self.owner(state, c, w, &mut next);
+        self.tick_step(state, &mut successors);
+        for controller_id in 0..self.size.controllers {
+            self.record_steps(state, controller_id, &mut successors);
+            self.peer_steps(state, controller_id, &mut successors);
+            for worker_id in 0..self.size.workers {
+                self.report_and_command_steps(state, controller_id, worker_id, &mut successors);
             }
         }
-        self.transactions(state, &mut next);
-        for w in 0..self.size.workers {
-            self.worker(state, w, &mut next);
+        self.transaction_steps(state, &mut successors);
+        for worker_id in 0..self.size.workers {
+            self.worker_steps(state, worker_id, &mut successors);
         }
-        for (_, s) in &mut next {
-            canonical(s, &self.size, self.without);
+        for (_, next) in &mut successors {
+            canonicalize(next, &self.size, self.mechanisms);
         }
-        next.retain(|(_, s)| s != state);
-        next
+        successors.retain(|(_, next)| next != state);
+        successors
     }
 
-    /// Whether nothing can run any more: what follows is not looked at.
-    fn settled(&self, state: &State) -> bool {
+    /// Whether no task can run any more. Such a state is not explored further.
+    fn is_settled(&self, state: &State) -> bool {
         let (size, owner) = (&self.size, &state.controllers[0]);
-        let on_its_way = |m: &Machine| {
-            m.runs()
-                || m.answer.is_some_and(|a| a.launch.is_some())
-                || m.commands.iter().flatten().any(|c| c.launch.is_some())
+        let may_run = |worker: &Worker| {
+            worker.is_running()
+                || worker.answer.is_some_and(|answer| answer.launch.is_some())
+                || worker.commands.iter().flatten().any(|command| command.launch.is_some())
         };
-        let launched = || owner.owned[0].is_none_or(|o| o.present[0]);
+        let launched = || owner.owned[0].is_none_or(|owned| owned.ever_reported[0]);
         size.maps == 0
             && size.attempts == 1
-            && !on_its_way(&state.machines[0])
+            && !may_run(&state.workers[0])
             && (owner.mirror.job.cancelled || launched())
     }
 
-    fn time(&self, state: &State, next: &mut Next) {
+    fn tick_step(&self, state: &State, successors: &mut Successors) {
         let size = &self.size;
-        let mut s = state.clone();
-        let older = |age: &mut u8| *age = age.saturating_add(1).min(LONG);
-        for c in s.controllers.iter_mut().take(size.controllers) {
-            older(&mut c.fresh);
-            c.reading.iter_mut().for_each(|r| older(&mut r.age));
-            for p in &mut c.peers {
-                older(&mut p.confirmed);
-                older(&mut p.asked);
-                p.answer.iter_mut().for_each(|a| older(&mut a.age));
-            }
-            for o in c.owned.iter_mut().take(1).flatten() {
-                older(&mut o.renewed);
-                older(&mut o.heard);
-                if let Some((token, age)) = o.in_flight {
-                    if age + 1 > size.request {
-                        o.finish(token, false);
+        let mut next = state.clone();
+        let increment = |age: &mut u8| *age = age.saturating_add(1).min(LONG_AGO);
+        for controller in next.controllers.iter_mut().take(size.controllers) {
+            increment(&mut controller.last_read_age);
+            controller.pending_read.iter_mut().for_each(|read| increment(&mut read.age));
+            for peer in &mut controller.peers {
+                increment(&mut peer.confirmation_age);
+                increment(&mut peer.request_age);
+                peer.answer.iter_mut().for_each(|answer| increment(&mut answer.age));
+            }
+            for owned in controller.owned.iter_mut().take(1).flatten() {
+                increment(&mut owned.renewal_age);
+                increment(&mut owned.report_age);
+                if let Some((token, age)) = owned.in_flight {
+                    if age + 1 > size.command_timeout {
+                        owned.finish_request(token, false);
                     } else {
-                        o.in_flight = Some((token, age + 1));
+                        owned.in_flight = Some((token, age + 1));
                     }
                 }
             }
         }
-        for m in s.machines.iter_mut().take(1) {
-            m.lease += 1;
-            if m.lease >= size.lease + size.drift {
-                m.expire();
+        for worker in next.workers.iter_mut().take(1) {
+            worker.lease_age += 1;
+            if worker.lease_age >= size.lease + size.clock_drift {
+                worker.expire_lease();
             }
-            m.answer.iter_mut().for_each(|a| a.age += 1);
-            m.answer = m.answer.filter(|a| a.age <= size.response);
+            worker.answer.iter_mut().for_each(|answer| answer.age += 1);
+            worker.answer = worker.answer.filter(|answer| answer.age <= size.answer_timeout);
         }
-        s.told.iter_mut().for_each(older);
-        next.push((Step::Tick, s));
+        next.cancel_ack_age.iter_mut().for_each(increment);
+        successors.push((Step::Tick, next));
     }
 
-    /// Readings, restarts, maps, and the transactions that a controller sends.
-    fn records(&self, state: &State, c: usize, next: &mut Next) {
-        let (size, without) = (&self.size, self.without);
-        let this = &state.controllers[c];
-        let mut step = |step: Step, change: &mut dyn FnMut(&mut State)| {
-            let mut s = state.clone();
-            change(&mut s);
-            next.push((step, s));
+    /// Reads, restarts, new maps, and the transactions that a controller sends.
+    fn record_steps(&self, state: &State, controller_id: usize, successors: &mut Successors) {
+        let (size, mechanisms) = (&self.size, self.mechanisms);
+        let controller = &state.controllers[controller_id];
+        let mut add_step = |step: Step, change: &mut dyn FnMut(&mut State)| {
+            let mut next = state.clone();
+            change(&mut next);
+            successors.push((step, next));
         };
-        if this.ready || !this.read {
-            step(Step::Reads(c), &mut |s| s.controllers[c].read(c, &state.records, size, without));
+        if controller.ready || !controller.has_read {
+            add_step(Step::RecordsRead(controller_id), &mut |next| {
+                next.controllers[controller_id].read_records(controller_id, &state.records, size, mechanisms)
+            });
         }
-        if this.reading.is_none() {
-            if this.ready && state.used.slow_readings < size.slow_readings {
-                step(Step::BeginsReading(c, false), &mut |s| {
-                    s.used.slow_readings += 1;
-                    s.controllers[c].begin_reading(&state.records, false);
+        if controller.pending_read.is_none() {
+            if controller.ready && state.counts.slow_reads < size.slow_reads {
+                add_step(Step::ReadStarted(controller_id, false), &mut |next| {
+                    next.counts.slow_reads += 1;
+                    next.controllers[controller_id].begin_read(&state.records, false);
                 });
             }
-            if state.used.rereadings < size.rereadings {
-                step(Step::BeginsReading(c, true), &mut |s| {
-                    s.used.rereadings += 1;
-                    s.controllers[c].begin_reading(&state.records, true);
+            if state.counts.rereads < size.rereads {
+                add_step(Step::ReadStarted(controller_id, true), &mut |next| {
+                    next.counts.rereads += 1;
+                    next.controllers[controller_id].begin_read(&state.records, true);
                 });
             }
         } else {
-            step(Step::FinishesReading(c), &mut |s| s.controllers[c].finish_reading(c, size, without));
+            add_step(Step::ReadFinished(controller_id), &mut |next| {
+                next.controllers[controller_id].finish_read(controller_id, size, mechanisms)
+            });
         }
-        if state.used.restarts < size.restarts && (c > 0 || size.maps > 0) {
-            step(Step::Restarts(c), &mut |s| {
-                s.used.restarts += 1;
-                s.controllers[c] = this.restarted();
+        if state.counts.restarts < size.restarts && (controller_id > 0 || size.maps > 0) {
+            add_step(Step::ControllerRestarted(controller_id), &mut |next| {
+                next.counts.restarts += 1;
+                next.controllers[controller_id] = controller.restarted();
             });
         }
-        if c == 0 && state.used.maps < size.maps {
-            for n in 0..size.controllers.pow(size.moving as u32) {
-                let mut owners = [0; WORKERS];
-                for (w, o) in owners.iter_mut().enumerate().take(size.moving) {
-                    *o = (n / size.controllers.pow(w as u32) % size.controllers) as u8;
+        if controller_id == 0 && state.counts.maps < size.maps {
+            for combination in 0..size.controllers.pow(size.movable_workers as u32) {
+                let mut owners = [0; MAX_WORKERS];
+                for (worker_id, owner) in owners.iter_mut().enumerate().take(size.movable_workers) {
+                    *owner = (combination / size.controllers.pow(worker_id as u32) % size.controllers) as u8;
                 }
-                step(Step::NewMap(owners), &mut |s| {
-                    s.used.maps += 1;
-                    s.records.revision += 1;
-                    s.records.epoch += 1;
-                    s.records.owner = owners;
-                    s.records.live = s.controllers.each_ref().map(|c| c.incarnation);
+                add_step(Step::MapWritten(owners), &mut |next| {
+                    next.counts.maps += 1;
+                    next.records.revision += 1;
+                    next.records.epoch += 1;
+                    next.records.owner = owners;
+                    next.records.incarnations =
+                        next.controllers.each_ref().map(|controller| controller.incarnation);
                 });
             }
         }
-        if this.mirror.job.cancelled && state.told.is_none() {
-            step(Step::Tells(c), &mut |s| s.told = Some(0));
+        if controller.mirror.job.cancelled && state.cancel_ack_age.is_none() {
+            add_step(Step::CancellationConfirmed(controller_id), &mut |next| next.cancel_ack_age = Some(0));
         }
-        for change in self.changes(state, c) {
+        for change in self.possible_changes(state, controller_id) {
             let transaction = Transaction {
-                from: c as u8,
-                incarnation: this.incarnation,
+                from: controller_id as u8,
+                incarnation: controller.incarnation,
                 change,
-                epoch: (change != Change::Cancel && without.has(Mechanism::EpochFence))
-                    .then_some(this.mirror.epoch),
-                job_revision: this.mirror.job.revision,
+                epoch: (change != Change::Cancel && mechanisms.has(Mechanism::EpochFence))
+                    .then_some(controller.mirror.epoch),
+                job_revision: controller.mirror.job.revision,
                 committed: None,
             };
             if state.transactions.contains(&Some(transaction)) {
                 continue;
             }
-            let Some(free) = state.transactions.iter().position(Option::is_none) else { continue };
-            step(Step::Sends(c, change), &mut |s| {
-                s.transactions[free] = Some(transaction);
-                let this = &mut s.controllers[c];
+            let Some(free_slot) = state.transactions.iter().position(Option::is_none) else { continue };
+            add_step(Step::TransactionSent(controller_id, change), &mut |next| {
+                next.transactions[free_slot] = Some(transaction);
+                let controller = &mut next.controllers[controller_id];
                 match change {
                     Change::Cancel => {
-                        s.used.cancels += 1;
-                        if !without.has(Mechanism::ConfirmCommitted) {
-                            s.told = Some(0);
+                        next.counts.cancels += 1;
+                        if !mechanisms.has(Mechanism::ConfirmCommitted) {
+                            next.cancel_ack_age = Some(0);
                         }
                     }
-                    Change::Evict => s.used.evictions += 1,
-                    Change::Place(w) if !without.has(Mechanism::RecordFirst) => {
-                        this.mirror.job = placed(this.mirror.job, w);
+                    Change::Evict => next.counts.evictions += 1,
+                    Change::Place(worker_id) if !mechanisms.has(Mechanism::CommitBeforeLaunch) => {
+                        controller.mirror.job = with_placement(controller.mirror.job, worker_id);
                     }
                     Change::Place(_) => {}
-                    Change::End(w, a) => {
-                        if let Some(o) = &mut this.owned[w as usize] {
-                            o.ended[a as usize] = o.epoch;
+                    Change::End(worker_id, attempt) => {
+                        if let Some(owned) = &mut controller.owned[worker_id as usize] {
+                            owned.ended[attempt as usize] = owned.epoch;
                         }
                     }
                 }
@@ -289,215 +314,253 @@
         }
     }
 
-    /// What a controller may want to write, by its mirror.
-    fn changes(&self, state: &State, c: usize) -> Vec<Change> {
-        let (size, this) = (&self.size, &state.controllers[c]);
-        let job = &this.mirror.job;
+    /// The changes that a controller may send, by its mirror.
+    fn possible_changes(&self, state: &State, controller_id: usize) -> Vec<Change> {
+        let (size, controller) = (&self.size, &state.controllers[controller_id]);
+        let job = &controller.mirror.job;
         let mut changes = Vec::new();
-        if this.read && !job.cancelled && state.used.cancels < size.cancels {
+        if controller.has_read && !job.cancelled && state.counts.cancels < size.cancels {
             changes.push(Change::Cancel);
         }
-        if !this.in_map(c) {
+        if !controller.is_in_map(controller_id) {
             return changes;
         }
-        match job.place {
+        match job.placement {
             None if !job.cancelled && job.next_attempt < size.attempts => {
                 changes.extend((0..size.workers as u8).map(Change::Place));
             }
             None => {}
-            Some((w, a)) => {
-                if job.wants() && state.used.evictions < size.evictions {
+            Some((worker_id, attempt)) => {
+                if job.should_run() && state.counts.evictions < size.evictions {
                     changes.push(Change::Evict);
                 }
-                let owned = this.owned[w as usize].as_ref().filter(|_| this.owns(c, w as usize));
-                if size.ends() && owned.is_some_and(|o| o.proves(job, a, size, self.without)) {
-                    changes.push(Change::End(w, a));
+                let owned = controller.owned[worker_id as usize]
+                    .as_ref()
+                    .filter(|_| controller.owns(controller_id, worker_id as usize));
+                if size.records_ends()
+                    && owned.is_some_and(|owned| owned.proves_end(job, attempt, size, self.mechanisms))
+                {
+                    changes.push(Change::End(worker_id, attempt));
                 }
             }
         }
         changes
     }
 
-    fn transactions(&self, state: &State, next: &mut Next) {
-        for (i, t) in state.transactions.iter().enumerate() {
-            let Some(t) = *t else { continue };
-            let mut s = state.clone();
-            s.transactions[i] = None;
+    fn transaction_steps(&self, state: &State, successors: &mut Successors) {
+        for (slot, transaction) in state.transactions.iter().enumerate() {
+            let Some(transaction) = *transaction else { continue };
+            let mut next = state.clone();
+            next.transactions[slot] = None;
             if !state.transactions.contains(&None) {
-                // Else it may as well be late for good.
-                next.push((Step::Lost(t), s.clone()));
-            }
-            if let Some(job) = t.committed {
-                let this = &mut s.controllers[t.from as usize];
-                if this.incarnation == t.incarnation {
-                    this.apply(job);
-                    s.told.get_or_insert(0);
-                    next.push((Step::Answered(t), s));
+                // While a slot is free, a transaction that stays in transit forever is as good as lost.
+                successors.push((Step::TransactionLost(transaction), next.clone()));
+            }
+            if let Some(job) = transaction.committed {
+                let controller = &mut next.controllers[transaction.from as usize];
+                if controller.incarnation == transaction.incarnation {
+                    controller.apply_job(job);
+                    next.cancel_ack_age.get_or_insert(0);
+                    successors.push((Step::TransactionConfirmed(transaction), next));
                 }
                 continue;
             }
-            let r = &mut s.records;
-            let fits = r.job.revision == t.job_revision && t.epoch.is_none_or(|e| e == r.epoch);
-            if fits {
-                r.revision += 1;
-                r.job = changed(r.job, t.change);
-                r.job.revision = r.revision;
-                // Of other changes than a cancellation the answer says no more than the
-                // next reading.
-                if t.change == Change::Cancel {
-                    s.transactions[i] = Some(Transaction { committed: Some(r.job), ..t });
+            let records = &mut next.records;
+            let conditions_hold = records.job.revision == transaction.job_revision
+                && transaction.epoch.is_none_or(|epoch| epoch == records.epoch);
+            if conditions_hold {
+                records.revision += 1;
+                records.job = with_change(records.job, transaction.change);
+                records.job.revision = records.revision;
+                // Only the answer to a cancellation is modelled: that to any other change tells the
+                // controller no more than its next read.
+                if transaction.change == Change::Cancel {
+                    next.transactions[slot] =
+                        Some(Transaction { committed: Some(records.job), ..transaction });
                 }
             }
-            next.push((Step::Applied(t), s));
+            successors.push((Step::TransactionApplied(transaction), next));
         }
     }
 
-    fn peers(&self, state: &State, c: usize, next: &mut Next) {
-        let (size, without) = (&self.size, self.without);
-        let this = &state.controllers[c];
-        for p in (0..size.controllers).filter(|p| *p != c) {
-            let other = &state.controllers[p];
-            if size.restarts > 0 && size.asks.contains(&(c, p)) && this.peers[p].heard != other.incarnation {
-                let mut s = state.clone();
-                s.controllers[c].peers[p].heard = other.incarnation;
-                next.push((Step::Hears(c, p), s));
-            }
-            if size.asks.contains(&(c, p)) && this.ready {
-                let whole = if size.partial { &[true, false][..] } else { &[true][..] };
-                for &complete in whole {
-                    let word = other.read_index(this.mirror.revision, complete, without);
-                    if !complete && !other.mirror.job.cancelled {
+    fn peer_steps(&self, state: &State, controller_id: usize, successors: &mut Successors) {
+        let (size, mechanisms) = (&self.size, self.mechanisms);
+        let controller = &state.controllers[controller_id];
+        for peer_id in (0..size.controllers).filter(|peer_id| *peer_id != controller_id) {
+            let other_controller = &state.controllers[peer_id];
+            if size.restarts > 0
+                && size.read_index_pairs.contains(&(controller_id, peer_id))
+                && controller.peers[peer_id].incarnation != other_controller.incarnation
+            {
+                let mut next = state.clone();
+                next.controllers[controller_id].peers[peer_id].incarnation = other_controller.incarnation;
+                successors.push((Step::IncarnationLearned(controller_id, peer_id), next));
+            }
+            if size.read_index_pairs.contains(&(controller_id, peer_id)) && controller.ready {
+                let completeness = if size.partial_answers { &[true, false][..] } else { &[true][..] };
+                for &complete in completeness {
+                    let answer =
+                        other_controller.read_index(controller.mirror.revision, complete, mechanisms);
+                    if !complete && !other_controller.mirror.job.cancelled {
                         continue;
                     }
-                    let mut s = state.clone();
-                    let peer = &mut s.controllers[c].peers[p];
-                    peer.asked = 0;
-                    // Where answers are not matched, an earlier one may come instead.
-                    if without.has(Mechanism::Nonce) || peer.answer.is_none() {
-                        peer.answer = Some(word);
+                    let mut next = state.clone();
+                    let peer = &mut next.controllers[controller_id].peers[peer_id];
+                    peer.request_age = 0;
+                    // If answers are not matched to requests, an earlier one may arrive instead.
+                    if mechanisms.has(Mechanism::Nonce) || peer.answer.is_none() {
+                        peer.answer = Some(answer);
                     }
-                    next.push((Step::Asks(c, p, complete), s));
+                    successors.push((Step::ReadIndexRequested(controller_id, peer_id, complete), next));
                 }
             }
-            if this.peers[p].answer.is_some() {
-                let mut s = state.clone();
-                s.controllers[c].take_word(p, without);
-                next.push((Step::TakesWord(c, p), s));
+            if controller.peers[peer_id].answer.is_some() {
+                let mut next = state.clone();
+                next.controllers[controller_id].receive_peer_answer(peer_id, mechanisms);
+                successors.push((Step::ReadIndexReceived(controller_id, peer_id), next));
             }
         }
     }
 
-    /// What a controller and a worker have to do with each other.
-    fn owner(&self, state: &State, c: usize, w: usize, next: &mut Next) {
-        let (size, without) = (&self.size, self.without);
-        let this = &state.controllers[c];
-        let reliable = w > 0;
-        let mut s = state.clone();
-        let report = s.machines[w].report();
-        let answer = s.controllers[c].take_report(c, w, &report, size, without);
-        s.machines[w].answer = answer;
+    /// The steps between a controller and a worker.
+    fn report_and_command_steps(
+        &self,
+        state: &State,
+        controller_id: usize,
+        worker_id: usize,
+        successors: &mut Successors,
+    ) {
+        let (size, mechanisms) = (&self.size, self.mechanisms);
+        let controller = &state.controllers[controller_id];
+        let reliable = worker_id > 0;
+        let mut next = state.clone();
+        let report = next.workers[worker_id].report();
+        let answer = next.controllers[controller_id].receive_report(
+            controller_id,
+            worker_id,
+            &report,
+            size,
+            mechanisms,
+        );
+        next.workers[worker_id].answer = answer;
         if answer.is_some() && !reliable {
-            next.push((Step::Reports(w, c, answer), s));
+            successors.push((Step::ReportAnswered(worker_id, controller_id, answer), next));
         }
-        if let Some(late) = state.machines[w].late {
-            let mut s = state.clone();
-            s.machines[w].late = None;
-            s.controllers[c].take_report(c, w, &late, size, without);
-            next.push((Step::LateReport(w, c), s));
+        if let Some(late_report) = state.workers[worker_id].late_report {
+            let mut next = state.clone();
+            next.workers[worker_id].late_report = None;
+            next.controllers[controller_id].receive_report(
+                controller_id,
+                worker_id,
+                &late_report,
+                size,
+                mechanisms,
+            );
+            successors.push((Step::LateReportReceived(worker_id, controller_id), next));
         }
-        let Some(owned) = this.owned[w].filter(|_| this.owns(c, w)) else { return };
+        let Some(owned) = controller.owned[worker_id].filter(|_| controller.owns(controller_id, worker_id))
+        else {
+            return;
+        };
         if owned.in_flight.is_some() && !reliable {
-            let mut s = state.clone();
-            if let Some(o) = s.controllers[c].owned[w].as_mut()
-                && let Some((token, _)) = o.in_flight
+            let mut next = state.clone();
+            if let Some(next_owned) = next.controllers[controller_id].owned[worker_id].as_mut()
+                && let Some((token, _)) = next_owned.in_flight
             {
-                o.finish(token, false);
+                next_owned.finish_request(token, false);
             }
-            next.push((Step::GivesUp(c, w), s));
+            successors.push((Step::CommandTimedOut(controller_id, worker_id), next));
         }
         if owned.session == 0 {
-            let mut s = state.clone();
-            let report = s.machines[w].report();
-            if let Some(o) = s.controllers[c].owned[w].as_mut() {
-                o.ingest(&report, false, without);
+            let mut next = state.clone();
+            let report = next.workers[worker_id].report();
+            if let Some(next_owned) = next.controllers[controller_id].owned[worker_id].as_mut() {
+                next_owned.ingest_report(&report, false, mechanisms);
             }
-            next.push((Step::Probes(c, w), s));
+            successors.push((Step::StatusRequested(controller_id, worker_id), next));
         }
-        let mut orders = owned.orders(&this.mirror.job, w, size, without);
-        if without.has(Mechanism::LaunchBound) && !this.may_renew(c, size, without) {
+        let mut orders = owned.orders(&controller.mirror.job, worker_id, size, mechanisms);
+        if mechanisms.has(Mechanism::LaunchBound)
+            && !controller.may_renew_leases(controller_id, size, mechanisms)
+        {
             orders.launch = None;
         }
-        let free = state.machines[w]
+        let free_slot = state.workers[worker_id]
             .commands
             .iter()
             .position(Option::is_none)
-            .filter(|_| state.machines[w].commands.iter().flatten().count() < size.commands);
-        if let Some(free) = free
+            .filter(|_| state.workers[worker_id].commands.iter().flatten().count() < size.commands);
+        if let Some(free_slot) = free_slot
             && orders != Orders::default()
             && owned.in_flight.is_none()
         {
-            let mut s = state.clone();
-            if let Some(o) = s.controllers[c].owned[w].as_mut() {
-                o.token = o.token.next();
-                o.in_flight = Some((o.token, 0));
-                s.machines[w].commands[free] = Some(Command {
-                    from: c as u8,
-                    token: o.token,
-                    session: o.session,
+            let mut next = state.clone();
+            if let Some(next_owned) = next.controllers[controller_id].owned[worker_id].as_mut() {
+                next_owned.token = next_owned.token.next();
+                next_owned.in_flight = Some((next_owned.token, 0));
+                next.workers[worker_id].commands[free_slot] = Some(Command {
+                    from: controller_id as u8,
+                    token: next_owned.token,
+                    session: next_owned.session,
                     launch: orders.launch,
                     stop: orders.stop,
                 });
-                next.push((Step::Commands(c, w, orders), s));
+                successors.push((Step::CommandSent(controller_id, worker_id, orders), next));
             }
         }
     }
 
-    fn worker(&self, state: &State, w: usize, next: &mut Next) {
-        let (size, without) = (&self.size, self.without);
-        let this = &state.machines[w];
-        let reliable = w > 0;
-        let mut step = |step: Step, change: &mut dyn FnMut(&mut State)| {
-            let mut s = state.clone();
-            change(&mut s);
-            next.push((step, s));
+    fn worker_steps(&self, state: &State, worker_id: usize, successors: &mut Successors) {
+        let (size, mechanisms) = (&self.size, self.mechanisms);
+        let worker = &state.workers[worker_id];
+        let reliable = worker_id > 0;
+        let mut add_step = |step: Step, change: &mut dyn FnMut(&mut State)| {
+            let mut next = state.clone();
+            change(&mut next);
+            successors.push((step, next));
         };
-        if this.lease >= size.lease && !reliable {
-            step(Step::LeaseEnds(w), &mut |s| s.machines[w].expire());
+        if worker.lease_age >= size.lease && !reliable {
+            add_step(Step::LeaseExpired(worker_id), &mut |next| next.workers[worker_id].expire_lease());
         }
-        if this.answer.is_some() {
-            step(Step::Heeds(w), &mut |s| s.machines[w].heed(without));
+        if worker.answer.is_some() {
+            add_step(Step::ReportAnswerReceived(worker_id), &mut |next| {
+                next.workers[worker_id].receive_answer(mechanisms)
+            });
         }
-        if !reliable && this.runs() && state.used.exits < size.exits {
-            step(Step::Fails(w), &mut |s| {
-                s.used.exits += 1;
-                let tasks = &mut s.machines[w].tasks;
-                tasks.iter_mut().filter(|t| **t == Task::Running).for_each(|t| *t = Task::Exited);
+        if !reliable && worker.is_running() && state.counts.exits < size.exits {
+            add_step(Step::TaskFailed(worker_id), &mut |next| {
+                next.counts.exits += 1;
+                let tasks = &mut next.workers[worker_id].tasks;
+                tasks.iter_mut().filter(|task| **task == Task::Running).for_each(|task| *task = Task::Exited);
             });
         }
-        if !reliable && this.late.is_none() && state.used.late_reports < size.late_reports {
-            step(Step::Copies(w), &mut |s| {
-                s.used.late_reports += 1;
-                s.machines[w].late = Some(s.machines[w].report());
+        if !reliable && worker.late_report.is_none() && state.counts.late_reports < size.late_reports {
+            add_step(Step::ReportDelayed(worker_id), &mut |next| {
+                next.counts.late_reports += 1;
+                next.workers[worker_id].late_report = Some(next.workers[worker_id].report());
             });
         }
-        for (i, command) in this.commands.iter().enumerate() {
+        for (slot, command) in worker.commands.iter().enumerate() {
             let Some(command) = *command else { continue };
-            if !reliable && this.commands.iter().flatten().count() >= size.commands {
-                step(Step::Drops(w, command), &mut |s| s.machines[w].commands[i] = None);
+            if !reliable && worker.commands.iter().flatten().count() >= size.commands {
+                add_step(Step::CommandLost(worker_id, command), &mut |next| {
+                    next.workers[worker_id].commands[slot] = None
+                });
             }
             for answered in [true, false] {
                 let from = command.from as usize;
-                let waits = state.controllers[from].owned[w]
-                    .is_some_and(|o| o.in_flight.is_some_and(|(t, _)| t == command.token));
-                if answered && !waits || reliable && !answered {
+                let is_awaited = state.controllers[from].owned[worker_id]
+                    .is_some_and(|owned| owned.in_flight.is_some_and(|(token, _)| token == command.token));
+                if answered && !is_awaited || reliable && !answered {
                     continue;
                 }
-                step(Step::Executes(w, command, answered), &mut |s| {
-                    s.machines[w].commands[i] = None;
-                    let report = s.machines[w].execute(&command, without);
-                    if let Some(o) = s.controllers[from].owned[w].as_mut().filter(|_| answered) {
-                        o.finish(command.token, true);
-                        o.ingest(&report, false, without);
+                add_step(Step::CommandExecuted(worker_id, command, answered), &mut |next| {
+                    next.workers[worker_id].commands[slot] = None;
+                    let report = next.workers[worker_id].execute(&command, mechanisms);
+                    if let Some(owned) = next.controllers[from].owned[worker_id].as_mut().filter(|_| answered)
+                    {
+                        owned.finish_request(command.token, true);
+                        owned.ingest_report(&report, false, mechanisms);
                     }
                 });
             }
@@ -505,43 +568,48 @@
     }
 }
 
-fn placed(job: Job, worker: u8) -> Job {
-    Job { place: Some((worker, job.next_attempt)), next_attempt: job.next_attempt + 1, evict: false, ..job }
+fn with_placement(job: Job, worker_id: u8) -> Job {
+    Job {
+        placement: Some((worker_id, job.next_attempt)),
+        next_attempt: job.next_attempt + 1,
+        evict: false,
+        ..job
+    }
 }
 
-fn changed(job: Job, change: Change) -> Job {
+fn with_change(job: Job, change: Change) -> Job {
     match change {
         Change::Cancel => Job { cancelled: true, ..job },
         Change::Evict => Job { evict: true, ..job },
-        Change::Place(w) => placed(job, w),
-        Change::End(..) => Job { place: None, evict: false, ..job },
+        Change::Place(worker_id) => with_placement(job, worker_id),
+        Change::End(..) => Job { placement: None, evict: false, ..job },
     }
 }
 
-impl Model for World {
+impl Model for ProtocolModel {
     type State = State;
     type Step = Step;
-    type Rule = Rule;
+    type Invariant = Invariant;
 
-    fn starts(&self) -> Vec<State> {
-        self.starts()
+    fn initial_states(&self) -> Vec<State> {
+        self.initial_states()
     }
 
-    fn next(&self, state: &State) -> Vec<(Step, State)> {
-        self.next(state)
+    fn successors(&self, state: &State) -> Vec<(Step, State)> {
+        self.successors(state)
     }
 
-    fn broken(&self, state: &State) -> Option<Rule> {
-        state.broken(self.size.cancel)
+    fn violation(&self, state: &State) -> Option<Invariant> {
+        state.violation(self.size.cancel_limit)
     }
 
-    /// Of what the size uses of a state.
+    /// Hashes only the controllers and workers that the size has.
     fn hash(&self, state: &State, hasher: &mut impl Hasher) {
         let size = &self.size;
         state.records.hash(hasher);
         state.controllers[..size.controllers].hash(hasher);
-        state.machines[..size.workers].hash(hasher);
+        state.workers[..size.workers].hash(hasher);
         state.transactions.hash(hasher);
-        (state.told, state.used).hash(hasher);
+        (state.cancel_ack_age, state.counts).hash(hasher);
     }
 }
--- a/crates/model/tests/budget.rs
+++ b/crates/model/tests/budget.rs
@@ -1,38 +1,38 @@
-//! The budget's model in full, and each of its mechanisms taken away.
+//! Explores the model of the disruption budget, with all mechanisms and with each of them removed.
 
-use model::budget::{Budget, Mechanism, Rule};
+use model::budget::{BudgetModel, Invariant, Mechanism};
 use model::explore::{Limits, explore};
 
 const LIMITS: Limits = Limits { threads: 3, states: 400_000 };
 
-/// Without failures in full; with one as far as CI's time goes.
+/// Explores all states without failures, and with one failure as many as fit into CI's time.
 #[test]
-fn two_stoppers_keep_the_budget() {
+fn budget_holds_when_two_stoppers_act_on_outdated_views() {
     for (failures, attempts) in [(0, 1), (1, 2)] {
-        let size = Budget { failures, attempts, ..Budget::whole(None) };
-        let outcome = explore(size, LIMITS);
-        println!("{} states, whole: {}, {:?}", outcome.states, outcome.whole, outcome.took);
-        assert!(outcome.whole || failures > 0, "{} states", outcome.states);
-        assert!(outcome.broken.is_none(), "{:?}", outcome.broken.map(|b| b.0));
+        let model = BudgetModel { failures, attempts, ..BudgetModel::full(None) };
+        let outcome = explore(model, LIMITS);
+        println!("{} states, exhaustive: {}, {:?}", outcome.states, outcome.exhaustive, outcome.duration);
+        assert!(outcome.exhaustive || failures > 0, "{} states", outcome.states);
+        assert!(outcome.violation.is_none(), "{:?}", outcome.violation.map(|violation| violation.0));
     }
 }
 
 #[test]
-fn each_mechanism_is_needed() {
+fn an_invariant_is_violated_when_any_mechanism_is_removed() {
     let table = [
-        (Mechanism::TeamCondition, Rule::Budget),
-        (Mechanism::JobCondition, Rule::OnTop),
-        (Mechanism::OpenEntries, Rule::Budget),
-        (Mechanism::SeenRunning, Rule::Budget),
-        (Mechanism::FailuresCount, Rule::OnTop),
+        (Mechanism::TeamCondition, Invariant::WithinBudget),
+        (Mechanism::JobCondition, Invariant::NoDrainStopWhileSiblingDown),
+        (Mechanism::OpenEntries, Invariant::WithinBudget),
+        (Mechanism::SeenRunning, Invariant::WithinBudget),
+        (Mechanism::FailuresCountAsDown, Invariant::NoDrainStopWhileSiblingDown),
     ];
-    for (mechanism, rule) in table {
-        let outcome = explore(Budget::whole(Some(mechanism)), LIMITS);
-        let found = outcome.broken.as_ref().map(|(rule, way)| (*rule, way.len()));
-        println!("{mechanism:?}: {found:?}, {} states, {:?}", outcome.states, outcome.took);
-        if let Some((_, way)) = &outcome.broken {
-            way.iter().enumerate().for_each(|(n, (step, _))| println!("{:4}. {step}", n + 1));
+    for (mechanism, invariant) in table {
+        let outcome = explore(BudgetModel::full(Some(mechanism)), LIMITS);
+        let found = outcome.violation.as_ref().map(|(invariant, trace)| (*invariant, trace.len()));
+        println!("{mechanism:?}: {found:?}, {} states, {:?}", outcome.states, outcome.duration);
+        if let Some((_, trace)) = &outcome.violation {
+            trace.iter().enumerate().for_each(|(n, (step, _))| println!("{:4}. {step}", n + 1));
         }
-        assert!(found.is_some(), "without {mechanism:?}, {rule:?}");
+        assert!(found.is_some(), "without {mechanism:?}, {invariant:?}");
     }
 }
