--- a/crates/model/src/controller.rs
+++ b/crates/model/src/controller.rs
@@ -341,8 +341,8 @@
             // Under a new map, any controller renews a worker's lease once.
             let token = Token::first(self.mirror.epoch);
             let runs_here = |attempt: &u8| report.tasks[*attempt as usize] == Task::Running;
-            let stops = job.cancelled && mechanisms.has(Mechanism::NonOwnerStops);
-            let stop = (0..MAX_ATTEMPTS as u8).find(runs_here).filter(|_| stops);
+            let should_stop = job.cancelled && mechanisms.has(Mechanism::NonOwnerStops);
+            let stop = (0..MAX_ATTEMPTS as u8).find(runs_here).filter(|_| should_stop);
             return (report.token < token).then(|| answer(token, None, stop));
         }
         let owned = self.owned[worker_id].as_mut()?;
--- a/crates/model/src/explore.rs
+++ b/crates/model/src/explore.rs
@@ -1,9 +1,9 @@
 //! A multi-threaded breadth-first search over all reachable states of a model.
 //!
-//! Visited states are kept as 64-bit fingerprints, each with the fingerprint of its predecessor.
-//! The first violation is therefore found in the fewest possible steps, and its trace is rebuilt
-//! by running the model again along the predecessors. Two states with the same fingerprint would
-//! be taken for one; with ten million states the probability is about one in 400,000.
+//! The breadth-first order finds the first violation in the fewest possible steps. Visited states
+//! are kept as 64-bit fingerprints, each with the fingerprint of its predecessor; the trace to a
+//! violation is rebuilt by running the model again along the predecessors. Two states with the same
+//! fingerprint would be taken for one; with ten million states the probability is about one in 400,000.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -49,8 +49,8 @@
     /// The largest distance of a state from the initial states, in steps.
     pub depth: usize,
     pub duration: Duration,
-    /// Whether the search ended before the limit: all states were visited or a violation was found.
-    pub exhaustive: bool,
+    /// Whether the search ended within the limit: all states were visited, or a violation was found.
+    pub within_limit: bool,
     pub violation: Option<(M::Invariant, Trace<M>)>,
 }
 
@@ -166,11 +166,11 @@
     let mut frontier: Vec<M::State> =
         initial_states.iter().filter(|s| search.insert_if_new(search.fingerprint(s), 0)).cloned().collect();
     let (mut states, mut depth) = (frontier.len(), 0);
-    let outcome = |states, depth, exhaustive, violation| Outcome {
+    let outcome = |states, depth, within_limit, violation| Outcome {
         states,
         depth,
         duration: started.elapsed(),
-        exhaustive,
+        within_limit,
         violation,
     };
     while !frontier.is_empty() {
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -38,7 +38,7 @@
 fn explore_budget(removed: &str, limits: Limits) -> ExitCode {
     let removed = budget::Mechanism::from_str(removed, true).ok();
     let outcome = explore(budget::BudgetModel::full(removed), limits);
-    let note = if outcome.exhaustive { "" } else { " (stopped at the limit)" };
+    let note = if outcome.within_limit { "" } else { " (stopped at the limit)" };
     println!("budget: {} states{note}, depth {}, {:?}", outcome.states, outcome.depth, outcome.duration);
     let Some((invariant, trace)) = outcome.violation else { return ExitCode::SUCCESS };
     println!("{invariant:?} is violated after {} steps:", trace.len());
@@ -57,7 +57,7 @@
     let mut code = ExitCode::SUCCESS;
     for size in sizes {
         let outcome = explore(ProtocolModel { size, mechanisms }, limits);
-        let note = if outcome.exhaustive { "" } else { " (stopped at the limit)" };
+        let note = if outcome.within_limit { "" } else { " (stopped at the limit)" };
         let (states, depth, seconds) = (outcome.states, outcome.depth, outcome.duration.as_secs_f64());
         println!("{}: {states} states{note}, depth {depth}, {seconds:.1} s", size.name);
         if let Some((invariant, trace)) = outcome.violation {
--- a/crates/model/src/mechanism.rs
+++ b/crates/model/src/mechanism.rs
@@ -12,7 +12,7 @@
     AbsenceNeedsLaterToken,
     /// An exit counts only if reported in reply to the owner's request, or with a token of its ownership.
     TrustedReport,
-    /// The owner waits longer than the lease before it counts it as over, for a worker with a slow clock.
+    /// An owner adds slack before it counts a lease as over, because the worker's clock may be slow.
     LeaseSlack,
     /// A lease counts as over only if the worker has shown a token of the current map.
     LeaseToken,
@@ -26,7 +26,7 @@
     /// An attempt that is proven to be over is never launched again.
     #[value(name = "ended-stays")]
     NoLaunchAfterEnd,
-    /// An owner that lost a worker and owns it again discards what it knew of it.
+    /// An owner that lost a worker and owns it again discards its earlier knowledge of the worker.
     #[value(name = "new-owner-forgets")]
     ResetOnReacquire,
     /// A cancellation is confirmed to the user only once it is committed.
@@ -58,13 +58,13 @@
     /// A peer that has read no records counts only if its incarnation was known before the asker's last read.
     #[value(name = "incarnation")]
     KnownIncarnation,
-    /// The answer of a peer that has read no records does not count unconditionally.
+    /// A peer that has read no records does not count, unless its incarnation is known.
     #[value(name = "unread")]
     UnreadPeerCheck,
-    /// A peer counts as having read the records once it did since its start, also while it rereads them.
+    /// A peer has read the records if it did so since its start, even while it rereads them.
     #[value(name = "ever-read")]
     ReadSinceStart,
-    /// A read whose answer arrives late does not replace a newer record.
+    /// The late answer to a read does not replace a newer record.
     #[value(name = "newer-wins")]
     NewerRecordWins,
     /// Rereading all records keeps what was committed or learned from peers in the meantime.
--- a/crates/model/tests/budget.rs
+++ b/crates/model/tests/budget.rs
@@ -11,8 +11,8 @@
     for (failures, attempts) in [(0, 1), (1, 2)] {
         let model = BudgetModel { failures, attempts, ..BudgetModel::full(None) };
         let outcome = explore(model, LIMITS);
-        println!("{} states, exhaustive: {}, {:?}", outcome.states, outcome.exhaustive, outcome.duration);
-        assert!(outcome.exhaustive || failures > 0, "{} states", outcome.states);
+        println!("{} states, within limit: {}, {:?}", outcome.states, outcome.within_limit, outcome.duration);
+        assert!(outcome.within_limit || failures > 0, "{} states", outcome.states);
         assert!(outcome.violation.is_none(), "{:?}", outcome.violation.map(|violation| violation.0));
     }
 }
--- a/crates/model/tests/mechanisms.rs
+++ b/crates/model/tests/mechanisms.rs
@@ -66,7 +66,7 @@
     {
         let outcome = explore_size(size, Mechanisms::default());
         println!("{}: {} states, depth {}, {:?}", size.name, outcome.states, outcome.depth, outcome.duration);
-        assert!(outcome.exhaustive, "{} states of {size:?}", outcome.states);
+        assert!(outcome.within_limit, "{} states of {size:?}", outcome.states);
         assert!(outcome.violation.is_none(), "{:?}", outcome.violation);
     }
 }
