--- a/crates/model/src/budget.rs
+++ b/crates/model/src/budget.rs
@@ -322,7 +322,7 @@
     state.transactions.sort();
 }
 
-/// Replaces each copy of one version number by its rank.
+/// Replaces a record's version by its rank among all copies of that record in the state.
 fn rank(state: &mut State, version: impl Fn(&mut Records) -> &mut u8) {
     let State { records, views, transactions, .. } = state;
     let in_views = views.iter_mut().flatten().map(|view| &mut view.records);
--- a/crates/model/src/state.rs
+++ b/crates/model/src/state.rs
@@ -71,9 +71,9 @@
 /// What the owning controller knows of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct OwnedWorker {
-    /// The epoch of the newest map that the owner has adopted.
+    /// The epoch of the newest map that the controller has adopted.
     pub epoch: u8,
-    /// The epoch since which it has owned the worker.
+    /// The epoch since which the controller has owned the worker.
     pub owned_epoch: u8,
     /// 0 if no report has arrived yet.
     pub session: u8,
