--- a/crates/daemon/tests/drains_loopback.rs
+++ b/crates/daemon/tests/drains_loopback.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use emulator::{Emulation, SiteFile, TaskEvent, TaskEventKind, Troubles};
+use emulator::{Emulation, ServiceFaults, SiteFile, TaskEvent, TaskEventKind};
 use net::Client;
 use wire::{JobKind, JobSpec, TaskState};
 
@@ -280,12 +280,12 @@
     until("the next leader goes on", 60, || stops(&emulation) >= 3).await;
 
     // The state service is away for longer than a cancellation may take.
-    emulation.set_state_troubles(Troubles { outage: true, ..Troubles::default() });
+    emulation.set_state_faults(ServiceFaults { outage: true, ..ServiceFaults::default() });
     let told = drain(&config, &["status", "rack-a"]).await.expect_err("it cannot be asked");
     assert!(told.ends_with("nothing was written"), "{told}");
     let away = Instant::now();
     until("the outage lasts", CANCEL_S + 10, || away.elapsed() > Duration::from_secs(CANCEL_S + 2)).await;
-    emulation.set_state_troubles(Troubles::default());
+    emulation.set_state_faults(ServiceFaults::default());
     let before = stops(&emulation);
     until("it goes on after the outage", 60, || stops(&emulation) > before).await;
 
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -13,8 +13,8 @@
 use wire::{MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
 
 use crate::bucket::Bucket;
+use crate::service_faults::{ServiceFaults, Step};
 use crate::state::query;
-use crate::troubles::{Step, Troubles};
 use crate::worker::MachineInfo;
 use machines::{End, Machine};
 use prices::Prices;
@@ -71,7 +71,7 @@
     /// What each request that succeeded was answered.
     hires: HashMap<String, Vec<String>>,
     prices: Prices,
-    troubles: Troubles,
+    troubles: ServiceFaults,
     bucket: Bucket,
     lag: (Duration, Instant),
     next: u64,
@@ -90,7 +90,7 @@
             machines: BTreeMap::new(),
             hires: HashMap::new(),
             prices,
-            troubles: Troubles::default(),
+            troubles: ServiceFaults::default(),
             bucket,
             lag: (Duration::ZERO, now),
             next,
@@ -99,11 +99,11 @@
         }
     }
 
-    pub fn troubles(&self) -> &Troubles {
+    pub fn troubles(&self) -> &ServiceFaults {
         &self.troubles
     }
 
-    pub fn set_troubles(&mut self, troubles: Troubles) {
+    pub fn set_faults(&mut self, troubles: ServiceFaults) {
         self.troubles = troubles;
     }
 
--- a/crates/emulator/src/config/load.rs
+++ b/crates/emulator/src/config/load.rs
@@ -6,9 +6,9 @@
 use wire::{JobKind, JobSpec, Priority};
 
 use super::{SiteFile, seconds};
-use crate::schedule::{Kind, Trouble};
+use crate::fault_schedule::{FaultKind, ScheduledFault};
 use crate::users::Load;
-use crate::worker::Faults;
+use crate::worker::MachineFaults;
 
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -118,32 +118,32 @@
         self.load.iter().map(load).collect()
     }
 
-    pub fn troubles(&self) -> Vec<Trouble> {
+    pub fn scheduled_faults(&self) -> Vec<ScheduledFault> {
         let trouble = |(name, t): (&String, &TroubleFile)| {
             let (share, by) = (t.share.unwrap_or(1.0), seconds(t.delay_s));
             let named = |n: &String| t.controller.as_ref() == Some(n);
             let caller = self.controller.keys().position(named).unwrap_or(usize::MAX);
-            let machines = |faults| Kind::Machines(share, faults);
-            let fine = Faults::default();
+            let machines = |faults| FaultKind::Machines(share, faults);
+            let fine = MachineFaults::default();
             let kind = match t.kind {
-                TroubleKind::StateOutage => Kind::StateOutage,
-                TroubleKind::StateRefuses => Kind::StateRefuses(caller),
-                TroubleKind::StateSlow => Kind::StateSlow(share, by),
-                TroubleKind::StateLate => Kind::StateLate(share, by),
-                TroubleKind::StateLost => Kind::StateLost(share),
-                TroubleKind::CloudOutage => Kind::CloudOutage,
-                TroubleKind::CloudSlow => Kind::CloudSlow(share, by),
-                TroubleKind::CloudLate => Kind::CloudLate(share, by),
-                TroubleKind::CloudLost => Kind::CloudLost(share),
-                TroubleKind::Hang => machines(Faults { hangs: true, ..fine }),
-                TroubleKind::Deaf => machines(Faults { deaf: true, ..fine }),
-                TroubleKind::Mute => machines(Faults { mute: true, ..fine }),
-                TroubleKind::Faulty => machines(Faults { faulty: true, ..fine }),
-                TroubleKind::Death => Kind::Deaths(share),
-                TroubleKind::Reclaim => Kind::Reclaims(share),
+                TroubleKind::StateOutage => FaultKind::StateOutage,
+                TroubleKind::StateRefuses => FaultKind::StateRefuses(caller),
+                TroubleKind::StateSlow => FaultKind::StateSlow(share, by),
+                TroubleKind::StateLate => FaultKind::StateLate(share, by),
+                TroubleKind::StateLost => FaultKind::StateLost(share),
+                TroubleKind::CloudOutage => FaultKind::CloudOutage,
+                TroubleKind::CloudSlow => FaultKind::CloudSlow(share, by),
+                TroubleKind::CloudLate => FaultKind::CloudLate(share, by),
+                TroubleKind::CloudLost => FaultKind::CloudLost(share),
+                TroubleKind::Hang => machines(MachineFaults { hangs: true, ..fine }),
+                TroubleKind::Deaf => machines(MachineFaults { deaf: true, ..fine }),
+                TroubleKind::Mute => machines(MachineFaults { mute: true, ..fine }),
+                TroubleKind::Faulty => machines(MachineFaults { faulty: true, ..fine }),
+                TroubleKind::Death => FaultKind::Deaths(share),
+                TroubleKind::Reclaim => FaultKind::Reclaims(share),
             };
             let (at, lasts) = (seconds(t.at_s), seconds(t.for_s).max(Duration::from_millis(1)));
-            Trouble { name: name.clone(), kind, at, lasts }
+            ScheduledFault { name: name.clone(), kind, at, lasts }
         };
         self.trouble.iter().map(trouble).collect()
     }
--- a/crates/emulator/src/schedule.rs
+++ b/crates/emulator/src/fault_schedule.rs
@@ -7,14 +7,14 @@
 use rand::{RngExt, SeedableRng};
 use tracing::info;
 
+use crate::service_faults::ServiceFaults;
 use crate::site::Site;
 use crate::state::StateService;
-use crate::troubles::Troubles;
-use crate::worker::Faults;
+use crate::worker::MachineFaults;
 
 /// What is troubled.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Kind {
+pub enum FaultKind {
     StateOutage,
     /// The state service refuses one controller.
     StateRefuses(usize),
@@ -27,7 +27,7 @@
     CloudLate(f64, Duration),
     CloudLost(f64),
     /// A share of the machines that are up when it begins has these faults.
-    Machines(f64, Faults),
+    Machines(f64, MachineFaults),
     /// A share of the machines dies when it begins.
     Deaths(f64),
     /// A share of the spot machines is taken back when it begins.
@@ -35,16 +35,16 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Trouble {
+pub struct ScheduledFault {
     pub name: String,
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Counted from the beginning of the site.
     pub at: Duration,
     pub lasts: Duration,
 }
 
-pub struct Schedule {
-    troubles: Vec<Trouble>,
+pub struct FaultSchedule {
+    troubles: Vec<ScheduledFault>,
     begun: Instant,
     /// Those that are on, with the machines that they concern.
     on: BTreeMap<usize, BTreeSet<String>>,
@@ -52,8 +52,8 @@
     rng: StdRng,
 }
 
-impl Schedule {
-    pub fn new(troubles: Vec<Trouble>, seed: u64, now: Instant) -> Self {
+impl FaultSchedule {
+    pub fn new(troubles: Vec<ScheduledFault>, seed: u64, now: Instant) -> Self {
         let (on, over) = (BTreeMap::new(), BTreeSet::new());
         Self { troubles, begun: now, on, over, rng: StdRng::seed_from_u64(seed) }
     }
@@ -83,24 +83,24 @@
     }
 
     fn set(&self, site: &mut Site, state: &mut StateService, released: &BTreeSet<String>, now: Instant) {
-        let (mut of_state, mut of_cloud) = (Troubles::default(), Troubles::default());
-        let mut faults: BTreeMap<String, Faults> =
-            released.iter().map(|m| (m.clone(), Faults::default())).collect();
+        let (mut of_state, mut of_cloud) = (ServiceFaults::default(), ServiceFaults::default());
+        let mut faults: BTreeMap<String, MachineFaults> =
+            released.iter().map(|m| (m.clone(), MachineFaults::default())).collect();
         for (i, machines) in &self.on {
             let Some(trouble) = self.troubles.get(*i) else { continue };
             match trouble.kind.clone() {
-                Kind::StateOutage => of_state.outage = true,
-                Kind::StateRefuses(caller) => {
+                FaultKind::StateOutage => of_state.outage = true,
+                FaultKind::StateRefuses(caller) => {
                     of_state.refused.insert(caller);
                 }
-                Kind::StateSlow(share, by) => (of_state.slow_share, of_state.slow) = (share, by),
-                Kind::StateLate(share, by) => (of_state.late_share, of_state.late) = (share, by),
-                Kind::StateLost(share) => of_state.lost_share = share,
-                Kind::CloudOutage => of_cloud.outage = true,
-                Kind::CloudSlow(share, by) => (of_cloud.slow_share, of_cloud.slow) = (share, by),
-                Kind::CloudLate(share, by) => (of_cloud.late_share, of_cloud.late) = (share, by),
-                Kind::CloudLost(share) => of_cloud.lost_share = share,
-                Kind::Machines(_, f) => {
+                FaultKind::StateSlow(share, by) => (of_state.slow_share, of_state.slow) = (share, by),
+                FaultKind::StateLate(share, by) => (of_state.late_share, of_state.late) = (share, by),
+                FaultKind::StateLost(share) => of_state.lost_share = share,
+                FaultKind::CloudOutage => of_cloud.outage = true,
+                FaultKind::CloudSlow(share, by) => (of_cloud.slow_share, of_cloud.slow) = (share, by),
+                FaultKind::CloudLate(share, by) => (of_cloud.late_share, of_cloud.late) = (share, by),
+                FaultKind::CloudLost(share) => of_cloud.lost_share = share,
+                FaultKind::Machines(_, f) => {
                     for machine in machines {
                         let all = faults.entry(machine.clone()).or_default();
                         all.hangs |= f.hangs;
@@ -109,22 +109,22 @@
                         all.faulty |= f.faulty;
                     }
                 }
-                Kind::Deaths(_) | Kind::Reclaims(_) => {}
+                FaultKind::Deaths(_) | FaultKind::Reclaims(_) => {}
             }
         }
-        state.set_troubles(of_state, now);
-        site.cloud.set_troubles(of_cloud);
+        state.set_faults(of_state, now);
+        site.cloud.set_faults(of_cloud);
         for (machine, faults) in faults {
-            site.set_faults(&machine, faults, now);
+            site.set_machine_faults(&machine, faults, now);
         }
     }
 }
 
 /// What happens once; the machines that it concerns for longer.
-fn begin(kind: &Kind, site: &mut Site, rng: &mut StdRng, now: Instant) -> BTreeSet<String> {
+fn begin(kind: &FaultKind, site: &mut Site, rng: &mut StdRng, now: Instant) -> BTreeSet<String> {
     let (share, spot) = match kind {
-        Kind::Machines(share, _) | Kind::Deaths(share) => (*share, false),
-        Kind::Reclaims(share) => (*share, true),
+        FaultKind::Machines(share, _) | FaultKind::Deaths(share) => (*share, false),
+        FaultKind::Reclaims(share) => (*share, true),
         _ => return BTreeSet::new(),
     };
     let up = site.workers().map(|w| &w.info).filter(|i| i.spot || !spot);
@@ -135,8 +135,8 @@
         chosen.insert(names.swap_remove(rng.random_range(0..names.len())));
     }
     match kind {
-        Kind::Deaths(_) => chosen.iter().for_each(|m| site.cloud.kill(m, now)),
-        Kind::Reclaims(_) => {
+        FaultKind::Deaths(_) => chosen.iter().for_each(|m| site.cloud.kill(m, now)),
+        FaultKind::Reclaims(_) => {
             for machine in &chosen {
                 let notice = site.cloud.draw_notice();
                 site.cloud.reclaim(machine, notice, now);
--- a/crates/emulator/src/live/mod.rs
+++ b/crates/emulator/src/live/mod.rs
@@ -19,8 +19,8 @@
 use self::job_file::JobFile;
 use crate::balancer::Balancer;
 use crate::config::{ControllerFile, SiteFile};
+use crate::fault_schedule::FaultSchedule;
 use crate::journal::JournalError;
-use crate::schedule::Schedule;
 use crate::site::Site;
 use crate::state::StateService;
 use crate::users::{Tally, Users};
@@ -58,7 +58,7 @@
     site: Locked<Site>,
     state: Locked<StateService>,
     balancer: Locked<Balancer>,
-    schedule: Locked<Schedule>,
+    schedule: Locked<FaultSchedule>,
     users: Locked<Users>,
     /// Where the controllers listen for users and workers.
     fronts: Vec<String>,
@@ -164,7 +164,7 @@
             job_file,
             state: Locked::new(state),
             balancer: Locked::new(Balancer::new(fronts.len(), site.seed)),
-            schedule: Locked::new(Schedule::new(site.troubles(), site.seed, now)),
+            schedule: Locked::new(FaultSchedule::new(site.scheduled_faults(), site.seed, now)),
             users: Locked::new(Users::new(site.loads(), unix_s(), site.seed, now)),
             resets: fronts.iter().map(|_| Locked::default()).collect(),
             probes: Client::new(fronts.len()),
@@ -225,8 +225,8 @@
 
     /// Changes what goes wrong with the state service. The troubles of the site's file, if any
     /// begin or end later, take its place.
-    pub fn set_state_troubles(&self, troubles: crate::troubles::Troubles) {
-        self.live.state.lock().set_troubles(troubles, Instant::now());
+    pub fn set_state_faults(&self, troubles: crate::service_faults::ServiceFaults) {
+        self.live.state.lock().set_faults(troubles, Instant::now());
         self.live.changed.notify_waiters();
     }
 
--- a/crates/emulator/src/live/services.rs
+++ b/crates/emulator/src/live/services.rs
@@ -12,9 +12,9 @@
 use wire::MachineStatus;
 
 use super::{Listeners, Live, TICK, connections};
+use crate::service_faults::Step;
 use crate::site::Sending;
 use crate::state::Watch;
-use crate::troubles::Step;
 use crate::worker::ANSWER_WAIT;
 
 /// The state service as one controller reaches it.
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/service_faults.rs
@@ -10,7 +10,7 @@
 /// What goes wrong with the requests to a service. Shares are of all requests, from 0
 /// to 1.
 #[derive(Debug, Clone, Default)]
-pub struct Troubles {
+pub struct ServiceFaults {
     /// Everybody is refused; of the state service's leases none runs out.
     pub outage: bool,
     /// The state service refuses these callers; their leases run out.
@@ -47,7 +47,7 @@
     share > 0.0 && rng.random_bool(share.min(1.0))
 }
 
-impl Troubles {
+impl ServiceFaults {
     /// How long after it came a request is carried out, if it is late.
     pub(crate) fn lateness(&self, rng: &mut StdRng) -> Option<Duration> {
         happens(self.late_share, rng).then(|| self.late.mul_f64(rng.random_range(0.0..1.0)))
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -10,8 +10,8 @@
 use crate::gang::GangRules;
 use crate::history::History;
 use crate::jobs::Jobs;
-use crate::troubles::Step;
-use crate::worker::{Faults, Heard, Ticket, Worker, WorkerRules};
+use crate::service_faults::Step;
+use crate::worker::{Heard, MachineFaults, Ticket, Worker, WorkerRules};
 
 #[derive(Debug, Clone)]
 pub struct SiteSettings {
@@ -175,7 +175,7 @@
     }
 
     /// From now on this is wrong with a machine, and nothing else.
-    pub fn set_faults(&mut self, machine: &str, faults: Faults, now: Instant) {
+    pub fn set_machine_faults(&mut self, machine: &str, faults: MachineFaults, now: Instant) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.set_faults(faults, &mut self.jobs, now);
         }
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -15,7 +15,7 @@
 use super::{Change, Data, Write, json_len};
 use crate::bucket::Bucket;
 use crate::journal::{Journal, JournalError};
-use crate::troubles::{Step, Troubles};
+use crate::service_faults::{ServiceFaults, Step};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
@@ -54,7 +54,7 @@
     writes: Bucket,
     /// When each lease ends.
     ends: BTreeMap<u64, Instant>,
-    troubles: Troubles,
+    troubles: ServiceFaults,
     journal: Option<Journal>,
     /// The file could not be written: nothing is acknowledged any more.
     broken: bool,
@@ -84,7 +84,7 @@
             requests: Bucket::new(limits.rps, 1.0, now),
             writes: Bucket::new(limits.write_rps, 1.0, now),
             ends: BTreeMap::new(),
-            troubles: Troubles::default(),
+            troubles: ServiceFaults::default(),
             journal: None,
             broken: false,
             rng: StdRng::seed_from_u64(seed),
@@ -109,13 +109,13 @@
         &self.data
     }
 
-    pub fn troubles(&self) -> &Troubles {
+    pub fn troubles(&self) -> &ServiceFaults {
         &self.troubles
     }
 
     /// From now on this goes wrong and nothing else. After an outage every lease has
     /// its full time again.
-    pub fn set_troubles(&mut self, troubles: Troubles, now: Instant) {
+    pub fn set_faults(&mut self, troubles: ServiceFaults, now: Instant) {
         self.poll(now);
         if self.troubles.outage && !troubles.outage {
             self.renew_all(now);
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -31,7 +31,7 @@
 
 /// What is wrong with a machine. Several may be at once.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Faults {
+pub struct MachineFaults {
     /// It does nothing at all, and may go on later.
     pub hangs: bool,
     /// Nothing reaches it, though its reports arrive.
@@ -73,7 +73,7 @@
 pub struct Worker {
     pub info: MachineInfo,
     rules: WorkerRules,
-    faults: Faults,
+    faults: MachineFaults,
     session: u64,
     seq: u64,
     token: u64,
@@ -105,7 +105,7 @@
         let tasks = Tasks::new(t, images, rng.random_range(0.95..1.05));
         Self {
             rules,
-            faults: Faults::default(),
+            faults: MachineFaults::default(),
             session: 1,
             seq: 0,
             token: 0,
@@ -130,7 +130,7 @@
         self.target
     }
 
-    pub fn faults(&self) -> Faults {
+    pub fn faults(&self) -> MachineFaults {
         self.faults
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// From now on this is wrong with it, and nothing else.
-    pub fn set_faults(&mut self, faults: Faults, jobs: &mut Jobs, now: Instant) {
+    pub fn set_faults(&mut self, faults: MachineFaults, jobs: &mut Jobs, now: Instant) {
         if faults.hangs != self.faults.hangs {
             self.poll(jobs, now);
             let notice = faults.hangs.then(|| jobs.notice());
--- a/crates/emulator/tests/cloud.rs
+++ b/crates/emulator/tests/cloud.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use emulator::{Cloud, CloudSettings, Event, Troubles};
+use emulator::{Cloud, CloudSettings, Event, ServiceFaults};
 use net::Request;
 use serde_json::{Value as Json, json};
 use wire::MachineType;
@@ -237,8 +237,8 @@
     let statuses: Vec<u16> = (0..6).map(|_| t.ask("GET", "/machine_types", Json::Null).0).collect();
     assert_eq!(statuses, [200, 200, 200, 200, 429, 429], "two seconds' worth at once");
     t.at(1.0);
-    t.cloud.set_troubles(Troubles { outage: true, ..Troubles::default() });
+    t.cloud.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() });
     assert_eq!(t.rent("r-1", false, 1), (503, json!({"error":"trouble"})));
-    t.cloud.set_troubles(Troubles::default());
+    t.cloud.set_faults(ServiceFaults::default());
     assert_eq!(t.rent("r-1", false, 1).0, 200);
 }
--- a/crates/emulator/tests/troubles.rs
+++ b/crates/emulator/tests/fault_schedule.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use emulator::{Faults, Kind, Schedule, Site, SiteFile, StateService, Trouble};
+use emulator::{FaultKind, FaultSchedule, MachineFaults, ScheduledFault, Site, SiteFile, StateService};
 use net::Request;
 
 const SITE: &str = include_str!("../../../examples/site.hcl");
@@ -10,13 +10,13 @@
 struct Test {
     site: Site,
     state: StateService,
-    schedule: Schedule,
+    schedule: FaultSchedule,
     start: Instant,
 }
 
 impl Test {
     /// The example site with ten spot machines up, and these troubles from `at` to `to`.
-    fn new(kinds: Vec<Kind>, at: u64, to: u64) -> Self {
+    fn new(kinds: Vec<FaultKind>, at: u64, to: u64) -> Self {
         let start = Instant::now();
         let file = SiteFile::parse("site.hcl", SITE).expect("the example is valid");
         let mut site = Site::new(file.site_settings(), Box::new(|m: &str| Some(m.to_owned())), start);
@@ -30,8 +30,8 @@
         let body = wire::encode(&rental).into();
         site.cloud_request(&Request { method: "POST".into(), path: "/machines".into(), body }, start);
         let (at, lasts) = (Duration::from_secs(at), Duration::from_secs(to - at));
-        let trouble = |kind| Trouble { name: "t".into(), kind, at, lasts };
-        let schedule = Schedule::new(kinds.into_iter().map(trouble).collect(), 1, start);
+        let trouble = |kind| ScheduledFault { name: "t".into(), kind, at, lasts };
+        let schedule = FaultSchedule::new(kinds.into_iter().map(trouble).collect(), 1, start);
         let state = StateService::new(file.state_limits(), 1, start);
         Self { site, state, schedule, start }
     }
@@ -42,7 +42,7 @@
         self.schedule.poll(&mut self.site, &mut self.state, now);
     }
 
-    fn with(&self, fits: impl Fn(Faults) -> bool) -> usize {
+    fn with(&self, fits: impl Fn(MachineFaults) -> bool) -> usize {
         self.site.workers().filter(|w| fits(w.faults())).count()
     }
 }
@@ -50,8 +50,12 @@
 #[test]
 fn services_are_troubled_together_and_for_their_time() {
     let slow = Duration::from_secs(1);
-    let kinds =
-        vec![Kind::StateRefuses(1), Kind::StateLost(0.2), Kind::CloudOutage, Kind::CloudLate(0.1, slow)];
+    let kinds = vec![
+        FaultKind::StateRefuses(1),
+        FaultKind::StateLost(0.2),
+        FaultKind::CloudOutage,
+        FaultKind::CloudLate(0.1, slow),
+    ];
     let mut t = Test::new(kinds, 10, 20);
     for (at, on) in [(9, false), (10, true), (19, true), (20, false), (90, false)] {
         t.at(at);
@@ -63,23 +67,23 @@
 
 #[test]
 fn machines_are_troubled_by_shares() {
-    let hangs = Faults { hangs: true, ..Faults::default() };
-    let mute = Faults { mute: true, ..Faults::default() };
-    let mut t = Test::new(vec![Kind::Machines(0.3, hangs), Kind::Machines(1.0, mute)], 10, 20);
+    let hangs = MachineFaults { hangs: true, ..MachineFaults::default() };
+    let mute = MachineFaults { mute: true, ..MachineFaults::default() };
+    let mut t = Test::new(vec![FaultKind::Machines(0.3, hangs), FaultKind::Machines(1.0, mute)], 10, 20);
     t.at(9);
-    assert_eq!((t.site.workers().count(), t.with(|f| f != Faults::default())), (10, 0));
+    assert_eq!((t.site.workers().count(), t.with(|f| f != MachineFaults::default())), (10, 0));
     t.at(10);
     assert_eq!((t.with(|f| f.hangs && f.mute), t.with(|f| f.mute)), (3, 10));
     t.at(20);
-    assert_eq!(t.with(|f| f == Faults::default()), 10);
+    assert_eq!(t.with(|f| f == MachineFaults::default()), 10);
 }
 
 #[test]
 fn machines_die_and_are_reclaimed_once() {
-    let mut t = Test::new(vec![Kind::Deaths(0.2)], 10, 20);
+    let mut t = Test::new(vec![FaultKind::Deaths(0.2)], 10, 20);
     (9..15).for_each(|n| t.at(n));
     assert_eq!(t.site.workers().count(), 8);
-    let mut t = Test::new(vec![Kind::Reclaims(0.5)], 10, 20);
+    let mut t = Test::new(vec![FaultKind::Reclaims(0.5)], 10, 20);
     (9..12).for_each(|n| t.at(n));
     assert_eq!(t.site.workers().count(), 10, "they have notice of 15 s at least");
     (12..70).for_each(|n| t.at(n));
--- a/crates/emulator/tests/state.rs
+++ b/crates/emulator/tests/state.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use emulator::{StateLimits, StateService, Step, Troubles};
+use emulator::{ServiceFaults, StateLimits, StateService, Step};
 use net::{Reply, Request};
 use rmpv::Value;
 use serde_json::{Value as Json, json};
@@ -148,15 +148,15 @@
     let mut t = Test::new(LIMITS);
     let lease = t.lease(1000);
     t.put("m", Some(lease));
-    t.service.set_troubles(Troubles { outage: true, ..Troubles::default() }, t.now);
+    t.service.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() }, t.now);
     t.pass(900_000);
     assert_eq!(t.put("n", None).0, 503);
-    t.service.set_troubles(Troubles::default(), t.now);
+    t.service.set_faults(ServiceFaults::default(), t.now);
     t.pass(999);
     assert!(t.has("m") && !t.has("n"));
     t.ask("POST", &format!("/leases/{lease}/touch"), Json::Null);
-    let refused = Troubles { refused: [0].into(), ..Troubles::default() };
-    t.service.set_troubles(refused, t.now);
+    let refused = ServiceFaults { refused: [0].into(), ..ServiceFaults::default() };
+    t.service.set_faults(refused, t.now);
     t.pass(1101);
     assert_eq!(t.put("n", None).0, 503);
     assert!(matches!(t.step(1, "GET", "/keys/m", Json::Null), Step::Answer(r, _) if r.status == 404));
@@ -177,10 +177,10 @@
     let Step::Wait(idle) = t.step(1, "GET", "/follow?prefix=c/&after=3&hold_ms=5000", Json::Null) else {
         panic!("nothing has changed yet")
     };
-    t.service.set_troubles(Troubles { outage: true, ..Troubles::default() }, t.now);
+    t.service.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() }, t.now);
     t.pass(5000);
     assert!(t.service.check(&idle, t.now).is_none(), "it stays open in an outage");
-    t.service.set_troubles(Troubles::default(), t.now);
+    t.service.set_faults(ServiceFaults::default(), t.now);
     assert_eq!(json(&t.service.check(&idle, t.now).expect("time is up"))["news"], json!([]));
     for _ in 0..10_000 {
         t.put("d/1", None);
@@ -206,15 +206,16 @@
 fn answers_may_be_lost_or_late_or_slow() {
     let mut t = Test::new(LIMITS);
     let put = json!({"then":[{"put":"a","v":1}]});
-    t.service.set_troubles(Troubles { lost_share: 1.0, ..Troubles::default() }, t.now);
+    t.service.set_faults(ServiceFaults { lost_share: 1.0, ..ServiceFaults::default() }, t.now);
     assert!(matches!(t.step(0, "POST", "/txn", put.clone()), Step::Lost));
     assert_eq!(t.service.data().revision, 1, "carried out all the same");
-    let late = Troubles { late_share: 1.0, late: Duration::from_secs(60), ..Troubles::default() };
-    t.service.set_troubles(late, t.now);
+    let late = ServiceFaults { late_share: 1.0, late: Duration::from_secs(60), ..ServiceFaults::default() };
+    t.service.set_faults(late, t.now);
     assert!(matches!(t.step(0, "POST", "/txn", put.clone()), Step::Late(_)));
     assert_eq!(t.service.data().revision, 1, "not carried out yet");
-    let slow = Troubles { slow_share: 1.0, slow: Duration::from_millis(400), ..Troubles::default() };
-    t.service.set_troubles(slow, t.now);
+    let slow =
+        ServiceFaults { slow_share: 1.0, slow: Duration::from_millis(400), ..ServiceFaults::default() };
+    t.service.set_faults(slow, t.now);
     let Step::Answer(reply, delay) = t.step(0, "POST", "/txn", put) else { panic!("an answer") };
     assert!(reply.status == 200 && (40..400).contains(&delay.as_millis()), "{delay:?}");
 }
--- a/crates/emulator/tests/workers.rs
+++ b/crates/emulator/tests/workers.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use emulator::{CloudSettings, Faults, Sending, Site, SiteSettings};
+use emulator::{CloudSettings, MachineFaults, Sending, Site, SiteSettings};
 use net::Request;
 use serde_json::{Value as Json, json};
 use wire::{Heartbeat, MachineType};
@@ -281,20 +281,20 @@
     t.launch(M, "j-1/0", 1);
     t.pass(5.0);
     let status = |t: &mut Test| t.request(M, "GET", "/status", Json::Null).is_some();
-    t.site.set_faults(M, Faults { hangs: true, ..Faults::default() }, t.now);
+    t.site.set_machine_faults(M, MachineFaults { hangs: true, ..MachineFaults::default() }, t.now);
     t.sent.clear();
     t.pass(5.0);
     assert!(t.sent.is_empty() && !status(&mut t));
-    t.site.set_faults(M, Faults::default(), t.now);
+    t.site.set_machine_faults(M, MachineFaults::default(), t.now);
     assert_eq!(t.tasks(M), ["running"], "within its lease");
-    t.site.set_faults(M, Faults { mute: true, ..Faults::default() }, t.now);
+    t.site.set_machine_faults(M, MachineFaults { mute: true, ..MachineFaults::default() }, t.now);
     t.sent.clear();
     t.pass(3.0);
     assert!(t.sent.is_empty() && status(&mut t));
-    t.site.set_faults(M, Faults { deaf: true, ..Faults::default() }, t.now);
+    t.site.set_machine_faults(M, MachineFaults { deaf: true, ..MachineFaults::default() }, t.now);
     t.pass(11.0);
     assert!(!t.sent.is_empty() && !status(&mut t));
-    t.site.set_faults(M, Faults { faulty: true, ..Faults::default() }, t.now);
+    t.site.set_machine_faults(M, MachineFaults { faulty: true, ..MachineFaults::default() }, t.now);
     assert!(t.tasks(M).is_empty(), "answers did not reach it");
     t.launch(M, "j-1/1", 1);
     t.pass(5.0);
