--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -158,7 +158,7 @@
 fn tell_end(emulation: &Emulation) {
     let (machines, spent) = emulation.summary();
     println!("stopped: {machines} machines were up, {spent:.4} spent (simulated)");
-    let t = emulation.tally();
+    let t = emulation.user_statistics();
     if t.submitted > 0 {
         println!(
             "users: {} jobs submitted, {} accepted, {} done (longest {:.1} s), {} cancelled, {} refused, \
@@ -166,13 +166,13 @@
             t.submitted,
             t.accepted,
             t.done,
-            t.longest.as_secs_f64(),
+            t.longest_completion.as_secs_f64(),
             t.cancelled,
             t.refused,
             t.given_up
         );
     }
-    for (rule, job) in &t.broken {
+    for (rule, job) in &t.violations {
         println!("broken, as its user saw it: {rule} {job}");
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -32,5 +32,5 @@
 pub use service_faults::{ServiceFaults, Step};
 pub use site::{Sending, Site, SiteSettings};
 pub use state::{Data, Outcome, StateLimits, StateService, Watch};
-pub use users::{Load, Question, Tally, Told, Users};
+pub use users::{Load, Question, Told, UserStatistics, Users};
 pub use worker::{ANSWER_WAIT, Heard, MachineFaults, MachineInfo, Ticket, Worker, WorkerRules};
--- a/crates/emulator/src/live/mod.rs
+++ b/crates/emulator/src/live/mod.rs
@@ -23,7 +23,7 @@
 use crate::journal::JournalError;
 use crate::site::Site;
 use crate::state::StateService;
-use crate::users::{Tally, Users};
+use crate::users::{UserStatistics, Users};
 
 #[derive(Debug, thiserror::Error)]
 pub enum LiveError {
@@ -209,8 +209,8 @@
     }
 
     /// What has become of the emulated users' jobs.
-    pub fn tally(&self) -> Tally {
-        self.live.users.lock().tally().clone()
+    pub fn user_statistics(&self) -> UserStatistics {
+        self.live.users.lock().user_statistics().clone()
     }
 
     /// What is on the machines, ended tasks that are still reported too.
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -72,7 +72,7 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Tally {
+pub struct UserStatistics {
     pub submitted: usize,
     pub accepted: usize,
     pub done: usize,
@@ -81,9 +81,9 @@
     pub refused: usize,
     pub given_up: usize,
     /// The longest time from the first attempt until the user was told `done`.
-    pub longest: Duration,
+    pub longest_completion: Duration,
     /// Rules that were broken as far as users see it, with the job.
-    pub broken: Vec<(&'static str, String)>,
+    pub violations: Vec<(&'static str, String)>,
 }
 
 pub struct Users {
@@ -91,7 +91,7 @@
     jobs: BTreeMap<String, Job>,
     base: u64,
     count: u64,
-    tally: Tally,
+    statistics: UserStatistics,
     rng: StdRng,
 }
 
@@ -100,11 +100,11 @@
     pub fn new(loads: Vec<Load>, base: u64, seed: u64, now: Instant) -> Self {
         let loads = loads.into_iter().map(|l| (l, now)).collect();
         let rng = StdRng::seed_from_u64(seed);
-        Self { loads, jobs: BTreeMap::new(), base, count: 0, tally: Tally::default(), rng }
+        Self { loads, jobs: BTreeMap::new(), base, count: 0, statistics: UserStatistics::default(), rng }
     }
 
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    pub fn user_statistics(&self) -> &UserStatistics {
+        &self.statistics
     }
 
     /// How many jobs are neither over nor given up.
@@ -142,7 +142,7 @@
                     told: None,
                 };
                 self.jobs.insert(id, job);
-                self.tally.submitted += 1;
+                self.statistics.submitted += 1;
             }
         }
     }
@@ -183,7 +183,7 @@
         let id = &question.id;
         let Some(job) = self.jobs.get_mut(id) else {
             if told.status == Some(200) {
-                self.tally.broken.push(("invented", id.clone()));
+                self.statistics.violations.push(("invented", id.clone()));
             }
             return;
         };
@@ -192,18 +192,18 @@
         let state = told.state.filter(|_| matches!(told.status, Some(200 | 201)));
         let refused = !asks && matches!(told.status, Some(400 | 422));
         if job.accepted && (refused || told.status == Some(404)) {
-            self.tally.broken.push(("forgotten", id.clone()));
+            self.statistics.violations.push(("forgotten", id.clone()));
         }
         let pause = Duration::from_secs_f64(self.rng.random_range(4.0..6.0));
         job.next = now + pause;
         match (job.phase, state) {
             (Phase::Submitting, Some(_)) => {
                 (job.accepted, job.phase) = (true, Phase::Waiting);
-                self.tally.accepted += 1;
+                self.statistics.accepted += 1;
             }
             (Phase::Submitting, None) if refused => {
                 job.phase = Phase::Closed;
-                self.tally.refused += 1;
+                self.statistics.refused += 1;
             }
             (Phase::Submitting | Phase::Cancelling, None) => {
                 let asked = told.retry_after.unwrap_or_default().min(LONGEST_PAUSE);
@@ -212,7 +212,7 @@
                 // A cancellation is repeated until it is answered.
                 if job.phase == Phase::Submitting && job.next > job.begun + PATIENCE {
                     job.phase = Phase::Closed;
-                    self.tally.given_up += 1;
+                    self.statistics.given_up += 1;
                 }
             }
             (Phase::Over, _) => job.phase = Phase::Closed,
@@ -221,15 +221,16 @@
         let Some(state) = state else { return };
         let back = job.told.is_some_and(|t| t.is_final() && t != state);
         if back || (state == JobState::Cancelled && !job.cancel_asked) {
-            self.tally.broken.push(("went_back", id.clone()));
+            self.statistics.violations.push(("went_back", id.clone()));
         }
         if job.told.is_none_or(|t| !t.is_final()) && state.is_final() {
             job.phase = if self.rng.random_bool(0.3) { Phase::Over } else { Phase::Closed };
             if state == JobState::Done {
-                self.tally.done += 1;
-                self.tally.longest = self.tally.longest.max(now.saturating_duration_since(job.begun));
+                self.statistics.done += 1;
+                self.statistics.longest_completion =
+                    self.statistics.longest_completion.max(now.saturating_duration_since(job.begun));
             } else {
-                self.tally.cancelled += 1;
+                self.statistics.cancelled += 1;
             }
         }
         if job.told.is_none_or(|t| !t.is_final()) {
--- a/crates/emulator/tests/people.rs
+++ b/crates/emulator/tests/people.rs
@@ -107,10 +107,10 @@
         };
         known(q, told)
     });
-    let t = users.tally();
+    let t = users.user_statistics();
     // 19 a minute, of which the services and some arrays are cancelled.
     assert!((60..130).contains(&t.submitted) && t.accepted == t.submitted, "{t:?}");
-    assert!((10..40).contains(&t.cancelled) && t.done == 0 && t.broken.is_empty(), "{t:?}");
+    assert!((10..40).contains(&t.cancelled) && t.done == 0 && t.violations.is_empty(), "{t:?}");
     assert_eq!(users.open(), t.submitted - t.cancelled);
 }
 
@@ -118,9 +118,9 @@
 fn users_come_back_until_their_patience_ends_and_give_up_what_is_refused() {
     let arrays = || loads().into_iter().filter(|l| l.job.kind == JobKind::Array).collect::<Vec<_>>();
     let busy = |q: &Question, status| known(q, Told { status: Some(status), ..Told::default() });
-    let t = play(arrays(), |q, _| busy(q, 503)).tally().clone();
+    let t = play(arrays(), |q, _| busy(q, 503)).user_statistics().clone();
     assert!(t.given_up > 20 && t.accepted == 0 && t.submitted > t.given_up, "{t:?}");
-    let t = play(arrays(), |q, _| busy(q, 422)).tally().clone();
+    let t = play(arrays(), |q, _| busy(q, 422)).user_statistics().clone();
     assert_eq!((t.refused, t.given_up), (t.submitted, 0));
     // As long as the node says, but 30 s at most.
     let tries = |pause: f64| {
@@ -129,7 +129,7 @@
             *count.borrow_mut() += usize::from(q.method == "POST");
             Told { retry_after: Some(s(pause)), ..busy(q, 503) }
         });
-        *count.borrow() as f64 / users.tally().submitted as f64
+        *count.borrow() as f64 / users.user_statistics().submitted as f64
     };
     let (often, seldom) = (tries(0.0), tries(500.0));
     assert!((25.0..45.0).contains(&often) && (1.5..=3.0).contains(&seldom), "{often} {seldom}");
@@ -138,7 +138,8 @@
 #[test]
 fn answers_that_must_not_be_are_noticed() {
     let broken = |answer: fn(&Question, Duration) -> Told| {
-        let mut rules: Vec<&str> = play(loads(), answer).tally().broken.iter().map(|(r, _)| *r).collect();
+        let mut rules: Vec<&str> =
+            play(loads(), answer).user_statistics().violations.iter().map(|(r, _)| *r).collect();
         rules.sort_unstable();
         rules.dedup();
         rules
