--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -51,7 +51,7 @@
     #[error(transparent)]
     Site(#[from] emulator::SiteError),
     #[error(transparent)]
-    Live(#[from] emulator::LiveError),
+    Live(#[from] emulator::EmulationError),
     #[error("the settings cannot be written as TOML: {0}")]
     Settings(#[from] toml::ser::Error),
     #[error("{0}: {1}")]
--- a/crates/emulator/src/config/settings.rs
+++ b/crates/emulator/src/config/settings.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use super::SiteFile;
-use crate::live::Emulation;
+use crate::emulation::Emulation;
 
 #[derive(Serialize)]
 struct Settings<'a> {
@@ -90,8 +90,8 @@
         let mut zones: Vec<&str> = all.iter().map(|c| c.file.zone.as_str()).collect();
         zones.sort_unstable();
         zones.dedup();
-        let one = |me: &crate::live::Controller| {
-            let peer = |c: &'_ crate::live::Controller| c.name != me.name;
+        let one = |me: &crate::emulation::Controller| {
+            let peer = |c: &'_ crate::emulation::Controller| c.name != me.name;
             let settings = Settings {
                 node_name: &me.name,
                 zone: &me.file.zone,
--- a/crates/emulator/src/live/mod.rs
+++ b/crates/emulator/src/emulation/mod.rs
@@ -26,7 +26,7 @@
 use crate::users::{UserStatistics, Users};
 
 #[derive(Debug, thiserror::Error)]
-pub enum LiveError {
+pub enum EmulationError {
     #[error("{what}: cannot listen on {addr}: {source}")]
     Listen { what: String, addr: String, source: std::io::Error },
     #[error(transparent)]
@@ -103,8 +103,8 @@
     pub cloud: String,
 }
 
-async fn listen(what: &str, addr: &str) -> Result<(TcpListener, String), LiveError> {
-    let failed = |source| LiveError::Listen { what: what.to_owned(), addr: addr.to_owned(), source };
+async fn listen(what: &str, addr: &str) -> Result<(TcpListener, String), EmulationError> {
+    let failed = |source| EmulationError::Listen { what: what.to_owned(), addr: addr.to_owned(), source };
     let listener = TcpListener::bind(addr).await.map_err(failed)?;
     let local = listener.local_addr().map_err(failed)?.to_string();
     Ok((listener, local))
@@ -119,13 +119,13 @@
     Some(addr)
 }
 
-fn folder(site: &SiteFile) -> Result<Option<&Path>, LiveError> {
+fn folder(site: &SiteFile) -> Result<Option<&Path>, EmulationError> {
     let Some(folder) = site.data.as_deref() else { return Ok(None) };
-    std::fs::create_dir_all(folder).map_err(|e| LiveError::Folder(folder.display().to_string(), e))?;
+    std::fs::create_dir_all(folder).map_err(|e| EmulationError::Folder(folder.display().to_string(), e))?;
     Ok(Some(folder))
 }
 
-fn state_service(site: &SiteFile, now: Instant) -> Result<StateService, LiveError> {
+fn state_service(site: &SiteFile, now: Instant) -> Result<StateService, EmulationError> {
     let limits = site.state_limits();
     Ok(match folder(site)? {
         Some(folder) => StateService::open(limits, site.seed, &folder.join("state"), now)?,
@@ -135,7 +135,7 @@
 
 impl Emulation {
     /// Opens everything and begins. Of the tokio runtime it needs time and I/O.
-    pub async fn start(site: &SiteFile) -> Result<Self, LiveError> {
+    pub async fn start(site: &SiteFile) -> Result<Self, EmulationError> {
         let now = Instant::now();
         let (balancer, users) = listen("listen.users", &site.listen.users).await?;
         let (cloud_listener, cloud) = listen("listen.cloud", &site.listen.cloud).await?;
