--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -95,7 +95,7 @@
         let outcome = tokio::select! {
             () = termination_signal() => Ok(()),
             () = async {
-                emulation.all_healthy().await;
+                emulation.wait_until_all_healthy().await;
                 tell(&emulation, begun);
                 std::future::pending().await
             } => Ok(()),
--- a/crates/daemon/tests/drains_loopback.rs
+++ b/crates/daemon/tests/drains_loopback.rs
@@ -117,7 +117,7 @@
 }
 
 fn events(emulation: &Emulation) -> Vec<TaskEvent> {
-    emulation.change_site(|site| site.history.events().to_vec())
+    emulation.with_site(|site| site.history.events().to_vec())
 }
 
 fn is_service(task: &str) -> bool {
@@ -136,14 +136,14 @@
 }
 
 fn leader(emulation: &Emulation) -> Option<String> {
-    let value = emulation.record(store::key::LEADER)?;
+    let value = emulation.state_value(store::key::LEADER)?;
     let name = value.as_map()?.iter().find(|(k, _)| k.as_str() == Some("name"))?.1.as_str()?.to_owned();
     Some(name)
 }
 
 /// The machines with most replicas, by the workers' own word.
 fn machines_with_replicas(emulation: &Emulation) -> Vec<String> {
-    let mut machines = emulation.change_site(|site| {
+    let mut machines = emulation.with_site(|site| {
         let of = |w: &emulator::Worker| {
             let replicas = w.tasks().iter().filter(|t| t.state == TaskState::Running).count();
             (std::cmp::Reverse(replicas), w.info.name.clone())
@@ -220,7 +220,7 @@
 async fn two_drains_overlap_while_much_goes_wrong() {
     let site = site();
     let emulation = Emulation::start(&site).await.expect("free ports");
-    emulation.change_site(|site| site.history.record());
+    emulation.with_site(|site| site.history.start_recording());
     let mut folder = tempfile::tempdir().expect("a folder");
     folder.disable_cleanup(std::env::var("SAGELOOM_KEEP_LOGS").is_ok());
     let mut processes = Processes { folder, children: BTreeMap::new() };
@@ -231,7 +231,7 @@
         processes.start(name);
     }
     let config = processes.settings(&settings[0].0);
-    tokio::time::timeout(Duration::from_secs(20), emulation.all_healthy()).await.expect("healthy");
+    tokio::time::timeout(Duration::from_secs(20), emulation.wait_until_all_healthy()).await.expect("healthy");
     let service: JobSpec = toml::from_str(SERVICE).expect("a job");
     for n in 1..=SERVICES {
         let spec =
@@ -244,7 +244,7 @@
     assert!(machines.len() >= WORKERS, "{} workers", machines.len());
 
     // Replacements do not come up at first.
-    let before: BTreeSet<String> = emulation.change_site(|site| {
+    let before: BTreeSet<String> = emulation.with_site(|site| {
         site.cloud.set_never_up(1.0);
         site.cloud.live().map(|info| info.name.clone()).collect()
     });
@@ -265,11 +265,11 @@
     // wait for more machines than before came to nothing, or until nothing was left to move.
     until("a replacement is rented that does not come up", 60, || {
         let names: Vec<String> =
-            emulation.change_site(|site| site.cloud.live().map(|info| info.name.clone()).collect());
+            emulation.with_site(|site| site.cloud.live().map(|info| info.name.clone()).collect());
         names.iter().any(|name| !before.contains(name))
     })
     .await;
-    emulation.change_site(|site| site.cloud.set_never_up(0.0));
+    emulation.with_site(|site| site.cloud.set_never_up(0.0));
     until("a replica is moved", 60, || stops(&emulation) >= 1).await;
 
     // The leader ends in mid-step and is back at once.
@@ -290,9 +290,9 @@
     until("it goes on after the outage", 60, || stops(&emulation) > before).await;
 
     // A machine that is drained dies.
-    let left = |m: &&String| emulation.change_site(|site| site.worker(m).is_some());
+    let left = |m: &&String| emulation.with_site(|site| site.worker(m).is_some());
     if let Some(victim) = machines[4..8].iter().find(left) {
-        emulation.change_site(|site| site.cloud.kill(victim, Instant::now()));
+        emulation.with_site(|site| site.cloud.kill(victim, Instant::now()));
     }
 
     let mut ends = BTreeMap::new();
@@ -311,7 +311,7 @@
     println!("{ends:?} after {:.1} s", begun.elapsed().as_secs_f64());
     assert!(ends.values().all(|line| line.contains(": finished;")), "{ends:?}");
     for machine in &machines[0..8] {
-        assert!(emulation.change_site(|site| site.worker(machine).is_none()), "{machine} is still there");
+        assert!(emulation.with_site(|site| site.worker(machine).is_none()), "{machine} is still there");
     }
     until("all replicas run again", 60, || running(&emulation) == all).await;
     let most = check(&events(&emulation));
--- a/crates/emulator/src/emulation/mod.rs
+++ b/crates/emulator/src/emulation/mod.rs
@@ -192,7 +192,7 @@
     }
 
     /// Waits until the load balancer takes every controller for healthy.
-    pub async fn all_healthy(&self) {
+    pub async fn wait_until_all_healthy(&self) {
         loop {
             let next = self.live.health.notified();
             if (0..self.live.fronts.len()).all(|n| self.live.balancer.lock().is_healthy(n)) {
@@ -219,7 +219,7 @@
     }
 
     /// Changes the site itself, as a test wants it.
-    pub fn change_site<T>(&self, change: impl FnOnce(&mut Site) -> T) -> T {
+    pub fn with_site<T>(&self, change: impl FnOnce(&mut Site) -> T) -> T {
         change(&mut self.live.site.lock())
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// A record in the state service.
-    pub fn record(&self, key: &str) -> Option<rmpv::Value> {
+    pub fn state_value(&self, key: &str) -> Option<rmpv::Value> {
         self.live.state.lock().data().keys.get(key).map(|e| e.value.clone())
     }
 
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -32,7 +32,7 @@
 
 impl History {
     /// From now on events are kept.
-    pub fn record(&mut self) {
+    pub fn start_recording(&mut self) {
         self.events.get_or_insert_default();
     }
 
--- a/crates/emulator/tests/loopback.rs
+++ b/crates/emulator/tests/loopback.rs
@@ -57,7 +57,7 @@
         let run = async move { daemon::run_controller(&name, &settings, stop.cancelled()).await };
         controllers.push(tokio::spawn(run));
     }
-    tokio::time::timeout(Duration::from_secs(20), emulation.all_healthy()).await.expect("healthy");
+    tokio::time::timeout(Duration::from_secs(20), emulation.wait_until_all_healthy()).await.expect("healthy");
     // The job through the load balancer, the service through one controller's door.
     let user = |addr: &String| User { client: Client::new(1), addr: addr.clone() };
     let (balancer, door) = (user(&emulation.users), user(&emulation.controllers[1].door));
