--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -143,13 +143,13 @@
 }
 
 fn tell(emulation: &Emulation, begun: Instant) {
-    println!("users (load balancer)  {}", emulation.users);
+    println!("users (load balancer)  {}", emulation.balancer_addr);
     for c in &emulation.controllers {
-        println!("controller {:<12}{}  zone {}", c.name, c.door, c.file.zone);
+        println!("controller {:<12}{}  zone {}", c.name, c.proxy_addr, c.file.zone);
     }
-    println!("cloud                  {}", emulation.cloud);
+    println!("cloud                  {}", emulation.cloud_addr);
     if let Some(c) = emulation.controllers.first() {
-        println!("state service          {}", c.state);
+        println!("state service          {}", c.state_addr);
     }
     println!("ready after {:.2} s; Ctrl-C ends it", begun.elapsed().as_secs_f64());
 }
@@ -185,15 +185,15 @@
         let emulation = Emulation::start(&site).await?;
         let folder = &args.settings;
         std::fs::create_dir_all(folder).map_err(failed(folder))?;
-        println!("users (load balancer)  {}", emulation.users);
-        println!("cloud                  {}", emulation.cloud);
+        println!("users (load balancer)  {}", emulation.balancer_addr);
+        println!("cloud                  {}", emulation.cloud_addr);
         for (name, text) in site.settings(&emulation)? {
             let path = folder.join(format!("{name}.toml"));
             std::fs::write(&path, text).map_err(failed(&path))?;
             println!("sageloom serve --config {}", path.display());
         }
         for c in &emulation.controllers {
-            println!("users reach {} at {}", c.name, c.door);
+            println!("users reach {} at {}", c.name, c.proxy_addr);
         }
         termination_signal().await;
         tell_end(&emulation);
--- a/crates/daemon/tests/drains_loopback.rs
+++ b/crates/daemon/tests/drains_loopback.rs
@@ -192,7 +192,8 @@
     for _ in 0..40 {
         let wait = Duration::from_secs(5);
         let body = wire::encode(spec);
-        let answer = client.request(&emulation.users, "POST", "/v1/jobs", body, wire::BODY_LIMIT, wait).await;
+        let answer =
+            client.request(&emulation.balancer_addr, "POST", "/v1/jobs", body, wire::BODY_LIMIT, wait).await;
         if answer.is_ok_and(|a| matches!(a.status, 200 | 201)) {
             return;
         }
--- a/crates/emulator/src/config/settings.rs
+++ b/crates/emulator/src/config/settings.rs
@@ -102,7 +102,7 @@
                     .filter(|c| peer(c))
                     .map(|c| Peer { node_name: &c.name, zone: &c.file.zone, address: &c.file.internal })
                     .collect(),
-                external: External { cloud: &emulation.cloud, state: &me.state },
+                external: External { cloud: &emulation.cloud_addr, state: &me.state_addr },
                 facts: self.facts(all.len(), &zones),
             };
             Ok((me.name.clone(), toml::to_string(&settings)?))
--- a/crates/emulator/src/emulation/mod.rs
+++ b/crates/emulator/src/emulation/mod.rs
@@ -89,9 +89,9 @@
     pub name: String,
     pub file: ControllerFile,
     /// What users use in the place of its own address.
-    pub door: String,
+    pub proxy_addr: String,
     /// Where it, and it alone, reaches the state service.
-    pub state: String,
+    pub state_addr: String,
 }
 
 /// A site that runs until it is stopped.
@@ -99,8 +99,8 @@
     live: Arc<Live>,
     pub controllers: Vec<Controller>,
     /// The load balancer.
-    pub users: String,
-    pub cloud: String,
+    pub balancer_addr: String,
+    pub cloud_addr: String,
 }
 
 async fn listen(what: &str, addr: &str) -> Result<(TcpListener, String), EmulationError> {
@@ -137,17 +137,17 @@
     /// Opens everything and begins. Of the tokio runtime it needs time and I/O.
     pub async fn start(site: &SiteFile) -> Result<Self, EmulationError> {
         let now = Instant::now();
-        let (balancer, users) = listen("listen.users", &site.listen.users).await?;
-        let (cloud_listener, cloud) = listen("listen.cloud", &site.listen.cloud).await?;
+        let (balancer, balancer_addr) = listen("listen.users", &site.listen.users).await?;
+        let (cloud_listener, cloud_addr) = listen("listen.cloud", &site.listen.cloud).await?;
         let host = site.host();
         let (mut controllers, mut doors, mut states) = (Vec::new(), Vec::new(), Vec::new());
         for (name, file) in &site.controller {
             let of = |field: &str| format!("controller.{name}.{field}");
-            let (door_listener, door) = listen(&of("door"), &file.door).await?;
-            let (state_listener, state) = listen(&of("state"), &file.state).await?;
-            doors.push((door_listener, file.front.clone()));
+            let (proxy_listener, proxy_addr) = listen(&of("door"), &file.door).await?;
+            let (state_listener, state_addr) = listen(&of("state"), &file.state).await?;
+            doors.push((proxy_listener, file.front.clone()));
             states.push(state_listener);
-            controllers.push(Controller { name: name.clone(), file: file.clone(), door, state });
+            controllers.push(Controller { name: name.clone(), file: file.clone(), proxy_addr, state_addr });
         }
         let state = state_service(site, now)?;
         let listeners = Listeners::default();
@@ -185,10 +185,10 @@
             tasks.spawn(relay::probes(live.clone(), node));
         }
         tasks.spawn(services::cloud(live.clone(), cloud_listener));
-        tasks.spawn(people::users(live.clone(), users.clone()));
+        tasks.spawn(people::users(live.clone(), balancer_addr.clone()));
         tasks.spawn(services::clock(live.clone(), listeners));
         tasks.spawn(relay::balancer(live.clone(), balancer));
-        Ok(Self { live, controllers, users, cloud })
+        Ok(Self { live, controllers, balancer_addr, cloud_addr })
     }
 
     /// Waits until the load balancer takes every controller for healthy.
--- a/crates/emulator/tests/loopback.rs
+++ b/crates/emulator/tests/loopback.rs
@@ -60,7 +60,7 @@
     tokio::time::timeout(Duration::from_secs(20), emulation.wait_until_all_healthy()).await.expect("healthy");
     // The job through the load balancer, the service through one controller's door.
     let user = |addr: &String| User { client: Client::new(1), addr: addr.clone() };
-    let (balancer, door) = (user(&emulation.users), user(&emulation.controllers[1].door));
+    let (balancer, door) = (user(&emulation.balancer_addr), user(&emulation.controllers[1].proxy_addr));
     let hello: JobSpec = toml::from_str(HELLO).expect("a job");
     let kind = wire::JobKind::Service;
     let service = JobSpec { id: "j-2".into(), kind, estimated_runtime_s: 0.0, spot: false, ..hello.clone() };
