--- a/crates/emulator/src/cloud/machines.rs
+++ b/crates/emulator/src/cloud/machine.rs
@@ -4,14 +4,14 @@
 use rand::rngs::StdRng;
 use wire::{ListedMachine, MachineStatus};
 
-use super::{CloudSettings, DEATH_UNSEEN};
+use super::{CloudSettings, FAILURE_LIST_DELAY};
 use crate::worker::MachineInfo;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum MachineEnd {
     Deleted,
     /// The cloud took it back.
-    Taken,
+    Reclaimed,
     /// It stopped on its own, and stays listed until it is deleted.
     Failed,
 }
@@ -19,24 +19,24 @@
 /// One machine and what will become of it.
 pub struct Machine {
     pub info: MachineInfo,
-    pub rented: Instant,
+    pub rented_at: Instant,
     /// None: it never comes up.
-    pub up: Option<Instant>,
-    pub told_up: bool,
-    pub dies: Option<Instant>,
+    pub up_at: Option<Instant>,
+    pub up_reported: bool,
+    pub fails_at: Option<Instant>,
     /// When the cloud wants it back.
-    pub reclaimed: Option<Instant>,
-    pub noticed: bool,
+    pub reclaim_at: Option<Instant>,
+    pub notice_given: bool,
     /// When it is taken after a notice.
-    pub taken: Option<Instant>,
-    pub end: Option<(Instant, End)>,
+    pub taken_at: Option<Instant>,
+    pub end: Option<(Instant, MachineEnd)>,
     /// Paid for until here.
-    pub charged: Instant,
-    shown: bool,
+    pub charged_until: Instant,
+    ever_listed: bool,
 }
 
 /// A time that is as likely to be over in the next second as in any other.
-fn life(mean: Option<Duration>, rng: &mut StdRng) -> Option<Duration> {
+fn draw_life(mean: Option<Duration>, rng: &mut StdRng) -> Option<Duration> {
     mean.map(|m| m.mul_f64(-(1.0 - rng.random_range(0.0..1.0_f64)).ln()))
 }
 
@@ -50,37 +50,37 @@
             x if x < slow + settings.quick_boots => Some(Duration::from_millis(rng.random_range(300..2000))),
             _ => Some(usual.mul_f64(rng.random_range(0.6..1.5))),
         };
-        let up = boot.map(|b| now + b);
-        let from = up.unwrap_or(now);
+        let up_at = boot.map(|b| now + b);
+        let from = up_at.unwrap_or(now);
         let spot_life = settings.spot_life.filter(|_| info.spot);
         Self {
             info,
-            rented: now,
-            up,
-            told_up: false,
-            dies: life(settings.life, rng).map(|l| from + l),
-            reclaimed: life(spot_life, rng).map(|l| from + l),
-            noticed: false,
-            taken: None,
+            rented_at: now,
+            up_at,
+            up_reported: false,
+            fails_at: draw_life(settings.life, rng).map(|l| from + l),
+            reclaim_at: draw_life(spot_life, rng).map(|l| from + l),
+            notice_given: false,
+            taken_at: None,
             end: None,
-            charged: now,
-            shown: false,
+            charged_until: now,
+            ever_listed: false,
         }
     }
 
     /// As a list describes it that is `lag` old; None if it is not on it.
     pub fn listed(&mut self, lag: Duration, now: Instant) -> Option<ListedMachine> {
         let was = |at: Instant| at + lag <= now;
-        if !self.shown && !was(self.rented) {
+        if !self.ever_listed && !was(self.rented_at) {
             return None;
         }
-        if matches!(self.end, Some((at, End::Deleted | End::Taken)) if was(at)) {
+        if matches!(self.end, Some((at, MachineEnd::Deleted | MachineEnd::Reclaimed)) if was(at)) {
             return None;
         }
-        self.shown = true;
+        self.ever_listed = true;
         let status = match self.end {
-            Some((at, End::Failed)) if was(at + DEATH_UNSEEN) => MachineStatus::Failed,
-            _ if self.up.is_some_and(was) => MachineStatus::Running,
+            Some((at, MachineEnd::Failed)) if was(at + FAILURE_LIST_DELAY) => MachineStatus::Failed,
+            _ if self.up_at.is_some_and(was) => MachineStatus::Running,
             _ => MachineStatus::Booting,
         };
         Some(ListedMachine {
@@ -90,7 +90,7 @@
             zone: self.info.zone.clone(),
             spot: self.info.spot,
             status,
-            age_s: now.saturating_duration_since(self.rented).saturating_sub(lag).as_secs_f64(),
+            age_s: now.saturating_duration_since(self.rented_at).saturating_sub(lag).as_secs_f64(),
         })
     }
 }
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -1,7 +1,7 @@
 //! The cloud: rents machines by the second, by "Controller nodes -> cloud" of the
 //! protocol's page.
 
-mod machines;
+mod machine;
 mod prices;
 
 use std::collections::{BTreeMap, HashMap};
@@ -12,11 +12,11 @@
 use rand::{RngExt, SeedableRng};
 use wire::{MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
 
-use crate::bucket::Bucket;
-use crate::service_faults::{ServiceFaults, Step};
+use crate::service_faults::{RequestOutcome, ServiceFaults};
 use crate::state::query;
+use crate::token_bucket::TokenBucket;
 use crate::worker::MachineInfo;
-use machines::{End, Machine};
+use machine::{Machine, MachineEnd};
 use prices::Prices;
 
 #[derive(Debug, Clone)]
@@ -38,12 +38,12 @@
     pub notice: Duration,
     pub no_notice: f64,
     /// The number of the first machine. Names must never come back.
-    pub first: u64,
+    pub first_number: u64,
 }
 
 /// What happens to machines, for whoever has their workers.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Event {
+pub enum MachineEvent {
     Up(String),
     /// It will be taken away at this time.
     Notice(String, Instant),
@@ -54,43 +54,43 @@
 /// Gives a new machine's address; None if there is none left.
 pub type Addresses = Box<dyn FnMut(&str) -> Option<String> + Send>;
 
-const RENT_MAX: u32 = 50;
-const RELEASE_MAX: usize = 100;
-const PAGE_MAX: usize = 500;
+const MAX_RENT_COUNT: u32 = 50;
+const MAX_RELEASE_COUNT: usize = 100;
+const MAX_PAGE_MACHINES: usize = 500;
 /// Bursts of so many seconds' worth are allowed.
 const BURST_S: f64 = 2.0;
 /// How long a machine that died is still listed as running.
-const DEATH_UNSEEN: Duration = Duration::from_secs(30);
+const FAILURE_LIST_DELAY: Duration = Duration::from_secs(30);
 /// How long one lag of the list lasts.
-const LAG_LASTS: Duration = Duration::from_secs(1);
+const LAG_REDRAW_INTERVAL: Duration = Duration::from_secs(1);
 
 pub struct Cloud {
     settings: CloudSettings,
     addresses: Addresses,
     machines: BTreeMap<String, Machine>,
     /// What each request that succeeded was answered.
-    hires: HashMap<String, Vec<String>>,
+    completed_rentals: HashMap<String, Vec<String>>,
     prices: Prices,
-    troubles: ServiceFaults,
-    bucket: Bucket,
+    faults: ServiceFaults,
+    bucket: TokenBucket,
     lag: (Duration, Instant),
     next: u64,
-    events: Vec<Event>,
+    events: Vec<MachineEvent>,
     rng: StdRng,
 }
 
 impl Cloud {
     pub fn new(settings: CloudSettings, addresses: Addresses, seed: u64, now: Instant) -> Self {
-        let bucket = Bucket::new(settings.rps, BURST_S, now);
+        let bucket = TokenBucket::new(settings.rps, BURST_S, now);
         let prices = Prices::new(&settings.types, now);
-        let next = settings.first;
+        let next = settings.first_number;
         Self {
             settings,
             addresses,
             machines: BTreeMap::new(),
-            hires: HashMap::new(),
+            completed_rentals: HashMap::new(),
             prices,
-            troubles: ServiceFaults::default(),
+            faults: ServiceFaults::default(),
             bucket,
             lag: (Duration::ZERO, now),
             next,
@@ -99,12 +99,12 @@
         }
     }
 
-    pub fn troubles(&self) -> &ServiceFaults {
-        &self.troubles
+    pub fn faults(&self) -> &ServiceFaults {
+        &self.faults
     }
 
-    pub fn set_faults(&mut self, troubles: ServiceFaults) {
-        self.troubles = troubles;
+    pub fn set_faults(&mut self, faults: ServiceFaults) {
+        self.faults = faults;
     }
 
     /// What a machine is.
@@ -125,24 +125,24 @@
 
     fn charge(&mut self, now: Instant) {
         for m in self.machines.values_mut().filter(|m| m.end.is_none()) {
-            self.prices.charge(&m.info, m.charged, now);
-            m.charged = m.charged.max(now);
+            self.prices.charge(&m.info, m.charged_until, now);
+            m.charged_until = m.charged_until.max(now);
         }
     }
 
     /// Takes a request.
-    pub fn handle(&mut self, request: &Request, now: Instant) -> Step {
-        if let Some(late) = self.troubles.lateness(&mut self.rng) {
-            return Step::Late(late);
+    pub fn handle(&mut self, request: &Request, now: Instant) -> RequestOutcome {
+        if let Some(late) = self.faults.draw_execution_delay(&mut self.rng) {
+            return RequestOutcome::Late(late);
         }
         let reply = self.carry_out(request, now);
-        self.troubles.answer(reply, &mut self.rng)
+        self.faults.draw_answer_outcome(reply, &mut self.rng)
     }
 
     /// Carries a request out now.
     pub fn carry_out(&mut self, request: &Request, now: Instant) -> Reply {
         self.poll(now);
-        if self.troubles.outage {
+        if self.faults.outage {
             return Reply::error(503, "trouble");
         }
         if !self.bucket.take(1.0, now) {
@@ -158,7 +158,7 @@
                 Err(_) => Reply::error(400, "not a rental request"),
             },
             ("POST", "/machines/release") => match wire::decode::<MachineNames>(&request.body) {
-                Ok(names) if names.machines.len() <= RELEASE_MAX => {
+                Ok(names) if names.machines.len() <= MAX_RELEASE_COUNT => {
                     names.machines.iter().for_each(|name| self.delete(name, now));
                     Reply::new(200, &MachineNames { machines: names.machines })
                 }
@@ -166,9 +166,9 @@
             },
             ("GET", "/machines") => {
                 let value = |name: &str| query.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
-                let page = value("page").map_or(Ok(PAGE_MAX), str::parse);
+                let page = value("page").map_or(Ok(MAX_PAGE_MACHINES), str::parse);
                 match page {
-                    Ok(page) if (1..=PAGE_MAX).contains(&page) => {
+                    Ok(page) if (1..=MAX_PAGE_MACHINES).contains(&page) => {
                         Reply::new(200, &self.list(value("after").unwrap_or_default(), page, now))
                     }
                     _ => Reply::error(400, "page must be 1 to 500"),
@@ -179,13 +179,13 @@
     }
 
     fn rent(&mut self, r: RentRequest, now: Instant) -> Reply {
-        if let Some(machines) = self.hires.get(&r.request) {
+        if let Some(machines) = self.completed_rentals.get(&r.request) {
             return Reply::new(200, &MachineNames { machines: machines.clone() });
         }
         let Some(kind) = self.settings.types.iter().find(|t| t.name == r.machine_type).cloned() else {
             return Reply::error(400, "no such shape");
         };
-        if !kind.zones.contains(&r.zone) || !(1..=RENT_MAX).contains(&r.count) || r.request.is_empty() {
+        if !kind.zones.contains(&r.zone) || !(1..=MAX_RENT_COUNT).contains(&r.count) || r.request.is_empty() {
             return Reply::error(400, "malformed rental request");
         }
         let all = self.settings.capacity.get(&(r.machine_type.clone(), r.zone.clone()));
@@ -207,20 +207,20 @@
         if names.is_empty() {
             return Reply::error(503, "no capacity");
         }
-        self.hires.insert(r.request, names.clone());
+        self.completed_rentals.insert(r.request, names.clone());
         Reply::new(200, &MachineNames { machines: names })
     }
 
     fn delete(&mut self, name: &str, now: Instant) {
         let Some(m) = self.machines.get_mut(name) else { return };
         match m.end {
-            Some((_, End::Failed)) => m.end = Some((now, End::Deleted)),
+            Some((_, MachineEnd::Failed)) => m.end = Some((now, MachineEnd::Deleted)),
             Some(_) => {}
             None => {
-                self.prices.charge(&m.info, m.charged, now);
-                self.prices.charge_least(&m.info, now.saturating_duration_since(m.rented));
-                m.end = Some((now, End::Deleted));
-                self.events.push(Event::Gone(name.to_owned()));
+                self.prices.charge(&m.info, m.charged_until, now);
+                self.prices.charge_minimum(&m.info, now.saturating_duration_since(m.rented_at));
+                m.end = Some((now, MachineEnd::Deleted));
+                self.events.push(MachineEvent::Gone(name.to_owned()));
             }
         }
     }
@@ -231,27 +231,27 @@
     }
 
     /// A machine stops on its own, or is taken back.
-    fn lose(&mut self, name: &str, how: End, now: Instant) {
+    fn end_machine(&mut self, name: &str, end: MachineEnd, now: Instant) {
         let Some(m) = self.machines.get_mut(name).filter(|m| m.end.is_none()) else { return };
-        self.prices.charge(&m.info, m.charged, now);
-        m.end = Some((now, how));
-        self.events.push(Event::Gone(name.to_owned()));
+        self.prices.charge(&m.info, m.charged_until, now);
+        m.end = Some((now, end));
+        self.events.push(MachineEvent::Gone(name.to_owned()));
     }
 
     /// A machine dies now.
     pub fn kill(&mut self, name: &str, now: Instant) {
-        self.lose(name, End::Failed, now);
+        self.end_machine(name, MachineEnd::Failed, now);
     }
 
     /// A spot machine gets its notice now, or is taken at once if `notice` is None.
     pub fn reclaim(&mut self, name: &str, notice: Option<Duration>, now: Instant) {
         match notice {
-            None => self.lose(name, End::Taken, now),
+            None => self.end_machine(name, MachineEnd::Reclaimed, now),
             Some(notice) => {
                 if let Some(m) = self.machines.get_mut(name).filter(|m| m.info.spot && m.end.is_none()) {
-                    m.noticed = true;
-                    m.taken = Some(now + notice);
-                    self.events.push(Event::Notice(name.to_owned(), now + notice));
+                    m.notice_given = true;
+                    m.taken_at = Some(now + notice);
+                    self.events.push(MachineEvent::Notice(name.to_owned(), now + notice));
                 }
             }
         }
@@ -267,34 +267,36 @@
     pub fn poll(&mut self, now: Instant) {
         if self.prices.due(now) {
             self.charge(now);
-            self.prices.step(now, &mut self.rng);
+            self.prices.update(now, &mut self.rng);
         }
         let due = |at: Option<Instant>| at.is_some_and(|at| at <= now);
         let names: Vec<String> =
             self.machines.iter().filter(|(_, m)| m.end.is_none()).map(|(n, _)| n.clone()).collect();
         for name in names {
             let Some(m) = self.machines.get_mut(&name) else { continue };
-            if !m.told_up && due(m.up) {
-                m.told_up = true;
-                self.events.push(Event::Up(name.clone()));
+            if !m.up_reported && due(m.up_at) {
+                m.up_reported = true;
+                self.events.push(MachineEvent::Up(name.clone()));
             }
-            if due(m.taken) {
-                self.lose(&name, End::Taken, now);
-            } else if due(m.dies) {
-                self.lose(&name, End::Failed, now);
-            } else if !m.noticed && due(m.reclaimed) {
-                m.noticed = true;
+            if due(m.taken_at) {
+                self.end_machine(&name, MachineEnd::Reclaimed, now);
+            } else if due(m.fails_at) {
+                self.end_machine(&name, MachineEnd::Failed, now);
+            } else if !m.notice_given && due(m.reclaim_at) {
+                m.notice_given = true;
                 let notice = self.draw_notice();
                 self.reclaim(&name, notice, now);
             }
         }
         // What is gone is listed for a while yet.
         let listed = self.settings.list_lag * 2 + Duration::from_secs(5);
-        self.machines
-            .retain(|_, m| !matches!(m.end, Some((at, End::Deleted | End::Taken)) if at + listed <= now));
+        self.machines.retain(|_, m| {
+            !matches!(m.end, Some((at, MachineEnd::Deleted | MachineEnd::Reclaimed))
+                if at + listed <= now)
+        });
     }
 
-    pub fn take_events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<MachineEvent> {
         std::mem::take(&mut self.events)
     }
 
@@ -302,7 +304,8 @@
         if now >= self.lag.1 {
             // Now and then up to twice the usual lag, so that a list may be older than the last.
             let times = if self.rng.random_bool(0.1) { 1.0..2.0 } else { 0.3..1.0 };
-            self.lag = (self.settings.list_lag.mul_f64(self.rng.random_range(times)), now + LAG_LASTS);
+            self.lag =
+                (self.settings.list_lag.mul_f64(self.rng.random_range(times)), now + LAG_REDRAW_INTERVAL);
         }
         let lag = self.lag.0;
         let range = (std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded);
--- a/crates/emulator/src/cloud/prices.rs
+++ b/crates/emulator/src/cloud/prices.rs
@@ -16,26 +16,27 @@
 }
 
 /// How often spot prices move, and how far from the nominal one they may be.
-const MOVES: Duration = Duration::from_secs(30);
-const FARTHEST: f64 = 1.0 / 3.0;
+const PRICE_UPDATE_INTERVAL: Duration = Duration::from_secs(30);
+const MAX_PRICE_DEVIATION: f64 = 1.0 / 3.0;
 /// A machine that is deleted costs at least this time.
-const LEAST: Duration = Duration::from_secs(60);
+const MIN_BILLED_TIME: Duration = Duration::from_secs(60);
 
 impl Prices {
     pub fn new(types: &[MachineType], now: Instant) -> Self {
         let factors = types.iter().map(|t| (t.name.clone(), 1.0)).collect();
-        Self { factors, next: now + MOVES, spent: 0.0 }
+        Self { factors, next: now + PRICE_UPDATE_INTERVAL, spent: 0.0 }
     }
 
     pub fn due(&self, now: Instant) -> bool {
         now >= self.next
     }
 
-    pub fn step(&mut self, now: Instant, rng: &mut StdRng) {
+    pub fn update(&mut self, now: Instant, rng: &mut StdRng) {
         for factor in self.factors.values_mut() {
-            *factor = (*factor + rng.random_range(-0.08..0.08)).clamp(1.0 - FARTHEST, 1.0 + FARTHEST);
+            *factor = (*factor + rng.random_range(-0.08..0.08))
+                .clamp(1.0 - MAX_PRICE_DEVIATION, 1.0 + MAX_PRICE_DEVIATION);
         }
-        self.next = now + MOVES;
+        self.next = now + PRICE_UPDATE_INTERVAL;
     }
 
     fn spot_price(&self, t: &MachineType) -> f64 {
@@ -49,8 +50,8 @@
 
     fn add(&mut self, machine: &MachineInfo, time: Duration) {
         let t = &machine.machine_type;
-        let an_hour = if machine.spot { self.spot_price(t) } else { t.price };
-        self.spent += an_hour * time.as_secs_f64() / 3600.0;
+        let price_per_hour = if machine.spot { self.spot_price(t) } else { t.price };
+        self.spent += price_per_hour * time.as_secs_f64() / 3600.0;
     }
 
     pub fn charge(&mut self, machine: &MachineInfo, from: Instant, to: Instant) {
@@ -58,7 +59,7 @@
     }
 
     /// What is missing to the least that a machine costs that is deleted at this age.
-    pub fn charge_least(&mut self, machine: &MachineInfo, age: Duration) {
-        self.add(machine, LEAST.saturating_sub(age));
+    pub fn charge_minimum(&mut self, machine: &MachineInfo, age: Duration) {
+        self.add(machine, MIN_BILLED_TIME.saturating_sub(age));
     }
 }
--- a/crates/emulator/src/config/hcl_file.rs
+++ b/crates/emulator/src/config/hcl_file.rs
@@ -33,8 +33,8 @@
             Structure::Attribute(a) if a.has_key(first) => return a.span().map(|s| s.start),
             Structure::Block(b) if b.has_ident(first) => {
                 let labels: Vec<&str> = b.labels.iter().map(|l| l.as_str()).collect();
-                let same = rest.iter().zip(&labels).all(|(p, l)| p == l);
-                if same {
+                let labels_match = rest.iter().zip(&labels).all(|(p, l)| p == l);
+                if labels_match {
                     let inner = rest.get(labels.len()..).unwrap_or_default();
                     return locate(&b.body, inner).or_else(|| b.span().map(|s| s.start));
                 }
@@ -46,16 +46,16 @@
 }
 
 /// Blocks of which there may be several, told apart by one label.
-const NAMED: [&str; 5] = ["controller", "machine_type", "team", "load", "trouble"];
+const LABELED_BLOCKS: [&str; 5] = ["controller", "machine_type", "team", "load", "trouble"];
 
 /// A block that is there twice or has the wrong labels, and where it is. Once read as
 /// values, such blocks would have become one.
-fn misplaced(body: &Body) -> Option<(usize, String, &'static str)> {
+fn invalid_block(body: &Body) -> Option<(usize, String, &'static str)> {
     let mut seen = Vec::new();
     for block in body.blocks() {
         let mut path = vec![block.ident.as_str()];
         path.extend(block.labels.iter().map(|l| l.as_str()));
-        let labels = usize::from(NAMED.contains(&block.ident.as_str()));
+        let labels = usize::from(LABELED_BLOCKS.contains(&block.ident.as_str()));
         let why = match block.labels.len() {
             n if n > labels => Some("has a label too many"),
             n if n < labels => Some("must have a name"),
@@ -71,7 +71,7 @@
 }
 
 /// The field that serde's message names, if it names one that is not in the path.
-fn named(message: &str) -> Option<String> {
+fn field_in_message(message: &str) -> Option<String> {
     let rest = message.strip_prefix("unknown field `").or(message.strip_prefix("missing field `"))?;
     rest.split('`').next().map(str::to_owned)
 }
@@ -93,7 +93,7 @@
             let line = locate(&body, &path).map_or(1, |at| line_of(text, at));
             SiteError::Field { file: file.to_owned(), line, field: path.join("."), why }
         };
-        if let Some((at, field, why)) = misplaced(&body) {
+        if let Some((at, field, why)) = invalid_block(&body) {
             let line = line_of(text, at);
             return Err(SiteError::Field { file: file.to_owned(), line, field, why: why.to_owned() });
         }
@@ -103,7 +103,7 @@
             let mut path: Vec<String> =
                 e.path().iter().map(ToString::to_string).filter(|segment| segment != "?").collect();
             let message = e.inner().to_string();
-            if let Some(name) = named(&message)
+            if let Some(name) = field_in_message(&message)
                 && path.last() != Some(&name)
             {
                 path.push(name);
@@ -113,7 +113,7 @@
             }
             field(path, one_line(&message))
         })?;
-        match site.mistake() {
+        match site.first_error() {
             Some((path, why)) => Err(field(path, why)),
             None => Ok(site),
         }
--- a/crates/emulator/src/config/load.rs
+++ b/crates/emulator/src/config/load_and_faults.rs
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum KindFile {
+pub enum JobKindFile {
     Array,
     Gang,
     Service,
@@ -32,7 +32,7 @@
 #[serde(deny_unknown_fields)]
 pub struct LoadFile {
     pub team: String,
-    pub kind: KindFile,
+    pub kind: JobKindFile,
     pub priority: PriorityFile,
     pub per_minute: f64,
     pub tasks: u32,
@@ -112,7 +112,7 @@
         let load = |(name, l): (&String, &LoadFile)| Load {
             job: l.job(name),
             per_minute: l.per_minute,
-            stays: seconds(l.stays_s),
+            lifetime: seconds(l.stays_s),
             cancelled: l.cancelled,
         };
         self.load.iter().map(load).collect()
@@ -120,35 +120,35 @@
 
     pub fn scheduled_faults(&self) -> Vec<ScheduledFault> {
         let trouble = |(name, t): (&String, &TroubleFile)| {
-            let (share, by) = (t.share.unwrap_or(1.0), seconds(t.delay_s));
+            let (share, max_delay) = (t.share.unwrap_or(1.0), seconds(t.delay_s));
             let named = |n: &String| t.controller.as_ref() == Some(n);
             let caller = self.controller.keys().position(named).unwrap_or(usize::MAX);
             let machines = |faults| FaultKind::Machines(share, faults);
-            let fine = MachineFaults::default();
+            let no_faults = MachineFaults::default();
             let kind = match t.kind {
                 TroubleKind::StateOutage => FaultKind::StateOutage,
                 TroubleKind::StateRefuses => FaultKind::StateRefuses(caller),
-                TroubleKind::StateSlow => FaultKind::StateSlow(share, by),
-                TroubleKind::StateLate => FaultKind::StateLate(share, by),
+                TroubleKind::StateSlow => FaultKind::StateSlow(share, max_delay),
+                TroubleKind::StateLate => FaultKind::StateLate(share, max_delay),
                 TroubleKind::StateLost => FaultKind::StateLost(share),
                 TroubleKind::CloudOutage => FaultKind::CloudOutage,
-                TroubleKind::CloudSlow => FaultKind::CloudSlow(share, by),
-                TroubleKind::CloudLate => FaultKind::CloudLate(share, by),
+                TroubleKind::CloudSlow => FaultKind::CloudSlow(share, max_delay),
+                TroubleKind::CloudLate => FaultKind::CloudLate(share, max_delay),
                 TroubleKind::CloudLost => FaultKind::CloudLost(share),
-                TroubleKind::Hang => machines(MachineFaults { hangs: true, ..fine }),
-                TroubleKind::Deaf => machines(MachineFaults { deaf: true, ..fine }),
-                TroubleKind::Mute => machines(MachineFaults { mute: true, ..fine }),
-                TroubleKind::Faulty => machines(MachineFaults { faulty: true, ..fine }),
+                TroubleKind::Hang => machines(MachineFaults { hangs: true, ..no_faults }),
+                TroubleKind::Deaf => machines(MachineFaults { unreachable: true, ..no_faults }),
+                TroubleKind::Mute => machines(MachineFaults { reports_lost: true, ..no_faults }),
+                TroubleKind::Faulty => machines(MachineFaults { tasks_fail: true, ..no_faults }),
                 TroubleKind::Death => FaultKind::Deaths(share),
                 TroubleKind::Reclaim => FaultKind::Reclaims(share),
             };
-            let (at, lasts) = (seconds(t.at_s), seconds(t.for_s).max(Duration::from_millis(1)));
-            ScheduledFault { name: name.clone(), kind, at, lasts }
+            let (at, duration) = (seconds(t.at_s), seconds(t.for_s).max(Duration::from_millis(1)));
+            ScheduledFault { name: name.clone(), kind, at, duration }
         };
         self.trouble.iter().map(trouble).collect()
     }
 
-    pub(super) fn load_mistake(&self) -> Option<(Vec<String>, String)> {
+    pub(super) fn load_and_fault_error(&self) -> Option<(Vec<String>, String)> {
         let path =
             |block: &str, name: &String, field: &str| vec![block.to_owned(), name.clone(), field.to_owned()];
         for (name, l) in &self.load {
@@ -166,7 +166,7 @@
                 return Some((of("cancelled"), "must be a share from 0 to 1".into()));
             }
             if let Some(field) = l.job(name).invalid_field() {
-                return Some((of(in_file(field)), "is not valid for a job".into()));
+                return Some((of(file_field_name(field)), "is not valid for a job".into()));
             }
         }
         for (name, t) in &self.trouble {
@@ -189,7 +189,7 @@
 }
 
 /// A job's field as it is called in the file.
-fn in_file(field: &'static str) -> &'static str {
+fn file_field_name(field: &'static str) -> &'static str {
     match field {
         "threads" => "tasks",
         "mem_gb" => "memory_gb",
@@ -213,9 +213,9 @@
             class: class.to_owned(),
             team: self.team.clone(),
             kind: match self.kind {
-                KindFile::Array => JobKind::Array,
-                KindFile::Gang => JobKind::Gang,
-                KindFile::Service => JobKind::Service,
+                JobKindFile::Array => JobKind::Array,
+                JobKindFile::Gang => JobKind::Gang,
+                JobKindFile::Service => JobKind::Service,
             },
             priority: match self.priority {
                 PriorityFile::Low => Priority::Low,
--- a/crates/emulator/src/config/mod.rs
+++ b/crates/emulator/src/config/mod.rs
@@ -3,7 +3,7 @@
 
 mod check;
 mod hcl_file;
-mod load;
+mod load_and_faults;
 mod settings;
 
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 #[serde(deny_unknown_fields)]
 pub struct SiteFile {
     /// Everything that is drawn is drawn from it.
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// A folder that the state service keeps its data in; None: it keeps nothing.
     #[serde(default)]
@@ -39,12 +39,12 @@
     pub limits: LimitsFile,
     /// Jobs of the emulated users.
     #[serde(default)]
-    pub load: BTreeMap<String, load::LoadFile>,
+    pub load: BTreeMap<String, load_and_faults::LoadFile>,
     #[serde(default)]
-    pub trouble: BTreeMap<String, load::TroubleFile>,
+    pub trouble: BTreeMap<String, load_and_faults::TroubleFile>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
@@ -203,7 +203,7 @@
         let c = &self.cloud;
         // A state service with a file remembers machines of earlier runs, whose names must
         // not come back: they would, counted by seconds, if many were rented in a few.
-        let first = match self.data {
+        let first_number = match self.data {
             Some(_) => SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_secs() * 1000),
             None => 1,
         };
@@ -219,7 +219,7 @@
             life: c.life_s.map(seconds),
             notice: seconds(c.notice_s),
             no_notice: c.no_notice,
-            first,
+            first_number,
         }
     }
 }
--- a/crates/emulator/src/emulation/job_file.rs
+++ b/crates/emulator/src/emulation/job_file.rs
@@ -34,7 +34,7 @@
             return;
         }
         let mut written = journal.append(&wire::encode(&changes));
-        if written.is_ok() && journal.wants_snapshot() {
+        if written.is_ok() && journal.snapshot_due() {
             written = journal.replace(&[wire::encode(&jobs.snapshot())]);
         }
         if let Err(e) = written {
--- a/crates/emulator/src/emulation/mod.rs
+++ b/crates/emulator/src/emulation/mod.rs
@@ -1,9 +1,9 @@
 //! The stand-ins in real time, behind HTTP on loopback.
 
 mod job_file;
-mod people;
-mod relay;
+mod proxy;
 mod services;
+mod user_traffic;
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -54,7 +54,7 @@
 
 type Listeners = Arc<Locked<HashMap<String, std::net::TcpListener>>>;
 
-pub(crate) struct Live {
+pub(crate) struct Shared {
     site: Locked<Site>,
     state: Locked<StateService>,
     balancer: Locked<Balancer>,
@@ -75,7 +75,7 @@
     tasks: TaskTracker,
 }
 
-impl Live {
+impl Shared {
     fn reset(&self, node: usize) {
         if let Some(reset) = self.resets.get(node) {
             std::mem::take(&mut *reset.lock()).cancel();
@@ -96,7 +96,7 @@
 
 /// A site that runs until it is stopped.
 pub struct Emulation {
-    live: Arc<Live>,
+    shared: Arc<Shared>,
     pub controllers: Vec<Controller>,
     /// The load balancer.
     pub balancer_addr: String,
@@ -159,7 +159,7 @@
             Some(folder) => Some(Locked::new(JobFile::open(&folder.join("jobs"), &mut stand_ins.jobs)?)),
             None => None,
         };
-        let live = Arc::new(Live {
+        let shared = Arc::new(Shared {
             site: Locked::new(stand_ins),
             job_file,
             state: Locked::new(state),
@@ -174,28 +174,28 @@
             tasks: TaskTracker::new(),
             fronts,
         });
-        let tasks = &live.tasks;
+        let tasks = &shared.tasks;
         for (caller, listener) in states.into_iter().enumerate() {
-            tasks.spawn(services::state(live.clone(), listener, caller));
+            tasks.spawn(services::state(shared.clone(), listener, caller));
         }
         for (listener, front) in doors {
-            tasks.spawn(relay::door(live.clone(), listener, front));
+            tasks.spawn(proxy::door(shared.clone(), listener, front));
         }
-        for node in 0..live.fronts.len() {
-            tasks.spawn(relay::probes(live.clone(), node));
+        for node in 0..shared.fronts.len() {
+            tasks.spawn(proxy::probes(shared.clone(), node));
         }
-        tasks.spawn(services::cloud(live.clone(), cloud_listener));
-        tasks.spawn(people::users(live.clone(), balancer_addr.clone()));
-        tasks.spawn(services::clock(live.clone(), listeners));
-        tasks.spawn(relay::balancer(live.clone(), balancer));
-        Ok(Self { live, controllers, balancer_addr, cloud_addr })
+        tasks.spawn(services::cloud(shared.clone(), cloud_listener));
+        tasks.spawn(user_traffic::users(shared.clone(), balancer_addr.clone()));
+        tasks.spawn(services::clock(shared.clone(), listeners));
+        tasks.spawn(proxy::balancer(shared.clone(), balancer));
+        Ok(Self { shared, controllers, balancer_addr, cloud_addr })
     }
 
     /// Waits until the load balancer takes every controller for healthy.
     pub async fn wait_until_all_healthy(&self) {
         loop {
-            let next = self.live.health.notified();
-            if (0..self.live.fronts.len()).all(|n| self.live.balancer.lock().is_healthy(n)) {
+            let next = self.shared.health.notified();
+            if (0..self.shared.fronts.len()).all(|n| self.shared.balancer.lock().is_healthy(n)) {
                 return;
             }
             next.await;
@@ -204,43 +204,43 @@
 
     /// How many machines are up, and the money spent.
     pub fn summary(&self) -> (usize, f64) {
-        let mut site = self.live.site.lock();
+        let mut site = self.shared.site.lock();
         (site.workers().count(), site.cloud.spent(Instant::now()))
     }
 
     /// What has become of the emulated users' jobs.
     pub fn user_statistics(&self) -> UserStatistics {
-        self.live.users.lock().user_statistics().clone()
+        self.shared.users.lock().user_statistics().clone()
     }
 
     /// What is on the machines, ended tasks that are still reported too.
     pub fn tasks(&self) -> Vec<wire::TaskStatus> {
-        self.live.site.lock().workers().flat_map(|w| w.tasks()).collect()
+        self.shared.site.lock().workers().flat_map(|w| w.tasks()).collect()
     }
 
     /// Changes the site itself, as a test wants it.
     pub fn with_site<T>(&self, change: impl FnOnce(&mut Site) -> T) -> T {
-        change(&mut self.live.site.lock())
+        change(&mut self.shared.site.lock())
     }
 
     /// Changes what goes wrong with the state service. The troubles of the site's file, if any
     /// begin or end later, take its place.
     pub fn set_state_faults(&self, troubles: crate::service_faults::ServiceFaults) {
-        self.live.state.lock().set_faults(troubles, Instant::now());
-        self.live.changed.notify_waiters();
+        self.shared.state.lock().set_faults(troubles, Instant::now());
+        self.shared.changed.notify_waiters();
     }
 
     /// A record in the state service.
     pub fn state_value(&self, key: &str) -> Option<rmpv::Value> {
-        self.live.state.lock().data().keys.get(key).map(|e| e.value.clone())
+        self.shared.state.lock().data().keys.get(key).map(|e| e.value.clone())
     }
 
     /// Closes everything.
     pub async fn stop(self) {
-        self.live.stop.cancel();
-        self.live.tasks.close();
+        self.shared.stop.cancel();
+        self.shared.tasks.close();
         // Requests that are not answered on purpose need not be waited for.
-        let _ = tokio::time::timeout(Duration::from_millis(500), self.live.tasks.wait()).await;
+        let _ = tokio::time::timeout(Duration::from_millis(500), self.shared.tasks.wait()).await;
     }
 }
 
--- a/crates/emulator/src/emulation/relay.rs
+++ b/crates/emulator/src/emulation/proxy.rs
@@ -10,44 +10,44 @@
 use tokio::time::timeout;
 use wire::JobSpec;
 
-use super::Live;
-use crate::balancer::{CONNECT_WAIT, PROBE_EVERY, PROBE_WAIT, TRIES};
+use super::Shared;
+use crate::balancer::{CONNECT_TIMEOUT, MAX_CONNECT_ATTEMPTS, PROBE_INTERVAL, PROBE_TIMEOUT};
 
 /// Passes connections on to one controller.
-pub async fn door(live: Arc<Live>, listener: TcpListener, to: String) {
-    while let Some(client) = accept(&live, &listener).await {
-        let (live, to) = (live.clone(), to.clone());
-        live.tasks.clone().spawn(async move {
-            if let Ok(Ok(server)) = timeout(CONNECT_WAIT, TcpStream::connect(&to)).await {
-                splice(&live, client, server).await;
+pub async fn door(shared: Arc<Shared>, listener: TcpListener, to: String) {
+    while let Some(client) = accept(&shared, &listener).await {
+        let (shared, to) = (shared.clone(), to.clone());
+        shared.tasks.clone().spawn(async move {
+            if let Ok(Ok(server)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(&to)).await {
+                splice(&shared, client, server).await;
             }
         });
     }
 }
 
 /// Passes each connection on to a healthy controller.
-pub async fn balancer(live: Arc<Live>, listener: TcpListener) {
-    while let Some(client) = accept(&live, &listener).await {
-        let live = live.clone();
-        live.tasks.clone().spawn(async move {
-            let Some((node, server)) = connect(&live).await else { return };
-            let reset = live.resets.get(node).map(|r| r.lock().child_token()).unwrap_or_default();
+pub async fn balancer(shared: Arc<Shared>, listener: TcpListener) {
+    while let Some(client) = accept(&shared, &listener).await {
+        let shared = shared.clone();
+        shared.tasks.clone().spawn(async move {
+            let Some((node, server)) = connect(&shared).await else { return };
+            let reset = shared.resets.get(node).map(|r| r.lock().child_token()).unwrap_or_default();
             tokio::select! {
-                () = splice(&live, client, server) => {}
+                () = splice(&shared, client, server) => {}
                 () = reset.cancelled() => {}
             }
-            live.balancer.lock().closed(node);
+            shared.balancer.lock().connection_closed(node);
         });
     }
 }
 
-async fn connect(live: &Live) -> Option<(usize, TcpStream)> {
+async fn connect(shared: &Shared) -> Option<(usize, TcpStream)> {
     let mut tried = Vec::new();
-    while tried.len() < TRIES {
-        let node = live.balancer.lock().choose(&tried, Instant::now())?;
-        let stream = timeout(CONNECT_WAIT, TcpStream::connect(live.fronts.get(node)?)).await;
+    while tried.len() < MAX_CONNECT_ATTEMPTS {
+        let node = shared.balancer.lock().choose(&tried, Instant::now())?;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(shared.fronts.get(node)?)).await;
         let stream = stream.ok().and_then(Result::ok);
-        live.balancer.lock().connected(node, stream.is_some(), Instant::now());
+        shared.balancer.lock().record_connection_attempt(node, stream.is_some(), Instant::now());
         match stream {
             Some(stream) => return Some((node, stream)),
             None => tried.push(node),
@@ -56,10 +56,10 @@
     None
 }
 
-async fn accept(live: &Live, listener: &TcpListener) -> Option<TcpStream> {
+async fn accept(shared: &Shared, listener: &TcpListener) -> Option<TcpStream> {
     loop {
         let accepted = tokio::select! {
-            () = live.stop.cancelled() => return None,
+            () = shared.stop.cancelled() => return None,
             a = listener.accept() => a,
         };
         match accepted {
@@ -70,11 +70,11 @@
     }
 }
 
-async fn splice(live: &Arc<Live>, client: TcpStream, server: TcpStream) {
+async fn splice(shared: &Arc<Shared>, client: TcpStream, server: TcpStream) {
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (from_client, mut to_client) = client.into_split();
     let (mut from_server, to_server) = server.into_split();
-    let l = live.clone();
+    let l = shared.clone();
     let upload = move |request: Request| {
         if request.method == "POST"
             && request.path == "/v1/jobs"
@@ -95,28 +95,28 @@
     tokio::select! {
         () = there => {}
         _ = back => {}
-        () = live.stop.cancelled() => {}
+        () = shared.stop.cancelled() => {}
     }
 }
 
 /// Asks every controller about once a second whether it can take requests.
-pub async fn probes(live: Arc<Live>, node: usize) {
-    let Some(front) = live.fronts.get(node).cloned() else { return };
-    while !live.stop.is_cancelled() {
-        let answer = live.probes.request(&front, "GET", "/healthz", Vec::new(), 4096, PROBE_WAIT).await;
+pub async fn probes(shared: Arc<Shared>, node: usize) {
+    let Some(front) = shared.fronts.get(node).cloned() else { return };
+    while !shared.stop.is_cancelled() {
+        let answer = shared.probes.request(&front, "GET", "/healthz", Vec::new(), 4096, PROBE_TIMEOUT).await;
         let (fine, now) = (answer.is_ok_and(|a| a.status == 200), Instant::now());
         let resets = {
-            let mut balancer = live.balancer.lock();
-            balancer.probed(node, fine, now);
-            balancer.resets(now)
+            let mut balancer = shared.balancer.lock();
+            balancer.record_probe(node, fine, now);
+            balancer.take_resets(now)
         };
         for node in resets {
-            live.reset(node);
+            shared.reset(node);
         }
-        live.health.notify_waiters();
+        shared.health.notify_waiters();
         tokio::select! {
-            () = live.stop.cancelled() => {}
-            () = tokio::time::sleep(PROBE_EVERY) => {}
+            () = shared.stop.cancelled() => {}
+            () = tokio::time::sleep(PROBE_INTERVAL) => {}
         }
     }
 }
--- /dev/null
+++ b/crates/emulator/src/emulation/user_traffic.rs
@@ -0,0 +1,45 @@
+//! The emulated users behind HTTP.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use net::Client;
+use tokio::time::{MissedTickBehavior, interval};
+use wire::JobStatus;
+
+use super::Shared;
+use crate::users::{UserRequest, UserResponse};
+
+const TICK: Duration = Duration::from_millis(50);
+/// Connections that users have open at a time.
+const MOST: usize = 256;
+
+/// Sends what users ask to the load balancer.
+pub async fn users(shared: Arc<Shared>, balancer: String) {
+    let mut ticks = interval(TICK);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let client = Client::new(MOST);
+    loop {
+        tokio::select! {
+            () = shared.stop.cancelled() => return,
+            _ = ticks.tick() => {}
+        }
+        let requests = shared.users.lock().poll(Instant::now());
+        for request in requests {
+            shared.tasks.spawn(ask(shared.clone(), client.clone(), balancer.clone(), request));
+        }
+    }
+}
+
+async fn ask(shared: Arc<Shared>, client: Client, balancer: String, request: UserRequest) {
+    let UserRequest { method, path, body, timeout, .. } = &request;
+    let answer = client.request(&balancer, method, path, body.clone(), wire::BODY_LIMIT, *timeout).await;
+    let response = answer.map_or_else(
+        |_| UserResponse::default(),
+        |a| {
+            let state = wire::decode::<JobStatus>(&a.body).ok().map(|s| s.state);
+            UserResponse { status: Some(a.status), retry_after: None, state }
+        },
+    );
+    shared.users.lock().record_response(&request, response, Instant::now());
+}
--- a/crates/emulator/src/fault_schedule.rs
+++ b/crates/emulator/src/fault_schedule.rs
@@ -40,80 +40,88 @@
     pub kind: FaultKind,
     /// Counted from the beginning of the site.
     pub at: Duration,
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 pub struct FaultSchedule {
-    troubles: Vec<ScheduledFault>,
-    begun: Instant,
+    planned_faults: Vec<ScheduledFault>,
+    started: Instant,
     /// Those that are on, with the machines that they concern.
-    on: BTreeMap<usize, BTreeSet<String>>,
-    over: BTreeSet<usize>,
+    active: BTreeMap<usize, BTreeSet<String>>,
+    ended: BTreeSet<usize>,
     rng: StdRng,
 }
 
 impl FaultSchedule {
-    pub fn new(troubles: Vec<ScheduledFault>, seed: u64, now: Instant) -> Self {
-        let (on, over) = (BTreeMap::new(), BTreeSet::new());
-        Self { troubles, begun: now, on, over, rng: StdRng::seed_from_u64(seed) }
+    pub fn new(planned_faults: Vec<ScheduledFault>, seed: u64, now: Instant) -> Self {
+        let (active, ended) = (BTreeMap::new(), BTreeSet::new());
+        Self { planned_faults, started: now, active, ended, rng: StdRng::seed_from_u64(seed) }
     }
 
     /// Begins and ends what is due; whether anything did.
     pub fn poll(&mut self, site: &mut Site, state: &mut StateService, now: Instant) -> bool {
-        let age = now.saturating_duration_since(self.begun);
+        let age = now.saturating_duration_since(self.started);
         let (mut changed, mut released) = (false, BTreeSet::new());
-        for (i, trouble) in self.troubles.iter().enumerate() {
-            let ended = age >= trouble.at + trouble.lasts;
-            if self.on.contains_key(&i) && ended {
-                info!(name = trouble.name, "trouble ends");
-                released.extend(self.on.remove(&i).unwrap_or_default());
-                self.over.insert(i);
+        for (i, fault) in self.planned_faults.iter().enumerate() {
+            let ended = age >= fault.at + fault.duration;
+            if self.active.contains_key(&i) && ended {
+                info!(name = fault.name, "trouble ends");
+                released.extend(self.active.remove(&i).unwrap_or_default());
+                self.ended.insert(i);
                 changed = true;
-            } else if !self.on.contains_key(&i) && !self.over.contains(&i) && age >= trouble.at {
-                info!(name = trouble.name, "trouble begins");
-                let machines = begin(&trouble.kind, site, &mut self.rng, now);
-                self.on.insert(i, machines);
+            } else if !self.active.contains_key(&i) && !self.ended.contains(&i) && age >= fault.at {
+                info!(name = fault.name, "trouble begins");
+                let machines = start_fault(&fault.kind, site, &mut self.rng, now);
+                self.active.insert(i, machines);
                 changed = true;
             }
         }
         if changed {
-            self.set(site, state, &released, now);
+            self.apply(site, state, &released, now);
         }
         changed
     }
 
-    fn set(&self, site: &mut Site, state: &mut StateService, released: &BTreeSet<String>, now: Instant) {
-        let (mut of_state, mut of_cloud) = (ServiceFaults::default(), ServiceFaults::default());
+    fn apply(&self, site: &mut Site, state: &mut StateService, released: &BTreeSet<String>, now: Instant) {
+        let (mut state_faults, mut cloud_faults) = (ServiceFaults::default(), ServiceFaults::default());
         let mut faults: BTreeMap<String, MachineFaults> =
             released.iter().map(|m| (m.clone(), MachineFaults::default())).collect();
-        for (i, machines) in &self.on {
-            let Some(trouble) = self.troubles.get(*i) else { continue };
-            match trouble.kind.clone() {
-                FaultKind::StateOutage => of_state.outage = true,
+        for (i, machines) in &self.active {
+            let Some(fault) = self.planned_faults.get(*i) else { continue };
+            match fault.kind.clone() {
+                FaultKind::StateOutage => state_faults.outage = true,
                 FaultKind::StateRefuses(caller) => {
-                    of_state.refused.insert(caller);
+                    state_faults.refused.insert(caller);
                 }
-                FaultKind::StateSlow(share, by) => (of_state.slow_share, of_state.slow) = (share, by),
-                FaultKind::StateLate(share, by) => (of_state.late_share, of_state.late) = (share, by),
-                FaultKind::StateLost(share) => of_state.lost_share = share,
-                FaultKind::CloudOutage => of_cloud.outage = true,
-                FaultKind::CloudSlow(share, by) => (of_cloud.slow_share, of_cloud.slow) = (share, by),
-                FaultKind::CloudLate(share, by) => (of_cloud.late_share, of_cloud.late) = (share, by),
-                FaultKind::CloudLost(share) => of_cloud.lost_share = share,
-                FaultKind::Machines(_, f) => {
+                FaultKind::StateSlow(share, max_delay) => {
+                    (state_faults.slow_share, state_faults.max_answer_delay) = (share, max_delay)
+                }
+                FaultKind::StateLate(share, max_delay) => {
+                    (state_faults.late_share, state_faults.max_execution_delay) = (share, max_delay)
+                }
+                FaultKind::StateLost(share) => state_faults.lost_share = share,
+                FaultKind::CloudOutage => cloud_faults.outage = true,
+                FaultKind::CloudSlow(share, max_delay) => {
+                    (cloud_faults.slow_share, cloud_faults.max_answer_delay) = (share, max_delay)
+                }
+                FaultKind::CloudLate(share, max_delay) => {
+                    (cloud_faults.late_share, cloud_faults.max_execution_delay) = (share, max_delay)
+                }
+                FaultKind::CloudLost(share) => cloud_faults.lost_share = share,
+                FaultKind::Machines(_, added) => {
                     for machine in machines {
-                        let all = faults.entry(machine.clone()).or_default();
-                        all.hangs |= f.hangs;
-                        all.deaf |= f.deaf;
-                        all.mute |= f.mute;
-                        all.faulty |= f.faulty;
+                        let combined = faults.entry(machine.clone()).or_default();
+                        combined.hangs |= added.hangs;
+                        combined.unreachable |= added.unreachable;
+                        combined.reports_lost |= added.reports_lost;
+                        combined.tasks_fail |= added.tasks_fail;
                     }
                 }
                 FaultKind::Deaths(_) | FaultKind::Reclaims(_) => {}
             }
         }
-        state.set_faults(of_state, now);
-        site.cloud.set_faults(of_cloud);
+        state.set_faults(state_faults, now);
+        site.cloud.set_faults(cloud_faults);
         for (machine, faults) in faults {
             site.set_machine_faults(&machine, faults, now);
         }
@@ -121,7 +129,7 @@
 }
 
 /// What happens once; the machines that it concerns for longer.
-fn begin(kind: &FaultKind, site: &mut Site, rng: &mut StdRng, now: Instant) -> BTreeSet<String> {
+fn start_fault(kind: &FaultKind, site: &mut Site, rng: &mut StdRng, now: Instant) -> BTreeSet<String> {
     let (share, spot) = match kind {
         FaultKind::Machines(share, _) | FaultKind::Deaths(share) => (*share, false),
         FaultKind::Reclaims(share) => (*share, true),
--- a/crates/emulator/src/gang.rs
+++ b/crates/emulator/src/gang.rs
@@ -7,14 +7,14 @@
 
 #[derive(Debug, Clone, Copy)]
 pub struct GangRules {
-    pub wait: Duration,
-    pub peer: Duration,
+    pub start_timeout: Duration,
+    pub peer_timeout: Duration,
 }
 
 /// What a task of a gang is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
-    Gathering,
+pub enum GangTaskState {
+    Waiting,
     Running,
     Saving,
     /// The cause, and whether its progress was saved.
@@ -24,12 +24,12 @@
 #[derive(Debug)]
 struct Member {
     speed: f64,
-    joined: Instant,
+    joined_at: Instant,
     started: bool,
     /// When it was told to stop.
-    told: Option<Instant>,
+    stop_received: Option<Instant>,
     /// Its machine hangs, and from when on the others know.
-    hung: Option<Instant>,
+    hang_detected_at: Option<Instant>,
     end: Option<(ExitReason, Option<bool>)>,
 }
 
@@ -40,13 +40,13 @@
     size: usize,
     run_s: f64,
     checkpoint_s: f64,
-    save: Duration,
+    save_duration: Duration,
     members: BTreeMap<u32, Member>,
     progress: f64,
-    at: Instant,
-    first_stop: Option<Instant>,
+    last_poll: Instant,
+    first_stop_at: Option<Instant>,
     /// When the others notice that one is gone.
-    loss: Option<Instant>,
+    loss_detected_at: Option<Instant>,
     /// Progress that the next attempt continues from.
     pub saved: f64,
     pub done: bool,
@@ -59,23 +59,23 @@
         size: usize,
         run_s: f64,
         checkpoint_s: f64,
-        save: Duration,
+        save_duration: Duration,
         saved: f64,
         now: Instant,
     ) -> Self {
         let (members, progress) = (BTreeMap::new(), saved);
-        let (first_stop, loss, done) = (None, None, false);
+        let (first_stop_at, loss_detected_at, done) = (None, None, false);
         Self {
             rules,
             size,
             run_s,
             checkpoint_s,
-            save,
+            save_duration,
             members,
             progress,
-            at: now,
-            first_stop,
-            loss,
+            last_poll: now,
+            first_stop_at,
+            loss_detected_at,
             saved,
             done,
         }
@@ -85,66 +85,73 @@
     pub fn join(&mut self, task: u32, speed: f64, now: Instant) {
         if self.members.is_empty() {
             // What was left of the same attempt is over.
-            (self.progress, self.first_stop, self.loss) = (self.saved, None, None);
+            (self.progress, self.first_stop_at, self.loss_detected_at) = (self.saved, None, None);
         }
-        let member = Member { speed, joined: now, started: false, told: None, hung: None, end: None };
+        let member = Member {
+            speed,
+            joined_at: now,
+            started: false,
+            stop_received: None,
+            hang_detected_at: None,
+            end: None,
+        };
         self.members.insert(task, member);
         self.poll(now);
     }
 
     /// A task is gone without having ended by the gang's own rules. The others notice
     /// after `notice`, at most the time that the settings give.
-    pub fn gone(&mut self, task: u32, notice: Duration, now: Instant) {
+    pub fn lose_task(&mut self, task: u32, detection_delay: Duration, now: Instant) {
         self.poll(now);
         if let Some(member) = self.members.remove(&task)
             && member.started
             && member.end.is_none()
         {
-            let at = now + notice.min(self.rules.peer);
-            self.loss = Some(self.loss.map_or(at, |l| l.min(at)));
+            let at = now + detection_delay.min(self.rules.peer_timeout);
+            self.loss_detected_at = Some(self.loss_detected_at.map_or(at, |l| l.min(at)));
         }
     }
 
     /// A task's machine hangs, which the others notice after `notice`; None: it goes on.
-    pub fn hang(&mut self, task: u32, notice: Option<Duration>, now: Instant) {
+    pub fn set_hung(&mut self, task: u32, detection_delay: Option<Duration>, now: Instant) {
         self.poll(now);
         if let Some(member) = self.members.get_mut(&task) {
-            member.hung = notice.map(|n| now + n.min(self.rules.peer));
+            member.hang_detected_at = detection_delay.map(|n| now + n.min(self.rules.peer_timeout));
         }
     }
 
     /// A task is told to stop, with so much time to save. False if it ends at once.
-    pub fn stop(&mut self, task: u32, grace: Duration, notice: Duration, now: Instant) -> bool {
+    pub fn stop(&mut self, task: u32, grace: Duration, detection_delay: Duration, now: Instant) -> bool {
         self.poll(now);
-        let saves = self.checkpoint_s > 0.0 && grace >= self.save;
+        let can_save = self.checkpoint_s > 0.0 && grace >= self.save_duration;
         match self.members.get_mut(&task) {
-            Some(m) if m.started && m.end.is_none() && saves => {
-                m.told.get_or_insert(now);
-                self.first_stop.get_or_insert(now);
+            Some(m) if m.started && m.end.is_none() && can_save => {
+                m.stop_received.get_or_insert(now);
+                self.first_stop_at.get_or_insert(now);
                 self.poll(now);
                 true
             }
             // One that is saving is ended by a stop without time only.
-            Some(m) if m.told.is_some() && m.end.is_none() && !grace.is_zero() => true,
+            Some(m) if m.stop_received.is_some() && m.end.is_none() && !grace.is_zero() => true,
             _ => {
-                self.gone(task, notice, now);
+                self.lose_task(task, detection_delay, now);
                 false
             }
         }
     }
 
-    pub fn part(&self, task: u32) -> Option<Part> {
+    pub fn task_state(&self, task: u32) -> Option<GangTaskState> {
         let m = self.members.get(&task)?;
-        Some(match (m.end, m.started, m.told) {
-            (Some((cause, saved)), ..) => Part::Ended(cause, saved),
-            (None, false, _) => Part::Gathering,
-            (None, true, None) => Part::Running,
-            (None, true, Some(_)) => Part::Saving,
+        Some(match (m.end, m.started, m.stop_received) {
+            (Some((cause, saved)), ..) => GangTaskState::Ended(cause, saved),
+            (None, false, _) => GangTaskState::Waiting,
+            (None, true, None) => GangTaskState::Running,
+            (None, true, Some(_)) => GangTaskState::Saving,
         })
     }
 
     /// A task has taken note of its end.
-    pub fn leave(&mut self, task: u32) {
+    pub fn remove_task(&mut self, task: u32) {
         self.members.remove(&task);
     }
 
@@ -158,68 +165,69 @@
 
     /// Lets time pass.
     pub fn poll(&mut self, now: Instant) {
-        let dt = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+        let elapsed_s = now.saturating_duration_since(self.last_poll).as_secs_f64();
+        self.last_poll = self.last_poll.max(now);
         if self.running().next().is_some() {
-            self.go_on(dt, now);
+            self.advance(elapsed_s, now);
         } else {
-            self.gather(now);
+            self.start_if_complete(now);
         }
-        let wait = self.rules.wait;
+        let start_timeout = self.rules.start_timeout;
         for m in self.members.values_mut().filter(|m| !m.started && m.end.is_none()) {
-            if now >= m.joined + wait {
+            if now >= m.joined_at + start_timeout {
                 m.end = Some((ExitReason::GangIncomplete, None));
             }
         }
     }
 
-    fn gather(&mut self, now: Instant) {
-        let wait = self.rules.wait;
-        let waits = |m: &Member| !m.started && m.end.is_none() && now < m.joined + wait;
-        if self.members.values().filter(|m| waits(m)).count() == self.size {
+    fn start_if_complete(&mut self, now: Instant) {
+        let start_timeout = self.rules.start_timeout;
+        let is_waiting = |m: &Member| !m.started && m.end.is_none() && now < m.joined_at + start_timeout;
+        if self.members.values().filter(|m| is_waiting(m)).count() == self.size {
             for m in self.members.values_mut().filter(|m| m.end.is_none()) {
                 m.started = true;
             }
-            (self.progress, self.first_stop, self.loss) = (self.saved, None, None);
+            (self.progress, self.first_stop_at, self.loss_detected_at) = (self.saved, None, None);
         }
     }
 
-    fn go_on(&mut self, dt: f64, now: Instant) {
-        let hung = self.running().filter_map(|m| m.hung).min();
-        if self.first_stop.is_none() && hung.is_none() && self.loss.is_none() {
+    fn advance(&mut self, elapsed_s: f64, now: Instant) {
+        let hang_detected_at = self.running().filter_map(|m| m.hang_detected_at).min();
+        if self.first_stop_at.is_none() && hang_detected_at.is_none() && self.loss_detected_at.is_none() {
             let speed = self.running().map(|m| m.speed).fold(f64::INFINITY, f64::min);
-            self.progress += dt * speed;
+            self.progress += elapsed_s * speed;
             if self.checkpoint_s > 0.0 {
-                let kept = (self.progress.min(self.run_s) / self.checkpoint_s).floor() * self.checkpoint_s;
-                self.saved = self.saved.max(kept);
+                let checkpointed =
+                    (self.progress.min(self.run_s) / self.checkpoint_s).floor() * self.checkpoint_s;
+                self.saved = self.saved.max(checkpointed);
             }
             if self.progress >= self.run_s {
                 self.done = true;
                 return self.running().for_each(|m| m.end = Some((ExitReason::Done, None)));
             }
         }
-        if self.loss.into_iter().chain(hung).any(|at| at <= now) {
-            return self.fall_back();
+        if self.loss_detected_at.into_iter().chain(hang_detected_at).any(|at| at <= now) {
+            return self.end_without_saving();
         }
-        let Some(first) = self.first_stop else { return };
-        if self.loss.is_some() || hung.is_some() {
+        let Some(first) = self.first_stop_at else { return };
+        if self.loss_detected_at.is_some() || hang_detected_at.is_some() {
             return;
         }
-        let told: Vec<Option<Instant>> = self.running().map(|m| m.told).collect();
-        match told.iter().copied().collect::<Option<Vec<_>>>() {
-            Some(all) if all.iter().max().is_some_and(|last| now >= *last + self.save) => {
+        let stop_received: Vec<Option<Instant>> = self.running().map(|m| m.stop_received).collect();
+        match stop_received.iter().copied().collect::<Option<Vec<_>>>() {
+            Some(all) if all.iter().max().is_some_and(|last| now >= *last + self.save_duration) => {
                 self.saved = self.progress;
                 self.running().for_each(|m| m.end = Some((ExitReason::Stopped, Some(true))));
             }
-            None if now >= first + self.rules.peer => self.fall_back(),
+            None if now >= first + self.rules.peer_timeout => self.end_without_saving(),
             _ => {}
         }
     }
 
     /// Everybody ends; what is not saved is lost.
-    fn fall_back(&mut self) {
+    fn end_without_saving(&mut self) {
         self.running().for_each(|m| {
-            m.end = Some(match m.told {
+            m.end = Some(match m.stop_received {
                 Some(_) => (ExitReason::Stopped, Some(false)),
                 None => (ExitReason::PeersGone, None),
             });
--- a/crates/emulator/src/images.rs
+++ b/crates/emulator/src/image_cache.rs
@@ -5,39 +5,39 @@
 /// all who need it; fetches share the machine's rate; the most recently used images
 /// stay as far as there is room.
 #[derive(Debug)]
-pub struct Images {
+pub struct ImageCache {
     gb_per_s: f64,
-    room_gb: f64,
+    capacity_gb: f64,
     /// Size and last use.
-    here: BTreeMap<String, (f64, Instant)>,
+    cached: BTreeMap<String, (f64, Instant)>,
     /// Size, and how much is missing.
     fetches: BTreeMap<String, (f64, f64)>,
 }
 
-impl Images {
-    pub fn new(gb_per_s: f64, room_gb: f64) -> Self {
-        Self { gb_per_s: gb_per_s.max(1e-3), room_gb, here: BTreeMap::new(), fetches: BTreeMap::new() }
+impl ImageCache {
+    pub fn new(gb_per_s: f64, capacity_gb: f64) -> Self {
+        Self { gb_per_s: gb_per_s.max(1e-3), capacity_gb, cached: BTreeMap::new(), fetches: BTreeMap::new() }
     }
 
     pub fn has(&self, image: &str) -> bool {
-        self.here.contains_key(image)
+        self.cached.contains_key(image)
     }
 
     /// Goes on fetching for `dt`. `wanted` are the images that tasks wait for, with
     /// their sizes: what is not wanted any more is given up. `in_use` stay.
-    pub fn poll(&mut self, wanted: &BTreeMap<&str, f64>, in_use: &[&str], dt: Duration, now: Instant) {
+    pub fn poll(&mut self, wanted: &BTreeMap<&str, f64>, in_use: &[&str], elapsed: Duration, now: Instant) {
         self.fetches.retain(|image, _| wanted.contains_key(image.as_str()));
         let rate = self.gb_per_s / self.fetches.len().max(1) as f64;
-        let mut came = Vec::new();
+        let mut completed = Vec::new();
         for (image, (size, missing)) in &mut self.fetches {
-            *missing -= rate * dt.as_secs_f64();
+            *missing -= rate * elapsed.as_secs_f64();
             if *missing <= 0.0 {
-                came.push((image.clone(), *size));
+                completed.push((image.clone(), *size));
             }
         }
-        for (image, size) in came {
+        for (image, size) in completed {
             self.fetches.remove(&image);
-            self.here.insert(image, (size, now));
+            self.cached.insert(image, (size, now));
         }
         for (image, size) in wanted {
             if !self.has(image) {
@@ -45,19 +45,19 @@
             }
         }
         for image in in_use.iter().chain(wanted.keys()) {
-            if let Some((_, used)) = self.here.get_mut(*image) {
+            if let Some((_, used)) = self.cached.get_mut(*image) {
                 *used = now;
             }
         }
-        while self.here.values().map(|(size, _)| size).sum::<f64>() > self.room_gb {
+        while self.cached.values().map(|(size, _)| size).sum::<f64>() > self.capacity_gb {
             let unused = self
-                .here
+                .cached
                 .iter()
                 .filter(|(i, _)| !in_use.contains(&i.as_str()) && !wanted.contains_key(i.as_str()));
             let Some(oldest) = unused.min_by_key(|(_, (_, used))| *used).map(|(i, _)| i.clone()) else {
                 break;
             };
-            self.here.remove(&oldest);
+            self.cached.remove(&oldest);
         }
     }
 }
--- a/crates/emulator/src/jobs.rs
+++ b/crates/emulator/src/jobs.rs
@@ -12,7 +12,7 @@
 /// What users have uploaded, and what has become of it: descriptions, true run times,
 /// progress that was saved outside the machines, and results.
 pub struct Jobs {
-    all: HashMap<String, Job>,
+    jobs: HashMap<String, Job>,
     /// By job and attempt.
     gangs: BTreeMap<(String, u64), Gang>,
     rules: GangRules,
@@ -41,18 +41,18 @@
 }
 
 /// The owners' estimates are often wrong by half.
-const TRUTH: std::ops::Range<f64> = 0.6..1.5;
+const RUNTIME_TO_ESTIMATE_RATIO: std::ops::Range<f64> = 0.6..1.5;
 
 impl Jobs {
     pub fn new(rules: GangRules, seed: u64) -> Self {
         let rng = StdRng::seed_from_u64(seed);
-        Self { all: HashMap::new(), gangs: BTreeMap::new(), rules, changes: Vec::new(), rng }
+        Self { jobs: HashMap::new(), gangs: BTreeMap::new(), rules, changes: Vec::new(), rng }
     }
 
     /// A user uploads a job's description; the first one counts.
     pub fn upload(&mut self, spec: JobSpec, broken: bool) {
-        let run_s = spec.estimated_runtime_s * self.rng.random_range(TRUTH);
-        if !self.all.contains_key(&spec.id) {
+        let run_s = spec.estimated_runtime_s * self.rng.random_range(RUNTIME_TO_ESTIMATE_RATIO);
+        if !self.jobs.contains_key(&spec.id) {
             self.apply(JobChange::Uploaded { spec: Arc::new(spec), run_s, broken });
         }
     }
@@ -63,15 +63,15 @@
             JobChange::Uploaded { spec, run_s, broken } => {
                 let (saved, done) = (HashMap::new(), HashSet::new());
                 let id = spec.id.clone();
-                self.all.insert(id, Job { spec, run_s, broken, saved, done });
+                self.jobs.insert(id, Job { spec, run_s, broken, saved, done });
             }
             JobChange::Saved { job, task, progress } => {
-                if let Some(j) = self.all.get_mut(&job) {
+                if let Some(j) = self.jobs.get_mut(&job) {
                     j.saved.insert(task, progress);
                 }
             }
             JobChange::Done { job, task } => {
-                if let Some(j) = self.all.get_mut(&job) {
+                if let Some(j) = self.jobs.get_mut(&job) {
                     j.done.insert(task);
                 }
             }
@@ -93,7 +93,7 @@
     /// All there is to keep.
     pub fn snapshot(&self) -> Vec<JobChange> {
         let mut out = Vec::new();
-        for (job, j) in &self.all {
+        for (job, j) in &self.jobs {
             let (spec, run_s, broken) = (j.spec.clone(), j.run_s, j.broken);
             out.push(JobChange::Uploaded { spec, run_s, broken });
             let saved = j.saved.iter().map(|(task, p)| (*task, *p));
@@ -104,7 +104,7 @@
     }
 
     pub fn get(&self, job: &str) -> Option<&Job> {
-        self.all.get(job)
+        self.jobs.get(job)
     }
 
     pub fn is_done(&self, job: &str, task: u32) -> bool {
@@ -117,27 +117,27 @@
         }
     }
 
-    pub fn saved(&self, job: &str, task: u32) -> f64 {
+    pub fn saved_progress(&self, job: &str, task: u32) -> f64 {
         self.get(job).and_then(|j| j.saved.get(&task)).copied().unwrap_or(0.0)
     }
 
     /// Progress that is kept outside the machine; it never goes back.
-    pub fn save(&mut self, job: &str, task: u32, progress: f64) {
-        if progress > self.saved(job, task) {
+    pub fn save_progress(&mut self, job: &str, task: u32, progress: f64) {
+        if progress > self.saved_progress(job, task) {
             self.apply(JobChange::Saved { job: job.to_owned(), task, progress });
         }
     }
 
     /// What a gang's tasks share; its progress is kept as that of task 0.
     pub fn gang(&mut self, job: &str, attempt: u64, now: Instant) -> Option<&mut Gang> {
-        let j = self.all.get(job)?;
+        let j = self.jobs.get(job)?;
         if j.spec.kind != JobKind::Gang {
             return None;
         }
         let saved = j.saved.get(&0).copied().unwrap_or(0.0);
-        let save = Duration::from_secs_f64(j.spec.checkpoint_save_s);
-        let (size, knot) = (j.spec.tasks as usize, j.spec.checkpoint_interval_s);
-        let new = || Gang::new(self.rules, size, j.run_s, knot, save, saved, now);
+        let save_duration = Duration::from_secs_f64(j.spec.checkpoint_save_s);
+        let (task_count, checkpoint_s) = (j.spec.tasks as usize, j.spec.checkpoint_interval_s);
+        let new = || Gang::new(self.rules, task_count, j.run_s, checkpoint_s, save_duration, saved, now);
         let gang = self.gangs.entry((job.to_owned(), attempt)).or_insert_with(new);
         // An earlier attempt may have saved since.
         gang.saved = gang.saved.max(saved);
@@ -146,14 +146,14 @@
 
     /// Lets time pass for all gangs, and keeps what they have saved and done.
     pub fn poll(&mut self, now: Instant) {
-        let mut kept = Vec::new();
+        let mut progress_by_gang = Vec::new();
         self.gangs.retain(|(job, _), gang| {
             gang.poll(now);
-            kept.push((job.clone(), gang.saved, gang.done));
+            progress_by_gang.push((job.clone(), gang.saved, gang.done));
             !gang.is_empty()
         });
-        for (job, saved, done) in kept {
-            self.save(&job, 0, saved);
+        for (job, saved, done) in progress_by_gang {
+            self.save_progress(&job, 0, saved);
             if done {
                 let tasks = self.get(&job).map_or(0, |j| j.spec.tasks);
                 (0..tasks).for_each(|task| self.set_done(&job, task));
@@ -162,7 +162,7 @@
     }
 
     /// How long the others take to notice that a task of a gang is gone.
-    pub fn notice(&mut self) -> Duration {
-        self.rules.peer.mul_f64(self.rng.random_range(0.1..1.0))
+    pub fn loss_detection_delay(&mut self) -> Duration {
+        self.rules.peer_timeout.mul_f64(self.rng.random_range(0.1..1.0))
     }
 }
--- a/crates/emulator/src/journal.rs
+++ b/crates/emulator/src/journal.rs
@@ -21,9 +21,9 @@
 
 const MAGIC: &[u8; 8] = b"slmjrnl1";
 /// Length, number and checksum.
-const HEAD: usize = 4 + 8 + 4;
+const HEADER_LEN: usize = 4 + 8 + 4;
 /// No entry is larger; a length above it is damage.
-const LARGEST: usize = 256 << 20;
+const MAX_PAYLOAD_LEN: usize = 256 << 20;
 
 /// The open file. Entries are numbered from 0 in each file.
 #[derive(Debug)]
@@ -43,8 +43,8 @@
     hasher.finalize()
 }
 
-fn frame(number: u64, payload: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(HEAD + payload.len());
+fn encode_entry(number: u64, payload: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADER_LEN + payload.len());
     out.extend((payload.len() as u32).to_le_bytes());
     out.extend(number.to_le_bytes());
     out.extend(checksum(number, payload).to_le_bytes());
@@ -53,14 +53,14 @@
 }
 
 /// The entry at the beginning of `bytes` if it is whole and sound: its number and payload.
-fn read_frame(bytes: &[u8]) -> Option<(u64, &[u8])> {
+fn decode_entry(bytes: &[u8]) -> Option<(u64, &[u8])> {
     let len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let number = u64::from_le_bytes(bytes.get(4..12)?.try_into().ok()?);
-    let sum = u32::from_le_bytes(bytes.get(12..HEAD)?.try_into().ok()?);
-    if len > LARGEST {
+    let sum = u32::from_le_bytes(bytes.get(12..HEADER_LEN)?.try_into().ok()?);
+    if len > MAX_PAYLOAD_LEN {
         return None;
     }
-    let payload = bytes.get(HEAD..HEAD + len)?;
+    let payload = bytes.get(HEADER_LEN..HEADER_LEN + len)?;
     (checksum(number, payload) == sum).then_some((number, payload))
 }
 
@@ -76,7 +76,7 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(e) => return Err(io(e)),
         };
-        if !MAGIC.starts_with(head(&bytes)) {
+        if !MAGIC.starts_with(magic_prefix(&bytes)) {
             return Err(JournalError::Foreign { file: name });
         }
         if bytes.len() < MAGIC.len() {
@@ -85,15 +85,16 @@
             return Ok((journal, Vec::new()));
         }
         let (mut at, mut next, mut entries) = (MAGIC.len(), 0, Vec::new());
-        while let Some((number, payload)) = bytes.get(at..).and_then(read_frame)
+        while let Some((number, payload)) = bytes.get(at..).and_then(decode_entry)
             && number == next
         {
-            at += HEAD + payload.len();
+            at += HEADER_LEN + payload.len();
             next += 1;
             entries.push(payload.to_vec());
         }
         let rest = bytes.get(at + 1..).unwrap_or_default();
-        let follows = |i: usize| read_frame(rest.get(i..).unwrap_or_default()).is_some_and(|(n, _)| n > next);
+        let follows =
+            |i: usize| decode_entry(rest.get(i..).unwrap_or_default()).is_some_and(|(n, _)| n > next);
         if (0..rest.len()).any(follows) {
             return Err(JournalError::Damaged { file: name, at: at as u64 });
         }
@@ -109,11 +110,11 @@
         let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(at)?;
         let mut bytes = MAGIC.to_vec();
         for (number, payload) in entries.iter().enumerate() {
-            bytes.extend(frame(number as u64, payload));
+            bytes.extend(encode_entry(number as u64, payload));
         }
         file.write_all(&bytes)?;
         file.sync_all()?;
-        sync_folder(at)?;
+        sync_directory(at)?;
         let len = bytes.len() as u64;
         Ok(Self { path: path.to_owned(), file, next: entries.len() as u64, len, snapshot_len: len })
     }
@@ -121,7 +122,7 @@
     /// Writes one entry and waits until the disk has it. After an error nobody knows
     /// what the disk has: the caller must not go on.
     pub fn append(&mut self, payload: &[u8]) -> Result<(), JournalError> {
-        let bytes = frame(self.next, payload);
+        let bytes = encode_entry(self.next, payload);
         let written = self.file.write_all(&bytes).and_then(|()| self.file.sync_data());
         written.map_err(|source| JournalError::Io { file: self.path.display().to_string(), source })?;
         self.next += 1;
@@ -130,7 +131,7 @@
     }
 
     /// Whether the log has grown well beyond the snapshot, so that a new one pays.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn snapshot_due(&self) -> bool {
         self.len > (1 << 20) + 4 * self.snapshot_len
     }
 
@@ -139,7 +140,7 @@
         let new = self.path.with_extension("new");
         let replaced = Self::create(&self.path, &new, entries).and_then(|journal| {
             std::fs::rename(&new, &self.path)?;
-            sync_folder(&self.path)?;
+            sync_directory(&self.path)?;
             Ok(journal)
         });
         *self =
@@ -148,12 +149,12 @@
     }
 }
 
-fn head(bytes: &[u8]) -> &[u8] {
+fn magic_prefix(bytes: &[u8]) -> &[u8] {
     bytes.get(..MAGIC.len()).unwrap_or(bytes)
 }
 
 /// A new name lasts only once its folder is on the disk.
-fn sync_folder(path: &Path) -> io::Result<()> {
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+fn sync_directory(path: &Path) -> io::Result<()> {
+    let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    File::open(directory)?.sync_all()
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,34 +3,34 @@
 //! code runs on a test's clock without sockets and behind HTTP on loopback.
 
 mod balancer;
-mod bucket;
 mod cloud;
 mod config;
 mod emulation;
 mod fault_schedule;
 mod gang;
 mod history;
-mod images;
+mod image_cache;
 mod jobs;
 mod journal;
 mod service_faults;
 mod site;
 mod state;
+mod token_bucket;
 mod users;
 mod worker;
 
 pub use balancer::Balancer;
-pub use cloud::{Addresses, Cloud, CloudSettings, Event};
+pub use cloud::{Addresses, Cloud, CloudSettings, MachineEvent};
 pub use config::{SiteError, SiteFile};
 pub use emulation::{Controller, Emulation, EmulationError};
 pub use fault_schedule::{FaultKind, FaultSchedule, ScheduledFault};
-pub use gang::{Gang, GangRules, Part};
+pub use gang::{Gang, GangRules, GangTaskState};
 pub use history::{History, TaskEvent, TaskEventKind};
-pub use images::Images;
+pub use image_cache::ImageCache;
 pub use jobs::{Job, JobChange, Jobs};
 pub use journal::{Journal, JournalError};
-pub use service_faults::{ServiceFaults, Step};
-pub use site::{Sending, Site, SiteSettings};
-pub use state::{Data, Outcome, StateLimits, StateService, Watch};
-pub use users::{Load, Question, Told, UserStatistics, Users};
-pub use worker::{ANSWER_WAIT, Heard, MachineFaults, MachineInfo, Ticket, Worker, WorkerRules};
+pub use service_faults::{RequestOutcome, ServiceFaults};
+pub use site::{OutgoingReport, Site, SiteSettings};
+pub use state::{Data, ExecutionOutcome, StateLimits, StateService, Watch};
+pub use users::{Load, UserRequest, UserResponse, UserStatistics, Users};
+pub use worker::{MachineFaults, MachineInfo, REPORT_TIMEOUT, ReportOutcome, Ticket, Worker, WorkerRules};
--- a/crates/emulator/src/service_faults.rs
+++ b/crates/emulator/src/service_faults.rs
@@ -17,17 +17,17 @@
     pub refused: HashSet<usize>,
     /// Answers that take up to `slow` instead of a few milliseconds.
     pub slow_share: f64,
-    pub slow: Duration,
+    pub max_answer_delay: Duration,
     /// Requests that are carried out up to `late` after they came, and not answered.
     pub late_share: f64,
-    pub late: Duration,
+    pub max_execution_delay: Duration,
     /// Requests that are carried out at once and not answered.
     pub lost_share: f64,
 }
 
 /// What becomes of a request.
 #[derive(Debug)]
-pub enum Step {
+pub enum RequestOutcome {
     /// It is answered after so long.
     Answer(Reply, Duration),
     /// It is answered once the state service's `check` has an answer.
@@ -39,9 +39,9 @@
 }
 
 /// What an answer usually takes, and now and then, even when nothing is wrong.
-const QUICK_MS: std::ops::Range<u64> = 1..8;
-const SLUGGISH_MS: std::ops::Range<u64> = 100..400;
-const SLUGGISH: f64 = 0.002;
+const NORMAL_LATENCY_MS: std::ops::Range<u64> = 1..8;
+const OCCASIONAL_LATENCY_MS: std::ops::Range<u64> = 100..400;
+const OCCASIONAL_LATENCY_SHARE: f64 = 0.002;
 
 fn happens(share: f64, rng: &mut StdRng) -> bool {
     share > 0.0 && rng.random_bool(share.min(1.0))
@@ -49,20 +49,22 @@
 
 impl ServiceFaults {
     /// How long after it came a request is carried out, if it is late.
-    pub(crate) fn lateness(&self, rng: &mut StdRng) -> Option<Duration> {
-        happens(self.late_share, rng).then(|| self.late.mul_f64(rng.random_range(0.0..1.0)))
+    pub(crate) fn draw_execution_delay(&self, rng: &mut StdRng) -> Option<Duration> {
+        happens(self.late_share, rng).then(|| self.max_execution_delay.mul_f64(rng.random_range(0.0..1.0)))
     }
 
     /// What becomes of the answer.
-    pub(crate) fn answer(&self, reply: Reply, rng: &mut StdRng) -> Step {
+    pub(crate) fn draw_answer_outcome(&self, reply: Reply, rng: &mut StdRng) -> RequestOutcome {
         if happens(self.lost_share, rng) {
-            return Step::Lost;
+            return RequestOutcome::Lost;
         }
         let delay = match happens(self.slow_share, rng) {
-            true => self.slow.mul_f64(rng.random_range(0.1..1.0)),
-            false if rng.random_bool(SLUGGISH) => Duration::from_millis(rng.random_range(SLUGGISH_MS)),
-            false => Duration::from_millis(rng.random_range(QUICK_MS)),
+            true => self.max_answer_delay.mul_f64(rng.random_range(0.1..1.0)),
+            false if rng.random_bool(OCCASIONAL_LATENCY_SHARE) => {
+                Duration::from_millis(rng.random_range(OCCASIONAL_LATENCY_MS))
+            }
+            false => Duration::from_millis(rng.random_range(NORMAL_LATENCY_MS)),
         };
-        Step::Answer(reply, delay)
+        RequestOutcome::Answer(reply, delay)
     }
 }
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -6,12 +6,12 @@
 use net::{Reply, Request};
 use wire::{Commands, Heartbeat, JobSpec, MachineStatus};
 
-use crate::cloud::{Addresses, Cloud, CloudSettings, Event};
+use crate::cloud::{Addresses, Cloud, CloudSettings, MachineEvent};
 use crate::gang::GangRules;
 use crate::history::History;
 use crate::jobs::Jobs;
-use crate::service_faults::Step;
-use crate::worker::{Heard, MachineFaults, Ticket, Worker, WorkerRules};
+use crate::service_faults::RequestOutcome;
+use crate::worker::{MachineFaults, ReportOutcome, Ticket, Worker, WorkerRules};
 
 #[derive(Debug, Clone)]
 pub struct SiteSettings {
@@ -27,9 +27,9 @@
 
 /// A report that is to be sent, and to which controller.
 #[derive(Debug)]
-pub struct Sending {
+pub struct OutgoingReport {
     pub machine: String,
-    pub to: usize,
+    pub controller: usize,
     pub ticket: Ticket,
     pub report: Heartbeat,
 }
@@ -49,7 +49,7 @@
 impl Site {
     pub fn new(settings: SiteSettings, addresses: Addresses, now: Instant) -> Self {
         let s = settings;
-        let gangs = GangRules { wait: s.gang_wait, peer: s.gang_peer };
+        let gangs = GangRules { start_timeout: s.gang_wait, peer_timeout: s.gang_peer };
         Self {
             cloud: Cloud::new(s.cloud, addresses, s.seed ^ 1, now),
             jobs: Jobs::new(gangs, s.seed ^ 2),
@@ -75,34 +75,34 @@
     }
 
     /// A request to the cloud.
-    pub fn cloud_request(&mut self, request: &Request, now: Instant) -> Step {
+    pub fn cloud_request(&mut self, request: &Request, now: Instant) -> RequestOutcome {
         let step = self.cloud.handle(request, now);
-        self.follow_cloud(now);
+        self.apply_machine_events(now);
         step
     }
 
     /// A request to the cloud that is carried out late.
     pub fn late_cloud_request(&mut self, request: &Request, now: Instant) {
         self.cloud.carry_out(request, now);
-        self.follow_cloud(now);
+        self.apply_machine_events(now);
     }
 
-    fn follow_cloud(&mut self, now: Instant) {
+    fn apply_machine_events(&mut self, now: Instant) {
         for event in self.cloud.take_events() {
             match event {
-                Event::Up(name) => {
+                MachineEvent::Up(name) => {
                     let Some(info) = self.cloud.info(&name) else { continue };
                     self.seed = self.seed.wrapping_add(1);
                     let worker = Worker::new(info, self.rules, self.controllers.len(), self.seed, now);
                     self.workers.insert(name.clone(), worker);
                     self.changes.push((name, MachineStatus::Running));
                 }
-                Event::Notice(name, at) => {
+                MachineEvent::Notice(name, at) => {
                     if let Some(worker) = self.workers.get_mut(&name) {
                         worker.set_notice(at);
                     }
                 }
-                Event::Gone(name) => {
+                MachineEvent::Gone(name) => {
                     if let Some(mut worker) = self.workers.remove(&name) {
                         worker.kill(&mut self.jobs, now);
                         self.history.extend(worker.take_events(now));
@@ -119,33 +119,45 @@
     }
 
     /// Lets time pass; the reports that are to be sent now.
-    pub fn poll(&mut self, now: Instant) -> Vec<Sending> {
+    pub fn poll(&mut self, now: Instant) -> Vec<OutgoingReport> {
         self.cloud.poll(now);
-        self.follow_cloud(now);
+        self.apply_machine_events(now);
         self.jobs.poll(now);
         let mut out = Vec::new();
         for (name, worker) in &mut self.workers {
             worker.poll(&mut self.jobs, now);
             self.history.extend(worker.take_events(now));
-            if let Some((ticket, report)) = worker.due(now) {
-                out.push(Sending { machine: name.clone(), to: worker.target(), ticket, report });
+            if let Some((ticket, report)) = worker.take_due_report(now) {
+                out.push(OutgoingReport {
+                    machine: name.clone(),
+                    controller: worker.target(),
+                    ticket,
+                    report,
+                });
             }
         }
         out
     }
 
     /// What came of a report. A status other than 200 and 421, or none, is `Nothing`.
-    pub fn heard(&mut self, machine: &str, ticket: Ticket, status: Option<u16>, body: &[u8], now: Instant) {
-        let heard = match status {
-            Some(200) => Heard::Answer(wire::decode(body).ok()),
+    pub fn record_report_outcome(
+        &mut self,
+        machine: &str,
+        ticket: Ticket,
+        status: Option<u16>,
+        body: &[u8],
+        now: Instant,
+    ) {
+        let outcome = match status {
+            Some(200) => ReportOutcome::Answer(wire::decode(body).ok()),
             Some(421) => {
                 let name = wire::decode::<wire::Redirect>(body).ok().and_then(|r| r.report_to);
-                Heard::Elsewhere(name.and_then(|n| self.controllers.iter().position(|c| *c == n)))
+                ReportOutcome::Redirected(name.and_then(|n| self.controllers.iter().position(|c| *c == n)))
             }
-            _ => Heard::Nothing,
+            _ => ReportOutcome::Failed,
         };
         if let Some(worker) = self.workers.get_mut(machine) {
-            worker.heard(ticket, heard, Some(&mut self.jobs), now);
+            worker.record_report_outcome(ticket, outcome, Some(&mut self.jobs), now);
         }
     }
 
@@ -153,7 +165,7 @@
     /// machine that hangs was sent reaches it when it goes on.
     pub fn machine_request(&mut self, machine: &str, request: &Request, now: Instant) -> Option<Reply> {
         let worker = self.workers.get_mut(machine)?;
-        if worker.faults().hangs || worker.faults().deaf {
+        if worker.faults().hangs || worker.faults().unreachable {
             return None;
         }
         Some(match (request.method.as_str(), request.path.as_str()) {
--- a/crates/emulator/src/state/data.rs
+++ b/crates/emulator/src/state/data.rs
@@ -7,7 +7,7 @@
 use wire::{Condition, Event, Item};
 
 /// How many changes are kept for watches.
-pub const CHANGES_KEPT: usize = 10_000;
+pub const MAX_RETAINED_CHANGES: usize = 10_000;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Past {
+struct RetainedChange {
     revision: u64,
     key: String,
     value: Option<Value>,
@@ -63,9 +63,9 @@
     /// How long each lease lasts, in milliseconds, and its keys.
     pub leases: BTreeMap<u64, (u64, BTreeSet<String>)>,
     last_lease: u64,
-    past: VecDeque<Past>,
+    retained: VecDeque<RetainedChange>,
     /// Changes up to this revision are not kept any more.
-    forgotten: u64,
+    compacted_revision: u64,
 }
 
 impl Data {
@@ -74,7 +74,7 @@
     }
 
     /// The keys that have other versions than these.
-    pub fn failed(&self, conditions: &[Condition]) -> Vec<String> {
+    pub fn failed_conditions(&self, conditions: &[Condition]) -> Vec<String> {
         let fails = |c: &&Condition| self.version(&c.key) != c.version;
         conditions.iter().filter(fails).map(|c| c.key.clone()).collect()
     }
@@ -105,7 +105,7 @@
                 }
             }
             Change::Base { revision, last_lease } => {
-                *self = Self { revision, last_lease, forgotten: revision, ..Self::default() };
+                *self = Self { revision, last_lease, compacted_revision: revision, ..Self::default() };
             }
             Change::Held { key, entry } => {
                 if let Some((_, keys)) = entry.lease.and_then(|l| self.leases.get_mut(&l)) {
@@ -135,27 +135,27 @@
         if let Some((_, keys)) = lease.and_then(|l| self.leases.get_mut(&l)) {
             keys.insert(key.clone());
         }
-        self.past.push_back(Past { revision: self.revision, key, value });
-        while self.past.len() > CHANGES_KEPT
-            && let Some(gone) = self.past.pop_front()
+        self.retained.push_back(RetainedChange { revision: self.revision, key, value });
+        while self.retained.len() > MAX_RETAINED_CHANGES
+            && let Some(dropped) = self.retained.pop_front()
         {
-            self.forgotten = gone.revision;
+            self.compacted_revision = dropped.revision;
         }
     }
 
     /// What changed under a prefix after a revision; None if that is too long ago.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Event<Value>>> {
-        if after < self.forgotten {
+        if after < self.compacted_revision {
             return None;
         }
-        let begin = self.past.partition_point(|p| p.revision <= after);
-        let event = |p: &Past| Event {
+        let begin = self.retained.partition_point(|p| p.revision <= after);
+        let event = |p: &RetainedChange| Event {
             put: p.value.is_some().then(|| p.key.clone()),
             delete: p.value.is_none().then(|| p.key.clone()),
             value: p.value.clone(),
             version: p.revision,
         };
-        Some(self.past.range(begin..).filter(|p| p.key.starts_with(prefix)).map(event).collect())
+        Some(self.retained.range(begin..).filter(|p| p.key.starts_with(prefix)).map(event).collect())
     }
 
     /// Keys with a prefix, beginning after a key, at most `count` and `bytes` (as JSON):
--- a/crates/emulator/src/state/mod.rs
+++ b/crates/emulator/src/state/mod.rs
@@ -1,13 +1,13 @@
 //! The state service: a small consistent store of keys.
 
 mod data;
-mod requests;
-pub(crate) use requests::query;
+mod request;
+pub(crate) use request::query;
 mod service;
 
 pub use data::Data;
 pub(crate) use data::{Change, Write};
-pub use service::{Outcome, StateLimits, StateService, Watch};
+pub use service::{ExecutionOutcome, StateLimits, StateService, Watch};
 
 use serde::Serialize;
 
--- a/crates/emulator/src/state/requests.rs
+++ b/crates/emulator/src/state/request.rs
@@ -6,24 +6,24 @@
 use wire::{LeaseRequest, Op, Txn};
 
 #[derive(Debug)]
-pub enum Ask {
-    Key(String),
+pub enum StateRequest {
+    GetKey(String),
     List { prefix: String, after: String, page: usize },
     Txn(Txn<Value>),
-    Grant { ttl_ms: u64 },
-    Touch(u64),
-    End(u64),
-    Follow { prefix: String, after: u64, hold_ms: u64 },
+    GrantLease { ttl_ms: u64 },
+    RenewLease(u64),
+    RevokeLease(u64),
+    Watch { prefix: String, after: u64, hold_ms: u64 },
 }
 
 /// Largest page of keys, and longest wait of a watch.
-const PAGE: usize = 1000;
-const HOLD_MS: u64 = 60_000;
+const MAX_PAGE_KEYS: usize = 1000;
+const MAX_HOLD_MS: u64 = 60_000;
 
 /// A status and the reason.
 pub type Malformed = (u16, &'static str);
 
-fn text(encoded: &str) -> Result<String, Malformed> {
+fn decode_text(encoded: &str) -> Result<String, Malformed> {
     let decoded = percent_decode_str(encoded).decode_utf8();
     decoded.map(|t| t.into_owned()).map_err(|_| (400, "the path is not text"))
 }
@@ -33,9 +33,9 @@
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let pairs = query.split('&').filter(|p| !p.is_empty()).map(|pair| {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        Ok((text(name)?, text(value)?))
+        Ok((decode_text(name)?, decode_text(value)?))
     });
-    Ok((text(path)?, pairs.collect::<Result<_, Malformed>>()?))
+    Ok((decode_text(path)?, pairs.collect::<Result<_, Malformed>>()?))
 }
 
 pub fn is_key(key: &str) -> bool {
@@ -52,7 +52,7 @@
     }
 }
 
-pub fn read(request: &Request) -> Result<Ask, Malformed> {
+pub fn parse(request: &Request) -> Result<StateRequest, Malformed> {
     let (path, query) = query(&request.path)?;
     let value = |name: &str| query.iter().find(|(n, _)| n == name).map(|(_, v)| v.clone());
     let number = |name: &str, default: u64| match value(name) {
@@ -61,56 +61,56 @@
     };
     let prefix = || {
         let prefix = value("prefix").unwrap_or_default();
-        let fine = prefix.is_empty() || is_key(&prefix);
-        fine.then_some(prefix).ok_or((400, "the prefix is not the beginning of a key"))
+        let valid = prefix.is_empty() || is_key(&prefix);
+        valid.then_some(prefix).ok_or((400, "the prefix is not the beginning of a key"))
     };
-    let rest = |beginning: &str| path.strip_prefix(beginning).map(str::to_owned);
+    let suffix_after = |beginning: &str| path.strip_prefix(beginning).map(str::to_owned);
     match (request.method.as_str(), path.as_str()) {
         ("GET", "/keys") => {
-            let page = number("page", PAGE as u64)? as usize;
+            let page = number("page", MAX_PAGE_KEYS as u64)? as usize;
             let after = value("after").unwrap_or_default();
-            if page == 0 || page > PAGE {
+            if page == 0 || page > MAX_PAGE_KEYS {
                 return Err((400, "page must be 1 to 1000"));
             }
-            Ok(Ask::List { prefix: prefix()?, after, page })
+            Ok(StateRequest::List { prefix: prefix()?, after, page })
         }
         ("GET", "/follow") => {
             let hold_ms = number("hold_ms", 0)?;
-            if hold_ms > HOLD_MS {
+            if hold_ms > MAX_HOLD_MS {
                 return Err((400, "hold_ms must be at most 60000"));
             }
-            Ok(Ask::Follow { prefix: prefix()?, after: number("after", 0)?, hold_ms })
+            Ok(StateRequest::Watch { prefix: prefix()?, after: number("after", 0)?, hold_ms })
         }
         ("POST", "/txn") => {
             let txn: Txn<Value> = wire::decode(&request.body).map_err(|_| (400, "not a transaction"))?;
-            check(&txn)?;
-            Ok(Ask::Txn(txn))
+            validate_txn(&txn)?;
+            Ok(StateRequest::Txn(txn))
         }
         ("POST", "/leases") => {
             let body: LeaseRequest = wire::decode(&request.body).map_err(|_| (400, "life_ms is missing"))?;
             if !(100..=600_000).contains(&body.ttl_ms) {
                 return Err((400, "life_ms must be 100 to 600000"));
             }
-            Ok(Ask::Grant { ttl_ms: body.ttl_ms })
+            Ok(StateRequest::GrantLease { ttl_ms: body.ttl_ms })
         }
         (method, _) => {
-            if let ("GET", Some(key)) = (method, rest("/keys/")) {
-                return if is_key(&key) { Ok(Ask::Key(key)) } else { Err((400, "not a key")) };
+            if let ("GET", Some(key)) = (method, suffix_after("/keys/")) {
+                return if is_key(&key) { Ok(StateRequest::GetKey(key)) } else { Err((400, "not a key")) };
             }
             let id = |text: &str| text.parse::<u64>().map_err(|_| (404, "no such lease"));
-            match (method, rest("/leases/")) {
+            match (method, suffix_after("/leases/")) {
                 ("POST", Some(lease)) => match lease.strip_suffix("/touch") {
-                    Some(lease) => Ok(Ask::Touch(id(lease)?)),
+                    Some(lease) => Ok(StateRequest::RenewLease(id(lease)?)),
                     None => Err((404, "no such path")),
                 },
-                ("DELETE", Some(lease)) => Ok(Ask::End(id(&lease)?)),
+                ("DELETE", Some(lease)) => Ok(StateRequest::RevokeLease(id(&lease)?)),
                 _ => Err((404, "no such path")),
             }
         }
     }
 }
 
-fn check(txn: &Txn<Value>) -> Result<(), Malformed> {
+fn validate_txn(txn: &Txn<Value>) -> Result<(), Malformed> {
     if !txn.conditions.iter().all(|c| is_key(&c.key)) {
         return Err((400, "a condition's key is not a key"));
     }
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -11,11 +11,11 @@
 use tracing::error;
 use wire::{Changes, Items, Lease, NoKey, Op, StoredKey, Txn, TxnAnswer};
 
-use super::requests::{self, Ask};
+use super::request::{self, StateRequest};
 use super::{Change, Data, Write, json_len};
-use crate::bucket::Bucket;
 use crate::journal::{Journal, JournalError};
-use crate::service_faults::{ServiceFaults, Step};
+use crate::service_faults::{RequestOutcome, ServiceFaults};
+use crate::token_bucket::TokenBucket;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
@@ -42,28 +42,28 @@
 }
 
 /// A lease may end so much later than it should, never earlier.
-const LEASE_LATE: Duration = Duration::from_millis(100);
-const TXN_BYTES: usize = 64 * 1024;
-const PAGE_BYTES: usize = 512 * 1024;
+const MAX_LEASE_DELAY: Duration = Duration::from_millis(100);
+const MAX_TXN_BYTES: usize = 64 * 1024;
+const MAX_PAGE_BYTES: usize = 512 * 1024;
 
 /// The service. Time is passed in and must not go back.
 pub struct StateService {
     data: Data,
     limits: StateLimits,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
     /// When each lease ends.
-    ends: BTreeMap<u64, Instant>,
-    troubles: ServiceFaults,
+    lease_ends: BTreeMap<u64, Instant>,
+    faults: ServiceFaults,
     journal: Option<Journal>,
     /// The file could not be written: nothing is acknowledged any more.
-    broken: bool,
+    journal_failed: bool,
     rng: StdRng,
 }
 
 /// What carrying a request out leads to.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum ExecutionOutcome {
     Reply(Reply),
     /// It is answered once `check` has an answer.
     Wait(Watch),
@@ -71,7 +71,7 @@
     Unknown,
 }
 
-fn fail(status: u16, why: &str) -> Reply {
+fn error_reply(status: u16, why: &str) -> Reply {
     Reply::error(status, why)
 }
 
@@ -81,12 +81,12 @@
         Self {
             data: Data::default(),
             limits,
-            requests: Bucket::new(limits.rps, 1.0, now),
-            writes: Bucket::new(limits.write_rps, 1.0, now),
-            ends: BTreeMap::new(),
-            troubles: ServiceFaults::default(),
+            requests: TokenBucket::new(limits.rps, 1.0, now),
+            writes: TokenBucket::new(limits.write_rps, 1.0, now),
+            lease_ends: BTreeMap::new(),
+            faults: ServiceFaults::default(),
             journal: None,
-            broken: false,
+            journal_failed: false,
             rng: StdRng::seed_from_u64(seed),
         }
     }
@@ -101,7 +101,7 @@
                 .map_err(|_| JournalError::Foreign { file: path.display().to_string() })?;
             service.data.apply(change);
         }
-        service.renew_all(now);
+        service.extend_all_leases(now);
         Ok(service)
     }
 
@@ -109,48 +109,49 @@
         &self.data
     }
 
-    pub fn troubles(&self) -> &ServiceFaults {
-        &self.troubles
+    pub fn faults(&self) -> &ServiceFaults {
+        &self.faults
     }
 
     /// From now on this goes wrong and nothing else. After an outage every lease has
     /// its full time again.
-    pub fn set_faults(&mut self, troubles: ServiceFaults, now: Instant) {
+    pub fn set_faults(&mut self, faults: ServiceFaults, now: Instant) {
         self.poll(now);
-        if self.troubles.outage && !troubles.outage {
-            self.renew_all(now);
+        if self.faults.outage && !faults.outage {
+            self.extend_all_leases(now);
         }
-        self.troubles = troubles;
+        self.faults = faults;
     }
 
-    fn renew_all(&mut self, now: Instant) {
+    fn extend_all_leases(&mut self, now: Instant) {
         let all: Vec<u64> = self.data.leases.keys().copied().collect();
         for lease in all {
-            self.renew(lease, now);
+            self.extend_lease(lease, now);
         }
     }
 
-    fn renew(&mut self, lease: u64, now: Instant) {
+    fn extend_lease(&mut self, lease: u64, now: Instant) {
         if let Some((ttl_ms, _)) = self.data.leases.get(&lease) {
-            let late = Duration::from_micros(self.rng.random_range(0..LEASE_LATE.as_micros() as u64));
-            self.ends.insert(lease, now + Duration::from_millis(*ttl_ms) + late);
+            let delay = Duration::from_micros(self.rng.random_range(0..MAX_LEASE_DELAY.as_micros() as u64));
+            self.lease_ends.insert(lease, now + Duration::from_millis(*ttl_ms) + delay);
         }
     }
 
     /// When the next lease ends, for whoever waits for changes.
-    pub fn next_end(&self) -> Option<Instant> {
-        if self.troubles.outage { None } else { self.ends.values().min().copied() }
+    pub fn next_lease_end(&self) -> Option<Instant> {
+        if self.faults.outage { None } else { self.lease_ends.values().min().copied() }
     }
 
     /// Ends the leases whose time is over.
     pub fn poll(&mut self, now: Instant) {
-        if self.troubles.outage || self.broken {
+        if self.faults.outage || self.journal_failed {
             return;
         }
-        let over: Vec<u64> = self.ends.iter().filter(|(_, end)| **end <= now).map(|(l, _)| *l).collect();
-        for lease in over {
+        let expired: Vec<u64> =
+            self.lease_ends.iter().filter(|(_, end)| **end <= now).map(|(l, _)| *l).collect();
+        for lease in expired {
             self.commit(Change::Ended { lease });
-            self.ends.remove(&lease);
+            self.lease_ends.remove(&lease);
         }
     }
 
@@ -162,84 +163,84 @@
         {
             // Whether the disk has it nobody knows, so there is no true answer any more.
             error!(error = %e, "the state service stops: its file cannot be written");
-            self.broken = true;
+            self.journal_failed = true;
             return;
         }
         self.data.apply(change);
         if let Some(journal) = &mut self.journal
-            && journal.wants_snapshot()
+            && journal.snapshot_due()
         {
             let entries: Vec<Vec<u8>> = self.data.snapshot().iter().map(wire::encode).collect();
             if let Err(e) = journal.replace(&entries) {
                 error!(error = %e, "the state service stops: its file cannot be replaced");
-                self.broken = true;
+                self.journal_failed = true;
             }
         }
     }
 
-    fn refuses(&self, caller: usize) -> bool {
-        self.broken || self.troubles.outage || self.troubles.refused.contains(&caller)
+    fn is_unavailable_to(&self, caller: usize) -> bool {
+        self.journal_failed || self.faults.outage || self.faults.refused.contains(&caller)
     }
 
     /// Takes a request. Callers are told apart by numbers of the site's choice.
-    pub fn handle(&mut self, caller: usize, request: &Request, now: Instant) -> Step {
-        if let Some(late) = self.troubles.lateness(&mut self.rng) {
-            return Step::Late(late);
+    pub fn handle(&mut self, caller: usize, request: &Request, now: Instant) -> RequestOutcome {
+        if let Some(delay) = self.faults.draw_execution_delay(&mut self.rng) {
+            return RequestOutcome::Late(delay);
         }
         match self.carry_out(caller, request, now) {
-            Outcome::Reply(reply) => self.troubles.answer(reply, &mut self.rng),
-            Outcome::Wait(watch) => Step::Wait(watch),
-            Outcome::Unknown => Step::Lost,
+            ExecutionOutcome::Reply(reply) => self.faults.draw_answer_outcome(reply, &mut self.rng),
+            ExecutionOutcome::Wait(watch) => RequestOutcome::Wait(watch),
+            ExecutionOutcome::Unknown => RequestOutcome::Lost,
         }
     }
 
     /// Carries a request out now.
-    pub fn carry_out(&mut self, caller: usize, request: &Request, now: Instant) -> Outcome {
+    pub fn carry_out(&mut self, caller: usize, request: &Request, now: Instant) -> ExecutionOutcome {
         self.poll(now);
-        if self.refuses(caller) {
-            return Outcome::Reply(fail(503, "unavailable"));
+        if self.is_unavailable_to(caller) {
+            return ExecutionOutcome::Reply(error_reply(503, "unavailable"));
         }
         if !self.requests.take(1.0, now) {
-            return Outcome::Reply(fail(429, "too many requests"));
+            return ExecutionOutcome::Reply(error_reply(429, "too many requests"));
         }
-        let reply = match requests::read(request) {
-            Err((status, why)) => fail(status, why),
-            Ok(Ask::Key(key)) => self.key(key),
-            Ok(Ask::List { prefix, after, page }) => {
-                let (items, more) = self.data.page(&prefix, &after, page, PAGE_BYTES);
+        let reply = match request::parse(request) {
+            Err((status, why)) => error_reply(status, why),
+            Ok(StateRequest::GetKey(key)) => self.get_key(key),
+            Ok(StateRequest::List { prefix, after, page }) => {
+                let (items, more) = self.data.page(&prefix, &after, page, MAX_PAGE_BYTES);
                 Reply::new(200, &Items { items, more, revision: self.data.revision })
             }
-            Ok(Ask::Txn(txn)) => self.txn(txn, now),
-            Ok(Ask::Grant { ttl_ms }) => self.grant(ttl_ms, now),
-            Ok(Ask::Touch(lease)) => self.touch(lease, now),
-            Ok(Ask::End(lease)) => self.end(lease),
-            Ok(Ask::Follow { prefix, after, hold_ms }) => {
+            Ok(StateRequest::Txn(txn)) => self.execute_txn(txn, now),
+            Ok(StateRequest::GrantLease { ttl_ms }) => self.grant_lease(ttl_ms, now),
+            Ok(StateRequest::RenewLease(lease)) => self.renew_lease(lease, now),
+            Ok(StateRequest::RevokeLease(lease)) => self.revoke_lease(lease),
+            Ok(StateRequest::Watch { prefix, after, hold_ms }) => {
                 let until = now + Duration::from_millis(hold_ms);
                 let watch = Watch { caller, prefix, after, until };
-                return match self.check(&watch, now) {
-                    Some(reply) => Outcome::Reply(reply),
-                    None => Outcome::Wait(watch),
+                return match self.poll_watch(&watch, now) {
+                    Some(reply) => ExecutionOutcome::Reply(reply),
+                    None => ExecutionOutcome::Wait(watch),
                 };
             }
         };
-        if self.broken { Outcome::Unknown } else { Outcome::Reply(reply) }
+        if self.journal_failed { ExecutionOutcome::Unknown } else { ExecutionOutcome::Reply(reply) }
     }
 
     /// The answer to a watch, once there is one.
-    pub fn check(&mut self, watch: &Watch, now: Instant) -> Option<Reply> {
+    pub fn poll_watch(&mut self, watch: &Watch, now: Instant) -> Option<Reply> {
         self.poll(now);
         // It waits as long as its caller is refused, and longer than it asked for.
-        if self.refuses(watch.caller) {
+        if self.is_unavailable_to(watch.caller) {
             return None;
         }
         let Some(events) = self.data.changes(&watch.prefix, watch.after) else {
-            return Some(fail(410, "changes are no longer kept that far back"));
+            return Some(error_reply(410, "changes are no longer kept that far back"));
         };
         let ready = !events.is_empty() || now >= watch.until;
         ready.then(|| Reply::new(200, &Changes { revision: self.data.revision, events }))
     }
 
-    fn key(&self, key: String) -> Reply {
+    fn get_key(&self, key: String) -> Reply {
         match self.data.keys.get(&key) {
             Some(e) => {
                 let value = e.value.clone();
@@ -249,33 +250,33 @@
         }
     }
 
-    fn txn(&mut self, txn: Txn<Value>, now: Instant) -> Reply {
+    fn execute_txn(&mut self, txn: Txn<Value>, now: Instant) -> Reply {
         let limits = self.limits;
         if txn.ops.len() > limits.txn_ops || txn.conditions.len() > 4 * limits.txn_ops {
-            return fail(400, "too many changes or conditions");
+            return error_reply(400, "too many changes or conditions");
         }
-        if json_len(&txn) > TXN_BYTES {
-            return fail(400, "the transaction is too large");
+        if json_len(&txn) > MAX_TXN_BYTES {
+            return error_reply(400, "the transaction is too large");
         }
         let values = txn.ops.iter().filter_map(|op| match op {
             Op::Put { value, .. } => Some(json_len(value)),
             Op::Delete { .. } => None,
         });
         if values.max().is_some_and(|len| len as f64 > limits.value_kb * 1024.0) {
-            return fail(400, "a value is too large");
+            return error_reply(400, "a value is too large");
         }
         // Also when the conditions fail.
         if !self.writes.take(txn.ops.len() as f64, now) {
-            return fail(429, "too many changes");
+            return error_reply(429, "too many changes");
         }
         let lease = |op: &Op<Value>| match op {
             Op::Put { lease, .. } => *lease,
             Op::Delete { .. } => None,
         };
         if txn.ops.iter().filter_map(lease).any(|l| !self.data.leases.contains_key(&l)) {
-            return fail(400, "no such lease");
+            return error_reply(400, "no such lease");
         }
-        let failed = self.data.failed(&txn.conditions);
+        let failed = self.data.failed_conditions(&txn.conditions);
         if !failed.is_empty() {
             return Reply::new(409, &TxnAnswer { failed, revision: self.data.revision });
         }
@@ -289,27 +290,27 @@
         Reply::new(200, &TxnAnswer { failed: Vec::new(), revision: self.data.revision })
     }
 
-    fn grant(&mut self, ttl_ms: u64, now: Instant) -> Reply {
+    fn grant_lease(&mut self, ttl_ms: u64, now: Instant) -> Reply {
         let lease = self.data.next_lease();
         self.commit(Change::Granted { lease, ttl_ms });
-        self.renew(lease, now);
+        self.extend_lease(lease, now);
         Reply::new(200, &Lease { lease })
     }
 
-    fn touch(&mut self, lease: u64, now: Instant) -> Reply {
+    fn renew_lease(&mut self, lease: u64, now: Instant) -> Reply {
         if !self.data.leases.contains_key(&lease) {
-            return fail(404, "no such lease");
+            return error_reply(404, "no such lease");
         }
-        self.renew(lease, now);
+        self.extend_lease(lease, now);
         Reply::new(200, &Lease { lease })
     }
 
-    fn end(&mut self, lease: u64) -> Reply {
+    fn revoke_lease(&mut self, lease: u64) -> Reply {
         if !self.data.leases.contains_key(&lease) {
-            return fail(404, "no such lease");
+            return error_reply(404, "no such lease");
         }
         self.commit(Change::Ended { lease });
-        self.ends.remove(&lease);
+        self.lease_ends.remove(&lease);
         Reply::new(200, &Lease { lease })
     }
 }
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -15,20 +15,20 @@
     pub job: JobSpec,
     pub per_minute: f64,
     /// How long a service runs before its user cancels it.
-    pub stays: Duration,
+    pub lifetime: Duration,
     /// The share of other jobs that is cancelled, at a random time within `stays`.
     pub cancelled: f64,
 }
 
 /// How long users wait for an answer.
-pub const SUBMIT_WAIT: Duration = Duration::from_secs(5);
-pub const ASK_WAIT: Duration = Duration::from_secs(2);
+pub const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+pub const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a request is repeated in all, and the longest pause that a node may ask for.
-const PATIENCE: Duration = Duration::from_secs(60);
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
+const SUBMIT_RETRY_LIMIT: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// How seldom something unusual is asked: a job again that is over, a submission again,
 /// a job that nobody has submitted.
-const ODD: f64 = 0.05;
+const UNUSUAL_REQUEST_SHARE: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
@@ -36,7 +36,7 @@
     Waiting,
     Cancelling,
     /// It is asked about once more.
-    Over,
+    RecheckOnce,
     /// Nothing more is asked.
     Closed,
 }
@@ -44,28 +44,28 @@
 struct Job {
     spec: JobSpec,
     phase: Phase,
-    next: Instant,
+    next_request_at: Instant,
     in_flight: bool,
-    begun: Instant,
+    submitted_at: Instant,
     cancel_at: Option<Instant>,
-    cancel_asked: bool,
+    cancel_requested: bool,
     accepted: bool,
-    told: Option<JobState>,
+    last_state: Option<JobState>,
 }
 
 /// A request that is to be sent now.
 #[derive(Debug)]
-pub struct Question {
+pub struct UserRequest {
     pub id: String,
     pub method: &'static str,
     pub path: String,
     pub body: Vec<u8>,
-    pub wait: Duration,
+    pub timeout: Duration,
 }
 
 /// What came of it; a status of None: no answer.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Told {
+pub struct UserResponse {
     pub status: Option<u16>,
     pub retry_after: Option<Duration>,
     pub state: Option<JobState>,
@@ -89,18 +89,25 @@
 pub struct Users {
     loads: Vec<(Load, Instant)>,
     jobs: BTreeMap<String, Job>,
-    base: u64,
-    count: u64,
+    id_prefix: u64,
+    id_count: u64,
     statistics: UserStatistics,
     rng: StdRng,
 }
 
 impl Users {
     /// `base`: what all ids begin with. Ids must never come back.
-    pub fn new(loads: Vec<Load>, base: u64, seed: u64, now: Instant) -> Self {
+    pub fn new(loads: Vec<Load>, id_prefix: u64, seed: u64, now: Instant) -> Self {
         let loads = loads.into_iter().map(|l| (l, now)).collect();
         let rng = StdRng::seed_from_u64(seed);
-        Self { loads, jobs: BTreeMap::new(), base, count: 0, statistics: UserStatistics::default(), rng }
+        Self {
+            loads,
+            jobs: BTreeMap::new(),
+            id_prefix,
+            id_count: 0,
+            statistics: UserStatistics::default(),
+            rng,
+        }
     }
 
     pub fn user_statistics(&self) -> &UserStatistics {
@@ -109,16 +116,16 @@
 
     /// How many jobs are neither over nor given up.
     pub fn open(&self) -> usize {
-        self.jobs.values().filter(|j| !matches!(j.phase, Phase::Over | Phase::Closed)).count()
+        self.jobs.values().filter(|j| !matches!(j.phase, Phase::RecheckOnce | Phase::Closed)).count()
     }
 
     /// In no order, and none twice: multiples of one number modulo a prime.
     fn new_id(&mut self) -> String {
-        self.count += 1;
-        format!("j-{}{:06}", self.base, (self.count * 617_411) % 999_983)
+        self.id_count += 1;
+        format!("j-{}{:06}", self.id_prefix, (self.id_count * 617_411) % 999_983)
     }
 
-    fn arrive(&mut self, now: Instant) {
+    fn create_jobs(&mut self, now: Instant) {
         for i in 0..self.loads.len() {
             while let Some((load, at)) = self.loads.get_mut(i)
                 && *at <= now
@@ -133,13 +140,13 @@
                 let job = Job {
                     spec: JobSpec { id: id.clone(), ..load.job },
                     phase: Phase::Submitting,
-                    next: now,
+                    next_request_at: now,
                     in_flight: false,
-                    begun: now,
-                    cancel_at: cancels.then(|| now + load.stays.mul_f64(share)),
-                    cancel_asked: false,
+                    submitted_at: now,
+                    cancel_at: cancels.then(|| now + load.lifetime.mul_f64(share)),
+                    cancel_requested: false,
                     accepted: false,
-                    told: None,
+                    last_state: None,
                 };
                 self.jobs.insert(id, job);
                 self.statistics.submitted += 1;
@@ -148,93 +155,102 @@
     }
 
     /// Lets time pass; the requests that are to be sent now.
-    pub fn poll(&mut self, now: Instant) -> Vec<Question> {
-        self.arrive(now);
+    pub fn poll(&mut self, now: Instant) -> Vec<UserRequest> {
+        self.create_jobs(now);
         let (mut out, rng) = (Vec::new(), &mut self.rng);
         for (id, job) in &mut self.jobs {
             if job.phase == Phase::Waiting && job.cancel_at.is_some_and(|at| at <= now) && !job.in_flight {
-                (job.phase, job.next) = (Phase::Cancelling, now);
+                (job.phase, job.next_request_at) = (Phase::Cancelling, now);
             }
-            if job.in_flight || now < job.next || job.phase == Phase::Closed {
+            if job.in_flight || now < job.next_request_at || job.phase == Phase::Closed {
                 continue;
             }
             job.in_flight = true;
-            let submit = job.phase == Phase::Submitting || (job.accepted && rng.random_bool(ODD));
-            let (method, path, body, wait) = match job.phase {
+            let submit =
+                job.phase == Phase::Submitting || (job.accepted && rng.random_bool(UNUSUAL_REQUEST_SHARE));
+            let (method, path, body, timeout) = match job.phase {
                 Phase::Cancelling => {
-                    job.cancel_asked = true;
-                    ("POST", format!("/v1/jobs/{id}/withdraw"), Vec::new(), SUBMIT_WAIT)
+                    job.cancel_requested = true;
+                    ("POST", format!("/v1/jobs/{id}/withdraw"), Vec::new(), SUBMIT_TIMEOUT)
                 }
-                _ if submit => ("POST", "/v1/jobs".to_owned(), wire::encode(&job.spec), SUBMIT_WAIT),
-                _ => ("GET", format!("/v1/jobs/{id}"), Vec::new(), ASK_WAIT),
+                _ if submit => ("POST", "/v1/jobs".to_owned(), wire::encode(&job.spec), SUBMIT_TIMEOUT),
+                _ => ("GET", format!("/v1/jobs/{id}"), Vec::new(), QUERY_TIMEOUT),
             };
-            out.push(Question { id: id.clone(), method, path, body, wait });
-            if rng.random_bool(ODD) {
-                let unknown = format!("j-{}{}", self.base, rng.random_range(1_000_000..9_999_999));
+            out.push(UserRequest { id: id.clone(), method, path, body, timeout });
+            if rng.random_bool(UNUSUAL_REQUEST_SHARE) {
+                let unknown = format!("j-{}{}", self.id_prefix, rng.random_range(1_000_000..9_999_999));
                 let path = format!("/v1/jobs/{unknown}");
-                out.push(Question { id: unknown, method: "GET", path, body: Vec::new(), wait: ASK_WAIT });
+                out.push(UserRequest {
+                    id: unknown,
+                    method: "GET",
+                    path,
+                    body: Vec::new(),
+                    timeout: QUERY_TIMEOUT,
+                });
             }
         }
         out
     }
 
     /// What came of a request.
-    pub fn told(&mut self, question: &Question, told: Told, now: Instant) {
-        let id = &question.id;
+    pub fn record_response(&mut self, request: &UserRequest, response: UserResponse, now: Instant) {
+        let id = &request.id;
         let Some(job) = self.jobs.get_mut(id) else {
-            if told.status == Some(200) {
+            if response.status == Some(200) {
                 self.statistics.violations.push(("invented", id.clone()));
             }
             return;
         };
         job.in_flight = false;
-        let asks = question.method == "GET";
-        let state = told.state.filter(|_| matches!(told.status, Some(200 | 201)));
-        let refused = !asks && matches!(told.status, Some(400 | 422));
-        if job.accepted && (refused || told.status == Some(404)) {
+        let is_query = request.method == "GET";
+        let state = response.state.filter(|_| matches!(response.status, Some(200 | 201)));
+        let rejected = !is_query && matches!(response.status, Some(400 | 422));
+        if job.accepted && (rejected || response.status == Some(404)) {
             self.statistics.violations.push(("forgotten", id.clone()));
         }
         let pause = Duration::from_secs_f64(self.rng.random_range(4.0..6.0));
-        job.next = now + pause;
+        job.next_request_at = now + pause;
         match (job.phase, state) {
             (Phase::Submitting, Some(_)) => {
                 (job.accepted, job.phase) = (true, Phase::Waiting);
                 self.statistics.accepted += 1;
             }
-            (Phase::Submitting, None) if refused => {
+            (Phase::Submitting, None) if rejected => {
                 job.phase = Phase::Closed;
                 self.statistics.refused += 1;
             }
             (Phase::Submitting | Phase::Cancelling, None) => {
-                let asked = told.retry_after.unwrap_or_default().min(LONGEST_PAUSE);
-                let least = Duration::from_secs_f64(self.rng.random_range(1.0..2.0));
-                job.next = now + asked.max(least);
+                let requested = response.retry_after.unwrap_or_default().min(MAX_RETRY_AFTER);
+                let minimum = Duration::from_secs_f64(self.rng.random_range(1.0..2.0));
+                job.next_request_at = now + requested.max(minimum);
                 // A cancellation is repeated until it is answered.
-                if job.phase == Phase::Submitting && job.next > job.begun + PATIENCE {
+                if job.phase == Phase::Submitting
+                    && job.next_request_at > job.submitted_at + SUBMIT_RETRY_LIMIT
+                {
                     job.phase = Phase::Closed;
                     self.statistics.given_up += 1;
                 }
             }
-            (Phase::Over, _) => job.phase = Phase::Closed,
+            (Phase::RecheckOnce, _) => job.phase = Phase::Closed,
             _ => {}
         }
         let Some(state) = state else { return };
-        let back = job.told.is_some_and(|t| t.is_final() && t != state);
-        if back || (state == JobState::Cancelled && !job.cancel_asked) {
+        let left_final_state = job.last_state.is_some_and(|t| t.is_final() && t != state);
+        if left_final_state || (state == JobState::Cancelled && !job.cancel_requested) {
             self.statistics.violations.push(("went_back", id.clone()));
         }
-        if job.told.is_none_or(|t| !t.is_final()) && state.is_final() {
-            job.phase = if self.rng.random_bool(0.3) { Phase::Over } else { Phase::Closed };
+        if job.last_state.is_none_or(|t| !t.is_final()) && state.is_final() {
+            job.phase = if self.rng.random_bool(0.3) { Phase::RecheckOnce } else { Phase::Closed };
             if state == JobState::Done {
                 self.statistics.done += 1;
                 self.statistics.longest_completion =
-                    self.statistics.longest_completion.max(now.saturating_duration_since(job.begun));
+                    self.statistics.longest_completion.max(now.saturating_duration_since(job.submitted_at));
             } else {
                 self.statistics.cancelled += 1;
             }
         }
-        if job.told.is_none_or(|t| !t.is_final()) {
-            job.told = Some(state);
+        if job.last_state.is_none_or(|t| !t.is_final()) {
+            job.last_state = Some(state);
         }
     }
 }
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use wire::{Command, Commands, Heartbeat, HeartbeatResponse, MachineType};
 
 use crate::history::TaskEvent;
-use crate::images::Images;
+use crate::image_cache::ImageCache;
 use crate::jobs::Jobs;
 use tasks::Tasks;
 
@@ -35,63 +35,63 @@
     /// It does nothing at all, and may go on later.
     pub hangs: bool,
     /// Nothing reaches it, though its reports arrive.
-    pub deaf: bool,
+    pub unreachable: bool,
     /// Its reports do not arrive, though it is reached.
-    pub mute: bool,
+    pub reports_lost: bool,
     /// Every task that it starts fails.
-    pub faulty: bool,
+    pub tasks_fail: bool,
 }
 
 /// Belongs to one report, so that its answer is taken for what it is.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ticket {
-    session: u64,
+    incarnation: u64,
     sent: Instant,
 }
 
 /// What came of a report.
 #[derive(Debug)]
-pub enum Heard {
+pub enum ReportOutcome {
     /// 200; None: without a token that could be read.
     Answer(Option<HeartbeatResponse>),
     /// 421, perhaps with the number of another controller.
-    Elsewhere(Option<usize>),
+    Redirected(Option<usize>),
     /// Any other status, no answer in time, no connection.
-    Nothing,
+    Failed,
 }
 
 /// Never more often than this, whatever changes.
-const REPORT_PAUSE: Duration = Duration::from_millis(500);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// How long after a failure the next controller is tried.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// How long a worker waits for an answer.
-pub const ANSWER_WAIT: Duration = Duration::from_secs(4);
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What a report shows that is worth one at once: tasks, notice and session.
-type Shown = (Vec<wire::TaskStatus>, bool, u64);
+type ReportedState = (Vec<wire::TaskStatus>, bool, u64);
 
 pub struct Worker {
     pub info: MachineInfo,
     rules: WorkerRules,
     faults: MachineFaults,
-    session: u64,
-    seq: u64,
+    incarnation: u64,
+    sequence: u64,
     token: u64,
     /// When the last answered report was sent, or the session began.
-    renewed: Instant,
+    lease_renewed_at: Instant,
     /// When the cloud takes the machine away.
-    notice: Option<Instant>,
+    reclaim_at: Option<Instant>,
     tasks: Tasks,
     /// How many controllers there are, and which one it reports to.
     controllers: usize,
     target: usize,
     in_flight: Option<Ticket>,
-    next: Instant,
+    next_report_at: Instant,
     not_before: Instant,
-    shown: Shown,
-    shown_token: u64,
-    token_shown_at: Instant,
-    polled: Instant,
+    last_reported: ReportedState,
+    last_reported_token: u64,
+    token_reported_at: Instant,
+    last_poll: Instant,
     rng: StdRng,
 }
 
@@ -99,28 +99,28 @@
     /// A machine that has just come up. `controllers` must be at least 1.
     pub fn new(info: MachineInfo, rules: WorkerRules, controllers: usize, seed: u64, now: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let t = &info.machine_type;
-        let rate = t.fetch_gb_per_s * rng.random_range(2.0 / 3.0..4.0 / 3.0);
-        let images = Images::new(rate, t.cache_gb);
-        let tasks = Tasks::new(t, images, rng.random_range(0.95..1.05));
+        let machine_type = &info.machine_type;
+        let fetch_gb_per_s = machine_type.fetch_gb_per_s * rng.random_range(2.0 / 3.0..4.0 / 3.0);
+        let images = ImageCache::new(fetch_gb_per_s, machine_type.cache_gb);
+        let tasks = Tasks::new(machine_type, images, rng.random_range(0.95..1.05));
         Self {
             rules,
             faults: MachineFaults::default(),
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
-            renewed: now,
-            notice: None,
+            lease_renewed_at: now,
+            reclaim_at: None,
             tasks,
             controllers,
             target: rng.random_range(0..controllers.max(1)),
             in_flight: None,
-            next: now,
+            next_report_at: now,
             not_before: now,
-            shown: Shown::default(),
-            shown_token: 0,
-            token_shown_at: now,
-            polled: now,
+            last_reported: ReportedState::default(),
+            last_reported_token: 0,
+            token_reported_at: now,
+            last_poll: now,
             rng,
             info,
         }
@@ -138,8 +138,8 @@
         self.token
     }
 
-    pub fn session(&self) -> u64 {
-        self.session
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// What is on it, as it would report it.
@@ -155,34 +155,34 @@
         self.tasks.take_events().into_iter().map(event).collect()
     }
 
-    pub fn set_notice(&mut self, gone_at: Instant) {
-        self.notice = Some(gone_at);
+    pub fn set_notice(&mut self, reclaim_at: Instant) {
+        self.reclaim_at = Some(reclaim_at);
     }
 
     /// From now on this is wrong with it, and nothing else.
     pub fn set_faults(&mut self, faults: MachineFaults, jobs: &mut Jobs, now: Instant) {
         if faults.hangs != self.faults.hangs {
             self.poll(jobs, now);
-            let notice = faults.hangs.then(|| jobs.notice());
-            self.tasks.hang(notice, jobs, now);
-            self.polled = now;
+            let detection_delay = faults.hangs.then(|| jobs.loss_detection_delay());
+            self.tasks.set_hung(detection_delay, jobs, now);
+            self.last_poll = now;
         }
         self.faults = faults;
     }
 
     /// Lets time pass.
     pub fn poll(&mut self, jobs: &mut Jobs, now: Instant) {
-        let dt = now.saturating_duration_since(self.polled);
-        self.polled = self.polled.max(now);
+        let elapsed = now.saturating_duration_since(self.last_poll);
+        self.last_poll = self.last_poll.max(now);
         if self.faults.hangs {
             return;
         }
-        if now.saturating_duration_since(self.renewed) > self.rules.lease {
+        if now.saturating_duration_since(self.lease_renewed_at) > self.rules.lease {
             self.tasks.kill_all(jobs, now);
-            self.session += 1;
-            self.renewed = now;
+            self.incarnation += 1;
+            self.lease_renewed_at = now;
         }
-        self.tasks.poll(self.faults.faulty, jobs, dt, now, &mut self.rng);
+        self.tasks.poll(self.faults.tasks_fail, jobs, elapsed, now, &mut self.rng);
     }
 
     /// The machine is gone with all that was on it.
@@ -190,22 +190,22 @@
         self.tasks.kill_all(jobs, now);
     }
 
-    fn shows(&self) -> Shown {
-        (self.tasks.reports(), self.notice.is_some(), self.session)
+    fn reportable_state(&self) -> ReportedState {
+        (self.tasks.reports(), self.reclaim_at.is_some(), self.incarnation)
     }
 
     fn report(&mut self, now: Instant) -> Heartbeat {
-        self.seq += 1;
+        self.sequence += 1;
         let info = &self.info;
-        let notice_s = self.notice.map(|at| at.saturating_duration_since(now).as_secs_f64());
+        let notice_s = self.reclaim_at.map(|at| at.saturating_duration_since(now).as_secs_f64());
         Heartbeat {
             machine: info.name.clone(),
             addr: info.addr.clone(),
             machine_type: info.machine_type.name.clone(),
             zone: info.zone.clone(),
             spot: info.spot,
-            incarnation: self.session,
-            sequence: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             fencing_token: self.token,
             spot_notice_s: notice_s,
             tasks: self.tasks.reports(),
@@ -213,67 +213,73 @@
     }
 
     /// A report, if one is to be sent now to `target`.
-    pub fn due(&mut self, now: Instant) -> Option<(Ticket, Heartbeat)> {
+    pub fn take_due_report(&mut self, now: Instant) -> Option<(Ticket, Heartbeat)> {
         if let Some(ticket) = self.in_flight
-            && now >= ticket.sent + ANSWER_WAIT
+            && now >= ticket.sent + REPORT_TIMEOUT
         {
-            self.heard(ticket, Heard::Nothing, None, now);
+            self.record_report_outcome(ticket, ReportOutcome::Failed, None, now);
         }
         if self.faults.hangs || self.in_flight.is_some() || now < self.not_before {
             return None;
         }
-        let token_counts =
-            self.token != self.shown_token && now >= self.token_shown_at + self.rules.lease / 2;
-        if now < self.next && !token_counts && self.shows() == self.shown {
+        let token_report_due =
+            self.token != self.last_reported_token && now >= self.token_reported_at + self.rules.lease / 2;
+        if now < self.next_report_at && !token_report_due && self.reportable_state() == self.last_reported {
             return None;
         }
-        if token_counts {
-            self.token_shown_at = now;
+        if token_report_due {
+            self.token_reported_at = now;
         }
-        (self.shown, self.shown_token) = (self.shows(), self.token);
-        let ticket = Ticket { session: self.session, sent: now };
+        (self.last_reported, self.last_reported_token) = (self.reportable_state(), self.token);
+        let ticket = Ticket { incarnation: self.incarnation, sent: now };
         self.in_flight = Some(ticket);
-        self.next = now + self.rules.report.mul_f64(self.rng.random_range(0.75..1.25));
-        self.not_before = now + REPORT_PAUSE;
+        self.next_report_at = now + self.rules.report.mul_f64(self.rng.random_range(0.75..1.25));
+        self.not_before = now + MIN_REPORT_INTERVAL;
         let report = self.report(now);
         // What is sent into the void is not answered.
-        (!self.faults.mute).then_some((ticket, report))
+        (!self.faults.reports_lost).then_some((ticket, report))
     }
 
     /// What came of a report. None for `jobs`: nothing that could have commands.
-    pub fn heard(&mut self, ticket: Ticket, heard: Heard, jobs: Option<&mut Jobs>, now: Instant) {
+    pub fn record_report_outcome(
+        &mut self,
+        ticket: Ticket,
+        outcome: ReportOutcome,
+        jobs: Option<&mut Jobs>,
+        now: Instant,
+    ) {
         if self.in_flight != Some(ticket) {
             return;
         }
-        let late = now >= ticket.sent + ANSWER_WAIT;
+        let timed_out = now >= ticket.sent + REPORT_TIMEOUT;
         // A machine that hangs reads it only when it goes on.
-        if self.faults.hangs && !late {
+        if self.faults.hangs && !timed_out {
             return;
         }
         self.in_flight = None;
-        let heard = if self.faults.deaf || late { Heard::Nothing } else { heard };
-        let next_one = (self.target + 1) % self.controllers.max(1);
-        match heard {
-            Heard::Answer(Some(answer))
-                if answer.fencing_token >= self.token && ticket.session == self.session =>
+        let outcome = if self.faults.unreachable || timed_out { ReportOutcome::Failed } else { outcome };
+        let next_controller = (self.target + 1) % self.controllers.max(1);
+        match outcome {
+            ReportOutcome::Answer(Some(answer))
+                if answer.fencing_token >= self.token && ticket.incarnation == self.incarnation =>
             {
                 self.token = answer.fencing_token;
-                self.renewed = self.renewed.max(ticket.sent);
+                self.lease_renewed_at = self.lease_renewed_at.max(ticket.sent);
                 if let Some(jobs) = jobs {
                     self.execute(&answer.commands, jobs, now);
                 }
             }
             // Dropped, and it stays.
-            Heard::Answer(_) => {}
-            Heard::Elsewhere(Some(other)) if other != self.target && other < self.controllers => {
+            ReportOutcome::Answer(_) => {}
+            ReportOutcome::Redirected(Some(other)) if other != self.target && other < self.controllers => {
                 self.target = other;
                 self.not_before = now + Duration::from_millis(self.rng.random_range(0..500));
-                self.next = self.not_before;
+                self.next_report_at = self.not_before;
             }
-            Heard::Elsewhere(_) | Heard::Nothing => {
-                self.target = next_one;
-                self.not_before = now + RETRY;
-                self.next = self.not_before;
+            ReportOutcome::Redirected(_) | ReportOutcome::Failed => {
+                self.target = next_controller;
+                self.not_before = now + RETRY_DELAY;
+                self.next_report_at = self.not_before;
             }
         }
     }
@@ -295,7 +301,7 @@
     /// Commands sent straight to the machine: the status and its report.
     pub fn commands(&mut self, commands: &Commands, jobs: &mut Jobs, now: Instant) -> (u16, Heartbeat) {
         self.poll(jobs, now);
-        if commands.fencing_token < self.token || commands.incarnation != self.session {
+        if commands.fencing_token < self.token || commands.incarnation != self.incarnation {
             return (409, self.report(now));
         }
         self.token = commands.fencing_token;
--- a/crates/emulator/src/worker/tasks.rs
+++ b/crates/emulator/src/worker/tasks.rs
@@ -8,9 +8,9 @@
 use rand::rngs::StdRng;
 use wire::{ExitReason, JobKind, JobSpec, MachineType, TaskState, TaskStatus};
 
-use crate::gang::Part;
+use crate::gang::GangTaskState;
 use crate::history::TaskEventKind;
-use crate::images::Images;
+use crate::image_cache::ImageCache;
 use crate::jobs::Jobs;
 
 struct Task {
@@ -24,14 +24,14 @@
     /// In seconds of work.
     progress: f64,
     /// When it has saved, while it is saving.
-    until: Option<Instant>,
+    saved_at: Option<Instant>,
     /// When it fails.
-    fails: Option<Instant>,
+    fails_at: Option<Instant>,
 }
 
 impl Task {
     fn end(&mut self, cause: ExitReason, saved: Option<bool>) {
-        (self.state, self.cause, self.saved, self.until) = (TaskState::Exited, Some(cause), saved, None);
+        (self.state, self.cause, self.saved, self.saved_at) = (TaskState::Exited, Some(cause), saved, None);
     }
 
     fn is_gang(&self) -> bool {
@@ -39,14 +39,14 @@
     }
 
     /// Whether the gang knows of it.
-    fn joined(&self) -> bool {
+    fn has_joined_gang(&self) -> bool {
         self.is_gang() && !matches!(self.state, TaskState::Fetching | TaskState::Exited)
     }
 }
 
 pub struct Tasks {
-    all: BTreeMap<(String, u64), Task>,
-    images: Images,
+    tasks: BTreeMap<(String, u64), Task>,
+    images: ImageCache,
     speed: f64,
     cpus: f64,
     gpus: f64,
@@ -56,12 +56,12 @@
 }
 
 /// Amounts are sums of decimal numbers.
-const SLACK: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Tasks {
-    pub fn new(machine: &MachineType, images: Images, speed: f64) -> Self {
+    pub fn new(machine: &MachineType, images: ImageCache, speed: f64) -> Self {
         let (cpus, gpus, memory_gb) = (machine.cpus, machine.gpus, machine.memory_gb);
-        Self { all: BTreeMap::new(), images, speed, cpus, gpus, memory_gb, events: Vec::new() }
+        Self { tasks: BTreeMap::new(), images, speed, cpus, gpus, memory_gb, events: Vec::new() }
     }
 
     pub fn reports(&self) -> Vec<TaskStatus> {
@@ -72,7 +72,7 @@
             cause: t.cause,
             checkpointed: t.saved,
         };
-        self.all.iter().map(report).collect()
+        self.tasks.iter().map(report).collect()
     }
 
     /// What happened since the last call.
@@ -81,10 +81,10 @@
     }
 
     /// Notes what a task's new state means.
-    fn note(&mut self, key: &(String, u64), before: TaskState) {
-        let now = self.all.get(key).map_or(TaskState::Exited, |t| t.state);
-        let kind = match (before, now) {
-            (before, now) if before == now => return,
+    fn record_state_change(&mut self, key: &(String, u64), state_before: TaskState) {
+        let now = self.tasks.get(key).map_or(TaskState::Exited, |t| t.state);
+        let kind = match (state_before, now) {
+            (state_before, now) if state_before == now => return,
             (_, TaskState::Running) => TaskEventKind::Running,
             (_, TaskState::Exited) => TaskEventKind::Ended,
             _ => return,
@@ -93,70 +93,73 @@
     }
 
     fn fits(&self, spec: &JobSpec) -> bool {
-        let on = self.all.values().filter(|t| t.state != TaskState::Exited);
+        let on = self.tasks.values().filter(|t| t.state != TaskState::Exited);
         let (mut cpus, mut gpus, mut memory_gb) = (spec.cpus, spec.gpus, spec.memory_gb);
         for other in on.filter_map(|t| t.spec.as_ref()) {
             cpus += other.cpus;
             gpus += other.gpus;
             memory_gb += other.memory_gb;
         }
-        cpus <= self.cpus + SLACK && gpus <= self.gpus + SLACK && memory_gb <= self.memory_gb + SLACK
+        cpus <= self.cpus + ROUNDING_TOLERANCE
+            && gpus <= self.gpus + ROUNDING_TOLERANCE
+            && memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
     pub fn start(&mut self, task: &str, attempt: u64, jobs: &Jobs) {
         let key = (task.to_owned(), attempt);
-        if self.all.contains_key(&key) {
+        if self.tasks.contains_key(&key) {
             return;
         }
-        let parts = task.split_once('/').and_then(|(job, n)| Some((job, n.parse::<u32>().ok()?)));
-        let known = parts.and_then(|(job, n)| {
+        let job_and_number = task.split_once('/').and_then(|(job, n)| Some((job, n.parse::<u32>().ok()?)));
+        let spec = job_and_number.and_then(|(job, n)| {
             let spec = &jobs.get(job)?.spec;
             (n < spec.tasks).then(|| spec.clone())
         });
-        let (job, number) = parts.map_or((String::new(), 0), |(job, n)| (job.to_owned(), n));
-        let in_use = self.all.iter().any(|((t, _), o)| t == task && o.state != TaskState::Exited);
-        let refused = match &known {
+        let (job, number) = job_and_number.map_or((String::new(), 0), |(job, n)| (job.to_owned(), n));
+        let already_here = self.tasks.iter().any(|((t, _), o)| t == task && o.state != TaskState::Exited);
+        let rejection = match &spec {
             None => Some(ExitReason::Unknown),
-            Some(_) if in_use => Some(ExitReason::Busy),
+            Some(_) if already_here => Some(ExitReason::Busy),
             Some(spec) if !self.fits(spec) => Some(ExitReason::NoCapacity),
             Some(_) => None,
         };
         let mut new = Task {
-            spec: known,
+            spec,
             job,
             number,
             state: TaskState::Fetching,
             cause: None,
             saved: None,
             progress: 0.0,
-            until: None,
-            fails: None,
+            saved_at: None,
+            fails_at: None,
         };
-        if let Some(cause) = refused {
+        if let Some(cause) = rejection {
             new.end(cause, None);
         }
-        self.all.insert(key, new);
+        self.tasks.insert(key, new);
     }
 
     pub fn stop(&mut self, task: &str, attempt: u64, grace: Duration, jobs: &mut Jobs, now: Instant) {
         let key = (task.to_owned(), attempt);
-        let Some(before) = self.all.get(&key).map(|t| t.state) else { return };
-        if before == TaskState::Running {
+        let Some(state_before) = self.tasks.get(&key).map(|t| t.state) else { return };
+        if state_before == TaskState::Running {
             self.events.push((key.0.clone(), attempt, TaskEventKind::StopCommanded));
         }
-        self.stop_one(&key, grace, jobs, now);
-        self.note(&key, before);
+        self.stop_task(&key, grace, jobs, now);
+        self.record_state_change(&key, state_before);
     }
 
-    fn stop_one(&mut self, key: &(String, u64), grace: Duration, jobs: &mut Jobs, now: Instant) {
+    fn stop_task(&mut self, key: &(String, u64), grace: Duration, jobs: &mut Jobs, now: Instant) {
         let attempt = key.1;
-        let Some(t) = self.all.get_mut(key) else { return };
+        let Some(t) = self.tasks.get_mut(key) else { return };
         let Some(spec) = t.spec.clone().filter(|_| t.state != TaskState::Exited) else { return };
-        if t.joined() {
-            let notice = jobs.notice();
+        if t.has_joined_gang() {
+            let detection_delay = jobs.loss_detection_delay();
             let number = t.number;
-            let stays = jobs.gang(&t.job, attempt, now).is_some_and(|g| g.stop(number, grace, notice, now));
-            if stays {
+            let is_saving =
+                jobs.gang(&t.job, attempt, now).is_some_and(|g| g.stop(number, grace, detection_delay, now));
+            if is_saving {
                 t.state = TaskState::Saving
             } else {
                 t.end(ExitReason::Stopped, None)
@@ -167,7 +170,7 @@
         match t.state {
             TaskState::Running if spec.checkpoint_interval_s > 0.0 && grace >= save => {
                 t.state = TaskState::Saving;
-                t.until = Some(now + save);
+                t.saved_at = Some(now + save);
             }
             TaskState::Saving if !grace.is_zero() => {}
             _ => t.end(ExitReason::Stopped, None),
@@ -176,69 +179,84 @@
 
     pub fn forget(&mut self, task: &str, attempt: u64) {
         let key = (task.to_owned(), attempt);
-        if self.all.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
-            self.all.remove(&key);
+        if self.tasks.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
+            self.tasks.remove(&key);
         }
     }
 
     pub fn kill_all(&mut self, jobs: &mut Jobs, now: Instant) {
-        for ((task, attempt), t) in std::mem::take(&mut self.all) {
+        for ((task, attempt), t) in std::mem::take(&mut self.tasks) {
             if t.state != TaskState::Exited {
                 self.events.push((task, attempt, TaskEventKind::Ended));
             }
-            if t.joined() {
-                let notice = jobs.notice();
+            if t.has_joined_gang() {
+                let detection_delay = jobs.loss_detection_delay();
                 if let Some(gang) = jobs.gang(&t.job, attempt, now) {
-                    gang.gone(t.number, notice, now);
+                    gang.lose_task(t.number, detection_delay, now);
                 }
             }
         }
     }
 
     /// The machine hangs, or goes on (None).
-    pub fn hang(&mut self, notice: Option<Duration>, jobs: &mut Jobs, now: Instant) {
-        for ((_, attempt), t) in self.all.iter().filter(|(_, t)| t.joined()) {
+    pub fn set_hung(&mut self, detection_delay: Option<Duration>, jobs: &mut Jobs, now: Instant) {
+        for ((_, attempt), t) in self.tasks.iter().filter(|(_, t)| t.has_joined_gang()) {
             if let Some(gang) = jobs.gang(&t.job, *attempt, now) {
-                gang.hang(t.number, notice, now);
+                gang.set_hung(t.number, detection_delay, now);
             }
         }
-        if notice.is_none() {
+        if detection_delay.is_none() {
             // Saving stood still as well.
-            for t in self.all.values_mut().filter(|t| t.until.is_some()) {
+            for t in self.tasks.values_mut().filter(|t| t.saved_at.is_some()) {
                 let save = t.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s);
-                t.until = Some(now + Duration::from_secs_f64(save));
+                t.saved_at = Some(now + Duration::from_secs_f64(save));
             }
         }
     }
 
-    pub fn poll(&mut self, faulty: bool, jobs: &mut Jobs, dt: Duration, now: Instant, rng: &mut StdRng) {
-        self.fetch(dt, now);
-        let before: Vec<((String, u64), TaskState)> =
-            self.all.iter().map(|(key, t)| (key.clone(), t.state)).collect();
-        self.poll_all(faulty, jobs, dt, now, rng);
-        for (key, state) in before {
-            self.note(&key, state);
+    pub fn poll(
+        &mut self,
+        tasks_fail: bool,
+        jobs: &mut Jobs,
+        elapsed: Duration,
+        now: Instant,
+        rng: &mut StdRng,
+    ) {
+        self.fetch(elapsed, now);
+        let state_before: Vec<((String, u64), TaskState)> =
+            self.tasks.iter().map(|(key, t)| (key.clone(), t.state)).collect();
+        self.advance_all(tasks_fail, jobs, elapsed, now, rng);
+        for (key, state) in state_before {
+            self.record_state_change(&key, state);
         }
     }
 
-    fn poll_all(&mut self, faulty: bool, jobs: &mut Jobs, dt: Duration, now: Instant, rng: &mut StdRng) {
-        for ((_, attempt), t) in &mut self.all {
+    fn advance_all(
+        &mut self,
+        tasks_fail: bool,
+        jobs: &mut Jobs,
+        elapsed: Duration,
+        now: Instant,
+        rng: &mut StdRng,
+    ) {
+        for ((_, attempt), t) in &mut self.tasks {
             let Some(spec) = t.spec.clone() else { continue };
             if t.state == TaskState::Fetching && self.images.has(&spec.image) {
-                begin(t, *attempt, self.speed, jobs, now);
-                if t.state != TaskState::Exited && (faulty || jobs.get(&t.job).is_some_and(|j| j.broken)) {
-                    t.fails = Some(now + Duration::from_secs_f64(rng.random_range(0.2..2.0)));
+                start_with_image(t, *attempt, self.speed, jobs, now);
+                if t.state != TaskState::Exited && (tasks_fail || jobs.get(&t.job).is_some_and(|j| j.broken))
+                {
+                    t.fails_at = Some(now + Duration::from_secs_f64(rng.random_range(0.2..2.0)));
                 }
-            } else if t.joined() {
-                follow(t, *attempt, jobs, now);
+            } else if t.has_joined_gang() {
+                apply_gang_state(t, *attempt, jobs, now);
             } else {
-                go_on(t, &spec, self.speed, dt, jobs, now);
+                advance(t, &spec, self.speed, elapsed, jobs, now);
             }
-            if t.state != TaskState::Exited && t.fails.is_some_and(|at| at <= now) {
-                if t.joined() {
-                    let notice = jobs.notice();
+            if t.state != TaskState::Exited && t.fails_at.is_some_and(|at| at <= now) {
+                if t.has_joined_gang() {
+                    let detection_delay = jobs.loss_detection_delay();
                     if let Some(gang) = jobs.gang(&t.job, *attempt, now) {
-                        gang.gone(t.number, notice, now);
+                        gang.lose_task(t.number, detection_delay, now);
                     }
                 }
                 t.end(ExitReason::Error, None);
@@ -246,9 +264,9 @@
         }
     }
 
-    fn fetch(&mut self, dt: Duration, now: Instant) {
+    fn fetch(&mut self, elapsed: Duration, now: Instant) {
         let (mut wanted, mut in_use) = (BTreeMap::new(), Vec::new());
-        for t in self.all.values() {
+        for t in self.tasks.values() {
             let Some(spec) = &t.spec else { continue };
             match t.state {
                 TaskState::Fetching => {
@@ -258,12 +276,12 @@
                 _ => in_use.push(spec.image.as_str()),
             }
         }
-        self.images.poll(&wanted, &in_use, dt, now);
+        self.images.poll(&wanted, &in_use, elapsed, now);
     }
 }
 
 /// The task has its image.
-fn begin(t: &mut Task, attempt: u64, speed: f64, jobs: &mut Jobs, now: Instant) {
+fn start_with_image(t: &mut Task, attempt: u64, speed: f64, jobs: &mut Jobs, now: Instant) {
     if jobs.is_done(&t.job, t.number) {
         return t.end(ExitReason::Done, None);
     }
@@ -273,32 +291,33 @@
         return;
     }
     t.state = TaskState::Running;
-    t.progress = jobs.saved(&t.job, t.number);
+    t.progress = jobs.saved_progress(&t.job, t.number);
 }
 
 /// A gang's task is as its gang says.
-fn follow(t: &mut Task, attempt: u64, jobs: &mut Jobs, now: Instant) {
+fn apply_gang_state(t: &mut Task, attempt: u64, jobs: &mut Jobs, now: Instant) {
     let Some(gang) = jobs.gang(&t.job, attempt, now) else { return };
     gang.poll(now);
-    match gang.part(t.number) {
-        Some(Part::Gathering) => t.state = TaskState::Waiting,
-        Some(Part::Running) => t.state = TaskState::Running,
-        Some(Part::Saving) => t.state = TaskState::Saving,
-        Some(Part::Ended(cause, saved)) => {
-            gang.leave(t.number);
+    match gang.task_state(t.number) {
+        Some(GangTaskState::Waiting) => t.state = TaskState::Waiting,
+        Some(GangTaskState::Running) => t.state = TaskState::Running,
+        Some(GangTaskState::Saving) => t.state = TaskState::Saving,
+        Some(GangTaskState::Ended(cause, saved)) => {
+            gang.remove_task(t.number);
             t.end(cause, saved);
         }
         None => t.end(ExitReason::PeersGone, None),
     }
 }
 
-fn go_on(t: &mut Task, spec: &JobSpec, speed: f64, dt: Duration, jobs: &mut Jobs, now: Instant) {
+fn advance(t: &mut Task, spec: &JobSpec, speed: f64, elapsed: Duration, jobs: &mut Jobs, now: Instant) {
     match t.state {
         TaskState::Running => {
-            t.progress += dt.as_secs_f64() * speed;
+            t.progress += elapsed.as_secs_f64() * speed;
             if spec.checkpoint_interval_s > 0.0 {
-                let kept = (t.progress / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s;
-                jobs.save(&t.job, t.number, kept);
+                let checkpointed =
+                    (t.progress / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s;
+                jobs.save_progress(&t.job, t.number, checkpointed);
             }
             let run_s = jobs.get(&t.job).map_or(f64::INFINITY, |j| j.run_s);
             if spec.kind == JobKind::Array && t.progress >= run_s {
@@ -306,8 +325,8 @@
                 t.end(ExitReason::Done, None);
             }
         }
-        TaskState::Saving if t.until.is_some_and(|at| at <= now) => {
-            jobs.save(&t.job, t.number, t.progress);
+        TaskState::Saving if t.saved_at.is_some_and(|at| at <= now) => {
+            jobs.save_progress(&t.job, t.number, t.progress);
             t.end(ExitReason::Stopped, Some(true));
         }
         _ => {}
--- a/crates/emulator/tests/people.rs
+++ b/crates/emulator/tests/balancer_and_users.rs
@@ -4,7 +4,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use emulator::{Balancer, Load, Question, SiteFile, Told, Users};
+use emulator::{Balancer, Load, SiteFile, UserRequest, UserResponse, Users};
 use wire::{JobKind, JobState};
 
 const BUSY: &str = include_str!("../../../examples/busy.hcl");
@@ -17,8 +17,8 @@
 fn probed(b: &mut Balancer, t: Instant, seconds: std::ops::Range<u32>, fine: &[bool]) -> Vec<bool> {
     let one = |n: u32| {
         let now = t + s(f64::from(n));
-        b.probed(0, true, now);
-        b.probed(1, fine[(n as usize) % fine.len()], now);
+        b.record_probe(0, true, now);
+        b.record_probe(1, fine[(n as usize) % fine.len()], now);
         b.is_healthy(1)
     };
     seconds.map(one).collect()
@@ -31,9 +31,9 @@
     assert!(!b.is_healthy(1) && b.choose(&[], t).is_none());
     assert_eq!(probed(&mut b, t, 0..1, &[true]), [true], "one success for a new one");
     assert_eq!(probed(&mut b, t, 1..3, &[false]), [true, false], "two failures in a row");
-    assert!(b.resets(t + s(6.9)).is_empty());
-    assert_eq!(b.resets(t + s(7.0)), [1]);
-    assert!(b.resets(t + s(8.0)).is_empty(), "told once");
+    assert!(b.take_resets(t + s(6.9)).is_empty());
+    assert_eq!(b.take_resets(t + s(7.0)), [1]);
+    assert!(b.take_resets(t + s(8.0)).is_empty(), "told once");
     assert_eq!(probed(&mut b, t, 3..6, &[true]), [false, false, true], "not before 3 s");
     // Three of six, one at a time: removed at the third failure, for 6 s now.
     let uneven = probed(&mut b, t, 6..11, &[false, true]);
@@ -45,34 +45,34 @@
 fn connections_go_to_the_least_used_and_to_new_ones_little_by_little() {
     let t = Instant::now();
     let mut b = Balancer::new(2, 1);
-    b.probed(0, true, t);
+    b.record_probe(0, true, t);
     let connect = |b: &mut Balancer, now: Instant| {
         let node = b.choose(&[], now).expect("a node");
-        b.connected(node, true, now);
+        b.record_connection_attempt(node, true, now);
         node
     };
     (0..10).for_each(|_| assert_eq!(connect(&mut b, t + s(10.0)), 0));
-    b.probed(1, true, t + s(20.0));
+    b.record_probe(1, true, t + s(20.0));
     let to_new = (0..10).filter(|_| connect(&mut b, t + s(21.0)) == 1).count();
     assert!((1..=2).contains(&to_new), "a tenth of its share: {to_new}");
     let to_new = (0..30).filter(|_| connect(&mut b, t + s(30.0)) == 1).count();
     assert!(to_new > 20, "the least used: {to_new}");
     assert_eq!(b.choose(&[0, 1], t + s(30.0)), None);
     // One that fails three times in a row is skipped for 3 s.
-    (0..3).for_each(|_| b.connected(1, false, t + s(40.0)));
+    (0..3).for_each(|_| b.record_connection_attempt(1, false, t + s(40.0)));
     (0..30).for_each(|_| assert_eq!(connect(&mut b, t + s(42.9)), 0));
     assert_eq!(b.choose(&[], t + s(43.0)), Some(1));
 }
 
 /// Users whose requests are answered by `answer` for five minutes, twenty times a second.
-fn play(loads: Vec<Load>, answer: impl Fn(&Question, Duration) -> Told) -> Users {
+fn play(loads: Vec<Load>, answer: impl Fn(&UserRequest, Duration) -> UserResponse) -> Users {
     let t = Instant::now();
     let mut users = Users::new(loads, 7, 3, t);
     for n in 0..6000 {
         let now = t + s(f64::from(n) / 20.0);
-        for question in users.poll(now) {
-            let told = answer(&question, now - t);
-            users.told(&question, told, now + s(0.01));
+        for request in users.poll(now) {
+            let response = answer(&request, now - t);
+            users.record_response(&request, response, now + s(0.01));
         }
     }
     users
@@ -83,12 +83,16 @@
 }
 
 /// No answer for a job that is not a user's own.
-fn known(question: &Question, told: Told) -> Told {
-    if question.id.len() == "j-7000000".len() { told } else { Told { status: Some(404), ..told } }
+fn known(request: &UserRequest, response: UserResponse) -> UserResponse {
+    if request.id.len() == "j-7000000".len() {
+        response
+    } else {
+        UserResponse { status: Some(404), ..response }
+    }
 }
 
-fn says(status: u16, state: JobState) -> Told {
-    Told { status: Some(status), retry_after: None, state: Some(state) }
+fn says(status: u16, state: JobState) -> UserResponse {
+    UserResponse { status: Some(status), retry_after: None, state: Some(state) }
 }
 
 #[test]
@@ -98,14 +102,14 @@
         if q.path.ends_with("/withdraw") {
             withdrawn.borrow_mut().insert(q.id.clone());
         }
-        let told = if withdrawn.borrow().contains(&q.id) {
+        let response = if withdrawn.borrow().contains(&q.id) {
             says(200, JobState::Cancelled)
         } else if q.method == "POST" {
             says(201, JobState::Queued)
         } else {
             says(200, JobState::Running)
         };
-        known(q, told)
+        known(q, response)
     });
     let t = users.user_statistics();
     // 19 a minute, of which the services and some arrays are cancelled.
@@ -117,7 +121,8 @@
 #[test]
 fn users_come_back_until_their_patience_ends_and_give_up_what_is_refused() {
     let arrays = || loads().into_iter().filter(|l| l.job.kind == JobKind::Array).collect::<Vec<_>>();
-    let busy = |q: &Question, status| known(q, Told { status: Some(status), ..Told::default() });
+    let busy =
+        |q: &UserRequest, status| known(q, UserResponse { status: Some(status), ..UserResponse::default() });
     let t = play(arrays(), |q, _| busy(q, 503)).user_statistics().clone();
     assert!(t.given_up > 20 && t.accepted == 0 && t.submitted > t.given_up, "{t:?}");
     let t = play(arrays(), |q, _| busy(q, 422)).user_statistics().clone();
@@ -127,7 +132,7 @@
         let count = RefCell::new(0);
         let users = play(arrays(), |q, _| {
             *count.borrow_mut() += usize::from(q.method == "POST");
-            Told { retry_after: Some(s(pause)), ..busy(q, 503) }
+            UserResponse { retry_after: Some(s(pause)), ..busy(q, 503) }
         });
         *count.borrow() as f64 / users.user_statistics().submitted as f64
     };
@@ -137,7 +142,7 @@
 
 #[test]
 fn answers_that_must_not_be_are_noticed() {
-    let broken = |answer: fn(&Question, Duration) -> Told| {
+    let broken = |answer: fn(&UserRequest, Duration) -> UserResponse| {
         let mut rules: Vec<&str> =
             play(loads(), answer).user_statistics().violations.iter().map(|(r, _)| *r).collect();
         rules.sort_unstable();
@@ -146,14 +151,15 @@
     };
     assert_eq!(
         broken(|q, now| match q.method {
-            "GET" if now > s(150.0) => known(q, Told { status: Some(404), ..Told::default() }),
+            "GET" if now > s(150.0) =>
+                known(q, UserResponse { status: Some(404), ..UserResponse::default() }),
             _ => known(q, says(200, JobState::Running)),
         }),
         ["forgotten"]
     );
     assert_eq!(broken(|_, _| says(200, JobState::Running)), ["invented"]);
     // Done, and later running again; or cancelled by nobody.
-    let flips = |q: &Question, now: Duration| {
+    let flips = |q: &UserRequest, now: Duration| {
         let state = if (now.as_secs() / 3).is_multiple_of(2) { JobState::Done } else { JobState::Running };
         known(q, says(200, state))
     };
--- a/crates/emulator/tests/cloud.rs
+++ b/crates/emulator/tests/cloud.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use emulator::{Cloud, CloudSettings, Event, ServiceFaults};
+use emulator::{Cloud, CloudSettings, MachineEvent, ServiceFaults};
 use net::Request;
 use serde_json::{Value as Json, json};
 use wire::MachineType;
@@ -38,7 +38,7 @@
         life: None,
         notice: Duration::from_secs(20),
         no_notice: 0.0,
-        first: 7,
+        first_number: 7,
     }
 }
 
@@ -148,7 +148,7 @@
         t.at(f64::from(n) / 10.0);
         t.cloud.poll(t.now);
         for event in t.cloud.take_events() {
-            assert!(matches!(event, Event::Up(_)));
+            assert!(matches!(event, MachineEvent::Up(_)));
             match n {
                 ..=21 => quick += 1,
                 60..=151 => usual += 1,
@@ -206,12 +206,12 @@
             t.cloud.poll(t.now);
             for event in t.cloud.take_events() {
                 match event {
-                    Event::Notice(name, at) => {
+                    MachineEvent::Notice(name, at) => {
                         let left = at - t.now;
                         assert!((10.0..30.0).contains(&left.as_secs_f64()), "{left:?}");
                         assert!(noticed.insert(name));
                     }
-                    Event::Gone(name) if !noticed.contains(&name) => taken_at_once += 1,
+                    MachineEvent::Gone(name) if !noticed.contains(&name) => taken_at_once += 1,
                     _ => {}
                 }
             }
--- a/crates/emulator/tests/fault_schedule.rs
+++ b/crates/emulator/tests/fault_schedule.rs
@@ -16,7 +16,7 @@
 
 impl Test {
     /// The example site with ten spot machines up, and these troubles from `at` to `to`.
-    fn new(kinds: Vec<FaultKind>, at: u64, to: u64) -> Self {
+    fn new(fault_kinds: Vec<FaultKind>, at: u64, to: u64) -> Self {
         let start = Instant::now();
         let file = SiteFile::parse("site.hcl", SITE).expect("the example is valid");
         let mut site = Site::new(file.site_settings(), Box::new(|m: &str| Some(m.to_owned())), start);
@@ -29,9 +29,9 @@
         };
         let body = wire::encode(&rental).into();
         site.cloud_request(&Request { method: "POST".into(), path: "/machines".into(), body }, start);
-        let (at, lasts) = (Duration::from_secs(at), Duration::from_secs(to - at));
-        let trouble = |kind| ScheduledFault { name: "t".into(), kind, at, lasts };
-        let schedule = FaultSchedule::new(kinds.into_iter().map(trouble).collect(), 1, start);
+        let (at, duration) = (Duration::from_secs(at), Duration::from_secs(to - at));
+        let fault = |kind| ScheduledFault { name: "t".into(), kind, at, duration };
+        let schedule = FaultSchedule::new(fault_kinds.into_iter().map(fault).collect(), 1, start);
         let state = StateService::new(file.state_limits(), 1, start);
         Self { site, state, schedule, start }
     }
@@ -42,50 +42,58 @@
         self.schedule.poll(&mut self.site, &mut self.state, now);
     }
 
-    fn with(&self, fits: impl Fn(MachineFaults) -> bool) -> usize {
-        self.site.workers().filter(|w| fits(w.faults())).count()
+    fn count_with(&self, matches: impl Fn(MachineFaults) -> bool) -> usize {
+        self.site.workers().filter(|w| matches(w.faults())).count()
     }
 }
 
 #[test]
 fn services_are_troubled_together_and_for_their_time() {
-    let slow = Duration::from_secs(1);
-    let kinds = vec![
+    let max_delay = Duration::from_secs(1);
+    let fault_kinds = vec![
         FaultKind::StateRefuses(1),
         FaultKind::StateLost(0.2),
         FaultKind::CloudOutage,
-        FaultKind::CloudLate(0.1, slow),
+        FaultKind::CloudLate(0.1, max_delay),
     ];
-    let mut t = Test::new(kinds, 10, 20);
+    let mut test = Test::new(fault_kinds, 10, 20);
     for (at, on) in [(9, false), (10, true), (19, true), (20, false), (90, false)] {
-        t.at(at);
-        let (state, cloud) = (t.state.troubles(), t.site.cloud.troubles());
+        test.at(at);
+        let (state, cloud) = (test.state.faults(), test.site.cloud.faults());
         assert_eq!(state.refused.contains(&1) && state.lost_share == 0.2 && !state.outage, on, "{at}");
-        assert_eq!(cloud.outage && cloud.late_share == 0.1 && cloud.late == slow, on, "{at}");
+        assert_eq!(
+            cloud.outage && cloud.late_share == 0.1 && cloud.max_execution_delay == max_delay,
+            on,
+            "{at}"
+        );
     }
 }
 
 #[test]
 fn machines_are_troubled_by_shares() {
     let hangs = MachineFaults { hangs: true, ..MachineFaults::default() };
-    let mute = MachineFaults { mute: true, ..MachineFaults::default() };
-    let mut t = Test::new(vec![FaultKind::Machines(0.3, hangs), FaultKind::Machines(1.0, mute)], 10, 20);
-    t.at(9);
-    assert_eq!((t.site.workers().count(), t.with(|f| f != MachineFaults::default())), (10, 0));
-    t.at(10);
-    assert_eq!((t.with(|f| f.hangs && f.mute), t.with(|f| f.mute)), (3, 10));
-    t.at(20);
-    assert_eq!(t.with(|f| f == MachineFaults::default()), 10);
+    let reports_lost = MachineFaults { reports_lost: true, ..MachineFaults::default() };
+    let mut test =
+        Test::new(vec![FaultKind::Machines(0.3, hangs), FaultKind::Machines(1.0, reports_lost)], 10, 20);
+    test.at(9);
+    assert_eq!((test.site.workers().count(), test.count_with(|f| f != MachineFaults::default())), (10, 0));
+    test.at(10);
+    assert_eq!(
+        (test.count_with(|f| f.hangs && f.reports_lost), test.count_with(|f| f.reports_lost)),
+        (3, 10)
+    );
+    test.at(20);
+    assert_eq!(test.count_with(|f| f == MachineFaults::default()), 10);
 }
 
 #[test]
 fn machines_die_and_are_reclaimed_once() {
-    let mut t = Test::new(vec![FaultKind::Deaths(0.2)], 10, 20);
-    (9..15).for_each(|n| t.at(n));
-    assert_eq!(t.site.workers().count(), 8);
-    let mut t = Test::new(vec![FaultKind::Reclaims(0.5)], 10, 20);
-    (9..12).for_each(|n| t.at(n));
-    assert_eq!(t.site.workers().count(), 10, "they have notice of 15 s at least");
-    (12..70).for_each(|n| t.at(n));
-    assert_eq!(t.site.workers().count(), 5);
+    let mut test = Test::new(vec![FaultKind::Deaths(0.2)], 10, 20);
+    (9..15).for_each(|n| test.at(n));
+    assert_eq!(test.site.workers().count(), 8);
+    let mut test = Test::new(vec![FaultKind::Reclaims(0.5)], 10, 20);
+    (9..12).for_each(|n| test.at(n));
+    assert_eq!(test.site.workers().count(), 10, "they have notice of 15 s at least");
+    (12..70).for_each(|n| test.at(n));
+    assert_eq!(test.site.workers().count(), 5);
 }
--- a/crates/emulator/tests/gang.rs
+++ b/crates/emulator/tests/gang.rs
@@ -2,10 +2,11 @@
 
 use std::time::{Duration, Instant};
 
-use emulator::{Gang, GangRules, Part};
+use emulator::{Gang, GangRules, GangTaskState};
 use wire::ExitReason;
 
-const RULES: GangRules = GangRules { wait: Duration::from_secs(30), peer: Duration::from_secs(5) };
+const RULES: GangRules =
+    GangRules { start_timeout: Duration::from_secs(30), peer_timeout: Duration::from_secs(5) };
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -16,19 +17,19 @@
     Gang::new(RULES, 3, 20.0, 6.0, s(2.0), 0.0, now)
 }
 
-fn parts(gang: &Gang) -> [Option<Part>; 3] {
-    [gang.part(0), gang.part(1), gang.part(2)]
+fn parts(gang: &Gang) -> [Option<GangTaskState>; 3] {
+    [gang.task_state(0), gang.task_state(1), gang.task_state(2)]
 }
 
 fn started(now: Instant) -> Gang {
     let mut g = gang(now);
     (0..3).for_each(|n| g.join(n, [1.0, 0.5, 1.0][n as usize], now));
-    assert_eq!(parts(&g), [Some(Part::Running); 3]);
+    assert_eq!(parts(&g), [Some(GangTaskState::Running); 3]);
     g
 }
 
-const fn ended(cause: ExitReason, saved: Option<bool>) -> Option<Part> {
-    Some(Part::Ended(cause, saved))
+const fn ended(cause: ExitReason, saved: Option<bool>) -> Option<GangTaskState> {
+    Some(GangTaskState::Ended(cause, saved))
 }
 
 #[test]
@@ -38,12 +39,12 @@
     g.join(0, 1.0, t);
     g.join(1, 0.5, t + s(20.0));
     // The replacement of one that is gone completes it.
-    g.gone(1, s(1.0), t + s(25.0));
+    g.lose_task(1, s(1.0), t + s(25.0));
     g.join(1, 0.5, t + s(28.0));
-    assert_eq!(parts(&g), [Some(Part::Gathering), Some(Part::Gathering), None]);
+    assert_eq!(parts(&g), [Some(GangTaskState::Waiting), Some(GangTaskState::Waiting), None]);
     g.join(2, 1.0, t + s(29.9));
     g.poll(t + s(69.8));
-    assert_eq!(parts(&g), [Some(Part::Running); 3]);
+    assert_eq!(parts(&g), [Some(GangTaskState::Running); 3]);
     assert_eq!(g.saved, 18.0, "a multiple of the interval");
     g.poll(t + s(70.0));
     assert_eq!(parts(&g), [ended(ExitReason::Done, None); 3]);
@@ -57,10 +58,10 @@
     g.join(0, 1.0, t);
     g.join(1, 1.0, t + s(10.0));
     g.poll(t + s(30.0));
-    assert_eq!(parts(&g), [ended(ExitReason::GangIncomplete, None), Some(Part::Gathering), None]);
+    assert_eq!(parts(&g), [ended(ExitReason::GangIncomplete, None), Some(GangTaskState::Waiting), None]);
     g.join(2, 1.0, t + s(31.0));
     g.poll(t + s(39.0));
-    assert_eq!(g.part(2), Some(Part::Gathering), "the one that ended does not count");
+    assert_eq!(g.task_state(2), Some(GangTaskState::Waiting), "the one that ended does not count");
     assert!(!g.stop(2, s(10.0), s(1.0), t + s(39.5)), "one that waits ends at once");
 }
 
@@ -68,19 +69,19 @@
 fn a_loss_ends_the_others_and_falls_back_to_the_checkpoint() {
     let t = Instant::now();
     let mut g = started(t);
-    g.gone(1, s(3.0), t + s(15.0));
+    g.lose_task(1, s(3.0), t + s(15.0));
     g.poll(t + s(17.9));
-    assert_eq!(parts(&g), [Some(Part::Running), None, Some(Part::Running)]);
+    assert_eq!(parts(&g), [Some(GangTaskState::Running), None, Some(GangTaskState::Running)]);
     g.poll(t + s(18.0));
     assert_eq!(parts(&g), [ended(ExitReason::PeersGone, None), None, ended(ExitReason::PeersGone, None)]);
     assert_eq!(g.saved, 6.0);
     // The same by a machine that hangs, but not if it goes on in time.
     let mut g = started(t);
-    g.hang(0, Some(s(4.0)), t);
-    g.hang(0, None, t + s(3.0));
+    g.set_hung(0, Some(s(4.0)), t);
+    g.set_hung(0, None, t + s(3.0));
     g.poll(t + s(10.0));
-    assert_eq!(g.part(1), Some(Part::Running));
-    g.hang(0, Some(s(4.0)), t + s(10.0));
+    assert_eq!(g.task_state(1), Some(GangTaskState::Running));
+    g.set_hung(0, Some(s(4.0)), t + s(10.0));
     g.poll(t + s(14.0));
     assert_eq!(parts(&g), [ended(ExitReason::PeersGone, None); 3]);
 }
@@ -90,10 +91,13 @@
     let t = Instant::now();
     let mut g = started(t);
     assert!(g.stop(0, s(2.0), s(1.0), t + s(4.0)));
-    assert_eq!(parts(&g), [Some(Part::Saving), Some(Part::Running), Some(Part::Running)]);
+    assert_eq!(
+        parts(&g),
+        [Some(GangTaskState::Saving), Some(GangTaskState::Running), Some(GangTaskState::Running)]
+    );
     assert!(g.stop(1, s(2.0), s(1.0), t + s(5.0)) && g.stop(2, s(2.0), s(1.0), t + s(8.9)));
     g.poll(t + s(10.8));
-    assert_eq!(parts(&g), [Some(Part::Saving); 3]);
+    assert_eq!(parts(&g), [Some(GangTaskState::Saving); 3]);
     g.poll(t + s(10.9));
     assert_eq!(parts(&g), [ended(ExitReason::Stopped, Some(true)); 3]);
     assert_eq!(g.saved, 2.0, "progress stopped with the first stop");
@@ -117,7 +121,7 @@
         let task = if grace == 0.0 { 0 } else { 1 };
         assert!(!g.stop(task, s(grace), s(1.0), t + s(5.0)));
         g.poll(t + s(6.0));
-        assert_eq!(g.part(2), ended(ExitReason::PeersGone, None));
+        assert_eq!(g.task_state(2), ended(ExitReason::PeersGone, None));
         assert_eq!(g.saved, 0.0);
     }
 }
--- a/crates/emulator/tests/state.rs
+++ b/crates/emulator/tests/state.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use emulator::{ServiceFaults, StateLimits, StateService, Step};
+use emulator::{RequestOutcome, ServiceFaults, StateLimits, StateService};
 use net::{Reply, Request};
 use rmpv::Value;
 use serde_json::{Value as Json, json};
@@ -30,13 +30,13 @@
         Self { service: StateService::new(limits, 1, now), now }
     }
 
-    fn step(&mut self, caller: usize, method: &str, path: &str, body: Json) -> Step {
+    fn step(&mut self, caller: usize, method: &str, path: &str, body: Json) -> RequestOutcome {
         self.service.handle(caller, &request(method, path, &body), self.now)
     }
 
     fn ask(&mut self, method: &str, path: &str, body: Json) -> (u16, Json) {
         match self.step(0, method, path, body) {
-            Step::Answer(reply, _) => (reply.status, json(&reply)),
+            RequestOutcome::Answer(reply, _) => (reply.status, json(&reply)),
             step => panic!("{step:?}"),
         }
     }
@@ -107,7 +107,7 @@
         ])]),
     )]);
     let raw = Request { method: "POST".into(), path: "/txn".into(), body: wire::encode(&binary).into() };
-    assert!(matches!(t.service.handle(0, &raw, t.now), Step::Answer(r, _) if r.status == 400));
+    assert!(matches!(t.service.handle(0, &raw, t.now), RequestOutcome::Answer(r, _) if r.status == 400));
     let fits = "x".repeat(2046);
     let full = json!({"if":vec![json!({"k":"a","stamp":0}); 16],"then":[put("a", json!(fits))]});
     assert_eq!(t.ask("POST", "/txn", full).0, 200, "all limits are inclusive");
@@ -159,29 +159,33 @@
     t.service.set_faults(refused, t.now);
     t.pass(1101);
     assert_eq!(t.put("n", None).0, 503);
-    assert!(matches!(t.step(1, "GET", "/keys/m", Json::Null), Step::Answer(r, _) if r.status == 404));
+    assert!(
+        matches!(t.step(1, "GET", "/keys/m", Json::Null), RequestOutcome::Answer(r, _) if r.status == 404)
+    );
 }
 
 #[test]
 fn watches_wait_and_changes_are_kept_for_a_while() {
     let mut t = Test::new(StateLimits { rps: 1e6, write_rps: 1e6, ..LIMITS });
     t.put("c/1", None);
-    let Step::Wait(watch) = t.step(1, "GET", "/follow?prefix=c/&after=1&hold_ms=5000", Json::Null) else {
+    let RequestOutcome::Wait(watch) = t.step(1, "GET", "/follow?prefix=c/&after=1&hold_ms=5000", Json::Null)
+    else {
         panic!("nothing has changed yet")
     };
     t.put("d/1", None);
-    assert!(t.service.check(&watch, t.now).is_none(), "another prefix");
+    assert!(t.service.poll_watch(&watch, t.now).is_none(), "another prefix");
     t.ask("POST", "/txn", json!({"then":[{"remove":"c/1"},{"put":"c/2","v":5}]}));
-    let news = json(&t.service.check(&watch, t.now).expect("an answer"));
+    let news = json(&t.service.poll_watch(&watch, t.now).expect("an answer"));
     assert_eq!(news, json!({"epoch":3,"news":[{"remove":"c/1","stamp":3},{"put":"c/2","v":5,"stamp":3}]}));
-    let Step::Wait(idle) = t.step(1, "GET", "/follow?prefix=c/&after=3&hold_ms=5000", Json::Null) else {
+    let RequestOutcome::Wait(idle) = t.step(1, "GET", "/follow?prefix=c/&after=3&hold_ms=5000", Json::Null)
+    else {
         panic!("nothing has changed yet")
     };
     t.service.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() }, t.now);
     t.pass(5000);
-    assert!(t.service.check(&idle, t.now).is_none(), "it stays open in an outage");
+    assert!(t.service.poll_watch(&idle, t.now).is_none(), "it stays open in an outage");
     t.service.set_faults(ServiceFaults::default(), t.now);
-    assert_eq!(json(&t.service.check(&idle, t.now).expect("time is up"))["news"], json!([]));
+    assert_eq!(json(&t.service.poll_watch(&idle, t.now).expect("time is up"))["news"], json!([]));
     for _ in 0..10_000 {
         t.put("d/1", None);
     }
@@ -207,16 +211,23 @@
     let mut t = Test::new(LIMITS);
     let put = json!({"then":[{"put":"a","v":1}]});
     t.service.set_faults(ServiceFaults { lost_share: 1.0, ..ServiceFaults::default() }, t.now);
-    assert!(matches!(t.step(0, "POST", "/txn", put.clone()), Step::Lost));
+    assert!(matches!(t.step(0, "POST", "/txn", put.clone()), RequestOutcome::Lost));
     assert_eq!(t.service.data().revision, 1, "carried out all the same");
-    let late = ServiceFaults { late_share: 1.0, late: Duration::from_secs(60), ..ServiceFaults::default() };
+    let late = ServiceFaults {
+        late_share: 1.0,
+        max_execution_delay: Duration::from_secs(60),
+        ..ServiceFaults::default()
+    };
     t.service.set_faults(late, t.now);
-    assert!(matches!(t.step(0, "POST", "/txn", put.clone()), Step::Late(_)));
+    assert!(matches!(t.step(0, "POST", "/txn", put.clone()), RequestOutcome::Late(_)));
     assert_eq!(t.service.data().revision, 1, "not carried out yet");
-    let slow =
-        ServiceFaults { slow_share: 1.0, slow: Duration::from_millis(400), ..ServiceFaults::default() };
+    let slow = ServiceFaults {
+        slow_share: 1.0,
+        max_answer_delay: Duration::from_millis(400),
+        ..ServiceFaults::default()
+    };
     t.service.set_faults(slow, t.now);
-    let Step::Answer(reply, delay) = t.step(0, "POST", "/txn", put) else { panic!("an answer") };
+    let RequestOutcome::Answer(reply, delay) = t.step(0, "POST", "/txn", put) else { panic!("an answer") };
     assert!(reply.status == 200 && (40..400).contains(&delay.as_millis()), "{delay:?}");
 }
 
--- a/crates/emulator/tests/workers.rs
+++ b/crates/emulator/tests/workers.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use emulator::{CloudSettings, MachineFaults, Sending, Site, SiteSettings};
+use emulator::{CloudSettings, MachineFaults, OutgoingReport, Site, SiteSettings};
 use net::Request;
 use serde_json::{Value as Json, json};
 use wire::{Heartbeat, MachineType};
@@ -37,7 +37,7 @@
         life: None,
         notice: Duration::from_secs(20),
         no_notice: 0.0,
-        first: 1,
+        first_number: 1,
     };
     let s = Duration::from_secs;
     SiteSettings {
@@ -59,7 +59,7 @@
     /// The orders that go with the next answer to each machine.
     orders: HashMap<String, Json>,
     last: HashMap<String, Heartbeat>,
-    sent: Vec<(Instant, Sending)>,
+    sent: Vec<(Instant, OutgoingReport)>,
     silent: bool,
 }
 
@@ -82,14 +82,20 @@
     fn pass(&mut self, seconds: f64) {
         for _ in 0..(seconds * 20.0).round() as u32 {
             self.now += Duration::from_millis(50);
-            for sending in self.site.poll(self.now) {
-                self.last.insert(sending.machine.clone(), sending.report.clone());
+            for outgoing in self.site.poll(self.now) {
+                self.last.insert(outgoing.machine.clone(), outgoing.report.clone());
                 if !self.silent {
-                    let orders = self.orders.remove(&sending.machine).unwrap_or(json!([]));
+                    let orders = self.orders.remove(&outgoing.machine).unwrap_or(json!([]));
                     let body = wire::encode(&json!({"baton":self.token,"orders":orders}));
-                    self.site.heard(&sending.machine, sending.ticket, Some(200), &body, self.now);
+                    self.site.record_report_outcome(
+                        &outgoing.machine,
+                        outgoing.ticket,
+                        Some(200),
+                        &body,
+                        self.now,
+                    );
                 }
-                self.sent.push((self.now, sending));
+                self.sent.push((self.now, outgoing));
             }
         }
     }
@@ -102,8 +108,8 @@
     }
 
     fn command(&mut self, machine: &str, order: Json) -> (u16, Json) {
-        let stint = self.site.worker(machine).expect("up").session();
-        let body = json!({"baton":self.token,"stint":stint,"orders":[order]});
+        let incarnation = self.site.worker(machine).expect("up").incarnation();
+        let body = json!({"baton":self.token,"stint":incarnation,"orders":[order]});
         self.request(machine, "POST", "/commands", body).expect("reached")
     }
 
@@ -238,7 +244,7 @@
     t.pass(6.5);
     assert!(t.tasks(M).is_empty(), "and it does not renew the lease");
     let worker = t.site.worker(M).expect("up");
-    assert_eq!((worker.session(), worker.token()), (2, 7));
+    assert_eq!((worker.incarnation(), worker.token()), (2, 7));
     t.token = 9;
     t.orders.insert(M.into(), json!([{"verb":"launch","thread":"j-1/1","try":1}]));
     t.pass(3.0);
@@ -247,7 +253,7 @@
     t.sent.clear();
     t.silent = true;
     t.pass(16.0);
-    let to: Vec<usize> = t.sent.iter().map(|(_, s)| s.to).collect();
+    let to: Vec<usize> = t.sent.iter().map(|(_, s)| s.controller).collect();
     assert!(to.contains(&0) && to.contains(&1) && t.tasks(M).is_empty(), "{to:?}");
     assert!(t.sent.windows(2).all(|w| w[1].0 - w[0].0 >= Duration::from_secs(5)));
 }
@@ -266,12 +272,12 @@
     assert_eq!(t.sent.len(), 1, "a change is told soon");
     t.silent = true;
     t.pass(2.0);
-    let (_, sending) = t.sent.pop().expect("a report");
-    let elsewhere = if sending.to == 0 { "b" } else { "a" };
+    let (_, outgoing) = t.sent.pop().expect("a report");
+    let elsewhere = if outgoing.controller == 0 { "b" } else { "a" };
     let body = wire::encode(&json!({ "foreman": elsewhere }));
-    t.site.heard(M, sending.ticket, Some(421), &body, t.now);
+    t.site.record_report_outcome(M, outgoing.ticket, Some(421), &body, t.now);
     t.pass(0.6);
-    assert_eq!(t.sent.pop().expect("a report").1.to, 1 - sending.to);
+    assert_eq!(t.sent.pop().expect("a report").1.controller, 1 - outgoing.controller);
 }
 
 #[test]
@@ -287,14 +293,14 @@
     assert!(t.sent.is_empty() && !status(&mut t));
     t.site.set_machine_faults(M, MachineFaults::default(), t.now);
     assert_eq!(t.tasks(M), ["running"], "within its lease");
-    t.site.set_machine_faults(M, MachineFaults { mute: true, ..MachineFaults::default() }, t.now);
+    t.site.set_machine_faults(M, MachineFaults { reports_lost: true, ..MachineFaults::default() }, t.now);
     t.sent.clear();
     t.pass(3.0);
     assert!(t.sent.is_empty() && status(&mut t));
-    t.site.set_machine_faults(M, MachineFaults { deaf: true, ..MachineFaults::default() }, t.now);
+    t.site.set_machine_faults(M, MachineFaults { unreachable: true, ..MachineFaults::default() }, t.now);
     t.pass(11.0);
     assert!(!t.sent.is_empty() && !status(&mut t));
-    t.site.set_machine_faults(M, MachineFaults { faulty: true, ..MachineFaults::default() }, t.now);
+    t.site.set_machine_faults(M, MachineFaults { tasks_fail: true, ..MachineFaults::default() }, t.now);
     assert!(t.tasks(M).is_empty(), "answers did not reach it");
     t.launch(M, "j-1/1", 1);
     t.pass(5.0);
