--- a/crates/emulator/src/balancer.rs
+++ b/crates/emulator/src/balancer.rs
@@ -1,5 +1,6 @@
-//! The load balancer before the controllers: which are healthy, and which one gets the
-//! next connection, by "Users -> controller nodes" of the protocol's page.
+//! The load balancer in front of the controllers: tracks which of them are healthy and chooses
+//! the one that gets the next connection, as specified in "Users -> controller nodes" of the
+//! protocol document.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,31 +8,34 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// About how often each node is probed, and how long it has to answer.
+/// Pause between the end of one health probe of a node and the next.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 pub const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a node has to accept a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many nodes are tried for one connection.
+/// Nodes that are tried for one client connection.
 pub const MAX_CONNECT_ATTEMPTS: usize = 3;
+/// How long a node gets no connections after three failed connection attempts in a row.
 const SKIP_DURATION: Duration = Duration::from_secs(3);
+/// Minimum time that an unhealthy node stays removed. It doubles with each removal within
+/// `REPEATED_REMOVAL_WINDOW` of the previous one, up to `MAX_REMOVAL_DURATION`.
 const FIRST_REMOVAL_DURATION: Duration = Duration::from_secs(3);
 const MAX_REMOVAL_DURATION: Duration = Duration::from_secs(60);
 const REPEATED_REMOVAL_WINDOW: Duration = Duration::from_secs(120);
+/// Time in which the share of connections of a healthy node grows from a tenth to the whole.
 const WARM_UP_DURATION: Duration = Duration::from_secs(10);
+/// How long after its removal a node's open connections are reset.
 const CONNECTION_RESET_DELAY: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Default)]
 struct Node {
-    /// Since when it is healthy, and since when it is not.
     healthy_since: Option<Instant>,
     removed_at: Option<Instant>,
-    /// The last probes, the newest last.
+    /// Results of the last six probes, newest last.
     probes: VecDeque<bool>,
     removal_duration: Duration,
     connections_reset: bool,
     open_connections: usize,
-    /// Connections that failed in a row, and until when it is skipped for them.
+    /// Failed connection attempts in a row.
     failed_connects: usize,
     skipped_until: Option<Instant>,
 }
@@ -47,7 +51,7 @@
         Self { nodes, rng: StdRng::seed_from_u64(seed) }
     }
 
-    /// A probe of a node had its answer, or none.
+    /// Records the result of a health probe and removes or readmits the node accordingly.
     pub fn record_probe(&mut self, node: usize, succeeded: bool, now: Instant) {
         let Some(n) = self.nodes.get_mut(node) else { return };
         n.probes.push_back(succeeded);
@@ -74,7 +78,7 @@
         };
         if readmitted {
             n.healthy_since = Some(now);
-            // What led to the removal is not held against it again.
+            // The probes that led to the removal must not count towards the next one.
             n.probes.clear();
         }
     }
@@ -83,7 +87,8 @@
         self.nodes.get(node).is_some_and(|n| n.healthy_since.is_some())
     }
 
-    /// The node for a new connection, other than those that were tried for it already.
+    /// Chooses the node for a new connection: the one with the fewest open connections, weighted
+    /// during warm-up, other than those already tried for this connection.
     pub fn choose(&mut self, tried: &[usize], now: Instant) -> Option<usize> {
         let is_candidate = |i: usize, n: &Node| {
             n.healthy_since.is_some()
@@ -111,7 +116,7 @@
         }
     }
 
-    /// A node has accepted a connection, or not in time.
+    /// Records whether a node accepted a connection in time.
     pub fn record_connection_attempt(&mut self, node: usize, accepted: bool, now: Instant) {
         let Some(n) = self.nodes.get_mut(node) else { return };
         if accepted {
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Nodes whose open connections are to be reset now, each told once.
+    /// Returns the nodes whose open connections must be reset now, each node once per removal.
     pub fn take_resets(&mut self, now: Instant) -> Vec<usize> {
         let mut out = Vec::new();
         for (i, n) in self.nodes.iter_mut().enumerate() {
--- a/crates/emulator/src/cloud/machine.rs
+++ b/crates/emulator/src/cloud/machine.rs
@@ -7,35 +7,36 @@
 use super::{CloudSettings, FAILURE_LIST_DELAY};
 use crate::worker::MachineInfo;
 
+/// Why a machine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineEnd {
     Deleted,
-    /// The cloud took it back.
+    /// The cloud reclaimed the spot machine.
     Reclaimed,
-    /// It stopped on its own, and stays listed until it is deleted.
+    /// The machine failed. It stays listed until it is deleted.
     Failed,
 }
 
-/// One machine and what will become of it.
+/// A rented machine and its planned events.
 pub struct Machine {
     pub info: MachineInfo,
     pub rented_at: Instant,
-    /// None: it never comes up.
+    /// When the machine comes up; None: never.
     pub up_at: Option<Instant>,
     pub up_reported: bool,
     pub fails_at: Option<Instant>,
-    /// When the cloud wants it back.
+    /// When the cloud gives notice, or reclaims the machine without one.
     pub reclaim_at: Option<Instant>,
     pub notice_given: bool,
-    /// When it is taken after a notice.
+    /// When the notice ends and the machine is reclaimed.
     pub taken_at: Option<Instant>,
     pub end: Option<(Instant, MachineEnd)>,
-    /// Paid for until here.
+    /// The rental is charged up to this time.
     pub charged_until: Instant,
     ever_listed: bool,
 }
 
-/// A time that is as likely to be over in the next second as in any other.
+/// Draws an exponentially distributed time, which has the same probability of ending in any second.
 fn draw_life(mean: Option<Duration>, rng: &mut StdRng) -> Option<Duration> {
     mean.map(|m| m.mul_f64(-(1.0 - rng.random_range(0.0..1.0_f64)).ln()))
 }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// As a list describes it that is `lag` old; None if it is not on it.
+    /// The machine's item in a list that is `lag` old; None if the list does not have the machine.
     pub fn listed(&mut self, lag: Duration, now: Instant) -> Option<ListedMachine> {
         let was = |at: Instant| at + lag <= now;
         if !self.ever_listed && !was(self.rented_at) {
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -1,5 +1,5 @@
-//! The cloud: rents machines by the second, by "Controller nodes -> cloud" of the
-//! protocol's page.
+//! The cloud, which rents out machines by the second, as specified in "Controller nodes -> cloud"
+//! of the protocol document.
 
 mod machine;
 mod prices;
@@ -22,57 +22,60 @@
 #[derive(Debug, Clone)]
 pub struct CloudSettings {
     pub types: Vec<MachineType>,
-    /// How many machines there are of a type and zone, ordinary and spot. What is not
-    /// named cannot be had.
+    /// The number of ordinary and spot machines by type and zone; none of those not listed.
     pub capacity: HashMap<(String, String), (u32, u32)>,
     pub rps: f64,
     pub list_lag: Duration,
-    /// Shares of the machines that come up late, at once, or never.
+    /// Shares of the machines that boot slowly, within two seconds, or never.
     pub slow_boots: f64,
     pub quick_boots: f64,
     pub never_up: f64,
-    /// The mean life of spot machines and of all machines; None: without end.
+    /// Mean time until a spot machine is reclaimed and until any machine fails; None: never.
     pub spot_life: Option<Duration>,
     pub life: Option<Duration>,
-    /// The nominal time from a spot notice to the end, and the share that has none.
+    /// Nominal time from a spot notice to the end of the machine.
     pub notice: Duration,
+    /// Share of the spot machines that are reclaimed without notice.
     pub no_notice: f64,
-    /// The number of the first machine. Names must never come back.
+    /// The number in the name of the first machine. It must differ from run to run if names could
+    /// be reused otherwise, since they must be unique forever.
     pub first_number: u64,
 }
 
-/// What happens to machines, for whoever has their workers.
+/// An event of a machine, for the owner of its worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MachineEvent {
     Up(String),
-    /// It will be taken away at this time.
+    /// The spot machine will be reclaimed at this time.
     Notice(String, Instant),
-    /// Deleted, taken or dead.
+    /// The machine was deleted, reclaimed or failed.
     Gone(String),
 }
 
-/// Gives a new machine's address; None if there is none left.
+/// Assigns an address to a new machine; None if no address is left.
 pub type Addresses = Box<dyn FnMut(&str) -> Option<String> + Send>;
 
 const MAX_RENT_COUNT: u32 = 50;
 const MAX_RELEASE_COUNT: usize = 100;
 const MAX_PAGE_MACHINES: usize = 500;
-/// Bursts of so many seconds' worth are allowed.
+/// Largest burst of requests, in seconds of the rate.
 const BURST_S: f64 = 2.0;
-/// How long a machine that died is still listed as running.
+/// How long a failed machine is still listed as running.
 const FAILURE_LIST_DELAY: Duration = Duration::from_secs(30);
-/// How long one lag of the list lasts.
+/// How often the lag of the machine list changes.
 const LAG_REDRAW_INTERVAL: Duration = Duration::from_secs(1);
 
 pub struct Cloud {
     settings: CloudSettings,
     addresses: Addresses,
     machines: BTreeMap<String, Machine>,
-    /// What each request that succeeded was answered.
+    /// Names of the machines in the answer to each rental request that succeeded, by the id of the
+    /// request. A repeated request gets the same answer.
     completed_rentals: HashMap<String, Vec<String>>,
     prices: Prices,
     faults: ServiceFaults,
     bucket: TokenBucket,
+    /// Current lag of the machine list, and until when it applies.
     lag: (Duration, Instant),
     next: u64,
     events: Vec<MachineEvent>,
@@ -107,17 +110,17 @@
         self.faults = faults;
     }
 
-    /// What a machine is.
+    /// The properties of a machine.
     pub fn info(&self, name: &str) -> Option<MachineInfo> {
         self.machines.get(name).map(|m| m.info.clone())
     }
 
-    /// The machines that are rented and not gone.
+    /// The rented machines that have not ended.
     pub fn live(&self) -> impl Iterator<Item = &MachineInfo> {
         self.machines.values().filter(|m| m.end.is_none()).map(|m| &m.info)
     }
 
-    /// Money spent so far, in the prices' unit.
+    /// Money spent so far, in the currency of the prices.
     pub fn spent(&mut self, now: Instant) -> f64 {
         self.charge(now);
         self.prices.spent
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Takes a request.
+    /// Handles a request and applies the injected faults.
     pub fn handle(&mut self, request: &Request, now: Instant) -> RequestOutcome {
         if let Some(late) = self.faults.draw_execution_delay(&mut self.rng) {
             return RequestOutcome::Late(late);
@@ -139,7 +142,7 @@
         self.faults.draw_answer_outcome(reply, &mut self.rng)
     }
 
-    /// Carries a request out now.
+    /// Executes a request now.
     pub fn carry_out(&mut self, request: &Request, now: Instant) -> Reply {
         self.poll(now);
         if self.faults.outage {
@@ -155,14 +158,14 @@
             }
             ("POST", "/machines") => match wire::decode(&request.body) {
                 Ok(rental) => self.rent(rental, now),
-                Err(_) => Reply::error(400, "not a rental request"),
+                Err(_) => Reply::error(400, "the body is not a rental request"),
             },
             ("POST", "/machines/release") => match wire::decode::<MachineNames>(&request.body) {
                 Ok(names) if names.machines.len() <= MAX_RELEASE_COUNT => {
                     names.machines.iter().for_each(|name| self.delete(name, now));
                     Reply::new(200, &MachineNames { machines: names.machines })
                 }
-                _ => Reply::error(400, "not a list of up to 100 names"),
+                _ => Reply::error(400, "the body is not a list of up to 100 machine names"),
             },
             ("GET", "/machines") => {
                 let value = |name: &str| query.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
@@ -225,12 +228,12 @@
         }
     }
 
-    /// From now on this share of the machines that are rented never comes up.
+    /// Sets the share of newly rented machines that never come up.
     pub fn set_never_up(&mut self, share: f64) {
         self.settings.never_up = share;
     }
 
-    /// A machine stops on its own, or is taken back.
+    /// Ends a machine that failed or is reclaimed.
     fn end_machine(&mut self, name: &str, end: MachineEnd, now: Instant) {
         let Some(m) = self.machines.get_mut(name).filter(|m| m.end.is_none()) else { return };
         self.prices.charge(&m.info, m.charged_until, now);
@@ -238,12 +241,12 @@
         self.events.push(MachineEvent::Gone(name.to_owned()));
     }
 
-    /// A machine dies now.
+    /// Makes a machine fail now.
     pub fn kill(&mut self, name: &str, now: Instant) {
         self.end_machine(name, MachineEnd::Failed, now);
     }
 
-    /// A spot machine gets its notice now, or is taken at once if `notice` is None.
+    /// Gives a spot machine its notice now, or reclaims it at once if `notice` is None.
     pub fn reclaim(&mut self, name: &str, notice: Option<Duration>, now: Instant) {
         match notice {
             None => self.end_machine(name, MachineEnd::Reclaimed, now),
@@ -257,13 +260,13 @@
         }
     }
 
-    /// A notice's length: half to one and a half times the nominal one.
+    /// Draws the length of a notice, half to one and a half times the nominal one; None: no notice.
     pub fn draw_notice(&mut self) -> Option<Duration> {
         let without = self.rng.random_bool(self.settings.no_notice.clamp(0.0, 1.0));
         (!without).then(|| self.settings.notice.mul_f64(self.rng.random_range(0.5..1.5)))
     }
 
-    /// Lets time pass; what has happened to machines since the last call.
+    /// Advances the cloud to `now` and records the events of machines for `take_events`.
     pub fn poll(&mut self, now: Instant) {
         if self.prices.due(now) {
             self.charge(now);
@@ -288,7 +291,7 @@
                 self.reclaim(&name, notice, now);
             }
         }
-        // What is gone is listed for a while yet.
+        // Ended machines are kept while lagging lists may still show them.
         let listed = self.settings.list_lag * 2 + Duration::from_secs(5);
         self.machines.retain(|_, m| {
             !matches!(m.end, Some((at, MachineEnd::Deleted | MachineEnd::Reclaimed))
@@ -302,7 +305,7 @@
 
     fn list(&mut self, after: &str, page: usize, now: Instant) -> MachineList {
         if now >= self.lag.1 {
-            // Now and then up to twice the usual lag, so that a list may be older than the last.
+            // One time in ten up to twice the usual lag, so a list may be older than the previous one.
             let times = if self.rng.random_bool(0.1) { 1.0..2.0 } else { 0.3..1.0 };
             self.lag =
                 (self.settings.list_lag.mul_f64(self.rng.random_range(times)), now + LAG_REDRAW_INTERVAL);
--- a/crates/emulator/src/cloud/prices.rs
+++ b/crates/emulator/src/cloud/prices.rs
@@ -7,18 +7,19 @@
 
 use crate::worker::MachineInfo;
 
-/// Spot prices, which move around the nominal ones, and what was spent.
+/// Spot prices, which vary around the nominal ones, and the total cost of the machines.
 pub struct Prices {
-    /// Today's spot price as a multiple of the nominal one, by type.
+    /// Current spot price as a multiple of the nominal one, by machine type.
     factors: BTreeMap<String, f64>,
     next: Instant,
     pub spent: f64,
 }
 
-/// How often spot prices move, and how far from the nominal one they may be.
+/// How often spot prices change.
 const PRICE_UPDATE_INTERVAL: Duration = Duration::from_secs(30);
+/// Largest deviation of a spot price, as a share of the nominal one.
 const MAX_PRICE_DEVIATION: f64 = 1.0 / 3.0;
-/// A machine that is deleted costs at least this time.
+/// A deleted machine is charged for at least this time.
 const MIN_BILLED_TIME: Duration = Duration::from_secs(60);
 
 impl Prices {
@@ -43,7 +44,7 @@
         t.spot_price * self.factors.get(&t.name).copied().unwrap_or(1.0)
     }
 
-    /// The types with the prices of now.
+    /// The machine types with the current spot prices.
     pub fn current(&self, types: &[MachineType]) -> Vec<MachineType> {
         types.iter().map(|t| MachineType { spot_price: self.spot_price(t), ..t.clone() }).collect()
     }
@@ -58,7 +59,7 @@
         self.add(machine, to.saturating_duration_since(from));
     }
 
-    /// What is missing to the least that a machine costs that is deleted at this age.
+    /// Charges a machine that is deleted at this age for the rest of the minimum billed time.
     pub fn charge_minimum(&mut self, machine: &MachineInfo, age: Duration) {
         self.add(machine, MIN_BILLED_TIME.saturating_sub(age));
     }
--- a/crates/emulator/src/config/check.rs
+++ b/crates/emulator/src/config/check.rs
@@ -1,10 +1,11 @@
-//! What a description of a site must keep to beyond its form.
+//! Validation of the values in a site file beyond its syntax and types.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use super::SiteFile;
 
+/// The path of a field, and what is wrong with its value.
 type FieldError = (Vec<String>, String);
 
 fn field_path(path: &[&str]) -> Vec<String> {
@@ -12,7 +13,7 @@
 }
 
 impl SiteFile {
-    /// The first mistake: the field's path, and what is wrong with it.
+    /// Returns the first invalid value.
     pub(super) fn first_error(&self) -> Option<FieldError> {
         self.address_error()
             .or_else(|| self.number_error())
@@ -43,7 +44,7 @@
                 if port_may_be_0 {
                     continue;
                 }
-                return Some((path, "must have a port, as others are told of it".into()));
+                return Some((path, "must have a port other than 0, because others connect to it".into()));
             }
             if let Some(other) = seen.insert(addr, path.clone()) {
                 return Some((path, format!("is the same address as {}", other.join("."))));
@@ -133,7 +134,8 @@
             }
         }
         let without_zone = self.machine_type.iter().find(|(_, t)| t.zones().is_empty());
-        without_zone
-            .map(|(name, _)| (field_path(&["machine_type", name, "capacity"]), "must name a zone".into()))
+        without_zone.map(|(name, _)| {
+            (field_path(&["machine_type", name, "capacity"]), "must name at least one zone".into())
+        })
     }
 }
--- a/crates/emulator/src/config/hcl_file.rs
+++ b/crates/emulator/src/config/hcl_file.rs
@@ -1,4 +1,4 @@
-//! Reading HCL so that every mistake is one line with the file, the line and the field.
+//! Reads site files (HCL). Every error is one line that names the file, the line and the field.
 
 use std::path::Path;
 
@@ -25,7 +25,7 @@
     text.get(..at).map_or(1, |before| before.matches('\n').count() + 1)
 }
 
-/// Where the field is, or, if it is missing, the block that it should be in.
+/// The byte offset of a field or, if it is missing, of the block that it belongs in.
 fn locate(body: &Body, path: &[String]) -> Option<usize> {
     let (first, rest) = path.split_first()?;
     for structure in body {
@@ -45,11 +45,11 @@
     None
 }
 
-/// Blocks of which there may be several, told apart by one label.
+/// Types of blocks that may occur several times and have a name as their label.
 const LABELED_BLOCKS: [&str; 5] = ["controller", "machine_type", "team", "load", "trouble"];
 
-/// A block that is there twice or has the wrong labels, and where it is. Once read as
-/// values, such blocks would have become one.
+/// Returns the offset and path of the first block that is duplicated or has the wrong labels, and
+/// what is wrong with it. This cannot be checked later, because deserialization merges such blocks.
 fn invalid_block(body: &Body) -> Option<(usize, String, &'static str)> {
     let mut seen = Vec::new();
     for block in body.blocks() {
@@ -57,9 +57,9 @@
         path.extend(block.labels.iter().map(|l| l.as_str()));
         let labels = usize::from(LABELED_BLOCKS.contains(&block.ident.as_str()));
         let why = match block.labels.len() {
-            n if n > labels => Some("has a label too many"),
+            n if n > labels => Some("has too many labels"),
             n if n < labels => Some("must have a name"),
-            _ if seen.contains(&path) => Some("is there twice"),
+            _ if seen.contains(&path) => Some("is defined twice"),
             _ => None,
         };
         if let Some(why) = why {
@@ -70,7 +70,7 @@
     None
 }
 
-/// The field that serde's message names, if it names one that is not in the path.
+/// The unknown or missing field that an error message of serde names, if any.
 fn field_in_message(message: &str) -> Option<String> {
     let rest = message.strip_prefix("unknown field `").or(message.strip_prefix("missing field `"))?;
     rest.split('`').next().map(str::to_owned)
@@ -83,7 +83,7 @@
         Self::parse(&file, &text)
     }
 
-    /// Reads and checks a description; `file` is only for what is said of mistakes.
+    /// Parses and validates a site file; `file` is the name in error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, SiteError> {
         let body = hcl_edit::parser::parse_body(text).map_err(|e| {
             let line = e.location().line();
--- a/crates/emulator/src/config/load_and_faults.rs
+++ b/crates/emulator/src/config/load_and_faults.rs
@@ -1,4 +1,4 @@
-//! The blocks `load` and `trouble` of a site's file.
+//! The blocks `load` (streams of jobs) and `trouble` (injected faults) of a site file.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     Production,
 }
 
-/// Jobs that come again and again.
+/// A stream of jobs that users submit at random times.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadFile {
@@ -60,8 +60,8 @@
     pub save_s: f64,
     #[serde(default)]
     pub deadline_s: Option<f64>,
-    /// How long a service runs before it is cancelled; of other jobs, `cancelled` are
-    /// cancelled within this time.
+    /// How long a service runs before it is cancelled. Of other jobs, the share `cancelled` is
+    /// cancelled at a random time within this time.
     pub stays_s: f64,
     #[serde(default)]
     pub cancelled: f64,
@@ -91,23 +91,23 @@
 #[serde(deny_unknown_fields)]
 pub struct TroubleFile {
     pub kind: TroubleKind,
-    /// From the beginning of the site.
+    /// Begin of the fault, relative to the start of the site.
     pub at_s: f64,
     #[serde(default)]
     pub for_s: f64,
-    /// Of the requests or machines.
+    /// The share of the requests or machines that is affected; None: all of them.
     #[serde(default)]
     pub share: Option<f64>,
-    /// For `state_refuses`.
+    /// The controller that is refused, for `state_refuses`.
     #[serde(default)]
     pub controller: Option<String>,
-    /// How slow or late at most.
+    /// Maximum delay, for the kinds that are slow or late.
     #[serde(default)]
     pub delay_s: f64,
 }
 
 impl SiteFile {
-    /// The class of a load's jobs is its name.
+    /// The streams of jobs. The class of their jobs is the name of the block.
     pub fn loads(&self) -> Vec<Load> {
         let load = |(name, l): (&String, &LoadFile)| Load {
             job: l.job(name),
@@ -154,7 +154,7 @@
         for (name, l) in &self.load {
             let of = |field: &str| path("load", name, field);
             if !self.team.contains_key(&l.team) {
-                return Some((of("team"), "is none of the teams".into()));
+                return Some((of("team"), "is not the name of a team".into()));
             }
             if !l.per_minute.is_finite() || !(1e-3..=6000.0).contains(&l.per_minute) {
                 return Some((of("per_minute"), "must be a number from 0.001 to 6000".into()));
@@ -181,14 +181,14 @@
             }
             let known = t.controller.as_ref().is_some_and(|c| self.controller.contains_key(c));
             if !known && (t.controller.is_some() || matches!(t.kind, TroubleKind::StateRefuses)) {
-                return Some((of("controller"), "must be one of the controllers".into()));
+                return Some((of("controller"), "must be the name of a controller".into()));
             }
         }
         None
     }
 }
 
-/// A job's field as it is called in the file.
+/// The name in the site file of a field of a job.
 fn file_field_name(field: &'static str) -> &'static str {
     match field {
         "threads" => "tasks",
--- a/crates/emulator/src/config/mod.rs
+++ b/crates/emulator/src/config/mod.rs
@@ -1,5 +1,4 @@
-//! The file that describes an emulated site (HCL), and the settings files that its
-//! controllers get.
+//! The file that describes an emulated site (HCL), and the settings files of its controllers.
 
 mod check;
 mod hcl_file;
@@ -22,14 +21,13 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteFile {
-    /// Everything that is drawn is drawn from it.
+    /// Seed of all random draws.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// A folder that the state service keeps its data in; None: it keeps nothing.
+    /// Folder for the data of the state service and of jobs; None: nothing is stored.
     #[serde(default)]
     pub data: Option<PathBuf>,
     pub listen: ListenFile,
-    /// By name.
     pub controller: BTreeMap<String, ControllerFile>,
     pub machine_type: BTreeMap<String, MachineTypeFile>,
     pub team: BTreeMap<String, TeamFile>,
@@ -37,10 +35,11 @@
     pub state: StateFile,
     pub cloud: CloudFile,
     pub limits: LimitsFile,
-    /// Jobs of the emulated users.
+    /// Streams of jobs that the emulated users submit, by name.
     #[serde(default)]
     pub load: BTreeMap<String, load_and_faults::LoadFile>,
     #[serde(default)]
+    /// Injected faults, by name.
     pub trouble: BTreeMap<String, load_and_faults::TroubleFile>,
 }
 
@@ -48,7 +47,7 @@
     1
 }
 
-/// IP addresses and ports; port 0 takes any.
+/// IP addresses and ports; port 0 stands for any free port.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenFile {
@@ -60,12 +59,13 @@
 #[serde(deny_unknown_fields)]
 pub struct ControllerFile {
     pub zone: String,
-    /// Its own addresses.
+    /// The controller's own address for users and workers.
     pub front: String,
+    /// The controller's own address for other controllers.
     pub internal: String,
-    /// What users use in the place of `front`.
+    /// Address of a proxy that users use instead of `front`.
     pub door: String,
-    /// Where it alone reaches the state service.
+    /// Address at which only this controller reaches the state service.
     pub state: String,
 }
 
@@ -81,8 +81,9 @@
     pub price: f64,
     pub spot_price: f64,
     pub boot_s: f64,
-    /// How many machines there are, by zone.
+    /// Number of ordinary machines, by zone.
     pub capacity: BTreeMap<String, u32>,
+    /// Number of spot machines, by zone.
     #[serde(default)]
     pub spot_capacity: BTreeMap<String, u32>,
 }
@@ -122,25 +123,29 @@
 pub struct CloudFile {
     pub rps: f64,
     pub list_lag_s: f64,
-    /// Shares of the machines.
+    /// Share of the machines that boot slowly.
     #[serde(default)]
     pub slow_boots: f64,
+    /// Share of the machines that boot within two seconds.
     #[serde(default)]
     pub quick_boots: f64,
+    /// Share of the machines that never come up.
     #[serde(default)]
     pub never_up: f64,
-    /// Mean lives; None: without end.
+    /// Mean time until a spot machine is reclaimed; None: never.
     #[serde(default)]
     pub spot_life_s: Option<f64>,
+    /// Mean time until a machine fails; None: never.
     #[serde(default)]
     pub life_s: Option<f64>,
     #[serde(default)]
     pub notice_s: f64,
+    /// Share of the spot machines that are reclaimed without notice.
     #[serde(default)]
     pub no_notice: f64,
 }
 
-/// What each controller is told that it may use. Nothing enforces it here.
+/// The resource limits in each controller's settings. The emulation does not enforce them.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitsFile {
@@ -154,7 +159,7 @@
 }
 
 impl SiteFile {
-    /// The host that machines have their addresses on: that of the users' address.
+    /// The host of the machines' addresses: the one in the address for users.
     pub fn host(&self) -> String {
         self.listen
             .users
@@ -201,8 +206,9 @@
             }
         }
         let c = &self.cloud;
-        // A state service with a file remembers machines of earlier runs, whose names must
-        // not come back: they would, counted by seconds, if many were rented in a few.
+        // A state service with a file remembers the machines of earlier runs, whose names must not
+        // be reused. Numbering from the time in seconds would reuse names if an earlier run rented
+        // many machines within a few seconds, so each second has 1000 numbers.
         let first_number = match self.data {
             Some(_) => SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_secs() * 1000),
             None => 1,
--- a/crates/emulator/src/config/settings.rs
+++ b/crates/emulator/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The settings (TOML) of the controllers of an emulated site.
+//! The settings files (TOML) of the controllers of an emulated site.
 
 use serde::Serialize;
 
@@ -80,7 +80,7 @@
     max_connections: usize,
 }
 
-/// All clocks here are one.
+/// Bound on clock differences: all controllers use the clock of the same machine.
 const TIME_BOUND_MS: f64 = 1.0;
 
 impl SiteFile {
--- a/crates/emulator/src/emulation/job_file.rs
+++ b/crates/emulator/src/emulation/job_file.rs
@@ -5,16 +5,16 @@
 use crate::jobs::{JobChange, Jobs};
 use crate::journal::{Journal, JournalError};
 
-/// The file that jobs' descriptions, progress and results outlive a restart in. Nobody
-/// is promised that the last moments are in it.
+/// The file that keeps descriptions, progress and results of jobs across restarts. The most recent
+/// changes may be lost when the process is killed.
 #[derive(Debug)]
 pub struct JobFile {
-    /// None once it has failed.
+    /// None after a failed write.
     journal: Option<Journal>,
 }
 
 impl JobFile {
-    /// Opens the file and gives the jobs what is in it.
+    /// Opens the file and restores its jobs.
     pub fn open(path: &Path, jobs: &mut Jobs) -> Result<Self, JournalError> {
         let (mut journal, entries) = Journal::open(path)?;
         for entry in entries {
@@ -26,8 +26,8 @@
         Ok(Self { journal: Some(journal) })
     }
 
-    /// Writes down what has changed.
-    pub fn keep(&mut self, jobs: &mut Jobs) {
+    /// Writes the changes since the last call. After a failed write, no more changes are written.
+    pub fn write_changes(&mut self, jobs: &mut Jobs) {
         let changes = jobs.take_changes();
         let Some(journal) = &mut self.journal else { return };
         if changes.is_empty() {
@@ -38,7 +38,7 @@
             written = journal.replace(&[wire::encode(&jobs.snapshot())]);
         }
         if let Err(e) = written {
-            error!(error = %e, "what becomes of jobs is not kept any more");
+            error!(error = %e, "the file of jobs cannot be written; changes of jobs are no longer stored");
             self.journal = None;
         }
     }
--- a/crates/emulator/src/emulation/mod.rs
+++ b/crates/emulator/src/emulation/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins in real time, behind HTTP on loopback.
+//! Runs an emulated site in real time, with its services reachable over HTTP on loopback.
 
 mod job_file;
 mod proxy;
@@ -35,7 +35,7 @@
     Folder(String, std::io::Error),
 }
 
-/// A mutex whose holder cannot have panicked half-way, as nothing here panics.
+/// A mutex without poisoning: nothing here panics while it holds the lock.
 #[derive(Debug, Default)]
 struct Locked<T>(Mutex<T>);
 
@@ -49,27 +49,29 @@
     }
 }
 
-/// How often time passes for the site and for leases.
+/// How often the site and the leases of the state service advance.
 const TICK: Duration = Duration::from_millis(20);
 
+/// Listeners of machines that are rented and not yet up, by the machine's name.
 type Listeners = Arc<Locked<HashMap<String, std::net::TcpListener>>>;
 
+/// The state that the tasks of an emulation share.
 pub(crate) struct Shared {
     site: Locked<Site>,
     state: Locked<StateService>,
     balancer: Locked<Balancer>,
     schedule: Locked<FaultSchedule>,
     users: Locked<Users>,
-    /// Where the controllers listen for users and workers.
+    /// Addresses at which the controllers listen for users and workers.
     fronts: Vec<String>,
-    /// The users' connections to each controller end with it.
+    /// Cancelling a controller's token closes the users' connections to it.
     resets: Vec<Locked<CancellationToken>>,
     probes: Client,
-    /// Keeps descriptions, progress and results of jobs, if anything is kept.
+    /// The file of jobs, if the site stores its data.
     job_file: Option<Locked<JobFile>>,
-    /// Something in the state service may have changed.
+    /// Notified when the data or the faults of the state service may have changed.
     changed: Notify,
-    /// A probe was answered.
+    /// Notified after each health probe.
     health: Notify,
     stop: CancellationToken,
     tasks: TaskTracker,
@@ -83,22 +85,22 @@
     }
 }
 
-/// Where one controller of the emulated site is to be found and finds the others.
+/// The addresses of one controller of the emulated site.
 #[derive(Debug, Clone)]
 pub struct Controller {
     pub name: String,
     pub file: ControllerFile,
-    /// What users use in the place of its own address.
+    /// Address of the proxy that users use instead of the controller's own address.
     pub proxy_addr: String,
-    /// Where it, and it alone, reaches the state service.
+    /// Address at which only this controller reaches the state service.
     pub state_addr: String,
 }
 
-/// A site that runs until it is stopped.
+/// A running emulated site.
 pub struct Emulation {
     shared: Arc<Shared>,
     pub controllers: Vec<Controller>,
-    /// The load balancer.
+    /// Address of the load balancer.
     pub balancer_addr: String,
     pub cloud_addr: String,
 }
@@ -110,7 +112,7 @@
     Ok((listener, local))
 }
 
-/// Any port of the address's host, for a machine; None if there is none left.
+/// Listens on any free port of the host for a machine; None if there is none.
 fn machine_port(listeners: &Listeners, host: &str, machine: &str) -> Option<String> {
     let listener = std::net::TcpListener::bind((host, 0)).ok()?;
     listener.set_nonblocking(true).ok()?;
@@ -119,53 +121,58 @@
     Some(addr)
 }
 
-fn folder(site: &SiteFile) -> Result<Option<&Path>, EmulationError> {
-    let Some(folder) = site.data.as_deref() else { return Ok(None) };
-    std::fs::create_dir_all(folder).map_err(|e| EmulationError::Folder(folder.display().to_string(), e))?;
-    Ok(Some(folder))
+fn data_folder(site: &SiteFile) -> Result<Option<&Path>, EmulationError> {
+    let Some(data_folder) = site.data.as_deref() else { return Ok(None) };
+    std::fs::create_dir_all(data_folder)
+        .map_err(|e| EmulationError::Folder(data_folder.display().to_string(), e))?;
+    Ok(Some(data_folder))
 }
 
 fn state_service(site: &SiteFile, now: Instant) -> Result<StateService, EmulationError> {
     let limits = site.state_limits();
-    Ok(match folder(site)? {
-        Some(folder) => StateService::open(limits, site.seed, &folder.join("state"), now)?,
+    Ok(match data_folder(site)? {
+        Some(data_folder) => StateService::open(limits, site.seed, &data_folder.join("state"), now)?,
         None => StateService::new(limits, site.seed, now),
     })
 }
 
 impl Emulation {
-    /// Opens everything and begins. Of the tokio runtime it needs time and I/O.
+    /// Opens all listeners and files and starts the emulation. The tokio runtime must have time and
+    /// I/O enabled.
     pub async fn start(site: &SiteFile) -> Result<Self, EmulationError> {
         let now = Instant::now();
         let (balancer, balancer_addr) = listen("listen.users", &site.listen.users).await?;
         let (cloud_listener, cloud_addr) = listen("listen.cloud", &site.listen.cloud).await?;
         let host = site.host();
-        let (mut controllers, mut doors, mut states) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut controllers, mut proxy_listeners, mut state_listeners) =
+            (Vec::new(), Vec::new(), Vec::new());
         for (name, file) in &site.controller {
-            let of = |field: &str| format!("controller.{name}.{field}");
-            let (proxy_listener, proxy_addr) = listen(&of("door"), &file.door).await?;
-            let (state_listener, state_addr) = listen(&of("state"), &file.state).await?;
-            doors.push((proxy_listener, file.front.clone()));
-            states.push(state_listener);
+            let setting_name = |field: &str| format!("controller.{name}.{field}");
+            let (proxy_listener, proxy_addr) = listen(&setting_name("door"), &file.door).await?;
+            let (state_listener, state_addr) = listen(&setting_name("state"), &file.state).await?;
+            proxy_listeners.push((proxy_listener, file.front.clone()));
+            state_listeners.push(state_listener);
             controllers.push(Controller { name: name.clone(), file: file.clone(), proxy_addr, state_addr });
         }
         let state = state_service(site, now)?;
         let listeners = Listeners::default();
-        let l = listeners.clone();
-        let addresses = Box::new(move |machine: &str| machine_port(&l, &host, machine));
+        let machine_listeners = listeners.clone();
+        let addresses = Box::new(move |machine: &str| machine_port(&machine_listeners, &host, machine));
         let fronts: Vec<String> = site.controller.values().map(|c| c.front.clone()).collect();
-        let mut stand_ins = Site::new(site.site_settings(), addresses, now);
-        let job_file = match folder(site)? {
-            Some(folder) => Some(Locked::new(JobFile::open(&folder.join("jobs"), &mut stand_ins.jobs)?)),
+        let mut emulated_site = Site::new(site.site_settings(), addresses, now);
+        let job_file = match data_folder(site)? {
+            Some(data_folder) => {
+                Some(Locked::new(JobFile::open(&data_folder.join("jobs"), &mut emulated_site.jobs)?))
+            }
             None => None,
         };
         let shared = Arc::new(Shared {
-            site: Locked::new(stand_ins),
+            site: Locked::new(emulated_site),
             job_file,
             state: Locked::new(state),
             balancer: Locked::new(Balancer::new(fronts.len(), site.seed)),
             schedule: Locked::new(FaultSchedule::new(site.scheduled_faults(), site.seed, now)),
-            users: Locked::new(Users::new(site.loads(), unix_s(), site.seed, now)),
+            users: Locked::new(Users::new(site.loads(), unix_time_s(), site.seed, now)),
             resets: fronts.iter().map(|_| Locked::default()).collect(),
             probes: Client::new(fronts.len()),
             changed: Notify::new(),
@@ -175,23 +182,23 @@
             fronts,
         });
         let tasks = &shared.tasks;
-        for (caller, listener) in states.into_iter().enumerate() {
-            tasks.spawn(services::state(shared.clone(), listener, caller));
+        for (caller, listener) in state_listeners.into_iter().enumerate() {
+            tasks.spawn(services::serve_state(shared.clone(), listener, caller));
         }
-        for (listener, front) in doors {
-            tasks.spawn(proxy::door(shared.clone(), listener, front));
+        for (listener, front) in proxy_listeners {
+            tasks.spawn(proxy::controller_proxy(shared.clone(), listener, front));
         }
         for node in 0..shared.fronts.len() {
-            tasks.spawn(proxy::probes(shared.clone(), node));
+            tasks.spawn(proxy::probe_node(shared.clone(), node));
         }
-        tasks.spawn(services::cloud(shared.clone(), cloud_listener));
-        tasks.spawn(user_traffic::users(shared.clone(), balancer_addr.clone()));
-        tasks.spawn(services::clock(shared.clone(), listeners));
-        tasks.spawn(proxy::balancer(shared.clone(), balancer));
+        tasks.spawn(services::serve_cloud(shared.clone(), cloud_listener));
+        tasks.spawn(user_traffic::run_users(shared.clone(), balancer_addr.clone()));
+        tasks.spawn(services::run_clock(shared.clone(), listeners));
+        tasks.spawn(proxy::balancer_proxy(shared.clone(), balancer));
         Ok(Self { shared, controllers, balancer_addr, cloud_addr })
     }
 
-    /// Waits until the load balancer takes every controller for healthy.
+    /// Waits until the load balancer considers every controller healthy.
     pub async fn wait_until_all_healthy(&self) {
         loop {
             let next = self.shared.health.notified();
@@ -202,50 +209,50 @@
         }
     }
 
-    /// How many machines are up, and the money spent.
+    /// The number of machines that are up, and the money spent.
     pub fn summary(&self) -> (usize, f64) {
         let mut site = self.shared.site.lock();
         (site.workers().count(), site.cloud.spent(Instant::now()))
     }
 
-    /// What has become of the emulated users' jobs.
+    /// The outcomes of the emulated users' jobs.
     pub fn user_statistics(&self) -> UserStatistics {
         self.shared.users.lock().user_statistics().clone()
     }
 
-    /// What is on the machines, ended tasks that are still reported too.
+    /// The tasks on all machines, including exited ones that are still reported.
     pub fn tasks(&self) -> Vec<wire::TaskStatus> {
         self.shared.site.lock().workers().flat_map(|w| w.tasks()).collect()
     }
 
-    /// Changes the site itself, as a test wants it.
+    /// Gives a test access to the site.
     pub fn with_site<T>(&self, change: impl FnOnce(&mut Site) -> T) -> T {
         change(&mut self.shared.site.lock())
     }
 
-    /// Changes what goes wrong with the state service. The troubles of the site's file, if any
-    /// begin or end later, take its place.
-    pub fn set_state_faults(&self, troubles: crate::service_faults::ServiceFaults) {
-        self.shared.state.lock().set_faults(troubles, Instant::now());
+    /// Replaces the injected faults of the state service. The next begin or end of a fault of the
+    /// site file replaces them again.
+    pub fn set_state_faults(&self, faults: crate::service_faults::ServiceFaults) {
+        self.shared.state.lock().set_faults(faults, Instant::now());
         self.shared.changed.notify_waiters();
     }
 
-    /// A record in the state service.
+    /// The value of a key in the state service.
     pub fn state_value(&self, key: &str) -> Option<rmpv::Value> {
         self.shared.state.lock().data().keys.get(key).map(|e| e.value.clone())
     }
 
-    /// Closes everything.
+    /// Stops the emulation and closes all its connections.
     pub async fn stop(self) {
         self.shared.stop.cancel();
         self.shared.tasks.close();
-        // Requests that are not answered on purpose need not be waited for.
+        // Some requests are deliberately never answered, so the wait has a limit.
         let _ = tokio::time::timeout(Duration::from_millis(500), self.shared.tasks.wait()).await;
     }
 }
 
-/// What names begin with that must not come back in a later run.
-fn unix_s() -> u64 {
+/// The current Unix time, used as a prefix of names that later runs must not reuse.
+fn unix_time_s() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(1, |d| d.as_secs())
 }
--- a/crates/emulator/src/emulation/proxy.rs
+++ b/crates/emulator/src/emulation/proxy.rs
@@ -1,6 +1,6 @@
-//! Connections of users to the controllers: through the load balancer or through the
-//! door of one controller. They are passed on as they are. What users submit is read
-//! along, in the place of their upload of the job's description to the site.
+//! Proxies for the users' connections to the controllers, through the load balancer or to one
+//! controller. Data is forwarded unchanged. Submissions are also parsed on the way, which replaces
+//! the users' upload of job descriptions to the site.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,24 +13,24 @@
 use super::Shared;
 use crate::balancer::{CONNECT_TIMEOUT, MAX_CONNECT_ATTEMPTS, PROBE_INTERVAL, PROBE_TIMEOUT};
 
-/// Passes connections on to one controller.
-pub async fn door(shared: Arc<Shared>, listener: TcpListener, to: String) {
+/// Forwards connections to one controller.
+pub async fn controller_proxy(shared: Arc<Shared>, listener: TcpListener, front: String) {
     while let Some(client) = accept(&shared, &listener).await {
-        let (shared, to) = (shared.clone(), to.clone());
+        let (shared, front) = (shared.clone(), front.clone());
         shared.tasks.clone().spawn(async move {
-            if let Ok(Ok(server)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(&to)).await {
+            if let Ok(Ok(server)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(&front)).await {
                 splice(&shared, client, server).await;
             }
         });
     }
 }
 
-/// Passes each connection on to a healthy controller.
-pub async fn balancer(shared: Arc<Shared>, listener: TcpListener) {
+/// Forwards each connection to a healthy controller.
+pub async fn balancer_proxy(shared: Arc<Shared>, listener: TcpListener) {
     while let Some(client) = accept(&shared, &listener).await {
         let shared = shared.clone();
         shared.tasks.clone().spawn(async move {
-            let Some((node, server)) = connect(&shared).await else { return };
+            let Some((node, server)) = connect_to_healthy(&shared).await else { return };
             let reset = shared.resets.get(node).map(|r| r.lock().child_token()).unwrap_or_default();
             tokio::select! {
                 () = splice(&shared, client, server) => {}
@@ -41,7 +41,7 @@
     }
 }
 
-async fn connect(shared: &Shared) -> Option<(usize, TcpStream)> {
+async fn connect_to_healthy(shared: &Shared) -> Option<(usize, TcpStream)> {
     let mut tried = Vec::new();
     while tried.len() < MAX_CONNECT_ATTEMPTS {
         let node = shared.balancer.lock().choose(&tried, Instant::now())?;
@@ -64,7 +64,7 @@
         };
         match accepted {
             Ok((stream, _)) => return Some(stream),
-            // Out of sockets, most likely: let some close first.
+            // Probably no file descriptors are left: wait for connections to close.
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(50)).await,
         }
     }
@@ -74,40 +74,41 @@
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (from_client, mut to_client) = client.into_split();
     let (mut from_server, to_server) = server.into_split();
-    let l = shared.clone();
+    let shared_for_upload = shared.clone();
     let upload = move |request: Request| {
         if request.method == "POST"
             && request.path == "/v1/jobs"
             && let Ok(spec) = wire::decode::<JobSpec>(&request.body)
         {
-            l.site.lock().upload(spec, false);
+            shared_for_upload.site.lock().upload(spec, false);
         }
         std::future::ready(())
     };
-    let there = net::read_along(from_client, to_server, wire::BODY_LIMIT, upload);
-    let back = tokio::io::copy(&mut from_server, &mut to_client);
-    // A client that has said all still gets its answer: the controller ends it.
-    let there = async {
-        if there.await.is_ok() {
+    let client_to_server = net::read_along(from_client, to_server, wire::BODY_LIMIT, upload);
+    let server_to_client = tokio::io::copy(&mut from_server, &mut to_client);
+    // After the client has closed its side, it still gets its answer: the controller closes the
+    // connection.
+    let client_to_server = async {
+        if client_to_server.await.is_ok() {
             std::future::pending::<()>().await;
         }
     };
     tokio::select! {
-        () = there => {}
-        _ = back => {}
+        () = client_to_server => {}
+        _ = server_to_client => {}
         () = shared.stop.cancelled() => {}
     }
 }
 
-/// Asks every controller about once a second whether it can take requests.
-pub async fn probes(shared: Arc<Shared>, node: usize) {
+/// Probes about once a second whether a controller can handle requests.
+pub async fn probe_node(shared: Arc<Shared>, node: usize) {
     let Some(front) = shared.fronts.get(node).cloned() else { return };
     while !shared.stop.is_cancelled() {
         let answer = shared.probes.request(&front, "GET", "/healthz", Vec::new(), 4096, PROBE_TIMEOUT).await;
-        let (fine, now) = (answer.is_ok_and(|a| a.status == 200), Instant::now());
+        let (healthy, now) = (answer.is_ok_and(|a| a.status == 200), Instant::now());
         let resets = {
             let mut balancer = shared.balancer.lock();
-            balancer.record_probe(node, fine, now);
+            balancer.record_probe(node, healthy, now);
             balancer.take_resets(now)
         };
         for node in resets {
--- a/crates/emulator/src/emulation/services.rs
+++ b/crates/emulator/src/emulation/services.rs
@@ -1,4 +1,4 @@
-//! State service, cloud and machines behind HTTP.
+//! HTTP servers of the state service, the cloud and the machines, and the clock of the site.
 
 use std::collections::HashMap;
 use std::future::pending;
@@ -17,10 +17,10 @@
 use crate::state::Watch;
 use crate::worker::REPORT_TIMEOUT;
 
-/// The state service as one controller reaches it.
-pub async fn state(shared: Arc<Shared>, listener: TcpListener, caller: usize) {
-    let l = shared.clone();
-    let handler = move |request| state_request(l.clone(), caller, request);
+/// Serves the state service for one controller.
+pub async fn serve_state(shared: Arc<Shared>, listener: TcpListener, caller: usize) {
+    let shared_for_handler = shared.clone();
+    let handler = move |request| state_request(shared_for_handler.clone(), caller, request);
     serve(listener, connections(), wire::BODY_LIMIT, handler, shared.stop.clone(), shared.tasks.clone())
         .await;
 }
@@ -33,7 +33,7 @@
             sleep(delay).await;
             reply
         }
-        RequestOutcome::Wait(watch) => wait(&shared, &watch).await,
+        RequestOutcome::Wait(watch) => wait_for_reply(&shared, &watch).await,
         RequestOutcome::Lost => pending().await,
         RequestOutcome::Late(after) => {
             shared.tasks.clone().spawn(async move {
@@ -46,17 +46,18 @@
     }
 }
 
-async fn wait(shared: &Shared, watch: &Watch) -> Reply {
+async fn wait_for_reply(shared: &Shared, watch: &Watch) -> Reply {
     loop {
         let changed = shared.changed.notified();
         tokio::pin!(changed);
-        // From here on no change is missed.
+        // A change after this point wakes the task, so none is missed.
         changed.as_mut().enable();
         let now = Instant::now();
         if let Some(reply) = shared.state.lock().poll_watch(watch, now) {
             return reply;
         }
-        // Past its time it waits for the end of an outage, which is a change as well.
+        // A watch past its time is unanswered only while its caller is refused; the end of that is
+        // notified as a change.
         if watch.until() > now {
             tokio::select! {
                 () = changed => {}
@@ -68,9 +69,9 @@
     }
 }
 
-pub async fn cloud(shared: Arc<Shared>, listener: TcpListener) {
-    let l = shared.clone();
-    let handler = move |request| cloud_request(l.clone(), request);
+pub async fn serve_cloud(shared: Arc<Shared>, listener: TcpListener) {
+    let shared_for_handler = shared.clone();
+    let handler = move |request| cloud_request(shared_for_handler.clone(), request);
     serve(listener, connections(), wire::BODY_LIMIT, handler, shared.stop.clone(), shared.tasks.clone())
         .await;
 }
@@ -93,11 +94,12 @@
     }
 }
 
-/// Lets time pass, sends the workers' reports, and opens and closes their addresses.
-pub async fn clock(shared: Arc<Shared>, listeners: Listeners) {
+/// Advances the site at each tick, sends the workers' reports, and opens and closes the machines'
+/// listeners.
+pub async fn run_clock(shared: Arc<Shared>, listeners: Listeners) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    // Each worker has a connection of its own.
+    // Each worker has a client with a connection of its own.
     let mut up: HashMap<String, (CancellationToken, Client)> = HashMap::new();
     loop {
         tokio::select! {
@@ -108,11 +110,11 @@
         let revision = |shared: &Shared| shared.state.lock().data().revision;
         let before = revision(&shared);
         shared.state.lock().poll(now);
-        let troubled = {
+        let faults_changed = {
             let (mut site, mut state) = (shared.site.lock(), shared.state.lock());
             shared.schedule.lock().poll(&mut site, &mut state, now)
         };
-        if troubled || revision(&shared) != before {
+        if faults_changed || revision(&shared) != before {
             shared.changed.notify_waiters();
         }
         let (outgoing_reports, changes) = {
@@ -120,7 +122,7 @@
             (site.poll(now), site.take_changes())
         };
         match &shared.job_file {
-            Some(file) => file.lock().keep(&mut shared.site.lock().jobs),
+            Some(file) => file.lock().write_changes(&mut shared.site.lock().jobs),
             None => drop(shared.site.lock().jobs.take_changes()),
         }
         for (machine, status) in changes {
@@ -128,7 +130,7 @@
             if status == MachineStatus::Running {
                 let stop = shared.stop.child_token();
                 if let Some(listener) = listener.and_then(|l| TcpListener::from_std(l).ok()) {
-                    let task = self::machine(shared.clone(), machine.clone(), listener, stop.clone());
+                    let task = serve_machine(shared.clone(), machine.clone(), listener, stop.clone());
                     shared.tasks.spawn(task);
                 }
                 up.insert(machine, (stop, Client::new(1)));
@@ -138,13 +140,13 @@
         }
         for outgoing in outgoing_reports {
             if let Some((_, client)) = up.get(&outgoing.machine) {
-                shared.tasks.spawn(report(shared.clone(), client.clone(), outgoing));
+                shared.tasks.spawn(send_report(shared.clone(), client.clone(), outgoing));
             }
         }
     }
 }
 
-async fn report(shared: Arc<Shared>, client: Client, outgoing: OutgoingReport) {
+async fn send_report(shared: Arc<Shared>, client: Client, outgoing: OutgoingReport) {
     let OutgoingReport { machine, controller, ticket, report } = outgoing;
     let Some(front) = shared.fronts.get(controller) else { return };
     let body = wire::encode(&report);
@@ -159,15 +161,15 @@
     shared.site.lock().record_report_outcome(&machine, ticket, status, body, Instant::now());
 }
 
-/// A machine's own address.
-async fn machine(shared: Arc<Shared>, name: String, listener: TcpListener, stop: CancellationToken) {
-    let l = shared.clone();
-    let handler = move |request| machine_request(l.clone(), name.clone(), request);
+/// Serves a machine's own address.
+async fn serve_machine(shared: Arc<Shared>, name: String, listener: TcpListener, stop: CancellationToken) {
+    let shared_for_handler = shared.clone();
+    let handler = move |request| machine_request(shared_for_handler.clone(), name.clone(), request);
     serve(listener, connections(), wire::BODY_LIMIT, handler, stop, shared.tasks.clone()).await;
 }
 
 async fn machine_request(shared: Arc<Shared>, name: String, request: Request) -> Reply {
-    // A machine that hangs takes it when it goes on, also if the sender has given up.
+    // A hung machine handles the request when it works again, even if the sender has given up.
     let (sender, receiver) = tokio::sync::oneshot::channel();
     shared.tasks.clone().spawn(async move {
         while shared.site.lock().hangs(&name) && !shared.stop.is_cancelled() {
--- a/crates/emulator/src/emulation/user_traffic.rs
+++ b/crates/emulator/src/emulation/user_traffic.rs
@@ -1,4 +1,4 @@
-//! The emulated users behind HTTP.
+//! Sends the requests of the emulated users over HTTP.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 use crate::users::{UserRequest, UserResponse};
 
 const TICK: Duration = Duration::from_millis(50);
-/// Connections that users have open at a time.
-const MOST: usize = 256;
+/// Largest number of open connections of all users.
+const MAX_CONNECTIONS: usize = 256;
 
-/// Sends what users ask to the load balancer.
-pub async fn users(shared: Arc<Shared>, balancer: String) {
+/// Sends the users' requests to the load balancer until the emulation stops.
+pub async fn run_users(shared: Arc<Shared>, balancer: String) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let client = Client::new(MOST);
+    let client = Client::new(MAX_CONNECTIONS);
     loop {
         tokio::select! {
             () = shared.stop.cancelled() => return,
@@ -26,12 +26,12 @@
         }
         let requests = shared.users.lock().poll(Instant::now());
         for request in requests {
-            shared.tasks.spawn(ask(shared.clone(), client.clone(), balancer.clone(), request));
+            shared.tasks.spawn(send_request(shared.clone(), client.clone(), balancer.clone(), request));
         }
     }
 }
 
-async fn ask(shared: Arc<Shared>, client: Client, balancer: String, request: UserRequest) {
+async fn send_request(shared: Arc<Shared>, client: Client, balancer: String, request: UserRequest) {
     let UserRequest { method, path, body, timeout, .. } = &request;
     let answer = client.request(&balancer, method, path, body.clone(), wire::BODY_LIMIT, *timeout).await;
     let response = answer.map_or_else(
--- a/crates/emulator/src/fault_schedule.rs
+++ b/crates/emulator/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Troubles that begin and end at given times.
+//! Injection of faults that begin and end at given times.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 use crate::state::StateService;
 use crate::worker::MachineFaults;
 
-/// What is troubled.
+/// The kind of an injected fault and what it affects.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FaultKind {
     StateOutage,
-    /// The state service refuses one controller.
+    /// The state service refuses the controller with this number.
     StateRefuses(usize),
-    /// Shares of the requests; `Duration`: how slow or late at most.
+    /// The share of the requests that is affected, and the maximum delay.
     StateSlow(f64, Duration),
     StateLate(f64, Duration),
     StateLost(f64),
@@ -26,11 +26,11 @@
     CloudSlow(f64, Duration),
     CloudLate(f64, Duration),
     CloudLost(f64),
-    /// A share of the machines that are up when it begins has these faults.
+    /// A share of the machines that are up when the fault begins has these faults.
     Machines(f64, MachineFaults),
-    /// A share of the machines dies when it begins.
+    /// A share of the machines dies when the fault begins.
     Deaths(f64),
-    /// A share of the spot machines is taken back when it begins.
+    /// A share of the spot machines is reclaimed when the fault begins.
     Reclaims(f64),
 }
 
@@ -38,7 +38,7 @@
 pub struct ScheduledFault {
     pub name: String,
     pub kind: FaultKind,
-    /// Counted from the beginning of the site.
+    /// Begin, relative to the start of the site.
     pub at: Duration,
     pub duration: Duration,
 }
@@ -46,8 +46,9 @@
 pub struct FaultSchedule {
     planned_faults: Vec<ScheduledFault>,
     started: Instant,
-    /// Those that are on, with the machines that they concern.
+    /// The machines affected by each active fault, by its index in `planned_faults`.
     active: BTreeMap<usize, BTreeSet<String>>,
+    /// Indices of the faults that are over.
     ended: BTreeSet<usize>,
     rng: StdRng,
 }
@@ -58,19 +59,19 @@
         Self { planned_faults, started: now, active, ended, rng: StdRng::seed_from_u64(seed) }
     }
 
-    /// Begins and ends what is due; whether anything did.
+    /// Begins and ends the faults that are due; returns whether there were any.
     pub fn poll(&mut self, site: &mut Site, state: &mut StateService, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.started);
         let (mut changed, mut released) = (false, BTreeSet::new());
         for (i, fault) in self.planned_faults.iter().enumerate() {
             let ended = age >= fault.at + fault.duration;
             if self.active.contains_key(&i) && ended {
-                info!(name = fault.name, "trouble ends");
+                info!(name = fault.name, "injected fault ends");
                 released.extend(self.active.remove(&i).unwrap_or_default());
                 self.ended.insert(i);
                 changed = true;
             } else if !self.active.contains_key(&i) && !self.ended.contains(&i) && age >= fault.at {
-                info!(name = fault.name, "trouble begins");
+                info!(name = fault.name, "injected fault begins");
                 let machines = start_fault(&fault.kind, site, &mut self.rng, now);
                 self.active.insert(i, machines);
                 changed = true;
@@ -82,6 +83,7 @@
         changed
     }
 
+    /// Sets the active faults on the services and machines, and clears those of `released` machines.
     fn apply(&self, site: &mut Site, state: &mut StateService, released: &BTreeSet<String>, now: Instant) {
         let (mut state_faults, mut cloud_faults) = (ServiceFaults::default(), ServiceFaults::default());
         let mut faults: BTreeMap<String, MachineFaults> =
@@ -128,7 +130,8 @@
     }
 }
 
-/// What happens once; the machines that it concerns for longer.
+/// Carries out the deaths or reclaims of a fault. Returns the machines that the fault affects until
+/// it ends.
 fn start_fault(kind: &FaultKind, site: &mut Site, rng: &mut StdRng, now: Instant) -> BTreeSet<String> {
     let (share, spot) = match kind {
         FaultKind::Machines(share, _) | FaultKind::Deaths(share) => (*share, false),
--- a/crates/emulator/src/gang.rs
+++ b/crates/emulator/src/gang.rs
@@ -1,4 +1,4 @@
-//! One attempt of a gang: its tasks gather, run, save and end together.
+//! One attempt of a gang: its tasks wait for each other, run, save and end together.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,17 +7,19 @@
 
 #[derive(Debug, Clone, Copy)]
 pub struct GangRules {
+    /// How long a task waits for the others before it exits.
     pub start_timeout: Duration,
+    /// Longest time in which tasks detect that another one is lost, hangs or was not stopped.
     pub peer_timeout: Duration,
 }
 
-/// What a task of a gang is doing.
+/// The state of a task of a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GangTaskState {
     Waiting,
     Running,
     Saving,
-    /// The cause, and whether its progress was saved.
+    /// The exit reason, and whether progress was saved if the task was stopped.
     Ended(ExitReason, Option<bool>),
 }
 
@@ -26,14 +28,14 @@
     speed: f64,
     joined_at: Instant,
     started: bool,
-    /// When it was told to stop.
+    /// When the task was commanded to stop.
     stop_received: Option<Instant>,
-    /// Its machine hangs, and from when on the others know.
+    /// When the other tasks detect that this task's machine hangs; None: it does not hang.
     hang_detected_at: Option<Instant>,
     end: Option<(ExitReason, Option<bool>)>,
 }
 
-/// The attempt. `saved` and `done` outlive it.
+/// One attempt of a gang. `saved` and `done` are copied to the job, which outlives the attempt.
 #[derive(Debug)]
 pub struct Gang {
     rules: GangRules,
@@ -42,18 +44,19 @@
     checkpoint_s: f64,
     save_duration: Duration,
     members: BTreeMap<u32, Member>,
+    /// In seconds of work at speed 1.
     progress: f64,
     last_poll: Instant,
     first_stop_at: Option<Instant>,
-    /// When the others notice that one is gone.
+    /// When the other tasks detect that one is lost.
     loss_detected_at: Option<Instant>,
-    /// Progress that the next attempt continues from.
+    /// Saved progress, from which the next attempt continues.
     pub saved: f64,
     pub done: bool,
 }
 
 impl Gang {
-    /// `run_s`: the work, in seconds at speed 1; `saved` of it is done already.
+    /// `run_s`: the total work, in seconds at speed 1; `saved`: the part that earlier attempts did.
     pub fn new(
         rules: GangRules,
         size: usize,
@@ -81,10 +84,10 @@
         }
     }
 
-    /// A task has its image and waits for the others.
+    /// Adds a task that has its image and waits for the others.
     pub fn join(&mut self, task: u32, speed: f64, now: Instant) {
         if self.members.is_empty() {
-            // What was left of the same attempt is over.
+            // All earlier tasks of this attempt have ended: unsaved progress is lost.
             (self.progress, self.first_stop_at, self.loss_detected_at) = (self.saved, None, None);
         }
         let member = Member {
@@ -99,8 +102,9 @@
         self.poll(now);
     }
 
-    /// A task is gone without having ended by the gang's own rules. The others notice
-    /// after `notice`, at most the time that the settings give.
+    /// Removes a task that ended outside the gang's own rules, such as by the loss of its machine.
+    /// The others detect the loss after `detection_delay`, or after `peer_timeout` if that is
+    /// shorter.
     pub fn lose_task(&mut self, task: u32, detection_delay: Duration, now: Instant) {
         self.poll(now);
         if let Some(member) = self.members.remove(&task)
@@ -112,7 +116,8 @@
         }
     }
 
-    /// A task's machine hangs, which the others notice after `notice`; None: it goes on.
+    /// Marks a task's machine as hung, which the others detect after `detection_delay`; with None,
+    /// the machine works again.
     pub fn set_hung(&mut self, task: u32, detection_delay: Option<Duration>, now: Instant) {
         self.poll(now);
         if let Some(member) = self.members.get_mut(&task) {
@@ -120,7 +125,7 @@
         }
     }
 
-    /// A task is told to stop, with so much time to save. False if it ends at once.
+    /// Stops a task, with `grace` as the time it has to save. Returns false if it ends at once.
     pub fn stop(&mut self, task: u32, grace: Duration, detection_delay: Duration, now: Instant) -> bool {
         self.poll(now);
         let can_save = self.checkpoint_s > 0.0 && grace >= self.save_duration;
@@ -131,7 +136,7 @@
                 self.poll(now);
                 true
             }
-            // One that is saving is ended by a stop without time only.
+            // A task that is saving is interrupted only by a stop without grace time.
             Some(m) if m.stop_received.is_some() && m.end.is_none() && !grace.is_zero() => true,
             _ => {
                 self.lose_task(task, detection_delay, now);
@@ -150,7 +155,7 @@
         })
     }
 
-    /// A task has taken note of its end.
+    /// Removes a task whose end its machine has recorded.
     pub fn remove_task(&mut self, task: u32) {
         self.members.remove(&task);
     }
@@ -163,7 +168,7 @@
         self.members.values_mut().filter(|m| m.started && m.end.is_none())
     }
 
-    /// Lets time pass.
+    /// Advances the gang to `now`.
     pub fn poll(&mut self, now: Instant) {
         let elapsed_s = now.saturating_duration_since(self.last_poll).as_secs_f64();
         self.last_poll = self.last_poll.max(now);
@@ -224,7 +229,7 @@
         }
     }
 
-    /// Everybody ends; what is not saved is lost.
+    /// Ends all running tasks; progress since the last save is lost.
     fn end_without_saving(&mut self) {
         self.running().for_each(|m| {
             m.end = Some(match m.stop_received {
--- a/crates/emulator/src/history.rs
+++ b/crates/emulator/src/history.rs
@@ -1,20 +1,19 @@
-//! What the workers themselves did, in the order in which they did it: what a test holds
-//! against the rules, whatever the controllers' records say.
+//! The events on the workers in the order in which they happened. Tests check the rules against
+//! them, independently of the controllers' records.
 
 use std::time::Instant;
 
-/// What happened to a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEventKind {
-    /// It runs from now on.
+    /// The task started to run.
     Running,
-    /// The machine was told to stop it, and it ran until then.
+    /// The machine received a stop command while the task was running.
     StopCommanded,
-    /// It is no longer on the machine.
+    /// The task exited or was lost with its machine's lease or the machine itself.
     Ended,
 }
 
-/// Something that happened to one attempt of a task.
+/// An event of one attempt of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskEvent {
     pub at: Instant,
@@ -24,14 +23,15 @@
     pub kind: TaskEventKind,
 }
 
-/// The events of all machines, if they are recorded: a site that runs for days keeps none.
+/// The events of all machines. Recording is off by default, because a site that runs for days
+/// would accumulate too many.
 #[derive(Debug, Default)]
 pub struct History {
     events: Option<Vec<TaskEvent>>,
 }
 
 impl History {
-    /// From now on events are kept.
+    /// Starts to record events.
     pub fn start_recording(&mut self) {
         self.events.get_or_insert_default();
     }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The events since they are kept.
+    /// The events since recording started.
     pub fn events(&self) -> &[TaskEvent] {
         self.events.as_deref().unwrap_or_default()
     }
--- a/crates/emulator/src/image_cache.rs
+++ b/crates/emulator/src/image_cache.rs
@@ -1,16 +1,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The images that a machine has and those that it fetches. Each is fetched once for
-/// all who need it; fetches share the machine's rate; the most recently used images
-/// stay as far as there is room.
+/// The images that a machine holds and those that it is fetching. An image is fetched once for
+/// all tasks that need it; concurrent fetches share the machine's rate; the least recently used
+/// images are evicted when the cache is full.
 #[derive(Debug)]
 pub struct ImageCache {
     gb_per_s: f64,
     capacity_gb: f64,
-    /// Size and last use.
+    /// Size in GB and time of the last use, by image.
     cached: BTreeMap<String, (f64, Instant)>,
-    /// Size, and how much is missing.
+    /// Size and amount still to be fetched, both in GB, by image.
     fetches: BTreeMap<String, (f64, f64)>,
 }
 
@@ -23,8 +23,9 @@
         self.cached.contains_key(image)
     }
 
-    /// Goes on fetching for `dt`. `wanted` are the images that tasks wait for, with
-    /// their sizes: what is not wanted any more is given up. `in_use` stay.
+    /// Continues the fetches for `elapsed`. `wanted` holds the images that tasks wait for and
+    /// their sizes; a fetch that is no longer wanted is abandoned. Images `in_use` are not
+    /// evicted.
     pub fn poll(&mut self, wanted: &BTreeMap<&str, f64>, in_use: &[&str], elapsed: Duration, now: Instant) {
         self.fetches.retain(|image, _| wanted.contains_key(image.as_str()));
         let rate = self.gb_per_s / self.fetches.len().max(1) as f64;
--- a/crates/emulator/src/jobs.rs
+++ b/crates/emulator/src/jobs.rs
@@ -9,14 +9,14 @@
 
 use crate::gang::{Gang, GangRules};
 
-/// What users have uploaded, and what has become of it: descriptions, true run times,
-/// progress that was saved outside the machines, and results.
+/// The jobs that users have uploaded: descriptions, actual run times, progress saved outside the
+/// machines, and results.
 pub struct Jobs {
     jobs: HashMap<String, Job>,
-    /// By job and attempt.
+    /// Current gang attempts, by job and attempt.
     gangs: BTreeMap<(String, u64), Gang>,
     rules: GangRules,
-    /// What changed since the last `take_changes`.
+    /// Changes since the last `take_changes`.
     changes: Vec<JobChange>,
     rng: StdRng,
 }
@@ -24,15 +24,16 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
-    /// What it truly takes, in seconds at speed 1.
+    /// The actual run time of a task, in seconds at speed 1.
     pub run_s: f64,
-    /// Submitted with a mistake: it fails on every machine.
+    /// The job is faulty: its tasks fail on every machine.
     pub broken: bool,
+    /// Saved progress of each task, in seconds of work; for a gang that of task 0.
     saved: HashMap<u32, f64>,
     done: HashSet<u32>,
 }
 
-/// What is kept of jobs beyond a restart, one entry of the file each.
+/// A change that is kept across restarts, as one value in the entries of the job file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum JobChange {
     Uploaded { spec: Arc<JobSpec>, run_s: f64, broken: bool },
@@ -40,7 +41,7 @@
     Done { job: String, task: u32 },
 }
 
-/// The owners' estimates are often wrong by half.
+/// Ratio of actual to estimated run time: users' estimates are often wrong by half.
 const RUNTIME_TO_ESTIMATE_RATIO: std::ops::Range<f64> = 0.6..1.5;
 
 impl Jobs {
@@ -49,7 +50,7 @@
         Self { jobs: HashMap::new(), gangs: BTreeMap::new(), rules, changes: Vec::new(), rng }
     }
 
-    /// A user uploads a job's description; the first one counts.
+    /// Adds a job that a user uploaded. A later upload of the same id is ignored.
     pub fn upload(&mut self, spec: JobSpec, broken: bool) {
         let run_s = spec.estimated_runtime_s * self.rng.random_range(RUNTIME_TO_ESTIMATE_RATIO);
         if !self.jobs.contains_key(&spec.id) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Makes a change of its own, or one of an earlier run.
+    /// Applies a new change or one read from the file, and records it in `changes`.
     fn apply(&mut self, change: JobChange) {
         match change.clone() {
             JobChange::Uploaded { spec, run_s, broken } => {
@@ -79,18 +80,18 @@
         self.changes.push(change);
     }
 
-    /// What an earlier run left, oldest first.
+    /// Applies the changes of an earlier run, oldest first.
     pub fn restore(&mut self, changes: impl IntoIterator<Item = JobChange>) {
         changes.into_iter().for_each(|c| self.apply(c));
         self.changes.clear();
     }
 
-    /// What changed since the last call, oldest first.
+    /// Returns the changes since the last call, oldest first.
     pub fn take_changes(&mut self) -> Vec<JobChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// All there is to keep.
+    /// The complete data as changes that restore it.
     pub fn snapshot(&self) -> Vec<JobChange> {
         let mut out = Vec::new();
         for (job, j) in &self.jobs {
@@ -121,14 +122,14 @@
         self.get(job).and_then(|j| j.saved.get(&task)).copied().unwrap_or(0.0)
     }
 
-    /// Progress that is kept outside the machine; it never goes back.
+    /// Saves a task's progress outside its machine; saved progress never decreases.
     pub fn save_progress(&mut self, job: &str, task: u32, progress: f64) {
         if progress > self.saved_progress(job, task) {
             self.apply(JobChange::Saved { job: job.to_owned(), task, progress });
         }
     }
 
-    /// What a gang's tasks share; its progress is kept as that of task 0.
+    /// The shared state of an attempt of a gang. The gang's progress is stored as that of task 0.
     pub fn gang(&mut self, job: &str, attempt: u64, now: Instant) -> Option<&mut Gang> {
         let j = self.jobs.get(job)?;
         if j.spec.kind != JobKind::Gang {
@@ -139,12 +140,12 @@
         let (task_count, checkpoint_s) = (j.spec.tasks as usize, j.spec.checkpoint_interval_s);
         let new = || Gang::new(self.rules, task_count, j.run_s, checkpoint_s, save_duration, saved, now);
         let gang = self.gangs.entry((job.to_owned(), attempt)).or_insert_with(new);
-        // An earlier attempt may have saved since.
+        // An earlier attempt may have saved progress since this one was created.
         gang.saved = gang.saved.max(saved);
         Some(gang)
     }
 
-    /// Lets time pass for all gangs, and keeps what they have saved and done.
+    /// Advances all gangs to `now` and stores their saved progress and results.
     pub fn poll(&mut self, now: Instant) {
         let mut progress_by_gang = Vec::new();
         self.gangs.retain(|(job, _), gang| {
@@ -161,7 +162,7 @@
         }
     }
 
-    /// How long the others take to notice that a task of a gang is gone.
+    /// Draws the time in which the other tasks of a gang detect that one is lost.
     pub fn loss_detection_delay(&mut self) -> Duration {
         self.rules.peer_timeout.mul_f64(self.rng.random_range(0.1..1.0))
     }
--- a/crates/emulator/src/journal.rs
+++ b/crates/emulator/src/journal.rs
@@ -1,9 +1,9 @@
-//! A file of checksummed entries: a snapshot, then a log of what came after.
+//! A file of checksummed entries: a snapshot followed by a log of later changes.
 //!
-//! An entry is on the disk when `append` returns. A process may be killed at any byte:
-//! what was appended before comes back, and an entry that was being written is cut off.
-//! A damaged entry with sound ones after it is no torn write; then the file is refused,
-//! as what was acknowledged would be lost without a word.
+//! An entry is on the disk when `append` returns. The process may be killed at any byte of a
+//! write: the entries appended before are recovered, and a partly written one is truncated.
+//! A damaged entry with valid entries after it cannot come from an interrupted write; such a
+//! file is refused, because truncating it would silently lose acknowledged entries.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -13,19 +13,19 @@
 pub enum JournalError {
     #[error("{file}: {source}")]
     Io { file: String, source: io::Error },
-    #[error("{file}: damaged at byte {at}, with sound entries after it")]
+    #[error("{file}: damaged at byte {at}, with valid entries after it")]
     Damaged { file: String, at: u64 },
-    #[error("{file}: not a file of this program, or of another version")]
+    #[error("{file}: not a journal of this program, or written by another version")]
     Foreign { file: String },
 }
 
 const MAGIC: &[u8; 8] = b"slmjrnl1";
-/// Length, number and checksum.
+/// Payload length, entry number and checksum, in bytes.
 const HEADER_LEN: usize = 4 + 8 + 4;
-/// No entry is larger; a length above it is damage.
+/// No payload is larger; a greater length in a header means that the entry is damaged.
 const MAX_PAYLOAD_LEN: usize = 256 << 20;
 
-/// The open file. Entries are numbered from 0 in each file.
+/// An open journal file. Entries are numbered from 0 in each file.
 #[derive(Debug)]
 pub struct Journal {
     path: PathBuf,
@@ -52,7 +52,8 @@
     out
 }
 
-/// The entry at the beginning of `bytes` if it is whole and sound: its number and payload.
+/// Decodes the entry at the beginning of `bytes`: its number and payload, or None if it is
+/// incomplete or damaged.
 fn decode_entry(bytes: &[u8]) -> Option<(u64, &[u8])> {
     let len = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let number = u64::from_le_bytes(bytes.get(4..12)?.try_into().ok()?);
@@ -65,11 +66,11 @@
 }
 
 impl Journal {
-    /// Opens the file or begins a new one, and reads what it holds, oldest first.
+    /// Opens or creates the file and returns its entries, oldest first.
     pub fn open(path: &Path) -> Result<(Self, Vec<Vec<u8>>), JournalError> {
         let name = path.display().to_string();
         let io = |source| JournalError::Io { file: name.clone(), source };
-        // Left by a process that was killed while it wrote a snapshot.
+        // Left over from a process that was killed while it wrote a snapshot.
         let _ = std::fs::remove_file(path.with_extension("new"));
         let bytes = match std::fs::read(path) {
             Ok(bytes) => bytes,
@@ -84,43 +85,43 @@
             journal.snapshot_len = journal.len;
             return Ok((journal, Vec::new()));
         }
-        let (mut at, mut next, mut entries) = (MAGIC.len(), 0, Vec::new());
-        while let Some((number, payload)) = bytes.get(at..).and_then(decode_entry)
+        let (mut offset, mut next, mut entries) = (MAGIC.len(), 0, Vec::new());
+        while let Some((number, payload)) = bytes.get(offset..).and_then(decode_entry)
             && number == next
         {
-            at += HEADER_LEN + payload.len();
+            offset += HEADER_LEN + payload.len();
             next += 1;
             entries.push(payload.to_vec());
         }
-        let rest = bytes.get(at + 1..).unwrap_or_default();
-        let follows =
+        let rest = bytes.get(offset + 1..).unwrap_or_default();
+        let is_later_entry =
             |i: usize| decode_entry(rest.get(i..).unwrap_or_default()).is_some_and(|(n, _)| n > next);
-        if (0..rest.len()).any(follows) {
-            return Err(JournalError::Damaged { file: name, at: at as u64 });
+        if (0..rest.len()).any(is_later_entry) {
+            return Err(JournalError::Damaged { file: name, at: offset as u64 });
         }
         let file = OpenOptions::new().write(true).open(path).map_err(io)?;
-        let mut journal = Self { path: path.to_owned(), file, next, len: at as u64, snapshot_len: 0 };
+        let mut journal = Self { path: path.to_owned(), file, next, len: offset as u64, snapshot_len: 0 };
         journal.file.set_len(journal.len).map_err(io)?;
         journal.file.sync_all().map_err(io)?;
         journal.file.seek(SeekFrom::End(0)).map_err(io)?;
         Ok((journal, entries))
     }
 
-    fn create(path: &Path, at: &Path, entries: &[Vec<u8>]) -> io::Result<Self> {
-        let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(at)?;
+    fn create(path: &Path, write_path: &Path, entries: &[Vec<u8>]) -> io::Result<Self> {
+        let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(write_path)?;
         let mut bytes = MAGIC.to_vec();
         for (number, payload) in entries.iter().enumerate() {
             bytes.extend(encode_entry(number as u64, payload));
         }
         file.write_all(&bytes)?;
         file.sync_all()?;
-        sync_directory(at)?;
+        sync_directory(write_path)?;
         let len = bytes.len() as u64;
         Ok(Self { path: path.to_owned(), file, next: entries.len() as u64, len, snapshot_len: len })
     }
 
-    /// Writes one entry and waits until the disk has it. After an error nobody knows
-    /// what the disk has: the caller must not go on.
+    /// Appends an entry and waits until it is on the disk. After an error it is unknown whether
+    /// the entry is on the disk, so the journal must not be used any further.
     pub fn append(&mut self, payload: &[u8]) -> Result<(), JournalError> {
         let bytes = encode_entry(self.next, payload);
         let written = self.file.write_all(&bytes).and_then(|()| self.file.sync_data());
@@ -130,12 +131,13 @@
         Ok(())
     }
 
-    /// Whether the log has grown well beyond the snapshot, so that a new one pays.
+    /// Whether the log has grown so far beyond the snapshot that a new snapshot is worthwhile.
     pub fn snapshot_due(&self) -> bool {
         self.len > (1 << 20) + 4 * self.snapshot_len
     }
 
-    /// Replaces all entries by these, at once: whoever is killed meanwhile finds either.
+    /// Replaces all entries by these atomically: a process killed meanwhile leaves either the old
+    /// entries or the new ones.
     pub fn replace(&mut self, entries: &[Vec<u8>]) -> Result<(), JournalError> {
         let new = self.path.with_extension("new");
         let replaced = Self::create(&self.path, &new, entries).and_then(|journal| {
@@ -153,7 +155,7 @@
     bytes.get(..MAGIC.len()).unwrap_or(bytes)
 }
 
-/// A new name lasts only once its folder is on the disk.
+/// Syncs the directory of a file: the name of a new or renamed file is durable only then.
 fn sync_directory(path: &Path) -> io::Result<()> {
     let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(directory)?.sync_all()
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,7 @@
-//! An emulated site: stand-ins for everything the service speaks with, written by the
-//! protocols alone. They are state machines that time is passed into, so that the same
-//! code runs on a test's clock without sockets and behind HTTP on loopback.
+//! An emulated site: implementations of everything the scheduler communicates with (users, load
+//! balancer, workers, cloud, state service), written from the protocol documents alone. They are
+//! state machines that get the current time as an argument, so the same code runs on a test's
+//! clock without sockets and over HTTP on loopback.
 
 mod balancer;
 mod cloud;
--- a/crates/emulator/src/service_faults.rs
+++ b/crates/emulator/src/service_faults.rs
@@ -7,38 +7,39 @@
 
 use crate::state::Watch;
 
-/// What goes wrong with the requests to a service. Shares are of all requests, from 0
-/// to 1.
+/// Faults injected into the requests to a service. Shares are of all requests, from 0 to 1.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceFaults {
-    /// Everybody is refused; of the state service's leases none runs out.
+    /// All requests are refused; leases of the state service do not expire meanwhile.
     pub outage: bool,
-    /// The state service refuses these callers; their leases run out.
+    /// The state service refuses these callers; their leases still expire.
     pub refused: HashSet<usize>,
-    /// Answers that take up to `slow` instead of a few milliseconds.
+    /// Share of the answers that take up to `max_answer_delay` instead of a few milliseconds.
     pub slow_share: f64,
     pub max_answer_delay: Duration,
-    /// Requests that are carried out up to `late` after they came, and not answered.
+    /// Share of the requests that are executed up to `max_execution_delay` after they arrive, and
+    /// are not answered.
     pub late_share: f64,
     pub max_execution_delay: Duration,
-    /// Requests that are carried out at once and not answered.
+    /// Share of the requests that are executed at once and not answered.
     pub lost_share: f64,
 }
 
-/// What becomes of a request.
+/// What happens with a request that a service received.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// It is answered after so long.
+    /// The reply is sent after the delay.
     Answer(Reply, Duration),
-    /// It is answered once the state service's `check` has an answer.
+    /// The reply is sent when `StateService::poll_watch` returns one.
     Wait(Watch),
-    /// It was carried out; nobody hears of it.
+    /// The request was executed, but the caller gets no reply.
     Lost,
-    /// It is to be handed to `carry_out` after so long; nobody hears of it.
+    /// The request must be passed to `carry_out` after the delay; the caller gets no reply.
     Late(Duration),
 }
 
-/// What an answer usually takes, and now and then, even when nothing is wrong.
+/// Latency of answers without injected faults: the normal range, and a higher one that occurs now
+/// and then.
 const NORMAL_LATENCY_MS: std::ops::Range<u64> = 1..8;
 const OCCASIONAL_LATENCY_MS: std::ops::Range<u64> = 100..400;
 const OCCASIONAL_LATENCY_SHARE: f64 = 0.002;
@@ -48,12 +49,12 @@
 }
 
 impl ServiceFaults {
-    /// How long after it came a request is carried out, if it is late.
+    /// Draws whether a request is executed late, and if so, after which delay.
     pub(crate) fn draw_execution_delay(&self, rng: &mut StdRng) -> Option<Duration> {
         happens(self.late_share, rng).then(|| self.max_execution_delay.mul_f64(rng.random_range(0.0..1.0)))
     }
 
-    /// What becomes of the answer.
+    /// Draws whether a reply is lost, and if not, its latency.
     pub(crate) fn draw_answer_outcome(&self, reply: Reply, rng: &mut StdRng) -> RequestOutcome {
         if happens(self.lost_share, rng) {
             return RequestOutcome::Lost;
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! The site: the cloud, the workers on its machines, and the jobs they run.
+//! The emulated site: the cloud, the workers on its machines, and the jobs that they run.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,16 +16,17 @@
 #[derive(Debug, Clone)]
 pub struct SiteSettings {
     pub cloud: CloudSettings,
+    /// Mean interval of the workers' reports.
     pub report: Duration,
     pub lease: Duration,
     pub gang_wait: Duration,
     pub gang_peer: Duration,
-    /// The controllers' names, in the order of their numbers.
+    /// Names of the controllers; a controller's index is its number.
     pub controllers: Vec<String>,
     pub seed: u64,
 }
 
-/// A report that is to be sent, and to which controller.
+/// A worker's report that must be sent, and the number of the controller that gets it.
 #[derive(Debug)]
 pub struct OutgoingReport {
     pub machine: String,
@@ -42,7 +43,7 @@
     rules: WorkerRules,
     controllers: Vec<String>,
     seed: u64,
-    /// Machines that came up and that are gone, since the last `take_changes`.
+    /// Machines that came up or ended since the last `take_changes`.
     changes: Vec<(String, MachineStatus)>,
 }
 
@@ -74,14 +75,14 @@
         self.workers.get(machine)
     }
 
-    /// A request to the cloud.
+    /// Handles a request to the cloud.
     pub fn cloud_request(&mut self, request: &Request, now: Instant) -> RequestOutcome {
         let step = self.cloud.handle(request, now);
         self.apply_machine_events(now);
         step
     }
 
-    /// A request to the cloud that is carried out late.
+    /// Executes a request to the cloud whose execution was delayed.
     pub fn late_cloud_request(&mut self, request: &Request, now: Instant) {
         self.cloud.carry_out(request, now);
         self.apply_machine_events(now);
@@ -113,12 +114,12 @@
         }
     }
 
-    /// Machines that came up (running) or are gone (failed) since the last call.
+    /// Returns the machines that came up (running) or ended (failed) since the last call.
     pub fn take_changes(&mut self) -> Vec<(String, MachineStatus)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Lets time pass; the reports that are to be sent now.
+    /// Advances the site to `now` and returns the reports that must be sent.
     pub fn poll(&mut self, now: Instant) -> Vec<OutgoingReport> {
         self.cloud.poll(now);
         self.apply_machine_events(now);
@@ -139,7 +140,8 @@
         out
     }
 
-    /// What came of a report. A status other than 200 and 421, or none, is `Nothing`.
+    /// Passes the response to a report on to its worker. Any status other than 200 and 421, or no
+    /// response, counts as `ReportOutcome::Failed`.
     pub fn record_report_outcome(
         &mut self,
         machine: &str,
@@ -161,8 +163,8 @@
         }
     }
 
-    /// A request to a machine's own address; None if nothing reaches it now. What a
-    /// machine that hangs was sent reaches it when it goes on.
+    /// Handles a request to a machine's own address. Returns None if the machine cannot be reached
+    /// now; a caller repeats the request to a hung machine when it works again.
     pub fn machine_request(&mut self, machine: &str, request: &Request, now: Instant) -> Option<Reply> {
         let worker = self.workers.get_mut(machine)?;
         if worker.faults().hangs || worker.faults().unreachable {
@@ -181,12 +183,12 @@
         })
     }
 
-    /// Whether a machine is up, and hangs: it will take what it is sent later.
+    /// Whether a machine is up but hangs, so that requests to it are handled later.
     pub fn hangs(&self, machine: &str) -> bool {
         self.workers.get(machine).is_some_and(|w| w.faults().hangs)
     }
 
-    /// From now on this is wrong with a machine, and nothing else.
+    /// Replaces the faults of a machine.
     pub fn set_machine_faults(&mut self, machine: &str, faults: MachineFaults, now: Instant) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.set_faults(faults, &mut self.jobs, now);
--- a/crates/emulator/src/state/data.rs
+++ b/crates/emulator/src/state/data.rs
@@ -1,4 +1,4 @@
-//! The keys, leases and changes of the state service: what its file holds.
+//! The keys, leases and recent changes of the state service, and the entries of its file.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use wire::{Condition, Event, Item};
 
-/// How many changes are kept for watches.
+/// Number of changes that are retained for watches.
 pub const MAX_RETAINED_CHANGES: usize = 10_000;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
     pub lease: Option<u64>,
 }
 
-/// One change of a key; no value: deleted.
+/// A change of a key. Without a value, the key is deleted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Write {
     pub key: String,
@@ -24,24 +24,25 @@
     pub lease: Option<u64>,
 }
 
-/// What is done to the data, one entry of the log each.
+/// A change of the data, stored as one entry of the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
+    /// The writes of one transaction.
     Writes(Vec<Write>),
     Granted {
         lease: u64,
         ttl_ms: u64,
     },
-    /// The lease's keys go with it.
+    /// The lease ends and its keys are deleted.
     Ended {
         lease: u64,
     },
-    /// The beginning of a snapshot. What follows builds on these numbers.
+    /// The first entry of a snapshot, which resets the data to these numbers.
     Base {
         revision: u64,
         last_lease: u64,
     },
-    /// A key of a snapshot.
+    /// A key in a snapshot.
     Held {
         key: String,
         entry: Entry,
@@ -55,16 +56,16 @@
     value: Option<Value>,
 }
 
-/// The data. Changed by `apply` alone, so that the log repeats all of it.
+/// The data. Only `apply` changes it, so replaying the log restores all of it.
 #[derive(Debug, Clone, Default)]
 pub struct Data {
     pub revision: u64,
     pub keys: BTreeMap<String, Entry>,
-    /// How long each lease lasts, in milliseconds, and its keys.
+    /// Time to live in milliseconds and attached keys of each lease.
     pub leases: BTreeMap<u64, (u64, BTreeSet<String>)>,
     last_lease: u64,
     retained: VecDeque<RetainedChange>,
-    /// Changes up to this revision are not kept any more.
+    /// Changes up to this revision are no longer retained.
     compacted_revision: u64,
 }
 
@@ -73,7 +74,7 @@
         self.keys.get(key).map_or(0, |e| e.version)
     }
 
-    /// The keys that have other versions than these.
+    /// The keys whose versions differ from those in the conditions.
     pub fn failed_conditions(&self, conditions: &[Condition]) -> Vec<String> {
         let fails = |c: &&Condition| self.version(&c.key) != c.version;
         conditions.iter().filter(fails).map(|c| c.key.clone()).collect()
@@ -125,7 +126,7 @@
             }
             None => match self.keys.remove(&key) {
                 Some(old) => Some(old),
-                // What was not there has not changed.
+                // Deleting a missing key is not a change.
                 None => return,
             },
         };
@@ -143,7 +144,7 @@
         }
     }
 
-    /// What changed under a prefix after a revision; None if that is too long ago.
+    /// The changes of keys with a prefix after a revision; None if they are no longer all retained.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Event<Value>>> {
         if after < self.compacted_revision {
             return None;
@@ -158,8 +159,9 @@
         Some(self.retained.range(begin..).filter(|p| p.key.starts_with(prefix)).map(event).collect())
     }
 
-    /// Keys with a prefix, beginning after a key, at most `count` and `bytes` (as JSON):
-    /// the items, and whether there are more.
+    /// Returns a page of the keys with a prefix that follow the key `after`, of at most `count`
+    /// items and `bytes` bytes of JSON, and whether there are more. A page has at least one item if
+    /// there is one, even if it is larger.
     pub fn page(&self, prefix: &str, after: &str, count: usize, bytes: usize) -> (Vec<Item<Value>>, bool) {
         use std::ops::Bound::{Excluded, Included, Unbounded};
         let from = if after < prefix { Included(prefix) } else { Excluded(after) };
@@ -178,7 +180,8 @@
         (items, false)
     }
 
-    /// All of it, as changes that build it again. Watches begin anew after it.
+    /// The data as changes that restore it. Recent changes are not included, so watches have to
+    /// start from the snapshot's revision.
     pub fn snapshot(&self) -> Vec<Change> {
         let mut all = vec![Change::Base { revision: self.revision, last_lease: self.last_lease }];
         all.extend(self.leases.iter().map(|(l, (ttl_ms, _))| Change::Granted { lease: *l, ttl_ms: *ttl_ms }));
--- a/crates/emulator/src/state/mod.rs
+++ b/crates/emulator/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state service: a small consistent store of keys.
+//! The state service: a small consistent key-value store with leases and watches.
 
 mod data;
 mod request;
@@ -11,7 +11,7 @@
 
 use serde::Serialize;
 
-/// The size limits are measured in this form.
+/// Length as JSON, the form to which the size limits apply.
 pub(crate) fn json_len<T: Serialize>(value: &T) -> usize {
     serde_json::to_vec(value).map_or(usize::MAX / 2, |v| v.len())
 }
--- a/crates/emulator/src/state/request.rs
+++ b/crates/emulator/src/state/request.rs
@@ -1,10 +1,11 @@
-//! What a request to the state service asks for, or why it is malformed.
+//! Parsing and validation of requests to the state service.
 
 use net::Request;
 use percent_encoding::percent_decode_str;
 use rmpv::Value;
 use wire::{LeaseRequest, Op, Txn};
 
+/// A valid request.
 #[derive(Debug)]
 pub enum StateRequest {
     GetKey(String),
@@ -16,19 +17,19 @@
     Watch { prefix: String, after: u64, hold_ms: u64 },
 }
 
-/// Largest page of keys, and longest wait of a watch.
 const MAX_PAGE_KEYS: usize = 1000;
+/// Longest time that a watch may wait for changes.
 const MAX_HOLD_MS: u64 = 60_000;
 
-/// A status and the reason.
+/// HTTP status and reason of a rejected request.
 pub type Malformed = (u16, &'static str);
 
 fn decode_text(encoded: &str) -> Result<String, Malformed> {
     let decoded = percent_decode_str(encoded).decode_utf8();
-    decoded.map(|t| t.into_owned()).map_err(|_| (400, "the path is not text"))
+    decoded.map(|t| t.into_owned()).map_err(|_| (400, "the path is not valid UTF-8"))
 }
 
-/// A query's values by name; a name without a value is empty.
+/// Splits a path from its query and decodes both. A parameter without `=` has an empty value.
 pub fn query(path: &str) -> Result<(String, Vec<(String, String)>), Malformed> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let pairs = query.split('&').filter(|p| !p.is_empty()).map(|pair| {
@@ -42,7 +43,7 @@
     (1..=200).contains(&key.len()) && !key.contains(char::is_whitespace)
 }
 
-/// Text keys and no binary data, as on all interfaces.
+/// Whether a value has only text keys and no binary data, as all interfaces require.
 fn is_plain(value: &Value) -> bool {
     match value {
         Value::Map(m) => m.iter().all(|(k, v)| k.is_str() && is_plain(v)),
@@ -57,12 +58,12 @@
     let value = |name: &str| query.iter().find(|(n, _)| n == name).map(|(_, v)| v.clone());
     let number = |name: &str, default: u64| match value(name) {
         None => Ok(default),
-        Some(v) => v.parse::<u64>().map_err(|_| (400, "a number in the path is none")),
+        Some(v) => v.parse::<u64>().map_err(|_| (400, "a number in the query is malformed")),
     };
     let prefix = || {
         let prefix = value("prefix").unwrap_or_default();
         let valid = prefix.is_empty() || is_key(&prefix);
-        valid.then_some(prefix).ok_or((400, "the prefix is not the beginning of a key"))
+        valid.then_some(prefix).ok_or((400, "the prefix is not the beginning of a valid key"))
     };
     let suffix_after = |beginning: &str| path.strip_prefix(beginning).map(str::to_owned);
     match (request.method.as_str(), path.as_str()) {
@@ -82,7 +83,8 @@
             Ok(StateRequest::Watch { prefix: prefix()?, after: number("after", 0)?, hold_ms })
         }
         ("POST", "/txn") => {
-            let txn: Txn<Value> = wire::decode(&request.body).map_err(|_| (400, "not a transaction"))?;
+            let txn: Txn<Value> =
+                wire::decode(&request.body).map_err(|_| (400, "the body is not a transaction"))?;
             validate_txn(&txn)?;
             Ok(StateRequest::Txn(txn))
         }
@@ -95,7 +97,11 @@
         }
         (method, _) => {
             if let ("GET", Some(key)) = (method, suffix_after("/keys/")) {
-                return if is_key(&key) { Ok(StateRequest::GetKey(key)) } else { Err((400, "not a key")) };
+                return if is_key(&key) {
+                    Ok(StateRequest::GetKey(key))
+                } else {
+                    Err((400, "the path has no valid key"))
+                };
             }
             let id = |text: &str| text.parse::<u64>().map_err(|_| (404, "no such lease"));
             match (method, suffix_after("/leases/")) {
@@ -112,7 +118,7 @@
 
 fn validate_txn(txn: &Txn<Value>) -> Result<(), Malformed> {
     if !txn.conditions.iter().all(|c| is_key(&c.key)) {
-        return Err((400, "a condition's key is not a key"));
+        return Err((400, "a condition has an invalid key"));
     }
     for op in &txn.ops {
         let (key, value) = match op {
@@ -120,7 +126,7 @@
             Op::Delete { delete } => (delete, None),
         };
         if !is_key(key) {
-            return Err((400, "a change's key is not a key"));
+            return Err((400, "a change has an invalid key"));
         }
         if !value.is_none_or(is_plain) {
             return Err((400, "a value has binary data or keys that are not text"));
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -1,4 +1,4 @@
-//! The state service as its callers see it: limits, leases, watches and troubles.
+//! The state service as its callers see it: limits, leases, watches and injected faults.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -21,11 +21,13 @@
 pub struct StateLimits {
     pub rps: f64,
     pub write_rps: f64,
-    /// KiB of a value, written as JSON.
+    /// Maximum size of a value as JSON, in KiB.
     pub value_kb: f64,
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
 }
 
+/// A request that waits for changes of keys with a prefix.
 #[derive(Debug, Clone)]
 pub struct Watch {
     caller: usize,
@@ -35,39 +37,39 @@
 }
 
 impl Watch {
-    /// When it has waited long enough.
+    /// When the watch is answered even without changes.
     pub fn until(&self) -> Instant {
         self.until
     }
 }
 
-/// A lease may end so much later than it should, never earlier.
+/// A lease may end this much after its time to live, but never before.
 const MAX_LEASE_DELAY: Duration = Duration::from_millis(100);
 const MAX_TXN_BYTES: usize = 64 * 1024;
 const MAX_PAGE_BYTES: usize = 512 * 1024;
 
-/// The service. Time is passed in and must not go back.
+/// The state service. The current time is passed as an argument and must not decrease.
 pub struct StateService {
     data: Data,
     limits: StateLimits,
     requests: TokenBucket,
     writes: TokenBucket,
-    /// When each lease ends.
+    /// Expiration time of each lease.
     lease_ends: BTreeMap<u64, Instant>,
     faults: ServiceFaults,
     journal: Option<Journal>,
-    /// The file could not be written: nothing is acknowledged any more.
+    /// The file could not be written; requests are no longer acknowledged.
     journal_failed: bool,
     rng: StdRng,
 }
 
-/// What carrying a request out leads to.
+/// The result of executing a request.
 #[derive(Debug)]
 pub enum ExecutionOutcome {
     Reply(Reply),
-    /// It is answered once `check` has an answer.
+    /// The reply is sent when `poll_watch` returns one.
     Wait(Watch),
-    /// The file failed: nobody knows whether it was carried out.
+    /// Writing the file failed, so it is unknown whether the request took effect.
     Unknown,
 }
 
@@ -76,7 +78,7 @@
 }
 
 impl StateService {
-    /// An empty service that keeps nothing when it ends.
+    /// An empty service that stores nothing on disk.
     pub fn new(limits: StateLimits, seed: u64, now: Instant) -> Self {
         Self {
             data: Data::default(),
@@ -91,8 +93,8 @@
         }
     }
 
-    /// A service that keeps its data in a file. What it acknowledged before is there
-    /// again, and every lease has its full time.
+    /// Opens a service that stores its data in a file. All data acknowledged before is restored,
+    /// and every lease has its full time to live again.
     pub fn open(limits: StateLimits, seed: u64, path: &Path, now: Instant) -> Result<Self, JournalError> {
         let (journal, entries) = Journal::open(path)?;
         let mut service = Self { journal: Some(journal), ..Self::new(limits, seed, now) };
@@ -113,8 +115,7 @@
         &self.faults
     }
 
-    /// From now on this goes wrong and nothing else. After an outage every lease has
-    /// its full time again.
+    /// Replaces the injected faults. After an outage every lease has its full time to live again.
     pub fn set_faults(&mut self, faults: ServiceFaults, now: Instant) {
         self.poll(now);
         if self.faults.outage && !faults.outage {
@@ -137,12 +138,12 @@
         }
     }
 
-    /// When the next lease ends, for whoever waits for changes.
+    /// When the next lease expires, which may change keys. None during an outage.
     pub fn next_lease_end(&self) -> Option<Instant> {
         if self.faults.outage { None } else { self.lease_ends.values().min().copied() }
     }
 
-    /// Ends the leases whose time is over.
+    /// Ends the leases that have expired.
     pub fn poll(&mut self, now: Instant) {
         if self.faults.outage || self.journal_failed {
             return;
@@ -155,14 +156,14 @@
         }
     }
 
-    /// Writes a change down and then makes it. If the file fails, the service is broken
-    /// and answers nobody any more.
+    /// Writes a change to the file and then applies it. If the write fails, the service refuses all
+    /// further requests.
     fn commit(&mut self, change: Change) {
         if let Some(journal) = &mut self.journal
             && let Err(e) = journal.append(&wire::encode(&change))
         {
-            // Whether the disk has it nobody knows, so there is no true answer any more.
-            error!(error = %e, "the state service stops: its file cannot be written");
+            // The change may or may not be on the disk, so any further answer could be wrong.
+            error!(error = %e, "the state service refuses all further requests: its file cannot be written");
             self.journal_failed = true;
             return;
         }
@@ -172,7 +173,7 @@
         {
             let entries: Vec<Vec<u8>> = self.data.snapshot().iter().map(wire::encode).collect();
             if let Err(e) = journal.replace(&entries) {
-                error!(error = %e, "the state service stops: its file cannot be replaced");
+                error!(error = %e, "the state service refuses all further requests: its snapshot cannot be written");
                 self.journal_failed = true;
             }
         }
@@ -182,7 +183,8 @@
         self.journal_failed || self.faults.outage || self.faults.refused.contains(&caller)
     }
 
-    /// Takes a request. Callers are told apart by numbers of the site's choice.
+    /// Handles a request and applies the injected faults. `caller` is the number that the site
+    /// assigned to the caller.
     pub fn handle(&mut self, caller: usize, request: &Request, now: Instant) -> RequestOutcome {
         if let Some(delay) = self.faults.draw_execution_delay(&mut self.rng) {
             return RequestOutcome::Late(delay);
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Carries a request out now.
+    /// Executes a request now.
     pub fn carry_out(&mut self, caller: usize, request: &Request, now: Instant) -> ExecutionOutcome {
         self.poll(now);
         if self.is_unavailable_to(caller) {
@@ -226,10 +228,10 @@
         if self.journal_failed { ExecutionOutcome::Unknown } else { ExecutionOutcome::Reply(reply) }
     }
 
-    /// The answer to a watch, once there is one.
+    /// Returns the reply to a watch if there are changes or its time is over.
     pub fn poll_watch(&mut self, watch: &Watch, now: Instant) -> Option<Reply> {
         self.poll(now);
-        // It waits as long as its caller is refused, and longer than it asked for.
+        // While its caller is refused, a watch stays open, even beyond the time it asked for.
         if self.is_unavailable_to(watch.caller) {
             return None;
         }
@@ -265,7 +267,7 @@
         if values.max().is_some_and(|len| len as f64 > limits.value_kb * 1024.0) {
             return error_reply(400, "a value is too large");
         }
-        // Also when the conditions fail.
+        // Changes count towards the limit even if the conditions fail.
         if !self.writes.take(txn.ops.len() as f64, now) {
             return error_reply(429, "too many changes");
         }
--- a/crates/emulator/src/token_bucket.rs
+++ b/crates/emulator/src/token_bucket.rs
@@ -1,8 +1,8 @@
 use std::time::Instant;
 
-/// What a service that limits its callers lets through: so much a second, and so much
-/// at once after a pause. Unlike a client's budget it never waits and never goes into
-/// debt: what is above the limit is refused and costs nothing.
+/// A token bucket on the server side: limits the rate of requests and the size of bursts. Unlike
+/// a client's rate limiter it never waits and never goes into debt: a request above the limit is
+/// refused and takes no tokens.
 #[derive(Debug)]
 pub struct TokenBucket {
     per_s: f64,
@@ -12,13 +12,13 @@
 }
 
 impl TokenBucket {
-    /// `burst_s`: how many seconds' worth may come at once.
+    /// `burst_s`: the largest burst, in seconds of the rate.
     pub fn new(per_s: f64, burst_s: f64, now: Instant) -> Self {
         let burst = per_s * burst_s;
         Self { per_s, burst, tokens: burst, refilled_at: now }
     }
 
-    /// Whether `n` more may pass now; if so, they have.
+    /// Takes `amount` tokens if there are enough of them; returns whether it did.
     pub fn take(&mut self, amount: f64, now: Instant) -> bool {
         let gained = now.saturating_duration_since(self.refilled_at).as_secs_f64() * self.per_s;
         self.tokens = (self.tokens + gained).min(self.burst);
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -1,5 +1,5 @@
-//! Users: they submit jobs, ask about them and cancel some, by "Users -> controller
-//! nodes" of the protocol's page, and take note of answers that must not be.
+//! Emulated users: they submit jobs, query their states and cancel some of them, as specified in
+//! "Users -> controller nodes" of the protocol document, and record answers that violate it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,26 +8,29 @@
 use rand::{RngExt, SeedableRng};
 use wire::{JobKind, JobSpec, JobState};
 
-/// Jobs of one kind that come again and again.
+/// A stream of jobs of one kind that users submit at random times.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// All but the id.
+    /// The description of the jobs; each job gets an id of its own.
     pub job: JobSpec,
+    /// Mean rate of submissions.
     pub per_minute: f64,
     /// How long a service runs before its user cancels it.
     pub lifetime: Duration,
-    /// The share of other jobs that is cancelled, at a random time within `stays`.
+    /// The share of other jobs that is cancelled, at a random time within `lifetime`.
     pub cancelled: f64,
 }
 
-/// How long users wait for an answer.
+/// Timeout of submissions and cancellations.
 pub const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of queries for a job's state.
 pub const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a request is repeated in all, and the longest pause that a node may ask for.
+/// How long an unanswered submission is retried in all.
 const SUBMIT_RETRY_LIMIT: Duration = Duration::from_secs(60);
+/// Longest `Retry-After` of a node that users comply with.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// How seldom something unusual is asked: a job again that is over, a submission again,
-/// a job that nobody has submitted.
+/// Share of unusual requests: resubmissions of accepted jobs and queries for jobs that were never
+/// submitted.
 const UNUSUAL_REQUEST_SHARE: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,9 +38,9 @@
     Submitting,
     Waiting,
     Cancelling,
-    /// It is asked about once more.
+    /// The job is in a final state, which is queried once more.
     RecheckOnce,
-    /// Nothing more is asked.
+    /// No more requests are sent for the job.
     Closed,
 }
 
@@ -53,7 +56,7 @@
     last_state: Option<JobState>,
 }
 
-/// A request that is to be sent now.
+/// A request of a user that must be sent now.
 #[derive(Debug)]
 pub struct UserRequest {
     pub id: String,
@@ -63,7 +66,7 @@
     pub timeout: Duration,
 }
 
-/// What came of it; a status of None: no answer.
+/// The response to a request. The status is None if there was no answer.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UserResponse {
     pub status: Option<u16>,
@@ -71,18 +74,19 @@
     pub state: Option<JobState>,
 }
 
+/// Counts of jobs by their outcome as the users see it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct UserStatistics {
     pub submitted: usize,
     pub accepted: usize,
     pub done: usize,
     pub cancelled: usize,
-    /// With 400 or 422.
+    /// Submissions that were answered with status 400 or 422.
     pub refused: usize,
     pub given_up: usize,
-    /// The longest time from the first attempt until the user was told `done`.
+    /// The longest time from the first submission of a job until a user received the state `done`.
     pub longest_completion: Duration,
-    /// Rules that were broken as far as users see it, with the job.
+    /// Violated rules, each with the id of the job.
     pub violations: Vec<(&'static str, String)>,
 }
 
@@ -96,7 +100,8 @@
 }
 
 impl Users {
-    /// `base`: what all ids begin with. Ids must never come back.
+    /// `id_prefix`: the number with which all ids begin. It must differ from run to run, since ids
+    /// must never be reused.
     pub fn new(loads: Vec<Load>, id_prefix: u64, seed: u64, now: Instant) -> Self {
         let loads = loads.into_iter().map(|l| (l, now)).collect();
         let rng = StdRng::seed_from_u64(seed);
@@ -114,12 +119,13 @@
         &self.statistics
     }
 
-    /// How many jobs are neither over nor given up.
+    /// The number of jobs that are neither in a final state nor given up.
     pub fn open(&self) -> usize {
         self.jobs.values().filter(|j| !matches!(j.phase, Phase::RecheckOnce | Phase::Closed)).count()
     }
 
-    /// In no order, and none twice: multiples of one number modulo a prime.
+    /// Returns an id that is not in ascending order and not yet used. Multiples of a number modulo
+    /// a prime do not repeat.
     fn new_id(&mut self) -> String {
         self.id_count += 1;
         format!("j-{}{:06}", self.id_prefix, (self.id_count * 617_411) % 999_983)
@@ -154,7 +160,7 @@
         }
     }
 
-    /// Lets time pass; the requests that are to be sent now.
+    /// Advances the users to `now` and returns the requests that must be sent.
     pub fn poll(&mut self, now: Instant) -> Vec<UserRequest> {
         self.create_jobs(now);
         let (mut out, rng) = (Vec::new(), &mut self.rng);
@@ -192,7 +198,7 @@
         out
     }
 
-    /// What came of a request.
+    /// Records the response to a request and checks it against the protocol.
     pub fn record_response(&mut self, request: &UserRequest, response: UserResponse, now: Instant) {
         let id = &request.id;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -223,7 +229,7 @@
                 let requested = response.retry_after.unwrap_or_default().min(MAX_RETRY_AFTER);
                 let minimum = Duration::from_secs_f64(self.rng.random_range(1.0..2.0));
                 job.next_request_at = now + requested.max(minimum);
-                // A cancellation is repeated until it is answered.
+                // Cancellations are retried without a limit until they are answered.
                 if job.phase == Phase::Submitting
                     && job.next_request_at > job.submitted_at + SUBMIT_RETRY_LIMIT
                 {
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -1,4 +1,5 @@
-//! A worker: one per machine, by "Workers -> controller nodes" of the protocol's page.
+//! A worker, one per machine, as specified in "Workers -> controller nodes" of the protocol
+//! document.
 
 mod tasks;
 
@@ -15,11 +16,13 @@
 
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerRules {
+    /// Mean interval of reports.
     pub report: Duration,
+    /// How long tasks run on without an answered report.
     pub lease: Duration,
 }
 
-/// What a machine is.
+/// The properties of a machine.
 #[derive(Debug, Clone)]
 pub struct MachineInfo {
     pub name: String,
@@ -29,45 +32,46 @@
     pub spot: bool,
 }
 
-/// What is wrong with a machine. Several may be at once.
+/// Faults injected into a machine. Several may be active at the same time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct MachineFaults {
-    /// It does nothing at all, and may go on later.
+    /// The machine does nothing at all until the fault ends.
     pub hangs: bool,
-    /// Nothing reaches it, though its reports arrive.
+    /// No message reaches the machine, but its reports arrive.
     pub unreachable: bool,
-    /// Its reports do not arrive, though it is reached.
+    /// The machine's reports do not arrive, but it can be reached.
     pub reports_lost: bool,
-    /// Every task that it starts fails.
+    /// Every task that the machine starts fails.
     pub tasks_fail: bool,
 }
 
-/// Belongs to one report, so that its answer is taken for what it is.
+/// Identifies a report, so that answers to earlier reports can be recognized.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ticket {
     incarnation: u64,
     sent: Instant,
 }
 
-/// What came of a report.
+/// The result of sending a report.
 #[derive(Debug)]
 pub enum ReportOutcome {
-    /// 200; None: without a token that could be read.
+    /// Status 200; None if the body could not be decoded.
     Answer(Option<HeartbeatResponse>),
-    /// 421, perhaps with the number of another controller.
+    /// Status 421, with the number of the other controller if it is known.
     Redirected(Option<usize>),
-    /// Any other status, no answer in time, no connection.
+    /// Any other status, no answer in time, or no connection.
     Failed,
 }
 
-/// Never more often than this, whatever changes.
+/// Minimum time between reports, however often the state changes.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long after a failure the next controller is tried.
+/// Pause after a failed report before the next controller is tried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// How long a worker waits for an answer.
+/// How long a worker waits for the answer to a report.
 pub const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What a report shows that is worth one at once: tasks, notice and session.
+/// The state whose change causes an immediate report: the tasks, whether there is a spot notice,
+/// and the incarnation.
 type ReportedState = (Vec<wire::TaskStatus>, bool, u64);
 
 pub struct Worker {
@@ -77,16 +81,18 @@
     incarnation: u64,
     sequence: u64,
     token: u64,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered report was sent, or when the incarnation began.
     lease_renewed_at: Instant,
-    /// When the cloud takes the machine away.
+    /// When the cloud reclaims the machine; None: no spot notice.
     reclaim_at: Option<Instant>,
     tasks: Tasks,
-    /// How many controllers there are, and which one it reports to.
+    /// Number of controllers.
     controllers: usize,
+    /// The controller that gets the reports.
     target: usize,
     in_flight: Option<Ticket>,
     next_report_at: Instant,
+    /// No report is sent before this time.
     not_before: Instant,
     last_reported: ReportedState,
     last_reported_token: u64,
@@ -96,7 +102,7 @@
 }
 
 impl Worker {
-    /// A machine that has just come up. `controllers` must be at least 1.
+    /// Creates the worker of a machine that has just come up. `controllers` must be at least 1.
     pub fn new(info: MachineInfo, rules: WorkerRules, controllers: usize, seed: u64, now: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let machine_type = &info.machine_type;
@@ -142,12 +148,12 @@
         self.incarnation
     }
 
-    /// What is on it, as it would report it.
+    /// The tasks on the machine, as in a report.
     pub fn tasks(&self) -> Vec<wire::TaskStatus> {
         self.tasks.reports()
     }
 
-    /// What happened to its tasks since the last call.
+    /// Returns the events of the tasks since the last call.
     pub fn take_events(&mut self, now: Instant) -> Vec<TaskEvent> {
         let machine = &self.info.name;
         let event =
@@ -159,7 +165,7 @@
         self.reclaim_at = Some(reclaim_at);
     }
 
-    /// From now on this is wrong with it, and nothing else.
+    /// Replaces the faults of the machine.
     pub fn set_faults(&mut self, faults: MachineFaults, jobs: &mut Jobs, now: Instant) {
         if faults.hangs != self.faults.hangs {
             self.poll(jobs, now);
@@ -170,7 +176,8 @@
         self.faults = faults;
     }
 
-    /// Lets time pass.
+    /// Advances the worker to `now`. If its lease has expired, all tasks are killed and a new
+    /// incarnation begins.
     pub fn poll(&mut self, jobs: &mut Jobs, now: Instant) {
         let elapsed = now.saturating_duration_since(self.last_poll);
         self.last_poll = self.last_poll.max(now);
@@ -185,7 +192,7 @@
         self.tasks.poll(self.faults.tasks_fail, jobs, elapsed, now, &mut self.rng);
     }
 
-    /// The machine is gone with all that was on it.
+    /// Kills all tasks because the machine has ended.
     pub fn kill(&mut self, jobs: &mut Jobs, now: Instant) {
         self.tasks.kill_all(jobs, now);
     }
@@ -212,7 +219,7 @@
         }
     }
 
-    /// A report, if one is to be sent now to `target`.
+    /// Returns the report that must be sent to `target` now, if any.
     pub fn take_due_report(&mut self, now: Instant) -> Option<(Ticket, Heartbeat)> {
         if let Some(ticket) = self.in_flight
             && now >= ticket.sent + REPORT_TIMEOUT
@@ -236,11 +243,12 @@
         self.next_report_at = now + self.rules.report.mul_f64(self.rng.random_range(0.75..1.25));
         self.not_before = now + MIN_REPORT_INTERVAL;
         let report = self.report(now);
-        // What is sent into the void is not answered.
+        // A lost report stays in flight until it times out.
         (!self.faults.reports_lost).then_some((ticket, report))
     }
 
-    /// What came of a report. None for `jobs`: nothing that could have commands.
+    /// Records the result of a report and executes the commands in its answer. `jobs` may be None
+    /// if the outcome cannot have commands.
     pub fn record_report_outcome(
         &mut self,
         ticket: Ticket,
@@ -252,7 +260,7 @@
             return;
         }
         let timed_out = now >= ticket.sent + REPORT_TIMEOUT;
-        // A machine that hangs reads it only when it goes on.
+        // A hung machine does not process answers.
         if self.faults.hangs && !timed_out {
             return;
         }
@@ -269,7 +277,7 @@
                     self.execute(&answer.commands, jobs, now);
                 }
             }
-            // Dropped, and it stays.
+            // An undecodable or outdated answer is ignored; the worker keeps its controller.
             ReportOutcome::Answer(_) => {}
             ReportOutcome::Redirected(Some(other)) if other != self.target && other < self.controllers => {
                 self.target = other;
@@ -298,7 +306,8 @@
         }
     }
 
-    /// Commands sent straight to the machine: the status and its report.
+    /// Executes commands that were sent directly to the machine. Returns the HTTP status and a
+    /// report.
     pub fn commands(&mut self, commands: &Commands, jobs: &mut Jobs, now: Instant) -> (u16, Heartbeat) {
         self.poll(jobs, now);
         if commands.fencing_token < self.token || commands.incarnation != self.incarnation {
--- a/crates/emulator/src/worker/tasks.rs
+++ b/crates/emulator/src/worker/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks on a machine, from their start to their end.
+//! The tasks on a machine, from the start command until they are forgotten.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,18 +14,19 @@
 use crate::jobs::Jobs;
 
 struct Task {
-    /// None: unknown to everybody.
+    /// None: no such job or task was uploaded.
     spec: Option<Arc<JobSpec>>,
     job: String,
     number: u32,
     state: TaskState,
     cause: Option<ExitReason>,
+    /// Whether progress was saved, if the task was stopped.
     saved: Option<bool>,
-    /// In seconds of work.
+    /// In seconds of work at speed 1.
     progress: f64,
-    /// When it has saved, while it is saving.
+    /// When saving completes, while the task is saving.
     saved_at: Option<Instant>,
-    /// When it fails.
+    /// When the task fails; None: it does not.
     fails_at: Option<Instant>,
 }
 
@@ -38,7 +39,7 @@
         self.spec.as_ref().is_some_and(|s| s.kind == JobKind::Gang)
     }
 
-    /// Whether the gang knows of it.
+    /// Whether the task is a member of its gang, which controls its state then.
     fn has_joined_gang(&self) -> bool {
         self.is_gang() && !matches!(self.state, TaskState::Fetching | TaskState::Exited)
     }
@@ -51,11 +52,11 @@
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
-    /// What happened since the last `take_events`: task, attempt, and what.
+    /// Events since the last `take_events`: task, attempt and kind.
     events: Vec<(String, u64, TaskEventKind)>,
 }
 
-/// Amounts are sums of decimal numbers.
+/// Sums of decimal numbers are not exact, so resources may exceed the limit by this much.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Tasks {
@@ -75,12 +76,12 @@
         self.tasks.iter().map(report).collect()
     }
 
-    /// What happened since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<(String, u64, TaskEventKind)> {
         std::mem::take(&mut self.events)
     }
 
-    /// Notes what a task's new state means.
+    /// Records the event that a change of a task's state amounts to, if any.
     fn record_state_change(&mut self, key: &(String, u64), state_before: TaskState) {
         let now = self.tasks.get(key).map_or(TaskState::Exited, |t| t.state);
         let kind = match (state_before, now) {
@@ -93,9 +94,9 @@
     }
 
     fn fits(&self, spec: &JobSpec) -> bool {
-        let on = self.tasks.values().filter(|t| t.state != TaskState::Exited);
+        let present = self.tasks.values().filter(|t| t.state != TaskState::Exited);
         let (mut cpus, mut gpus, mut memory_gb) = (spec.cpus, spec.gpus, spec.memory_gb);
-        for other in on.filter_map(|t| t.spec.as_ref()) {
+        for other in present.filter_map(|t| t.spec.as_ref()) {
             cpus += other.cpus;
             gpus += other.gpus;
             memory_gb += other.memory_gb;
@@ -198,7 +199,8 @@
         }
     }
 
-    /// The machine hangs, or goes on (None).
+    /// Marks the machine as hung, which the other tasks of its gangs detect after
+    /// `detection_delay`; with None, the machine works again.
     pub fn set_hung(&mut self, detection_delay: Option<Duration>, jobs: &mut Jobs, now: Instant) {
         for ((_, attempt), t) in self.tasks.iter().filter(|(_, t)| t.has_joined_gang()) {
             if let Some(gang) = jobs.gang(&t.job, *attempt, now) {
@@ -206,7 +208,7 @@
             }
         }
         if detection_delay.is_none() {
-            // Saving stood still as well.
+            // Saving made no progress during the hang and starts anew.
             for t in self.tasks.values_mut().filter(|t| t.saved_at.is_some()) {
                 let save = t.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s);
                 t.saved_at = Some(now + Duration::from_secs_f64(save));
@@ -280,7 +282,7 @@
     }
 }
 
-/// The task has its image.
+/// Starts a task whose image has been fetched.
 fn start_with_image(t: &mut Task, attempt: u64, speed: f64, jobs: &mut Jobs, now: Instant) {
     if jobs.is_done(&t.job, t.number) {
         return t.end(ExitReason::Done, None);
@@ -294,7 +296,7 @@
     t.progress = jobs.saved_progress(&t.job, t.number);
 }
 
-/// A gang's task is as its gang says.
+/// Sets the state of a gang's task from its gang.
 fn apply_gang_state(t: &mut Task, attempt: u64, jobs: &mut Jobs, now: Instant) {
     let Some(gang) = jobs.gang(&t.job, attempt, now) else { return };
     gang.poll(now);
@@ -310,6 +312,7 @@
     }
 }
 
+/// Advances a task that is not a member of a gang.
 fn advance(t: &mut Task, spec: &JobSpec, speed: f64, elapsed: Duration, jobs: &mut Jobs, now: Instant) {
     match t.state {
         TaskState::Running => {
--- a/crates/emulator/tests/balancer_and_users.rs
+++ b/crates/emulator/tests/balancer_and_users.rs
@@ -1,4 +1,5 @@
-//! Load balancer and users by their page, on a clock of the test's own.
+//! Checks the load balancer and the emulated users against "Users -> controller nodes" of the
+//! protocol document, on a simulated clock.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -13,36 +14,37 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// Two nodes, probed once a second; the second one as `fine` says.
-fn probed(b: &mut Balancer, t: Instant, seconds: std::ops::Range<u32>, fine: &[bool]) -> Vec<bool> {
-    let one = |n: u32| {
+/// Probes two nodes once a second. Probes of the first succeed, those of the second as in
+/// `outcomes`, repeated. Returns whether the second is healthy after each probe.
+fn probe_nodes(b: &mut Balancer, t: Instant, seconds: std::ops::Range<u32>, outcomes: &[bool]) -> Vec<bool> {
+    let probe_once = |n: u32| {
         let now = t + s(f64::from(n));
         b.record_probe(0, true, now);
-        b.record_probe(1, fine[(n as usize) % fine.len()], now);
+        b.record_probe(1, outcomes[(n as usize) % outcomes.len()], now);
         b.is_healthy(1)
     };
-    seconds.map(one).collect()
+    seconds.map(probe_once).collect()
 }
 
 #[test]
-fn nodes_are_removed_and_come_back_after_a_pause_that_doubles() {
+fn unhealthy_nodes_are_removed_for_a_time_that_doubles() {
     let t = Instant::now();
     let mut b = Balancer::new(2, 1);
     assert!(!b.is_healthy(1) && b.choose(&[], t).is_none());
-    assert_eq!(probed(&mut b, t, 0..1, &[true]), [true], "one success for a new one");
-    assert_eq!(probed(&mut b, t, 1..3, &[false]), [true, false], "two failures in a row");
+    assert_eq!(probe_nodes(&mut b, t, 0..1, &[true]), [true], "a new node needs one success");
+    assert_eq!(probe_nodes(&mut b, t, 1..3, &[false]), [true, false], "two failures in a row");
     assert!(b.take_resets(t + s(6.9)).is_empty());
     assert_eq!(b.take_resets(t + s(7.0)), [1]);
-    assert!(b.take_resets(t + s(8.0)).is_empty(), "told once");
-    assert_eq!(probed(&mut b, t, 3..6, &[true]), [false, false, true], "not before 3 s");
-    // Three of six, one at a time: removed at the third failure, for 6 s now.
-    let uneven = probed(&mut b, t, 6..11, &[false, true]);
-    assert_eq!(uneven, [true, true, true, true, false]);
-    assert_eq!(probed(&mut b, t, 11..17, &[true]), [false, false, false, false, false, true]);
+    assert!(b.take_resets(t + s(8.0)).is_empty(), "each reset is returned once");
+    assert_eq!(probe_nodes(&mut b, t, 3..6, &[true]), [false, false, true], "a removal lasts at least 3 s");
+    // The third failure among the last six probes removes the node, now for 6 s.
+    let alternating = probe_nodes(&mut b, t, 6..11, &[false, true]);
+    assert_eq!(alternating, [true, true, true, true, false]);
+    assert_eq!(probe_nodes(&mut b, t, 11..17, &[true]), [false, false, false, false, false, true]);
 }
 
 #[test]
-fn connections_go_to_the_least_used_and_to_new_ones_little_by_little() {
+fn connections_go_to_the_least_used_node_and_gradually_to_new_ones() {
     let t = Instant::now();
     let mut b = Balancer::new(2, 1);
     b.record_probe(0, true, t);
@@ -54,18 +56,18 @@
     (0..10).for_each(|_| assert_eq!(connect(&mut b, t + s(10.0)), 0));
     b.record_probe(1, true, t + s(20.0));
     let to_new = (0..10).filter(|_| connect(&mut b, t + s(21.0)) == 1).count();
-    assert!((1..=2).contains(&to_new), "a tenth of its share: {to_new}");
+    assert!((1..=2).contains(&to_new), "a new node starts with a tenth of its share: {to_new}");
     let to_new = (0..30).filter(|_| connect(&mut b, t + s(30.0)) == 1).count();
-    assert!(to_new > 20, "the least used: {to_new}");
+    assert!(to_new > 20, "the least used node is preferred: {to_new}");
     assert_eq!(b.choose(&[0, 1], t + s(30.0)), None);
-    // One that fails three times in a row is skipped for 3 s.
+    // A node that fails three times in a row is skipped for 3 s.
     (0..3).for_each(|_| b.record_connection_attempt(1, false, t + s(40.0)));
     (0..30).for_each(|_| assert_eq!(connect(&mut b, t + s(42.9)), 0));
     assert_eq!(b.choose(&[], t + s(43.0)), Some(1));
 }
 
-/// Users whose requests are answered by `answer` for five minutes, twenty times a second.
-fn play(loads: Vec<Load>, answer: impl Fn(&UserRequest, Duration) -> UserResponse) -> Users {
+/// Runs users for five minutes in steps of 50 ms; `answer` answers their requests.
+fn simulate(loads: Vec<Load>, answer: impl Fn(&UserRequest, Duration) -> UserResponse) -> Users {
     let t = Instant::now();
     let mut users = Users::new(loads, 7, 3, t);
     for n in 0..6000 {
@@ -82,8 +84,8 @@
     SiteFile::parse("busy.hcl", BUSY).expect("the example is valid").loads()
 }
 
-/// No answer for a job that is not a user's own.
-fn known(request: &UserRequest, response: UserResponse) -> UserResponse {
+/// Answers 404 to queries for jobs that were never submitted, whose ids are longer.
+fn answer_404_if_unknown(request: &UserRequest, response: UserResponse) -> UserResponse {
     if request.id.len() == "j-7000000".len() {
         response
     } else {
@@ -91,78 +93,85 @@
     }
 }
 
-fn says(status: u16, state: JobState) -> UserResponse {
+fn response_with_state(status: u16, state: JobState) -> UserResponse {
     UserResponse { status: Some(status), retry_after: None, state: Some(state) }
 }
 
 #[test]
-fn users_submit_ask_and_cancel() {
+fn users_submit_query_and_cancel_jobs() {
     let withdrawn = RefCell::new(HashSet::new());
-    let users = play(loads(), |q, _| {
+    let users = simulate(loads(), |q, _| {
         if q.path.ends_with("/withdraw") {
             withdrawn.borrow_mut().insert(q.id.clone());
         }
         let response = if withdrawn.borrow().contains(&q.id) {
-            says(200, JobState::Cancelled)
+            response_with_state(200, JobState::Cancelled)
         } else if q.method == "POST" {
-            says(201, JobState::Queued)
+            response_with_state(201, JobState::Queued)
         } else {
-            says(200, JobState::Running)
+            response_with_state(200, JobState::Running)
         };
-        known(q, response)
+        answer_404_if_unknown(q, response)
     });
     let t = users.user_statistics();
-    // 19 a minute, of which the services and some arrays are cancelled.
+    // The loads submit 19 jobs a minute; the services and some of the arrays are cancelled.
     assert!((60..130).contains(&t.submitted) && t.accepted == t.submitted, "{t:?}");
     assert!((10..40).contains(&t.cancelled) && t.done == 0 && t.violations.is_empty(), "{t:?}");
     assert_eq!(users.open(), t.submitted - t.cancelled);
 }
 
 #[test]
-fn users_come_back_until_their_patience_ends_and_give_up_what_is_refused() {
+fn users_retry_until_the_time_limit_and_give_up_rejected_submissions() {
     let arrays = || loads().into_iter().filter(|l| l.job.kind == JobKind::Array).collect::<Vec<_>>();
-    let busy =
-        |q: &UserRequest, status| known(q, UserResponse { status: Some(status), ..UserResponse::default() });
-    let t = play(arrays(), |q, _| busy(q, 503)).user_statistics().clone();
+    let response_with_status = |q: &UserRequest, status| {
+        answer_404_if_unknown(q, UserResponse { status: Some(status), ..UserResponse::default() })
+    };
+    let t = simulate(arrays(), |q, _| response_with_status(q, 503)).user_statistics().clone();
     assert!(t.given_up > 20 && t.accepted == 0 && t.submitted > t.given_up, "{t:?}");
-    let t = play(arrays(), |q, _| busy(q, 422)).user_statistics().clone();
+    let t = simulate(arrays(), |q, _| response_with_status(q, 422)).user_statistics().clone();
     assert_eq!((t.refused, t.given_up), (t.submitted, 0));
-    // As long as the node says, but 30 s at most.
-    let tries = |pause: f64| {
+    // Users wait as long as `Retry-After` says, but at most 30 s.
+    let attempts_per_job = |pause: f64| {
         let count = RefCell::new(0);
-        let users = play(arrays(), |q, _| {
+        let users = simulate(arrays(), |q, _| {
             *count.borrow_mut() += usize::from(q.method == "POST");
-            UserResponse { retry_after: Some(s(pause)), ..busy(q, 503) }
+            UserResponse { retry_after: Some(s(pause)), ..response_with_status(q, 503) }
         });
         *count.borrow() as f64 / users.user_statistics().submitted as f64
     };
-    let (often, seldom) = (tries(0.0), tries(500.0));
-    assert!((25.0..45.0).contains(&often) && (1.5..=3.0).contains(&seldom), "{often} {seldom}");
+    let (attempts_without_pause, attempts_with_long_pause) = (attempts_per_job(0.0), attempts_per_job(500.0));
+    assert!(
+        (25.0..45.0).contains(&attempts_without_pause) && (1.5..=3.0).contains(&attempts_with_long_pause),
+        "{attempts_without_pause} {attempts_with_long_pause}"
+    );
 }
 
 #[test]
-fn answers_that_must_not_be_are_noticed() {
-    let broken = |answer: fn(&UserRequest, Duration) -> UserResponse| {
+fn answers_that_violate_the_protocol_are_recorded() {
+    let violated_rules = |answer: fn(&UserRequest, Duration) -> UserResponse| {
         let mut rules: Vec<&str> =
-            play(loads(), answer).user_statistics().violations.iter().map(|(r, _)| *r).collect();
+            simulate(loads(), answer).user_statistics().violations.iter().map(|(r, _)| *r).collect();
         rules.sort_unstable();
         rules.dedup();
         rules
     };
     assert_eq!(
-        broken(|q, now| match q.method {
+        violated_rules(|q, now| match q.method {
             "GET" if now > s(150.0) =>
-                known(q, UserResponse { status: Some(404), ..UserResponse::default() }),
-            _ => known(q, says(200, JobState::Running)),
+                answer_404_if_unknown(q, UserResponse { status: Some(404), ..UserResponse::default() }),
+            _ => answer_404_if_unknown(q, response_with_state(200, JobState::Running)),
         }),
         ["forgotten"]
     );
-    assert_eq!(broken(|_, _| says(200, JobState::Running)), ["invented"]);
-    // Done, and later running again; or cancelled by nobody.
-    let flips = |q: &UserRequest, now: Duration| {
+    assert_eq!(violated_rules(|_, _| response_with_state(200, JobState::Running)), ["invented"]);
+    // A job that is done and later running again, and one cancelled without a request.
+    let alternating_states = |q: &UserRequest, now: Duration| {
         let state = if (now.as_secs() / 3).is_multiple_of(2) { JobState::Done } else { JobState::Running };
-        known(q, says(200, state))
+        answer_404_if_unknown(q, response_with_state(200, state))
     };
-    assert_eq!(broken(flips), ["went_back"]);
-    assert_eq!(broken(|q, _| known(q, says(200, JobState::Cancelled))), ["went_back"]);
+    assert_eq!(violated_rules(alternating_states), ["went_back"]);
+    assert_eq!(
+        violated_rules(|q, _| answer_404_if_unknown(q, response_with_state(200, JobState::Cancelled))),
+        ["went_back"]
+    );
 }
--- a/crates/emulator/tests/fault_schedule.rs
+++ b/crates/emulator/tests/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Troubles that begin and end at their times, on a clock of the test's own.
+//! Scheduled faults begin and end at their times, on a simulated clock.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 }
 
 impl Test {
-    /// The example site with ten spot machines up, and these troubles from `at` to `to`.
+    /// The example site with ten spot machines that are up, and these faults from `at` to `to`.
     fn new(fault_kinds: Vec<FaultKind>, at: u64, to: u64) -> Self {
         let start = Instant::now();
         let file = SiteFile::parse("site.hcl", SITE).expect("the example is valid");
@@ -36,7 +36,7 @@
         Self { site, state, schedule, start }
     }
 
-    fn at(&mut self, seconds: u64) {
+    fn advance_to(&mut self, seconds: u64) {
         let now = self.start + Duration::from_secs(seconds);
         self.site.poll(now);
         self.schedule.poll(&mut self.site, &mut self.state, now);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn services_are_troubled_together_and_for_their_time() {
+fn service_faults_combine_and_end_at_their_times() {
     let max_delay = Duration::from_secs(1);
     let fault_kinds = vec![
         FaultKind::StateRefuses(1),
@@ -57,43 +57,43 @@
         FaultKind::CloudLate(0.1, max_delay),
     ];
     let mut test = Test::new(fault_kinds, 10, 20);
-    for (at, on) in [(9, false), (10, true), (19, true), (20, false), (90, false)] {
-        test.at(at);
+    for (at, active) in [(9, false), (10, true), (19, true), (20, false), (90, false)] {
+        test.advance_to(at);
         let (state, cloud) = (test.state.faults(), test.site.cloud.faults());
-        assert_eq!(state.refused.contains(&1) && state.lost_share == 0.2 && !state.outage, on, "{at}");
+        assert_eq!(state.refused.contains(&1) && state.lost_share == 0.2 && !state.outage, active, "{at}");
         assert_eq!(
             cloud.outage && cloud.late_share == 0.1 && cloud.max_execution_delay == max_delay,
-            on,
+            active,
             "{at}"
         );
     }
 }
 
 #[test]
-fn machines_are_troubled_by_shares() {
+fn machine_faults_affect_a_share_of_the_machines() {
     let hangs = MachineFaults { hangs: true, ..MachineFaults::default() };
     let reports_lost = MachineFaults { reports_lost: true, ..MachineFaults::default() };
     let mut test =
         Test::new(vec![FaultKind::Machines(0.3, hangs), FaultKind::Machines(1.0, reports_lost)], 10, 20);
-    test.at(9);
+    test.advance_to(9);
     assert_eq!((test.site.workers().count(), test.count_with(|f| f != MachineFaults::default())), (10, 0));
-    test.at(10);
+    test.advance_to(10);
     assert_eq!(
         (test.count_with(|f| f.hangs && f.reports_lost), test.count_with(|f| f.reports_lost)),
         (3, 10)
     );
-    test.at(20);
+    test.advance_to(20);
     assert_eq!(test.count_with(|f| f == MachineFaults::default()), 10);
 }
 
 #[test]
-fn machines_die_and_are_reclaimed_once() {
+fn deaths_and_reclaims_happen_once_per_fault() {
     let mut test = Test::new(vec![FaultKind::Deaths(0.2)], 10, 20);
-    (9..15).for_each(|n| test.at(n));
+    (9..15).for_each(|n| test.advance_to(n));
     assert_eq!(test.site.workers().count(), 8);
     let mut test = Test::new(vec![FaultKind::Reclaims(0.5)], 10, 20);
-    (9..12).for_each(|n| test.at(n));
-    assert_eq!(test.site.workers().count(), 10, "they have notice of 15 s at least");
-    (12..70).for_each(|n| test.at(n));
+    (9..12).for_each(|n| test.advance_to(n));
+    assert_eq!(test.site.workers().count(), 10, "the notice is at least 15 s");
+    (12..70).for_each(|n| test.advance_to(n));
     assert_eq!(test.site.workers().count(), 5);
 }
--- a/crates/emulator/tests/gang.rs
+++ b/crates/emulator/tests/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs by their page, without machines.
+//! Checks the rules of gangs in the protocol document, without machines.
 
 use std::time::{Duration, Instant};
 
@@ -17,14 +17,14 @@
     Gang::new(RULES, 3, 20.0, 6.0, s(2.0), 0.0, now)
 }
 
-fn parts(gang: &Gang) -> [Option<GangTaskState>; 3] {
+fn task_states(gang: &Gang) -> [Option<GangTaskState>; 3] {
     [gang.task_state(0), gang.task_state(1), gang.task_state(2)]
 }
 
 fn started(now: Instant) -> Gang {
     let mut g = gang(now);
     (0..3).for_each(|n| g.join(n, [1.0, 0.5, 1.0][n as usize], now));
-    assert_eq!(parts(&g), [Some(GangTaskState::Running); 3]);
+    assert_eq!(task_states(&g), [Some(GangTaskState::Running); 3]);
     g
 }
 
@@ -33,49 +33,55 @@
 }
 
 #[test]
-fn it_starts_with_the_last_task_and_runs_as_fast_as_its_slowest() {
+fn a_gang_starts_with_its_last_task_and_runs_at_the_speed_of_its_slowest() {
     let t = Instant::now();
     let mut g = gang(t);
     g.join(0, 1.0, t);
     g.join(1, 0.5, t + s(20.0));
-    // The replacement of one that is gone completes it.
+    // A lost task is replaced before the gang is complete.
     g.lose_task(1, s(1.0), t + s(25.0));
     g.join(1, 0.5, t + s(28.0));
-    assert_eq!(parts(&g), [Some(GangTaskState::Waiting), Some(GangTaskState::Waiting), None]);
+    assert_eq!(task_states(&g), [Some(GangTaskState::Waiting), Some(GangTaskState::Waiting), None]);
     g.join(2, 1.0, t + s(29.9));
     g.poll(t + s(69.8));
-    assert_eq!(parts(&g), [Some(GangTaskState::Running); 3]);
+    assert_eq!(task_states(&g), [Some(GangTaskState::Running); 3]);
     assert_eq!(g.saved, 18.0, "a multiple of the interval");
     g.poll(t + s(70.0));
-    assert_eq!(parts(&g), [ended(ExitReason::Done, None); 3]);
+    assert_eq!(task_states(&g), [ended(ExitReason::Done, None); 3]);
     assert!(g.done);
 }
 
 #[test]
-fn who_waits_too_long_ends_alone() {
+fn a_task_that_waits_too_long_exits_without_the_others() {
     let t = Instant::now();
     let mut g = gang(t);
     g.join(0, 1.0, t);
     g.join(1, 1.0, t + s(10.0));
     g.poll(t + s(30.0));
-    assert_eq!(parts(&g), [ended(ExitReason::GangIncomplete, None), Some(GangTaskState::Waiting), None]);
+    assert_eq!(
+        task_states(&g),
+        [ended(ExitReason::GangIncomplete, None), Some(GangTaskState::Waiting), None]
+    );
     g.join(2, 1.0, t + s(31.0));
     g.poll(t + s(39.0));
-    assert_eq!(g.task_state(2), Some(GangTaskState::Waiting), "the one that ended does not count");
-    assert!(!g.stop(2, s(10.0), s(1.0), t + s(39.5)), "one that waits ends at once");
+    assert_eq!(g.task_state(2), Some(GangTaskState::Waiting), "the task that exited does not count");
+    assert!(!g.stop(2, s(10.0), s(1.0), t + s(39.5)), "a waiting task ends at once");
 }
 
 #[test]
-fn a_loss_ends_the_others_and_falls_back_to_the_checkpoint() {
+fn a_lost_task_ends_the_others_and_progress_returns_to_the_checkpoint() {
     let t = Instant::now();
     let mut g = started(t);
     g.lose_task(1, s(3.0), t + s(15.0));
     g.poll(t + s(17.9));
-    assert_eq!(parts(&g), [Some(GangTaskState::Running), None, Some(GangTaskState::Running)]);
+    assert_eq!(task_states(&g), [Some(GangTaskState::Running), None, Some(GangTaskState::Running)]);
     g.poll(t + s(18.0));
-    assert_eq!(parts(&g), [ended(ExitReason::PeersGone, None), None, ended(ExitReason::PeersGone, None)]);
+    assert_eq!(
+        task_states(&g),
+        [ended(ExitReason::PeersGone, None), None, ended(ExitReason::PeersGone, None)]
+    );
     assert_eq!(g.saved, 6.0);
-    // The same by a machine that hangs, but not if it goes on in time.
+    // A hung machine has the same effect, unless it works again before the others detect the hang.
     let mut g = started(t);
     g.set_hung(0, Some(s(4.0)), t);
     g.set_hung(0, None, t + s(3.0));
@@ -83,41 +89,41 @@
     assert_eq!(g.task_state(1), Some(GangTaskState::Running));
     g.set_hung(0, Some(s(4.0)), t + s(10.0));
     g.poll(t + s(14.0));
-    assert_eq!(parts(&g), [ended(ExitReason::PeersGone, None); 3]);
+    assert_eq!(task_states(&g), [ended(ExitReason::PeersGone, None); 3]);
 }
 
 #[test]
-fn an_orderly_stop_saves_if_all_are_told_in_time() {
+fn progress_is_saved_when_all_tasks_are_stopped_in_time() {
     let t = Instant::now();
     let mut g = started(t);
     assert!(g.stop(0, s(2.0), s(1.0), t + s(4.0)));
     assert_eq!(
-        parts(&g),
+        task_states(&g),
         [Some(GangTaskState::Saving), Some(GangTaskState::Running), Some(GangTaskState::Running)]
     );
     assert!(g.stop(1, s(2.0), s(1.0), t + s(5.0)) && g.stop(2, s(2.0), s(1.0), t + s(8.9)));
     g.poll(t + s(10.8));
-    assert_eq!(parts(&g), [Some(GangTaskState::Saving); 3]);
+    assert_eq!(task_states(&g), [Some(GangTaskState::Saving); 3]);
     g.poll(t + s(10.9));
-    assert_eq!(parts(&g), [ended(ExitReason::Stopped, Some(true)); 3]);
-    assert_eq!(g.saved, 2.0, "progress stopped with the first stop");
+    assert_eq!(task_states(&g), [ended(ExitReason::Stopped, Some(true)); 3]);
+    assert_eq!(g.saved, 2.0, "there is no progress after the first stop");
 }
 
 #[test]
-fn a_stop_that_is_not_orderly_saves_nothing() {
+fn progress_is_lost_when_a_task_is_stopped_late_or_without_time_to_save() {
     let t = Instant::now();
-    // One is not told in time.
+    // One task is not stopped in time.
     let mut g = started(t);
     assert!(g.stop(0, s(2.0), s(1.0), t + s(13.0)) && g.stop(1, s(9.0), s(1.0), t + s(14.0)));
     g.poll(t + s(18.0));
-    let halted = ended(ExitReason::Stopped, Some(false));
-    assert_eq!(parts(&g), [halted, halted, ended(ExitReason::PeersGone, None)]);
+    let stopped_unsaved = ended(ExitReason::Stopped, Some(false));
+    assert_eq!(task_states(&g), [stopped_unsaved, stopped_unsaved, ended(ExitReason::PeersGone, None)]);
     assert_eq!(g.saved, 6.0);
-    // Too little time to save, and a second stop without any.
+    // A stop with too little time to save, and a second stop without grace time.
     for grace in [1.9, 0.0] {
         let mut g = started(t);
         assert!(g.stop(0, s(2.0), s(1.0), t + s(4.0)));
-        assert!(g.stop(0, s(1.0), s(1.0), t + s(4.0)), "it goes on saving");
+        assert!(g.stop(0, s(1.0), s(1.0), t + s(4.0)), "it continues to save");
         let task = if grace == 0.0 { 0 } else { 1 };
         assert!(!g.stop(task, s(grace), s(1.0), t + s(5.0)));
         g.poll(t + s(6.0));
--- a/crates/emulator/tests/journal.rs
+++ b/crates/emulator/tests/journal.rs
@@ -1,4 +1,4 @@
-//! What is killed or damaged at any byte.
+//! Recovery of a journal that was truncated or damaged at any byte.
 
 #![allow(clippy::panic)]
 
@@ -10,8 +10,9 @@
     vec![b"first".to_vec(), Vec::new(), vec![7; 40], b"the last".to_vec()]
 }
 
-/// A file with a snapshot of two entries and a log of two, and where each entry ends.
-fn written(path: &Path) -> (Vec<u8>, Vec<usize>) {
+/// Writes a file with a snapshot of two entries and a log of two. Returns its bytes and the offsets
+/// at which its entries end.
+fn write_journal(path: &Path) -> (Vec<u8>, Vec<usize>) {
     let all = entries();
     let (mut journal, old) = Journal::open(path).expect("a new file");
     assert!(old.is_empty());
@@ -28,29 +29,29 @@
 }
 
 #[test]
-fn killed_at_any_byte_it_comes_back_with_all_that_was_acknowledged() {
+fn acknowledged_entries_are_recovered_after_a_kill_at_any_byte() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("state");
-    let (bytes, ends) = written(&path);
+    let (bytes, ends) = write_journal(&path);
     assert_eq!(bytes.len(), ends[4]);
     for cut in 0..=bytes.len() {
         std::fs::write(&path, &bytes[..cut]).expect("written");
-        let whole = ends.iter().filter(|e| **e <= cut).count().saturating_sub(1);
-        let (mut journal, back) = Journal::open(&path).expect("a torn file is mended");
-        assert_eq!(back, entries()[..whole], "cut at {cut}");
-        // It goes on from there, and the torn rest does not come back.
+        let complete_entries = ends.iter().filter(|e| **e <= cut).count().saturating_sub(1);
+        let (mut journal, recovered) = Journal::open(&path).expect("a partly written entry is truncated");
+        assert_eq!(recovered, entries()[..complete_entries], "cut at {cut}");
+        // New entries follow the last complete one; the partly written one does not reappear.
         journal.append(b"new").expect("written");
-        let (_, again) = Journal::open(&path).expect("sound");
-        assert_eq!(again.len(), whole + 1, "cut at {cut}");
-        assert_eq!(again[whole], b"new");
+        let (_, reopened) = Journal::open(&path).expect("valid");
+        assert_eq!(reopened.len(), complete_entries + 1, "cut at {cut}");
+        assert_eq!(reopened[complete_entries], b"new");
     }
 }
 
 #[test]
-fn a_changed_byte_never_passes_for_data() {
+fn a_changed_byte_is_never_returned_as_data() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("state");
-    let (bytes, ends) = written(&path);
+    let (bytes, ends) = write_journal(&path);
     for at in 0..bytes.len() {
         for flip in [0x01, 0xff] {
             let mut damaged = bytes.clone();
@@ -58,15 +59,15 @@
             std::fs::write(&path, &damaged).expect("written");
             match Journal::open(&path) {
                 Err(JournalError::Foreign { .. }) => assert!(at < 8, "byte {at}"),
-                // Entries after the damaged one were acknowledged and would be lost.
+                // Truncating would lose acknowledged entries after the damaged one.
                 Err(JournalError::Damaged { at: found, .. }) => {
                     assert!((8..ends[3]).contains(&at) && found as usize <= at, "byte {at}");
                 }
                 Err(e) => panic!("byte {at}: {e}"),
-                // The last entry looks like one that was being written.
-                Ok((_, back)) => {
+                // Damage in the last entry cannot be told from an interrupted write.
+                Ok((_, recovered)) => {
                     assert!(at >= ends[3], "byte {at}");
-                    assert_eq!(back, entries()[..3]);
+                    assert_eq!(recovered, entries()[..3]);
                 }
             }
         }
@@ -74,12 +75,12 @@
 }
 
 #[test]
-fn a_snapshot_that_was_not_finished_is_dropped() {
+fn an_unfinished_snapshot_is_discarded() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("state");
-    let (bytes, _) = written(&path);
+    let (bytes, _) = write_journal(&path);
     for cut in [0, 5, 30, bytes.len()] {
         std::fs::write(path.with_extension("new"), &bytes[..cut]).expect("written");
-        assert_eq!(Journal::open(&path).expect("the old file is whole").1, entries());
+        assert_eq!(Journal::open(&path).expect("the old file is complete").1, entries());
     }
 }
--- a/crates/emulator/tests/state.rs
+++ b/crates/emulator/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state service by its page, on a clock of the test's own.
+//! Checks the state service against its protocol document, on a simulated clock.
 
 #![allow(clippy::panic)]
 
@@ -45,7 +45,7 @@
         self.ask("POST", "/txn", json!({"if":[],"then":[{"put":key,"v":{"x":1},"hold":lease}]}))
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn transactions_compare_and_change_at_once() {
+fn transactions_check_conditions_and_apply_changes_atomically() {
     let mut t = Test::new(LIMITS);
     assert_eq!(t.put("a/b", None), (200, json!({"epoch":1})));
-    let two = json!({"if":[{"k":"a/b","stamp":1},{"k":"a/c","stamp":0}],
+    let txn = json!({"if":[{"k":"a/b","stamp":1},{"k":"a/c","stamp":0}],
         "then":[{"put":"a/c","v":{"y":2.0}},{"remove":"a/b"}]});
-    assert_eq!(t.ask("POST", "/txn", two.clone()), (200, json!({"epoch":2})));
-    assert_eq!(t.ask("POST", "/txn", two), (409, json!({"failed":["a/b","a/c"],"epoch":2})));
+    assert_eq!(t.ask("POST", "/txn", txn.clone()), (200, json!({"epoch":2})));
+    assert_eq!(t.ask("POST", "/txn", txn), (409, json!({"failed":["a/b","a/c"],"epoch":2})));
     assert_eq!(t.ask("GET", "/keys/a/c", Json::Null), (200, json!({"k":"a/c","v":{"y":2.0},"stamp":2})));
     assert_eq!(t.ask("GET", "/keys/a/b", Json::Null), (404, json!({"epoch":2})));
     assert_eq!(t.ask("POST", "/txn", json!({"if":[{"k":"a/c","stamp":2}]})), (200, json!({"epoch":2})));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_malformed_or_too_large_gets_400() {
+fn malformed_or_too_large_requests_get_400() {
     let mut t = Test::new(LIMITS);
     let put = |key: &str, v: Json| json!({"put":key,"v":v});
     let long = "k".repeat(201);
@@ -108,9 +108,10 @@
     )]);
     let raw = Request { method: "POST".into(), path: "/txn".into(), body: wire::encode(&binary).into() };
     assert!(matches!(t.service.handle(0, &raw, t.now), RequestOutcome::Answer(r, _) if r.status == 400));
-    let fits = "x".repeat(2046);
-    let full = json!({"if":vec![json!({"k":"a","stamp":0}); 16],"then":[put("a", json!(fits))]});
-    assert_eq!(t.ask("POST", "/txn", full).0, 200, "all limits are inclusive");
+    let largest_value = "x".repeat(2046);
+    let largest_txn =
+        json!({"if":vec![json!({"k":"a","stamp":0}); 16],"then":[put("a", json!(largest_value))]});
+    assert_eq!(t.ask("POST", "/txn", largest_txn).0, 200, "all limits are inclusive");
     for (method, path, status) in
         [("GET", "/keys?page=1001", 400), ("GET", "/follow?hold_ms=60001", 400), ("PUT", "/txn", 404)]
     {
@@ -129,11 +130,11 @@
         t.put("m", Some(lease));
         t.put("free", Some(lease));
         t.put("free", None);
-        t.pass(900);
+        t.advance(900);
         assert_eq!(t.ask("POST", &format!("/leases/{lease}/touch"), Json::Null).0, 200);
-        t.pass(999);
+        t.advance(999);
         assert!(t.has("m"), "renewed in time");
-        t.pass(102);
+        t.advance(102);
         assert!(!t.has("m") && t.has("free"));
         assert_eq!(t.put("m", Some(lease)).1["error"], "no such lease");
         let ended = t.lease(600_000);
@@ -144,20 +145,20 @@
 }
 
 #[test]
-fn after_an_outage_leases_have_their_full_time_but_not_those_of_a_caller_refused() {
+fn leases_are_extended_after_an_outage_but_expire_while_their_caller_is_refused() {
     let mut t = Test::new(LIMITS);
     let lease = t.lease(1000);
     t.put("m", Some(lease));
     t.service.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() }, t.now);
-    t.pass(900_000);
+    t.advance(900_000);
     assert_eq!(t.put("n", None).0, 503);
     t.service.set_faults(ServiceFaults::default(), t.now);
-    t.pass(999);
+    t.advance(999);
     assert!(t.has("m") && !t.has("n"));
     t.ask("POST", &format!("/leases/{lease}/touch"), Json::Null);
     let refused = ServiceFaults { refused: [0].into(), ..ServiceFaults::default() };
     t.service.set_faults(refused, t.now);
-    t.pass(1101);
+    t.advance(1101);
     assert_eq!(t.put("n", None).0, 503);
     assert!(
         matches!(t.step(1, "GET", "/keys/m", Json::Null), RequestOutcome::Answer(r, _) if r.status == 404)
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn watches_wait_and_changes_are_kept_for_a_while() {
+fn watches_wait_for_changes_and_old_changes_are_discarded() {
     let mut t = Test::new(StateLimits { rps: 1e6, write_rps: 1e6, ..LIMITS });
     t.put("c/1", None);
     let RequestOutcome::Wait(watch) = t.step(1, "GET", "/follow?prefix=c/&after=1&hold_ms=5000", Json::Null)
@@ -182,8 +183,8 @@
         panic!("nothing has changed yet")
     };
     t.service.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() }, t.now);
-    t.pass(5000);
-    assert!(t.service.poll_watch(&idle, t.now).is_none(), "it stays open in an outage");
+    t.advance(5000);
+    assert!(t.service.poll_watch(&idle, t.now).is_none(), "a watch stays open in an outage");
     t.service.set_faults(ServiceFaults::default(), t.now);
     assert_eq!(json(&t.service.poll_watch(&idle, t.now).expect("time is up"))["news"], json!([]));
     for _ in 0..10_000 {
@@ -194,25 +195,29 @@
 }
 
 #[test]
-fn rates_allow_bursts_of_a_second() {
+fn rate_limits_allow_bursts_of_one_second() {
     let mut t = Test::new(StateLimits { rps: 10.0, write_rps: 4.0, ..LIMITS });
     let failing = json!({"if":[{"k":"none","stamp":9}],"then":[{"remove":"a"},{"remove":"b"}]});
     assert_eq!(t.ask("POST", "/txn", failing.clone()).0, 409);
     assert_eq!(t.put("a", None).0, 200);
-    assert_eq!(t.ask("POST", "/txn", failing).0, 429, "failed ones count as well");
+    assert_eq!(
+        t.ask("POST", "/txn", failing).0,
+        429,
+        "changes of failed transactions count towards the limit"
+    );
     let statuses: Vec<u16> = (0..9).map(|_| t.ask("GET", "/keys/a", Json::Null).0).collect();
     assert_eq!(statuses, [vec![200; 7], vec![429; 2]].concat());
-    t.pass(100);
+    t.advance(100);
     assert_eq!(t.ask("GET", "/keys/a", Json::Null).0, 200);
 }
 
 #[test]
-fn answers_may_be_lost_or_late_or_slow() {
+fn injected_faults_make_answers_lost_late_or_slow() {
     let mut t = Test::new(LIMITS);
     let put = json!({"then":[{"put":"a","v":1}]});
     t.service.set_faults(ServiceFaults { lost_share: 1.0, ..ServiceFaults::default() }, t.now);
     assert!(matches!(t.step(0, "POST", "/txn", put.clone()), RequestOutcome::Lost));
-    assert_eq!(t.service.data().revision, 1, "carried out all the same");
+    assert_eq!(t.service.data().revision, 1, "executed although the answer is lost");
     let late = ServiceFaults {
         late_share: 1.0,
         max_execution_delay: Duration::from_secs(60),
@@ -220,7 +225,7 @@
     };
     t.service.set_faults(late, t.now);
     assert!(matches!(t.step(0, "POST", "/txn", put.clone()), RequestOutcome::Late(_)));
-    assert_eq!(t.service.data().revision, 1, "not carried out yet");
+    assert_eq!(t.service.data().revision, 1, "not executed yet");
     let slow = ServiceFaults {
         slow_share: 1.0,
         max_answer_delay: Duration::from_millis(400),
@@ -232,7 +237,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_is_there_after_a_restart() {
+fn acknowledged_data_is_restored_after_a_restart() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("state");
     let open = |now| StateService::open(LIMITS, 1, &path, now).expect("opens");
@@ -243,16 +248,16 @@
     t.put("a", None);
     t.ask("POST", "/txn", json!({"then":[{"remove":"a"},{"put":"b","v":{"z":[1,null,2.5]}}]}));
     let (before, old_lease) = (t.service.data().keys.clone(), lease);
-    t.pass(500);
+    t.advance(500);
     t.service = open(t.now);
     assert_eq!((&t.service.data().keys, t.service.data().revision), (&before, 3));
-    t.pass(999);
+    t.advance(999);
     assert!(t.has("member"), "the lease has its full time again");
-    t.pass(102);
+    t.advance(102);
     assert!(!t.has("member") && t.lease(1000) > old_lease);
-    // Snapshots: many changes of large values, and the file stays small.
+    // Snapshots keep the file small despite many changes of large values.
     for n in 0..1200 {
-        t.pass(10);
+        t.advance(10);
         let v = "x".repeat(1500);
         assert_eq!(t.ask("POST", "/txn", json!({"then":[{"put":format!("k/{}", n % 5),"v":v}]})).0, 200);
     }
--- a/crates/emulator/tests/workers.rs
+++ b/crates/emulator/tests/workers.rs
@@ -1,4 +1,5 @@
-//! Workers on the site's machines by their page, on a clock of the test's own.
+//! Checks workers against "Workers -> controller nodes" of the protocol document, on a simulated
+//! clock.
 
 #![allow(clippy::panic)]
 
@@ -10,7 +11,7 @@
 use serde_json::{Value as Json, json};
 use wire::{Heartbeat, MachineType};
 
-const M: &str = "host-000001";
+const FIRST_MACHINE: &str = "host-000001";
 
 fn settings() -> SiteSettings {
     let kind = MachineType {
@@ -51,16 +52,16 @@
     }
 }
 
-/// A site with machines that are up, and a controller that answers every report alike.
+/// A site with machines that are up, and a controller that gives every report the same answer.
 struct Test {
     site: Site,
     now: Instant,
     token: u64,
-    /// The orders that go with the next answer to each machine.
-    orders: HashMap<String, Json>,
+    /// The commands in the next answer to each machine.
+    commands: HashMap<String, Json>,
     last: HashMap<String, Heartbeat>,
     sent: Vec<(Instant, OutgoingReport)>,
-    silent: bool,
+    is_silent: bool,
 }
 
 impl Test {
@@ -68,25 +69,25 @@
         let now = Instant::now();
         let addresses = Box::new(|name: &str| Some(format!("{name}:9000")));
         let site = Site::new(settings(), addresses, now);
-        let (orders, last, sent) = Default::default();
-        let mut t = Self { site, now, token: 7, orders, last, sent, silent: false };
-        let hire = json!({"hire":"r","shape":"m4","bay":"east","loaner":true,"number":machines});
+        let (commands, last, sent) = Default::default();
+        let mut t = Self { site, now, token: 7, commands, last, sent, is_silent: false };
+        let rental = json!({"hire":"r","shape":"m4","bay":"east","loaner":true,"number":machines});
         let request =
-            Request { method: "POST".into(), path: "/machines".into(), body: wire::encode(&hire).into() };
+            Request { method: "POST".into(), path: "/machines".into(), body: wire::encode(&rental).into() };
         t.site.cloud_request(&request, t.now);
-        t.pass(3.0);
+        t.advance(3.0);
         assert_eq!(t.last.len(), machines as usize);
         t
     }
 
-    fn pass(&mut self, seconds: f64) {
+    fn advance(&mut self, seconds: f64) {
         for _ in 0..(seconds * 20.0).round() as u32 {
             self.now += Duration::from_millis(50);
             for outgoing in self.site.poll(self.now) {
                 self.last.insert(outgoing.machine.clone(), outgoing.report.clone());
-                if !self.silent {
-                    let orders = self.orders.remove(&outgoing.machine).unwrap_or(json!([]));
-                    let body = wire::encode(&json!({"baton":self.token,"orders":orders}));
+                if !self.is_silent {
+                    let commands = self.commands.remove(&outgoing.machine).unwrap_or(json!([]));
+                    let body = wire::encode(&json!({"baton":self.token,"orders":commands}));
                     self.site.record_report_outcome(
                         &outgoing.machine,
                         outgoing.ticket,
@@ -107,9 +108,9 @@
         Some((reply.status, wire::decode(&reply.body).expect("MessagePack")))
     }
 
-    fn command(&mut self, machine: &str, order: Json) -> (u16, Json) {
+    fn command(&mut self, machine: &str, command: Json) -> (u16, Json) {
         let incarnation = self.site.worker(machine).expect("up").incarnation();
-        let body = json!({"baton":self.token,"stint":incarnation,"orders":[order]});
+        let body = json!({"baton":self.token,"stint":incarnation,"orders":[command]});
         self.request(machine, "POST", "/commands", body).expect("reached")
     }
 
@@ -121,7 +122,7 @@
         self.command(machine, json!({"verb":"stop","thread":task,"try":1,"leeway_s":leeway_s}));
     }
 
-    /// Each task's state or cause, as the machine tells it.
+    /// Each task's exit reason, or its state if it has none, as the machine reports it.
     fn tasks(&mut self, machine: &str) -> Vec<String> {
         let (_, report) = self.request(machine, "GET", "/status", Json::Null).expect("reached");
         let tasks = report["threads"].as_array().expect("tasks").clone();
@@ -142,193 +143,213 @@
 }
 
 #[test]
-fn a_task_fetches_runs_and_its_result_is_kept() {
+fn a_task_fetches_its_image_runs_and_its_result_is_kept() {
     let mut t = Test::new(2);
     let run_s = t.upload("j-1", json!({}));
-    t.launch(M, "j-1/0", 1);
-    t.launch(M, "j-1/1", 1);
-    t.pass(0.2);
-    assert_eq!(t.tasks(M), ["pulling", "pulling"]);
-    t.pass(4.0);
-    assert_eq!(t.tasks(M), ["running", "running"], "one fetch for both");
-    t.pass(run_s * 1.06);
-    assert_eq!(t.tasks(M), ["done", "done"]);
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.launch(FIRST_MACHINE, "j-1/1", 1);
+    t.advance(0.2);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["pulling", "pulling"]);
+    t.advance(4.0);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["running", "running"], "one fetch for both");
+    t.advance(run_s * 1.06);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["done", "done"]);
     t.launch("host-000002", "j-1/0", 2);
-    t.pass(4.0);
-    assert_eq!(t.tasks("host-000002"), ["done"], "as soon as the image is there");
-    // Once cleared it is forgotten, and may be started once more.
-    t.launch(M, "j-1/0", 1);
-    t.command(M, json!({"verb":"clear","thread":"j-1/0","try":1}));
-    assert_eq!(t.tasks(M), ["done"]);
-    t.launch(M, "j-1/0", 1);
-    t.pass(0.2);
-    assert_eq!(t.tasks(M), ["done", "done"]);
+    t.advance(4.0);
+    assert_eq!(t.tasks("host-000002"), ["done"], "as soon as the image is fetched");
+    // After a clear command the task is forgotten and the same attempt may be started again.
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.command(FIRST_MACHINE, json!({"verb":"clear","thread":"j-1/0","try":1}));
+    assert_eq!(t.tasks(FIRST_MACHINE), ["done"]);
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.advance(0.2);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["done", "done"]);
 }
 
 #[test]
-fn starts_are_refused_with_a_cause() {
+fn refused_starts_report_the_reason() {
     let mut t = Test::new(1);
     t.upload("j-1", json!({"cpus":2.0}));
     for (task, attempt) in
         [("j-1/0", 1), ("j-1/0", 2), ("j-1/1", 1), ("j-1/2", 1), ("j-1/4", 1), ("j-2/0", 1)]
     {
-        t.launch(M, task, attempt);
+        t.launch(FIRST_MACHINE, task, attempt);
     }
-    assert_eq!(t.tasks(M), ["pulling", "in_use", "pulling", "no_room", "no_such", "no_such"]);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["pulling", "in_use", "pulling", "no_room", "no_such", "no_such"]);
     let (status, report) =
-        t.request(M, "POST", "/commands", json!({"baton":6,"stint":1,"orders":[]})).expect("up");
+        t.request(FIRST_MACHINE, "POST", "/commands", json!({"baton":6,"stint":1,"orders":[]})).expect("up");
     assert_eq!((status, &report["baton"]), (409, &json!(7)), "an old token");
     let body = json!({"baton":9,"stint":2,"orders":[]});
-    assert_eq!(t.request(M, "POST", "/commands", body).expect("up").0, 409, "another session");
-    assert_eq!(t.request(M, "POST", "/commands", json!({"stint":1})).expect("up").0, 400);
+    assert_eq!(
+        t.request(FIRST_MACHINE, "POST", "/commands", body).expect("up").0,
+        409,
+        "another incarnation"
+    );
+    assert_eq!(t.request(FIRST_MACHINE, "POST", "/commands", json!({"stint":1})).expect("up").0, 400);
 }
 
 #[test]
-fn stops_save_and_the_next_attempt_goes_on() {
+fn a_stopped_task_saves_and_the_next_attempt_continues() {
     let mut t = Test::new(2);
     let run_s = t.upload("j-1", json!({"guess_s":100.0}));
-    t.launch(M, "j-1/0", 1);
-    t.launch(M, "j-1/1", 1);
-    t.pass(4.0 + run_s / 2.0);
-    t.stop(M, "j-1/0", 1.0);
-    t.stop(M, "j-1/1", 0.9);
-    assert_eq!(t.tasks(M), ["saving", "halted"]);
-    t.pass(1.1);
-    assert_eq!(t.tasks(M), ["halted", "halted"]);
-    t.pass(1.0);
-    assert_eq!(t.last[M].tasks[0].checkpointed, Some(true));
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.launch(FIRST_MACHINE, "j-1/1", 1);
+    t.advance(4.0 + run_s / 2.0);
+    t.stop(FIRST_MACHINE, "j-1/0", 1.0);
+    t.stop(FIRST_MACHINE, "j-1/1", 0.9);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["saving", "halted"]);
+    t.advance(1.1);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["halted", "halted"]);
+    t.advance(1.0);
+    assert_eq!(t.last[FIRST_MACHINE].tasks[0].checkpointed, Some(true));
     t.launch("host-000002", "j-1/0", 2);
-    t.pass(4.0 + run_s * 0.35);
+    t.advance(4.0 + run_s * 0.35);
     assert_eq!(t.tasks("host-000002"), ["running"]);
-    t.pass(run_s * 0.25);
-    assert_eq!(t.tasks("host-000002"), ["done"], "it went on from what was saved");
+    t.advance(run_s * 0.25);
+    assert_eq!(t.tasks("host-000002"), ["done"], "it continued from the saved progress");
 }
 
 #[test]
-fn jobs_outlive_a_restart_of_the_site() {
+fn jobs_are_restored_after_a_restart_of_the_site() {
     let mut t = Test::new(1);
     let run_s = t.upload("j-1", json!({"guess_s":100.0}));
     t.upload("j-2", json!({"weave":"ensemble","threads":1,"guess_s":2.0}));
-    t.launch(M, "j-1/0", 1);
-    t.launch(M, "j-2/0", 1);
-    t.pass(8.0 + run_s / 2.0);
-    assert_eq!(t.tasks(M), ["running", "done"]);
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.launch(FIRST_MACHINE, "j-2/0", 1);
+    t.advance(8.0 + run_s / 2.0);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["running", "done"]);
     let changes = t.site.jobs.take_changes();
-    let mut after = Test::new(1);
-    after.site.jobs.restore(changes);
-    assert!(after.site.jobs.take_changes().is_empty(), "they are kept already");
-    assert_eq!(after.site.jobs.get("j-1").map(|j| j.run_s), Some(run_s));
-    after.launch(M, "j-1/0", 2);
-    after.launch(M, "j-2/0", 2);
-    after.pass(5.0 + run_s * 0.3);
-    assert_eq!(after.tasks(M), ["running", "done"]);
-    after.pass(run_s * 0.3);
-    assert_eq!(after.tasks(M), ["done", "done"], "it went on from its last checkpoint");
-    let mut again = Test::new(1);
-    again.site.jobs.restore(after.site.jobs.snapshot());
-    assert!(again.site.jobs.is_done("j-1", 0) && again.site.jobs.is_done("j-2", 0));
+    let mut restarted = Test::new(1);
+    restarted.site.jobs.restore(changes);
+    assert!(restarted.site.jobs.take_changes().is_empty(), "restored changes are stored already");
+    assert_eq!(restarted.site.jobs.get("j-1").map(|j| j.run_s), Some(run_s));
+    restarted.launch(FIRST_MACHINE, "j-1/0", 2);
+    restarted.launch(FIRST_MACHINE, "j-2/0", 2);
+    restarted.advance(5.0 + run_s * 0.3);
+    assert_eq!(restarted.tasks(FIRST_MACHINE), ["running", "done"]);
+    restarted.advance(run_s * 0.3);
+    assert_eq!(restarted.tasks(FIRST_MACHINE), ["done", "done"], "it continued from its last checkpoint");
+    let mut restarted_twice = Test::new(1);
+    restarted_twice.site.jobs.restore(restarted.site.jobs.snapshot());
+    assert!(restarted_twice.site.jobs.is_done("j-1", 0) && restarted_twice.site.jobs.is_done("j-2", 0));
 }
 
 #[test]
-fn leases_tokens_and_sessions() {
+fn an_expired_lease_starts_a_new_incarnation_and_lower_tokens_are_ignored() {
     let mut t = Test::new(1);
     t.upload("j-1", json!({"guess_s":900.0}));
-    t.launch(M, "j-1/0", 1);
-    t.pass(20.0);
-    assert_eq!(t.tasks(M), ["running"], "renewed by every answer");
-    // Answers with a lower token are dropped; the worker stays.
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.advance(20.0);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["running"], "renewed by every answer");
+    // Answers with a lower token are ignored; the worker keeps its controller.
     t.token = 6;
-    t.orders.insert(M.into(), json!([{"verb":"launch","thread":"j-1/1","try":1}]));
-    t.pass(6.0);
-    assert_eq!(t.tasks(M), ["running"], "its orders are not carried out");
-    t.pass(6.5);
-    assert!(t.tasks(M).is_empty(), "and it does not renew the lease");
-    let worker = t.site.worker(M).expect("up");
+    t.commands.insert(FIRST_MACHINE.into(), json!([{"verb":"launch","thread":"j-1/1","try":1}]));
+    t.advance(6.0);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["running"], "its commands are not executed");
+    t.advance(6.5);
+    assert!(t.tasks(FIRST_MACHINE).is_empty(), "the answer does not renew the lease");
+    let worker = t.site.worker(FIRST_MACHINE).expect("up");
     assert_eq!((worker.incarnation(), worker.token()), (2, 7));
     t.token = 9;
-    t.orders.insert(M.into(), json!([{"verb":"launch","thread":"j-1/1","try":1}]));
-    t.pass(3.0);
-    assert_eq!((t.tasks(M).len(), t.site.worker(M).expect("up").token()), (1, 9));
-    // Without answers it goes from one controller to the next.
+    t.commands.insert(FIRST_MACHINE.into(), json!([{"verb":"launch","thread":"j-1/1","try":1}]));
+    t.advance(3.0);
+    assert_eq!((t.tasks(FIRST_MACHINE).len(), t.site.worker(FIRST_MACHINE).expect("up").token()), (1, 9));
+    // Without answers the worker tries one controller after the other.
     t.sent.clear();
-    t.silent = true;
-    t.pass(16.0);
+    t.is_silent = true;
+    t.advance(16.0);
     let to: Vec<usize> = t.sent.iter().map(|(_, s)| s.controller).collect();
-    assert!(to.contains(&0) && to.contains(&1) && t.tasks(M).is_empty(), "{to:?}");
+    assert!(to.contains(&0) && to.contains(&1) && t.tasks(FIRST_MACHINE).is_empty(), "{to:?}");
     assert!(t.sent.windows(2).all(|w| w[1].0 - w[0].0 >= Duration::from_secs(5)));
 }
 
 #[test]
-fn reports_come_in_time_on_changes_and_where_they_are_sent_to() {
+fn reports_are_sent_periodically_on_changes_and_after_redirects() {
     let mut t = Test::new(1);
-    t.pass(10.0);
+    t.advance(10.0);
     t.sent.clear();
-    t.pass(60.0);
-    let gaps: Vec<f64> = t.sent.windows(2).map(|w| (w[1].0 - w[0].0).as_secs_f64()).collect();
-    assert!(gaps.iter().all(|g| (1.45..=2.6).contains(g)), "{gaps:?}");
-    t.launch(M, "j-9/0", 1);
+    t.advance(60.0);
+    let intervals: Vec<f64> = t.sent.windows(2).map(|w| (w[1].0 - w[0].0).as_secs_f64()).collect();
+    assert!(intervals.iter().all(|g| (1.45..=2.6).contains(g)), "{intervals:?}");
+    t.launch(FIRST_MACHINE, "j-9/0", 1);
     t.sent.clear();
-    t.pass(0.6);
-    assert_eq!(t.sent.len(), 1, "a change is told soon");
-    t.silent = true;
-    t.pass(2.0);
+    t.advance(0.6);
+    assert_eq!(t.sent.len(), 1, "a change is reported at once");
+    t.is_silent = true;
+    t.advance(2.0);
     let (_, outgoing) = t.sent.pop().expect("a report");
-    let elsewhere = if outgoing.controller == 0 { "b" } else { "a" };
-    let body = wire::encode(&json!({ "foreman": elsewhere }));
-    t.site.record_report_outcome(M, outgoing.ticket, Some(421), &body, t.now);
-    t.pass(0.6);
+    let other_controller = if outgoing.controller == 0 { "b" } else { "a" };
+    let body = wire::encode(&json!({ "foreman": other_controller }));
+    t.site.record_report_outcome(FIRST_MACHINE, outgoing.ticket, Some(421), &body, t.now);
+    t.advance(0.6);
     assert_eq!(t.sent.pop().expect("a report").1.controller, 1 - outgoing.controller);
 }
 
 #[test]
-fn hanging_deaf_mute_and_faulty_machines() {
+fn each_machine_fault_has_its_effect() {
     let mut t = Test::new(1);
     t.upload("j-1", json!({"guess_s":900.0}));
-    t.launch(M, "j-1/0", 1);
-    t.pass(5.0);
-    let status = |t: &mut Test| t.request(M, "GET", "/status", Json::Null).is_some();
-    t.site.set_machine_faults(M, MachineFaults { hangs: true, ..MachineFaults::default() }, t.now);
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.advance(5.0);
+    let status = |t: &mut Test| t.request(FIRST_MACHINE, "GET", "/status", Json::Null).is_some();
+    t.site.set_machine_faults(
+        FIRST_MACHINE,
+        MachineFaults { hangs: true, ..MachineFaults::default() },
+        t.now,
+    );
     t.sent.clear();
-    t.pass(5.0);
+    t.advance(5.0);
     assert!(t.sent.is_empty() && !status(&mut t));
-    t.site.set_machine_faults(M, MachineFaults::default(), t.now);
-    assert_eq!(t.tasks(M), ["running"], "within its lease");
-    t.site.set_machine_faults(M, MachineFaults { reports_lost: true, ..MachineFaults::default() }, t.now);
+    t.site.set_machine_faults(FIRST_MACHINE, MachineFaults::default(), t.now);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["running"], "within its lease");
+    t.site.set_machine_faults(
+        FIRST_MACHINE,
+        MachineFaults { reports_lost: true, ..MachineFaults::default() },
+        t.now,
+    );
     t.sent.clear();
-    t.pass(3.0);
+    t.advance(3.0);
     assert!(t.sent.is_empty() && status(&mut t));
-    t.site.set_machine_faults(M, MachineFaults { unreachable: true, ..MachineFaults::default() }, t.now);
-    t.pass(11.0);
+    t.site.set_machine_faults(
+        FIRST_MACHINE,
+        MachineFaults { unreachable: true, ..MachineFaults::default() },
+        t.now,
+    );
+    t.advance(11.0);
     assert!(!t.sent.is_empty() && !status(&mut t));
-    t.site.set_machine_faults(M, MachineFaults { tasks_fail: true, ..MachineFaults::default() }, t.now);
-    assert!(t.tasks(M).is_empty(), "answers did not reach it");
-    t.launch(M, "j-1/1", 1);
-    t.pass(5.0);
-    assert_eq!(t.tasks(M), ["error"]);
+    t.site.set_machine_faults(
+        FIRST_MACHINE,
+        MachineFaults { tasks_fail: true, ..MachineFaults::default() },
+        t.now,
+    );
+    assert!(t.tasks(FIRST_MACHINE).is_empty(), "answers did not reach it");
+    t.launch(FIRST_MACHINE, "j-1/1", 1);
+    t.advance(5.0);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["error"]);
 }
 
 #[test]
-fn gangs_run_on_machines_and_end_with_one_of_them() {
+fn a_gang_ends_when_one_of_its_machines_ends() {
     let mut t = Test::new(2);
     let gang = json!({"weave":"ensemble","threads":2,"cpus":3.0});
     let run_s = t.upload("j-1", gang.clone());
     t.upload("j-2", gang);
-    t.launch(M, "j-1/0", 1);
-    t.pass(5.0);
-    assert_eq!(t.tasks(M), ["gathering"]);
+    t.launch(FIRST_MACHINE, "j-1/0", 1);
+    t.advance(5.0);
+    assert_eq!(t.tasks(FIRST_MACHINE), ["gathering"]);
     t.launch("host-000002", "j-1/1", 1);
-    t.pass(5.0 + run_s * 1.06);
-    assert_eq!((t.tasks(M), t.tasks("host-000002")), (vec!["done".into()], vec!["done".into()]));
-    t.launch(M, "j-2/0", 1);
+    t.advance(5.0 + run_s * 1.06);
+    assert_eq!((t.tasks(FIRST_MACHINE), t.tasks("host-000002")), (vec!["done".into()], vec!["done".into()]));
+    t.launch(FIRST_MACHINE, "j-2/0", 1);
     t.launch("host-000002", "j-2/1", 1);
-    t.pass(6.0);
-    assert_eq!(t.tasks(M)[1], "running");
+    t.advance(6.0);
+    assert_eq!(t.tasks(FIRST_MACHINE)[1], "running");
     t.site.cloud.reclaim("host-000002", None, t.now);
-    t.pass(4.0);
-    assert_eq!(t.tasks(M)[1], "mates_gone");
-    t.site.cloud.reclaim(M, Some(Duration::from_secs(9)), t.now);
-    t.pass(1.0);
-    assert!(t.last[M].spot_notice_s.is_some_and(|s| (7.0..=9.0).contains(&s)));
-    t.pass(9.0);
+    t.advance(4.0);
+    assert_eq!(t.tasks(FIRST_MACHINE)[1], "mates_gone");
+    t.site.cloud.reclaim(FIRST_MACHINE, Some(Duration::from_secs(9)), t.now);
+    t.advance(1.0);
+    assert!(t.last[FIRST_MACHINE].spot_notice_s.is_some_and(|s| (7.0..=9.0).contains(&s)));
+    t.advance(9.0);
     assert_eq!(t.site.workers().count(), 0);
 }
--- a/examples/busy.hcl
+++ b/examples/busy.hcl
@@ -1,17 +1,17 @@
-# The site of site.hcl with users of its own and troubles: two minutes of both.
-# `sageloom try --site examples/busy.hcl` tells in the end what came of it.
+# The site of site.hcl with emulated users and with injected faults, for a run of two minutes.
+# `sageloom try --site examples/busy.hcl` prints the results at the end.
 
 seed = 21
 
-# data = "site-data"   # keep the state service's data in this folder
+# data = "site-data"   # folder for the data of the state service and of jobs
 
 listen {
   users = "127.0.0.1:8080" # the load balancer
   cloud = "127.0.0.1:8070"
 }
 
-# Users reach a controller by its door: what they submit is read there, as workers
-# fetch the descriptions of jobs from the site.
+# Users must connect to a controller through its proxy, `door`: the emulated site reads the
+# submitted jobs there, because the workers get the job descriptions from the site.
 controller "weaver-1" {
   zone     = "mill"
   front    = "127.0.0.1:8091"
@@ -109,7 +109,7 @@
   max_connections = 1024
 }
 
-# The class of its jobs is a load's name.
+# The name of a `load` block is the class of its jobs.
 load "carding" {
   team       = "dyes"
   kind       = "array"
--- a/examples/site.hcl
+++ b/examples/site.hcl
@@ -1,18 +1,19 @@
-# A small emulated site: three controllers in two zones, three teams, machines that
-# boot within seconds. `sageloom try` runs it; `sageloom emulate --site` runs it for
-# controllers that are started by hand. All addresses are of this machine.
+# A small emulated site: three controllers in two zones, three teams, and machines that
+# boot within seconds. `sageloom try` runs it with its controllers; `sageloom emulate --site`
+# runs the site alone, for controllers that are started by hand. All addresses are loopback
+# addresses.
 
 seed = 20
 
-# data = "site-data"   # keep the state service's data in this folder
+# data = "site-data"   # folder for the data of the state service and of jobs
 
 listen {
   users = "127.0.0.1:8080" # the load balancer
   cloud = "127.0.0.1:8070"
 }
 
-# Users reach a controller by its door: what they submit is read there, as workers
-# fetch the descriptions of jobs from the site.
+# Users must connect to a controller through its proxy, `door`: the emulated site reads the
+# submitted jobs there, because the workers get the job descriptions from the site.
 controller "weaver-1" {
   zone     = "mill"
   front    = "127.0.0.1:8091"
