--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -26,19 +26,22 @@
     pub capacity: HashMap<(String, String), (u32, u32)>,
     pub rps: f64,
     pub list_lag: Duration,
-    /// Shares of the machines that boot slowly, within two seconds, or never.
+    /// Share of the machines that boot slowly.
     pub slow_boots: f64,
+    /// Share of the machines that boot within two seconds.
     pub quick_boots: f64,
+    /// Share of the machines that never come up.
     pub never_up: f64,
-    /// Mean time until a spot machine is reclaimed and until any machine fails; None: never.
+    /// Mean time until a spot machine is reclaimed; None: never.
     pub spot_life: Option<Duration>,
+    /// Mean time until a machine fails; None: never.
     pub life: Option<Duration>,
     /// Nominal time from a spot notice to the end of the machine.
     pub notice: Duration,
     /// Share of the spot machines that are reclaimed without notice.
     pub no_notice: f64,
-    /// The number in the name of the first machine. It must differ from run to run if names could
-    /// be reused otherwise, since they must be unique forever.
+    /// The number in the name of the first machine. Machine names must never be reused, so it must
+    /// be higher than all numbers of earlier runs whose names are still known.
     pub first_number: u64,
 }
 
@@ -135,18 +138,18 @@
 
     /// Handles a request and applies the injected faults.
     pub fn handle(&mut self, request: &Request, now: Instant) -> RequestOutcome {
-        if let Some(late) = self.faults.draw_execution_delay(&mut self.rng) {
-            return RequestOutcome::Late(late);
+        if let Some(delay) = self.faults.draw_execution_delay(&mut self.rng) {
+            return RequestOutcome::Late(delay);
         }
-        let reply = self.carry_out(request, now);
+        let reply = self.execute(request, now);
         self.faults.draw_answer_outcome(reply, &mut self.rng)
     }
 
     /// Executes a request now.
-    pub fn carry_out(&mut self, request: &Request, now: Instant) -> Reply {
+    pub fn execute(&mut self, request: &Request, now: Instant) -> Reply {
         self.poll(now);
         if self.faults.outage {
-            return Reply::error(503, "trouble");
+            return Reply::error(503, "the cloud is unavailable");
         }
         if !self.bucket.take(1.0, now) {
             return Reply::error(429, "too many requests");
@@ -181,28 +184,33 @@
         }
     }
 
-    fn rent(&mut self, r: RentRequest, now: Instant) -> Reply {
-        if let Some(machines) = self.completed_rentals.get(&r.request) {
+    fn rent(&mut self, rental: RentRequest, now: Instant) -> Reply {
+        if let Some(machines) = self.completed_rentals.get(&rental.request) {
             return Reply::new(200, &MachineNames { machines: machines.clone() });
         }
-        let Some(kind) = self.settings.types.iter().find(|t| t.name == r.machine_type).cloned() else {
+        let Some(machine_type) = self.settings.types.iter().find(|t| t.name == rental.machine_type).cloned()
+        else {
             return Reply::error(400, "no such shape");
         };
-        if !kind.zones.contains(&r.zone) || !(1..=MAX_RENT_COUNT).contains(&r.count) || r.request.is_empty() {
+        if !machine_type.zones.contains(&rental.zone)
+            || !(1..=MAX_RENT_COUNT).contains(&rental.count)
+            || rental.request.is_empty()
+        {
             return Reply::error(400, "malformed rental request");
         }
-        let all = self.settings.capacity.get(&(r.machine_type.clone(), r.zone.clone()));
-        let all = all.map_or(0, |(ordinary, spot)| if r.spot { *spot } else { *ordinary });
-        let same =
-            |i: &&MachineInfo| i.machine_type.name == r.machine_type && i.zone == r.zone && i.spot == r.spot;
-        let free = all.saturating_sub(self.live().filter(same).count() as u32);
+        let capacity = self.settings.capacity.get(&(rental.machine_type.clone(), rental.zone.clone()));
+        let capacity = capacity.map_or(0, |(ordinary, spot)| if rental.spot { *spot } else { *ordinary });
+        let is_same_kind = |i: &&MachineInfo| {
+            i.machine_type.name == rental.machine_type && i.zone == rental.zone && i.spot == rental.spot
+        };
+        let free = capacity.saturating_sub(self.live().filter(is_same_kind).count() as u32);
         let mut names = Vec::new();
-        for _ in 0..free.min(r.count) {
+        for _ in 0..free.min(rental.count) {
             let name = format!("host-{:06}", self.next);
             let Some(addr) = (self.addresses)(&name) else { break };
             self.next += 1;
-            let (zone, machine_type) = (r.zone.clone(), kind.clone());
-            let info = MachineInfo { name: name.clone(), addr, machine_type, zone, spot: r.spot };
+            let (zone, machine_type) = (rental.zone.clone(), machine_type.clone());
+            let info = MachineInfo { name: name.clone(), addr, machine_type, zone, spot: rental.spot };
             let machine = Machine::new(info, &self.settings, now, &mut self.rng);
             self.machines.insert(name.clone(), machine);
             names.push(name);
@@ -210,7 +218,7 @@
         if names.is_empty() {
             return Reply::error(503, "no capacity");
         }
-        self.completed_rentals.insert(r.request, names.clone());
+        self.completed_rentals.insert(rental.request, names.clone());
         Reply::new(200, &MachineNames { machines: names })
     }
 
@@ -262,8 +270,8 @@
 
     /// Draws the length of a notice, half to one and a half times the nominal one; None: no notice.
     pub fn draw_notice(&mut self) -> Option<Duration> {
-        let without = self.rng.random_bool(self.settings.no_notice.clamp(0.0, 1.0));
-        (!without).then(|| self.settings.notice.mul_f64(self.rng.random_range(0.5..1.5)))
+        let is_without_notice = self.rng.random_bool(self.settings.no_notice.clamp(0.0, 1.0));
+        (!is_without_notice).then(|| self.settings.notice.mul_f64(self.rng.random_range(0.5..1.5)))
     }
 
     /// Advances the cloud to `now` and records the events of machines for `take_events`.
@@ -292,10 +300,10 @@
             }
         }
         // Ended machines are kept while lagging lists may still show them.
-        let listed = self.settings.list_lag * 2 + Duration::from_secs(5);
+        let max_list_lag = self.settings.list_lag * 2 + Duration::from_secs(5);
         self.machines.retain(|_, m| {
             !matches!(m.end, Some((at, MachineEnd::Deleted | MachineEnd::Reclaimed))
-                if at + listed <= now)
+                if at + max_list_lag <= now)
         });
     }
 
@@ -314,11 +322,11 @@
         let range = (std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded);
         let mut machines = Vec::new();
         for (_, m) in self.machines.range_mut::<str, _>(range) {
-            let Some(listed) = m.listed(lag, now) else { continue };
+            let Some(list_item) = m.listed(lag, now) else { continue };
             if machines.len() == page {
                 return MachineList { machines, more: true };
             }
-            machines.push(listed);
+            machines.push(list_item);
         }
         MachineList { machines, more: false }
     }
--- a/crates/emulator/src/config/load_and_faults.rs
+++ b/crates/emulator/src/config/load_and_faults.rs
@@ -121,8 +121,8 @@
     pub fn scheduled_faults(&self) -> Vec<ScheduledFault> {
         let trouble = |(name, t): (&String, &TroubleFile)| {
             let (share, max_delay) = (t.share.unwrap_or(1.0), seconds(t.delay_s));
-            let named = |n: &String| t.controller.as_ref() == Some(n);
-            let caller = self.controller.keys().position(named).unwrap_or(usize::MAX);
+            let is_named = |n: &String| t.controller.as_ref() == Some(n);
+            let caller = self.controller.keys().position(is_named).unwrap_or(usize::MAX);
             let machines = |faults| FaultKind::Machines(share, faults);
             let no_faults = MachineFaults::default();
             let kind = match t.kind {
@@ -152,36 +152,36 @@
         let path =
             |block: &str, name: &String, field: &str| vec![block.to_owned(), name.clone(), field.to_owned()];
         for (name, l) in &self.load {
-            let of = |field: &str| path("load", name, field);
+            let field_of = |field: &str| path("load", name, field);
             if !self.team.contains_key(&l.team) {
-                return Some((of("team"), "is not the name of a team".into()));
+                return Some((field_of("team"), "is not the name of a team".into()));
             }
             if !l.per_minute.is_finite() || !(1e-3..=6000.0).contains(&l.per_minute) {
-                return Some((of("per_minute"), "must be a number from 0.001 to 6000".into()));
+                return Some((field_of("per_minute"), "must be a number from 0.001 to 6000".into()));
             }
             if !l.stays_s.is_finite() || !(0.0..=1e9).contains(&l.stays_s) {
-                return Some((of("stays_s"), "must be a number of 0 or more".into()));
+                return Some((field_of("stays_s"), "must be a number of 0 or more".into()));
             }
             if !(0.0..=1.0).contains(&l.cancelled) {
-                return Some((of("cancelled"), "must be a share from 0 to 1".into()));
+                return Some((field_of("cancelled"), "must be a share from 0 to 1".into()));
             }
             if let Some(field) = l.job(name).invalid_field() {
-                return Some((of(file_field_name(field)), "is not valid for a job".into()));
+                return Some((field_of(file_field_name(field)), "is not valid for a job".into()));
             }
         }
         for (name, t) in &self.trouble {
-            let of = |field: &str| path("trouble", name, field);
+            let field_of = |field: &str| path("trouble", name, field);
             for (field, value) in [("at_s", t.at_s), ("for_s", t.for_s), ("delay_s", t.delay_s)] {
                 if !value.is_finite() || !(0.0..=1e9).contains(&value) {
-                    return Some((of(field), "must be a number of 0 or more".into()));
+                    return Some((field_of(field), "must be a number of 0 or more".into()));
                 }
             }
             if t.share.is_some_and(|s| !(0.0..=1.0).contains(&s)) {
-                return Some((of("share"), "must be a share from 0 to 1".into()));
+                return Some((field_of("share"), "must be a share from 0 to 1".into()));
             }
             let known = t.controller.as_ref().is_some_and(|c| self.controller.contains_key(c));
             if !known && (t.controller.is_some() || matches!(t.kind, TroubleKind::StateRefuses)) {
-                return Some((of("controller"), "must be the name of a controller".into()));
+                return Some((field_of("controller"), "must be the name of a controller".into()));
             }
         }
         None
--- a/crates/emulator/src/config/mod.rs
+++ b/crates/emulator/src/config/mod.rs
@@ -38,8 +38,8 @@
     /// Streams of jobs that the emulated users submit, by name.
     #[serde(default)]
     pub load: BTreeMap<String, load_and_faults::LoadFile>,
-    #[serde(default)]
     /// Injected faults, by name.
+    #[serde(default)]
     pub trouble: BTreeMap<String, load_and_faults::TroubleFile>,
 }
 
@@ -175,8 +175,8 @@
     pub fn site_settings(&self) -> SiteSettings {
         SiteSettings {
             cloud: self.cloud_settings(),
-            report: seconds(self.workers.report_s),
-            lease: seconds(self.workers.lease_s),
+            report_interval: seconds(self.workers.report_s),
+            lease_duration: seconds(self.workers.lease_s),
             gang_wait: seconds(self.workers.gang_wait_s),
             gang_peer: seconds(self.workers.gang_peer_s),
             controllers: self.controller.keys().cloned().collect(),
@@ -185,7 +185,7 @@
     }
 
     fn cloud_settings(&self) -> CloudSettings {
-        let kind = |(name, t): (&String, &MachineTypeFile)| MachineType {
+        let machine_type = |(name, t): (&String, &MachineTypeFile)| MachineType {
             name: name.clone(),
             cpus: t.cpus,
             gpus: t.gpus,
@@ -200,9 +200,9 @@
         let mut capacity = std::collections::HashMap::new();
         for (name, t) in &self.machine_type {
             for zone in t.zones() {
-                let of = |all: &BTreeMap<String, u32>| all.get(&zone).copied().unwrap_or(0);
-                let both = (of(&t.capacity), of(&t.spot_capacity));
-                capacity.insert((name.clone(), zone), both);
+                let count_in = |all: &BTreeMap<String, u32>| all.get(&zone).copied().unwrap_or(0);
+                let counts = (count_in(&t.capacity), count_in(&t.spot_capacity));
+                capacity.insert((name.clone(), zone), counts);
             }
         }
         let c = &self.cloud;
@@ -214,7 +214,7 @@
             None => 1,
         };
         CloudSettings {
-            types: self.machine_type.iter().map(kind).collect(),
+            types: self.machine_type.iter().map(machine_type).collect(),
             capacity,
             rps: c.rps,
             list_lag: seconds(c.list_lag_s),
--- a/crates/emulator/src/config/settings.rs
+++ b/crates/emulator/src/config/settings.rs
@@ -86,28 +86,28 @@
 impl SiteFile {
     /// Each controller's name and the text of its settings file.
     pub fn settings(&self, emulation: &Emulation) -> Result<Vec<(String, String)>, toml::ser::Error> {
-        let all = &emulation.controllers;
-        let mut zones: Vec<&str> = all.iter().map(|c| c.file.zone.as_str()).collect();
+        let controllers = &emulation.controllers;
+        let mut zones: Vec<&str> = controllers.iter().map(|c| c.file.zone.as_str()).collect();
         zones.sort_unstable();
         zones.dedup();
-        let one = |me: &crate::emulation::Controller| {
-            let peer = |c: &'_ crate::emulation::Controller| c.name != me.name;
+        let settings_of = |controller: &crate::emulation::Controller| {
+            let is_peer = |c: &'_ crate::emulation::Controller| c.name != controller.name;
             let settings = Settings {
-                node_name: &me.name,
-                zone: &me.file.zone,
-                front: &me.file.front,
-                internal_addr: &me.file.internal,
-                peers: all
+                node_name: &controller.name,
+                zone: &controller.file.zone,
+                front: &controller.file.front,
+                internal_addr: &controller.file.internal,
+                peers: controllers
                     .iter()
-                    .filter(|c| peer(c))
+                    .filter(|c| is_peer(c))
                     .map(|c| Peer { node_name: &c.name, zone: &c.file.zone, address: &c.file.internal })
                     .collect(),
-                external: External { cloud: &emulation.cloud_addr, state: &me.state_addr },
-                facts: self.facts(all.len(), &zones),
+                external: External { cloud: &emulation.cloud_addr, state: &controller.state_addr },
+                facts: self.facts(controllers.len(), &zones),
             };
-            Ok((me.name.clone(), toml::to_string(&settings)?))
+            Ok((controller.name.clone(), toml::to_string(&settings)?))
         };
-        all.iter().map(one).collect()
+        controllers.iter().map(settings_of).collect()
     }
 
     fn facts<'a>(&'a self, size: usize, zones: &[&'a str]) -> Facts<'a> {
--- a/crates/emulator/src/emulation/mod.rs
+++ b/crates/emulator/src/emulation/mod.rs
@@ -60,26 +60,26 @@
     site: Locked<Site>,
     state: Locked<StateService>,
     balancer: Locked<Balancer>,
-    schedule: Locked<FaultSchedule>,
+    fault_schedule: Locked<FaultSchedule>,
     users: Locked<Users>,
     /// Addresses at which the controllers listen for users and workers.
     fronts: Vec<String>,
     /// Cancelling a controller's token closes the users' connections to it.
-    resets: Vec<Locked<CancellationToken>>,
+    connection_resets: Vec<Locked<CancellationToken>>,
     probes: Client,
     /// The file of jobs, if the site stores its data.
     job_file: Option<Locked<JobFile>>,
     /// Notified when the data or the faults of the state service may have changed.
-    changed: Notify,
+    state_changed: Notify,
     /// Notified after each health probe.
-    health: Notify,
+    probe_finished: Notify,
     stop: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl Shared {
     fn reset(&self, node: usize) {
-        if let Some(reset) = self.resets.get(node) {
+        if let Some(reset) = self.connection_resets.get(node) {
             std::mem::take(&mut *reset.lock()).cancel();
         }
     }
@@ -171,12 +171,12 @@
             job_file,
             state: Locked::new(state),
             balancer: Locked::new(Balancer::new(fronts.len(), site.seed)),
-            schedule: Locked::new(FaultSchedule::new(site.scheduled_faults(), site.seed, now)),
+            fault_schedule: Locked::new(FaultSchedule::new(site.scheduled_faults(), site.seed, now)),
             users: Locked::new(Users::new(site.loads(), unix_time_s(), site.seed, now)),
-            resets: fronts.iter().map(|_| Locked::default()).collect(),
+            connection_resets: fronts.iter().map(|_| Locked::default()).collect(),
             probes: Client::new(fronts.len()),
-            changed: Notify::new(),
-            health: Notify::new(),
+            state_changed: Notify::new(),
+            probe_finished: Notify::new(),
             stop: CancellationToken::new(),
             tasks: TaskTracker::new(),
             fronts,
@@ -201,7 +201,7 @@
     /// Waits until the load balancer considers every controller healthy.
     pub async fn wait_until_all_healthy(&self) {
         loop {
-            let next = self.shared.health.notified();
+            let next = self.shared.probe_finished.notified();
             if (0..self.shared.fronts.len()).all(|n| self.shared.balancer.lock().is_healthy(n)) {
                 return;
             }
@@ -234,7 +234,7 @@
     /// site file replaces them again.
     pub fn set_state_faults(&self, faults: crate::service_faults::ServiceFaults) {
         self.shared.state.lock().set_faults(faults, Instant::now());
-        self.shared.changed.notify_waiters();
+        self.shared.state_changed.notify_waiters();
     }
 
     /// The value of a key in the state service.
--- a/crates/emulator/src/emulation/proxy.rs
+++ b/crates/emulator/src/emulation/proxy.rs
@@ -31,7 +31,8 @@
         let shared = shared.clone();
         shared.tasks.clone().spawn(async move {
             let Some((node, server)) = connect_to_healthy(&shared).await else { return };
-            let reset = shared.resets.get(node).map(|r| r.lock().child_token()).unwrap_or_default();
+            let reset =
+                shared.connection_resets.get(node).map(|r| r.lock().child_token()).unwrap_or_default();
             tokio::select! {
                 () = splice(&shared, client, server) => {}
                 () = reset.cancelled() => {}
@@ -114,7 +115,7 @@
         for node in resets {
             shared.reset(node);
         }
-        shared.health.notify_waiters();
+        shared.probe_finished.notify_waiters();
         tokio::select! {
             () = shared.stop.cancelled() => {}
             () = tokio::time::sleep(PROBE_INTERVAL) => {}
--- a/crates/emulator/src/emulation/services.rs
+++ b/crates/emulator/src/emulation/services.rs
@@ -27,7 +27,7 @@
 
 async fn state_request(shared: Arc<Shared>, caller: usize, request: Request) -> Reply {
     let step = shared.state.lock().handle(caller, &request, Instant::now());
-    shared.changed.notify_waiters();
+    shared.state_changed.notify_waiters();
     match step {
         RequestOutcome::Answer(reply, delay) => {
             sleep(delay).await;
@@ -38,8 +38,8 @@
         RequestOutcome::Late(after) => {
             shared.tasks.clone().spawn(async move {
                 sleep(after).await;
-                shared.state.lock().carry_out(caller, &request, Instant::now());
-                shared.changed.notify_waiters();
+                shared.state.lock().execute(caller, &request, Instant::now());
+                shared.state_changed.notify_waiters();
             });
             pending().await
         }
@@ -48,7 +48,7 @@
 
 async fn wait_for_reply(shared: &Shared, watch: &Watch) -> Reply {
     loop {
-        let changed = shared.changed.notified();
+        let changed = shared.state_changed.notified();
         tokio::pin!(changed);
         // A change after this point wakes the task, so none is missed.
         changed.as_mut().enable();
@@ -86,7 +86,7 @@
         RequestOutcome::Late(after) => {
             shared.tasks.clone().spawn(async move {
                 sleep(after).await;
-                shared.site.lock().late_cloud_request(&request, Instant::now());
+                shared.site.lock().execute_delayed_cloud_request(&request, Instant::now());
             });
             pending().await
         }
@@ -112,10 +112,10 @@
         shared.state.lock().poll(now);
         let faults_changed = {
             let (mut site, mut state) = (shared.site.lock(), shared.state.lock());
-            shared.schedule.lock().poll(&mut site, &mut state, now)
+            shared.fault_schedule.lock().poll(&mut site, &mut state, now)
         };
         if faults_changed || revision(&shared) != before {
-            shared.changed.notify_waiters();
+            shared.state_changed.notify_waiters();
         }
         let (outgoing_reports, changes) = {
             let mut site = shared.site.lock();
--- a/crates/emulator/src/emulation/user_traffic.rs
+++ b/crates/emulator/src/emulation/user_traffic.rs
@@ -15,7 +15,7 @@
 const MAX_CONNECTIONS: usize = 256;
 
 /// Sends the users' requests to the load balancer until the emulation stops.
-pub async fn run_users(shared: Arc<Shared>, balancer: String) {
+pub async fn run_users(shared: Arc<Shared>, balancer_addr: String) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let client = Client::new(MAX_CONNECTIONS);
@@ -26,14 +26,14 @@
         }
         let requests = shared.users.lock().poll(Instant::now());
         for request in requests {
-            shared.tasks.spawn(send_request(shared.clone(), client.clone(), balancer.clone(), request));
+            shared.tasks.spawn(send_request(shared.clone(), client.clone(), balancer_addr.clone(), request));
         }
     }
 }
 
-async fn send_request(shared: Arc<Shared>, client: Client, balancer: String, request: UserRequest) {
+async fn send_request(shared: Arc<Shared>, client: Client, balancer_addr: String, request: UserRequest) {
     let UserRequest { method, path, body, timeout, .. } = &request;
-    let answer = client.request(&balancer, method, path, body.clone(), wire::BODY_LIMIT, *timeout).await;
+    let answer = client.request(&balancer_addr, method, path, body.clone(), wire::BODY_LIMIT, *timeout).await;
     let response = answer.map_or_else(
         |_| UserResponse::default(),
         |a| {
--- a/crates/emulator/src/service_faults.rs
+++ b/crates/emulator/src/service_faults.rs
@@ -34,7 +34,7 @@
     Wait(Watch),
     /// The request was executed, but the caller gets no reply.
     Lost,
-    /// The request must be passed to `carry_out` after the delay; the caller gets no reply.
+    /// The request must be passed to `execute` after the delay; the caller gets no reply.
     Late(Duration),
 }
 
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -17,8 +17,8 @@
 pub struct SiteSettings {
     pub cloud: CloudSettings,
     /// Mean interval of the workers' reports.
-    pub report: Duration,
-    pub lease: Duration,
+    pub report_interval: Duration,
+    pub lease_duration: Duration,
     pub gang_wait: Duration,
     pub gang_peer: Duration,
     /// Names of the controllers; a controller's index is its number.
@@ -56,7 +56,7 @@
             jobs: Jobs::new(gangs, s.seed ^ 2),
             history: History::default(),
             workers: BTreeMap::new(),
-            rules: WorkerRules { report: s.report, lease: s.lease },
+            rules: WorkerRules { report_interval: s.report_interval, lease_duration: s.lease_duration },
             controllers: s.controllers,
             seed: s.seed ^ 3,
             changes: Vec::new(),
@@ -77,14 +77,14 @@
 
     /// Handles a request to the cloud.
     pub fn cloud_request(&mut self, request: &Request, now: Instant) -> RequestOutcome {
-        let step = self.cloud.handle(request, now);
+        let outcome = self.cloud.handle(request, now);
         self.apply_machine_events(now);
-        step
+        outcome
     }
 
     /// Executes a request to the cloud whose execution was delayed.
-    pub fn late_cloud_request(&mut self, request: &Request, now: Instant) {
-        self.cloud.carry_out(request, now);
+    pub fn execute_delayed_cloud_request(&mut self, request: &Request, now: Instant) {
+        self.cloud.execute(request, now);
         self.apply_machine_events(now);
     }
 
--- a/crates/emulator/src/state/service.rs
+++ b/crates/emulator/src/state/service.rs
@@ -173,7 +173,10 @@
         {
             let entries: Vec<Vec<u8>> = self.data.snapshot().iter().map(wire::encode).collect();
             if let Err(e) = journal.replace(&entries) {
-                error!(error = %e, "the state service refuses all further requests: its snapshot cannot be written");
+                error!(
+                    error = %e,
+                    "the state service refuses all further requests: its snapshot cannot be written"
+                );
                 self.journal_failed = true;
             }
         }
@@ -189,7 +192,7 @@
         if let Some(delay) = self.faults.draw_execution_delay(&mut self.rng) {
             return RequestOutcome::Late(delay);
         }
-        match self.carry_out(caller, request, now) {
+        match self.execute(caller, request, now) {
             ExecutionOutcome::Reply(reply) => self.faults.draw_answer_outcome(reply, &mut self.rng),
             ExecutionOutcome::Wait(watch) => RequestOutcome::Wait(watch),
             ExecutionOutcome::Unknown => RequestOutcome::Lost,
@@ -197,7 +200,7 @@
     }
 
     /// Executes a request now.
-    pub fn carry_out(&mut self, caller: usize, request: &Request, now: Instant) -> ExecutionOutcome {
+    pub fn execute(&mut self, caller: usize, request: &Request, now: Instant) -> ExecutionOutcome {
         self.poll(now);
         if self.is_unavailable_to(caller) {
             return ExecutionOutcome::Reply(error_reply(503, "unavailable"));
--- a/crates/emulator/src/users.rs
+++ b/crates/emulator/src/users.rs
@@ -139,9 +139,9 @@
                 let pause = -(1.0 - self.rng.random_range(0.0..1.0_f64)).ln() * 60.0 / load.per_minute;
                 *at += Duration::from_secs_f64(pause);
                 let load = load.clone();
-                let service = load.job.kind == JobKind::Service;
-                let share = if service { 1.0 } else { self.rng.random_range(0.0..1.0) };
-                let cancels = service || self.rng.random_bool(load.cancelled.clamp(0.0, 1.0));
+                let is_service = load.job.kind == JobKind::Service;
+                let share = if is_service { 1.0 } else { self.rng.random_range(0.0..1.0) };
+                let is_cancelled = is_service || self.rng.random_bool(load.cancelled.clamp(0.0, 1.0));
                 let id = self.new_id();
                 let job = Job {
                     spec: JobSpec { id: id.clone(), ..load.job },
@@ -149,7 +149,7 @@
                     next_request_at: now,
                     in_flight: false,
                     submitted_at: now,
-                    cancel_at: cancels.then(|| now + load.lifetime.mul_f64(share)),
+                    cancel_at: is_cancelled.then(|| now + load.lifetime.mul_f64(share)),
                     cancel_requested: false,
                     accepted: false,
                     last_state: None,
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerRules {
     /// Mean interval of reports.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// How long tasks run on without an answered report.
-    pub lease: Duration,
+    pub lease_duration: Duration,
 }
 
 /// The properties of a machine.
@@ -184,7 +184,7 @@
         if self.faults.hangs {
             return;
         }
-        if now.saturating_duration_since(self.lease_renewed_at) > self.rules.lease {
+        if now.saturating_duration_since(self.lease_renewed_at) > self.rules.lease_duration {
             self.tasks.kill_all(jobs, now);
             self.incarnation += 1;
             self.lease_renewed_at = now;
@@ -229,8 +229,8 @@
         if self.faults.hangs || self.in_flight.is_some() || now < self.not_before {
             return None;
         }
-        let token_report_due =
-            self.token != self.last_reported_token && now >= self.token_reported_at + self.rules.lease / 2;
+        let token_report_due = self.token != self.last_reported_token
+            && now >= self.token_reported_at + self.rules.lease_duration / 2;
         if now < self.next_report_at && !token_report_due && self.reportable_state() == self.last_reported {
             return None;
         }
@@ -240,7 +240,7 @@
         (self.last_reported, self.last_reported_token) = (self.reportable_state(), self.token);
         let ticket = Ticket { incarnation: self.incarnation, sent: now };
         self.in_flight = Some(ticket);
-        self.next_report_at = now + self.rules.report.mul_f64(self.rng.random_range(0.75..1.25));
+        self.next_report_at = now + self.rules.report_interval.mul_f64(self.rng.random_range(0.75..1.25));
         self.not_before = now + MIN_REPORT_INTERVAL;
         let report = self.report(now);
         // A lost report stays in flight until it times out.
--- a/crates/emulator/src/worker/tasks.rs
+++ b/crates/emulator/src/worker/tasks.rs
@@ -117,10 +117,11 @@
             (n < spec.tasks).then(|| spec.clone())
         });
         let (job, number) = job_and_number.map_or((String::new(), 0), |(job, n)| (job.to_owned(), n));
-        let already_here = self.tasks.iter().any(|((t, _), o)| t == task && o.state != TaskState::Exited);
+        let other_attempt_present =
+            self.tasks.iter().any(|((t, _), o)| t == task && o.state != TaskState::Exited);
         let rejection = match &spec {
             None => Some(ExitReason::Unknown),
-            Some(_) if already_here => Some(ExitReason::Busy),
+            Some(_) if other_attempt_present => Some(ExitReason::Busy),
             Some(spec) if !self.fits(spec) => Some(ExitReason::NoCapacity),
             Some(_) => None,
         };
@@ -167,11 +168,11 @@
             }
             return;
         }
-        let save = Duration::from_secs_f64(spec.checkpoint_save_s);
+        let save_duration = Duration::from_secs_f64(spec.checkpoint_save_s);
         match t.state {
-            TaskState::Running if spec.checkpoint_interval_s > 0.0 && grace >= save => {
+            TaskState::Running if spec.checkpoint_interval_s > 0.0 && grace >= save_duration => {
                 t.state = TaskState::Saving;
-                t.saved_at = Some(now + save);
+                t.saved_at = Some(now + save_duration);
             }
             TaskState::Saving if !grace.is_zero() => {}
             _ => t.end(ExitReason::Stopped, None),
@@ -210,8 +211,8 @@
         if detection_delay.is_none() {
             // Saving made no progress during the hang and starts anew.
             for t in self.tasks.values_mut().filter(|t| t.saved_at.is_some()) {
-                let save = t.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s);
-                t.saved_at = Some(now + Duration::from_secs_f64(save));
+                let save_duration = t.spec.as_ref().map_or(0.0, |s| s.checkpoint_save_s);
+                t.saved_at = Some(now + Duration::from_secs_f64(save_duration));
             }
         }
     }
@@ -224,11 +225,11 @@
         now: Instant,
         rng: &mut StdRng,
     ) {
-        self.fetch(elapsed, now);
-        let state_before: Vec<((String, u64), TaskState)> =
+        self.fetch_images(elapsed, now);
+        let states_before: Vec<((String, u64), TaskState)> =
             self.tasks.iter().map(|(key, t)| (key.clone(), t.state)).collect();
         self.advance_all(tasks_fail, jobs, elapsed, now, rng);
-        for (key, state) in state_before {
+        for (key, state) in states_before {
             self.record_state_change(&key, state);
         }
     }
@@ -266,7 +267,7 @@
         }
     }
 
-    fn fetch(&mut self, elapsed: Duration, now: Instant) {
+    fn fetch_images(&mut self, elapsed: Duration, now: Instant) {
         let (mut wanted, mut in_use) = (BTreeMap::new(), Vec::new());
         for t in self.tasks.values() {
             let Some(spec) = &t.spec else { continue };
@@ -283,54 +284,54 @@
 }
 
 /// Starts a task whose image has been fetched.
-fn start_with_image(t: &mut Task, attempt: u64, speed: f64, jobs: &mut Jobs, now: Instant) {
-    if jobs.is_done(&t.job, t.number) {
-        return t.end(ExitReason::Done, None);
+fn start_with_image(task: &mut Task, attempt: u64, speed: f64, jobs: &mut Jobs, now: Instant) {
+    if jobs.is_done(&task.job, task.number) {
+        return task.end(ExitReason::Done, None);
     }
-    if let Some(gang) = jobs.gang(&t.job, attempt, now) {
-        gang.join(t.number, speed, now);
-        t.state = TaskState::Waiting;
+    if let Some(gang) = jobs.gang(&task.job, attempt, now) {
+        gang.join(task.number, speed, now);
+        task.state = TaskState::Waiting;
         return;
     }
-    t.state = TaskState::Running;
-    t.progress = jobs.saved_progress(&t.job, t.number);
+    task.state = TaskState::Running;
+    task.progress = jobs.saved_progress(&task.job, task.number);
 }
 
 /// Sets the state of a gang's task from its gang.
-fn apply_gang_state(t: &mut Task, attempt: u64, jobs: &mut Jobs, now: Instant) {
-    let Some(gang) = jobs.gang(&t.job, attempt, now) else { return };
+fn apply_gang_state(task: &mut Task, attempt: u64, jobs: &mut Jobs, now: Instant) {
+    let Some(gang) = jobs.gang(&task.job, attempt, now) else { return };
     gang.poll(now);
-    match gang.task_state(t.number) {
-        Some(GangTaskState::Waiting) => t.state = TaskState::Waiting,
-        Some(GangTaskState::Running) => t.state = TaskState::Running,
-        Some(GangTaskState::Saving) => t.state = TaskState::Saving,
+    match gang.task_state(task.number) {
+        Some(GangTaskState::Waiting) => task.state = TaskState::Waiting,
+        Some(GangTaskState::Running) => task.state = TaskState::Running,
+        Some(GangTaskState::Saving) => task.state = TaskState::Saving,
         Some(GangTaskState::Ended(cause, saved)) => {
-            gang.remove_task(t.number);
-            t.end(cause, saved);
+            gang.remove_task(task.number);
+            task.end(cause, saved);
         }
-        None => t.end(ExitReason::PeersGone, None),
+        None => task.end(ExitReason::PeersGone, None),
     }
 }
 
 /// Advances a task that is not a member of a gang.
-fn advance(t: &mut Task, spec: &JobSpec, speed: f64, elapsed: Duration, jobs: &mut Jobs, now: Instant) {
-    match t.state {
+fn advance(task: &mut Task, spec: &JobSpec, speed: f64, elapsed: Duration, jobs: &mut Jobs, now: Instant) {
+    match task.state {
         TaskState::Running => {
-            t.progress += elapsed.as_secs_f64() * speed;
+            task.progress += elapsed.as_secs_f64() * speed;
             if spec.checkpoint_interval_s > 0.0 {
                 let checkpointed =
-                    (t.progress / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s;
-                jobs.save_progress(&t.job, t.number, checkpointed);
+                    (task.progress / spec.checkpoint_interval_s).floor() * spec.checkpoint_interval_s;
+                jobs.save_progress(&task.job, task.number, checkpointed);
             }
-            let run_s = jobs.get(&t.job).map_or(f64::INFINITY, |j| j.run_s);
-            if spec.kind == JobKind::Array && t.progress >= run_s {
-                jobs.set_done(&t.job, t.number);
-                t.end(ExitReason::Done, None);
+            let run_s = jobs.get(&task.job).map_or(f64::INFINITY, |j| j.run_s);
+            if spec.kind == JobKind::Array && task.progress >= run_s {
+                jobs.set_done(&task.job, task.number);
+                task.end(ExitReason::Done, None);
             }
         }
-        TaskState::Saving if t.saved_at.is_some_and(|at| at <= now) => {
-            jobs.save_progress(&t.job, t.number, t.progress);
-            t.end(ExitReason::Stopped, Some(true));
+        TaskState::Saving if task.saved_at.is_some_and(|at| at <= now) => {
+            jobs.save_progress(&task.job, task.number, task.progress);
+            task.end(ExitReason::Stopped, Some(true));
         }
         _ => {}
     }
