--- a/crates/daemon/src/scheduler/placement/preemption.rs
+++ b/crates/daemon/src/scheduler/placement/preemption.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use sched::placement::{Slot, gpu_slots_lost, pending_task_count, retry_at_ms};
-use sched::preempt::{self, Running, Victim};
+use sched::placement::{Slot, pending_task_count, retry_at_ms, stranded_gpu_tasks};
+use sched::preempt::{self, RunningTasks, Victim};
 use sched::records::{JobRecord, Name};
 use sched::replica::Replica;
 use wire::{JobKind, JobSpec};
@@ -148,9 +148,10 @@
     ) -> Option<(Name, Vec<Victim>)> {
         let Candidate { spec, priority, .. } = *candidate;
         let replica: &Replica = self.replica;
-        let strands_no_gpus = |slot: &Slot| may_displace_gpu_jobs || gpu_slots_lost(replica, spec, slot) == 0;
+        let strands_no_gpus =
+            |slot: &Slot| may_displace_gpu_jobs || stranded_gpu_tasks(replica, spec, slot) == 0;
         preempt::find_victims(
-            self.running.get_or_insert_with(|| Running::new(replica, self.inventory)),
+            self.running.get_or_insert_with(|| RunningTasks::new(replica, self.inventory)),
             self.inventory,
             (spec, priority),
             self.scheduling.guaranteed.ids(),
@@ -167,7 +168,7 @@
     let inherits_priority =
         |spec: &JobSpec| spec.kind == JobKind::Array && job.priority() > Some(spec.priority);
     job.spec.as_deref().is_some_and(inherits_priority)
-        && job.in_pipeline()
+        && job.has_pipeline_deadline()
         && now_ms.saturating_sub(job.submitted_ms) < MAX_PATIENCE_MS
         && job.latest_start_ms().is_some_and(|latest_ms| latest_ms > now_ms + MIN_SLACK_MS)
 }
--- a/crates/sched/src/autoscaling/planner.rs
+++ b/crates/sched/src/autoscaling/planner.rs
@@ -1,5 +1,5 @@
-//! Planning a scale-out: each demand first uses up the capacity that is up or expected, then the
-//! offers that cost least for what the job can use of them.
+//! Plans a scale-out: each demand first uses the capacity that is up or expected, then the offers
+//! with the lowest cost per task of the job.
 
 use std::cmp::Ordering;
 
@@ -12,9 +12,9 @@
 use crate::records::Name;
 use crate::replica::Resources;
 
-/// Decides which machines to request for these demands, which are served in this order. `expected`
-/// is the capacity that is up or will be; capacity that `gpu_spec` could use is kept for GPU jobs;
-/// offers that are blocked are left out. At most `max_per_offer` machines of one offer are planned.
+/// Plans which machines to request for the demands, which are served in this order. `expected` is
+/// the capacity that is up or will be. Capacity that `gpu_spec` could use is reserved for GPU jobs.
+/// Blocked offers are left out, and at most `max_per_offer` machines of one offer are planned.
 pub fn plan_scale_out(
     demands: &[Demand],
     expected: &[ExpectedCapacity],
@@ -38,22 +38,22 @@
     planner.plan
 }
 
-/// What is planned so far.
+/// The state of the planning.
 struct Planner<'a, F> {
     offers: Vec<TypedOffer<'a>>,
     gpu_spec: Option<&'a JobSpec>,
     is_blocked: F,
-    /// How many machines of an offer there are is not known. One request's worth of each is planned
-    /// at a time, so that a large array does not plan without end with what is cheapest and leave
-    /// nothing to those behind it.
+    /// The most machines of one offer to plan. The number of machines that an offer has is not
+    /// known, so one request's worth of each is planned at a time; otherwise a large array would
+    /// plan the cheapest offer without limit and leave nothing to the demands after it.
     max_per_offer: usize,
-    /// The capacity that is up or expected, and after it that of the planned machines.
+    /// The capacity that is up or expected, followed by that of the planned machines.
     pool: Vec<ExpectedCapacity>,
     planned_per_offer: HashMap<MachineOffer, usize>,
     plan: Vec<MachineOffer>,
 }
 
-/// A demand of which some tasks are still to be planned for.
+/// A demand with tasks that are still to be planned for.
 struct OpenDemand<'a> {
     demand: &'a Demand<'a>,
     spec: &'a JobSpec,
@@ -62,14 +62,14 @@
     tasks_by_zone: HashMap<Name, u32>,
     /// How many tasks are still to be planned for.
     remaining: u32,
-    /// The only zone that the job may use, if any: the first choice determines it for a job that
-    /// needs all its tasks in one.
+    /// The only zone that the job may use, if any. For a job that needs all its tasks in one zone,
+    /// the first choice determines it.
     fixed_zone: Option<Name>,
-    /// Up to where in the pool there is no well suited capacity any more. Capacity only shrinks
-    /// while one demand is planned for, so that what was passed over once need not be looked at
+    /// No capacity before this index in the pool is well suited any more. Capacity only shrinks
+    /// while one demand is planned for, so capacity that was skipped once need not be checked
     /// again; planned machines are added at the end.
     next_well_suited: usize,
-    /// The same for any capacity.
+    /// Like `next_well_suited`, for any suitable capacity.
     next_suited: usize,
 }
 
@@ -80,7 +80,7 @@
             spec: demand.spec,
             size: Resources::of_task(demand.spec),
             zone_limit: zone_limit(demand.spec),
-            tasks_by_zone: demand.in_zone.clone(),
+            tasks_by_zone: demand.tasks_by_zone.clone(),
             remaining: demand.tasks,
             fixed_zone: None,
             next_well_suited: 0,
@@ -97,13 +97,13 @@
     }
 
     /// Whether machines with this many GPUs suit the job well: a job that needs no GPU is placed on
-    /// a machine with GPUs only as a last resort, as another machine costs far less.
+    /// a machine with GPUs only as a last resort, because other machines cost far less.
     fn is_well_suited(&self, gpus: f64) -> bool {
         self.spec.gpus > 0.0 || gpus == 0.0
     }
 }
 
-/// Machines of a type and purchase in a zone.
+/// A machine type in a zone, on demand or as a spot instance.
 struct MachineKind<'a> {
     machine_type: &'a str,
     zone: &'a str,
@@ -112,51 +112,51 @@
 
 impl<F: Fn(&MachineOffer) -> bool> Planner<'_, F> {
     fn plan_demand(&mut self, demand: &Demand) {
-        let mut open = OpenDemand::new(demand);
-        if open.spec.one_zone {
-            let zone_in_use = open.tasks_by_zone.keys().next().cloned();
-            open.fixed_zone =
+        let mut open_demand = OpenDemand::new(demand);
+        if open_demand.spec.one_zone {
+            let zone_in_use = open_demand.tasks_by_zone.keys().next().cloned();
+            open_demand.fixed_zone =
                 zone_in_use.or_else(|| best_zone(demand, &self.pool, &self.offers, &self.is_blocked));
         }
-        while open.remaining > 0 {
-            let found = self.find_capacity(&mut open).or_else(|| self.plan_machine(&open));
+        while open_demand.remaining > 0 {
+            let found = self.find_capacity(&mut open_demand).or_else(|| self.plan_machine(&open_demand));
             let Some(position) = found else { break };
-            self.use_capacity(position, &mut open);
+            self.use_capacity(position, &mut open_demand);
         }
     }
 
-    /// The position of capacity in the pool that the demand uses next; `None` if a machine should be
-    /// requested, or nothing is left.
-    fn find_capacity(&self, open: &mut OpenDemand) -> Option<usize> {
-        let mut position = open.next_well_suited;
-        while position < self.pool.len() && !self.is_well_suited_capacity(&self.pool[position], open) {
+    /// The index in the pool of the capacity that the demand uses next; `None` if a machine should
+    /// be requested, or no capacity is left.
+    fn find_capacity(&self, open_demand: &mut OpenDemand) -> Option<usize> {
+        let mut position = open_demand.next_well_suited;
+        while position < self.pool.len() && !self.is_well_suited_capacity(&self.pool[position], open_demand) {
             position += 1;
         }
-        open.next_well_suited = position;
+        open_demand.next_well_suited = position;
         if position < self.pool.len() {
             return Some(position);
         }
         let is_well_suited_offer = |offer: &TypedOffer| {
-            open.is_well_suited(offer.machine_type.gpus) && self.suits_offer(offer, open)
+            open_demand.is_well_suited(offer.machine_type.gpus) && self.suits_offer(offer, open_demand)
         };
         if self.offers.iter().any(is_well_suited_offer) {
             return None;
         }
-        let mut position = open.next_suited;
-        while position < self.pool.len() && !self.suits_capacity(&self.pool[position], open) {
+        let mut position = open_demand.next_suited;
+        while position < self.pool.len() && !self.suits_capacity(&self.pool[position], open_demand) {
             position += 1;
         }
-        open.next_suited = position;
+        open_demand.next_suited = position;
         (position < self.pool.len()).then_some(position)
     }
 
-    fn is_well_suited_capacity(&self, capacity: &ExpectedCapacity, open: &OpenDemand) -> bool {
-        open.is_well_suited(capacity.gpus) && self.suits_capacity(capacity, open)
+    fn is_well_suited_capacity(&self, capacity: &ExpectedCapacity, open_demand: &OpenDemand) -> bool {
+        open_demand.is_well_suited(capacity.gpus) && self.suits_capacity(capacity, open_demand)
     }
 
-    /// Whether capacity with this many GPUs is kept from a job, as GPU jobs could use it. Services
-    /// may take it nevertheless.
-    fn is_kept_from(&self, spec: &JobSpec, gpus: f64, kind: MachineKind) -> bool {
+    /// Whether capacity with this many GPUs is reserved for GPU jobs and must not be used by the
+    /// job. Services may use it nevertheless.
+    fn is_reserved_for_gpu_jobs(&self, spec: &JobSpec, gpus: f64, kind: MachineKind) -> bool {
         let MachineKind { machine_type, zone, spot } = kind;
         spec.gpus == 0.0
             && gpus > 0.0
@@ -164,31 +164,44 @@
             && self.gpu_spec.is_none_or(|gpu_spec| is_allowed(gpu_spec, machine_type, zone, spot))
     }
 
-    fn suits_capacity(&self, capacity: &ExpectedCapacity, open: &OpenDemand) -> bool {
+    fn suits_capacity(&self, capacity: &ExpectedCapacity, open_demand: &OpenDemand) -> bool {
         let ExpectedCapacity { machine_type, zone, spot, free, .. } = capacity;
-        open.size.fits(*free)
-            && !open.demand.unsuitable_types.contains(machine_type)
-            && is_allowed(open.spec, machine_type, zone, *spot)
-            && !self.is_kept_from(open.spec, free.gpus, MachineKind { machine_type, zone, spot: *spot })
-            && open.may_use_zone(zone)
+        open_demand.size.fits(*free)
+            && !open_demand.demand.unsuitable_types.contains(machine_type)
+            && is_allowed(open_demand.spec, machine_type, zone, *spot)
+            && !self.is_reserved_for_gpu_jobs(
+                open_demand.spec,
+                free.gpus,
+                MachineKind { machine_type, zone, spot: *spot },
+            )
+            && open_demand.may_use_zone(zone)
     }
 
-    fn suits_offer(&self, TypedOffer { offer, machine_type: t }: &TypedOffer, open: &OpenDemand) -> bool {
+    fn suits_offer(
+        &self,
+        TypedOffer { offer, machine_type: offered_type }: &TypedOffer,
+        open_demand: &OpenDemand,
+    ) -> bool {
         let MachineOffer { machine_type, zone, spot } = offer;
-        is_allowed(open.spec, machine_type, zone, *spot)
-            && open.size.fits(Resources::of_type(t))
-            && !open.demand.unsuitable_types.contains(machine_type)
-            && !self.is_kept_from(open.spec, t.gpus, MachineKind { machine_type, zone, spot: *spot })
-            && open.may_use_zone(zone)
+        is_allowed(open_demand.spec, machine_type, zone, *spot)
+            && open_demand.size.fits(Resources::of_type(offered_type))
+            && !open_demand.demand.unsuitable_types.contains(machine_type)
+            && !self.is_reserved_for_gpu_jobs(
+                open_demand.spec,
+                offered_type.gpus,
+                MachineKind { machine_type, zone, spot: *spot },
+            )
+            && open_demand.may_use_zone(zone)
             && self.planned_per_offer.get(offer).is_none_or(|planned| *planned < self.max_per_offer)
             && !(self.is_blocked)(offer)
     }
 
-    /// Plans a machine of the best offer and returns its position in the pool; `None` if no offer
+    /// Plans a machine of the best offer and returns its index in the pool; `None` if no offer
     /// suits.
-    fn plan_machine(&mut self, open: &OpenDemand) -> Option<usize> {
-        let suiting = self.offers.iter().filter(|offer| self.suits_offer(offer, open));
-        let best = suiting.min_by(|a, b| OfferRank::new(a, open).cmp(&OfferRank::new(b, open)))?;
+    fn plan_machine(&mut self, open_demand: &OpenDemand) -> Option<usize> {
+        let suiting = self.offers.iter().filter(|offer| self.suits_offer(offer, open_demand));
+        let best =
+            suiting.min_by(|a, b| OfferRank::new(a, open_demand).cmp(&OfferRank::new(b, open_demand)))?;
         let TypedOffer { offer, machine_type } = best;
         self.pool.push(ExpectedCapacity {
             machine_type: offer.machine_type.clone(),
@@ -203,46 +216,46 @@
         Some(self.pool.len() - 1)
     }
 
-    /// Uses capacity for as many tasks of the demand as it takes.
-    fn use_capacity(&mut self, position: usize, open: &mut OpenDemand) {
+    /// Uses capacity in the pool for as many tasks of the demand as fit.
+    fn use_capacity(&mut self, position: usize, open_demand: &mut OpenDemand) {
         let capacity = &mut self.pool[position];
         let zone = capacity.zone.clone();
-        let tasks = open
+        let tasks = open_demand
             .size
             .count_fitting_in(capacity.free)
-            .min(open.remaining)
-            .min(open.zone_limit - open.tasks_in(&zone))
+            .min(open_demand.remaining)
+            .min(open_demand.zone_limit - open_demand.tasks_in(&zone))
             .max(1);
-        capacity.free = capacity.free.plus_scaled(open.size, -f64::from(tasks));
-        let served = tasks.min(open.remaining);
-        if !capacity.is_up && open.spec.kind == JobKind::Service && open.spec.gpus == 0.0 {
-            // Services do not wait for a machine to boot: they take capacity of GPU machines that
-            // is free now, which GPU jobs cannot use any more.
-            take_from_gpu_machines(&mut self.pool, open.spec, served);
+        capacity.free = capacity.free.plus_scaled(open_demand.size, -f64::from(tasks));
+        let served = tasks.min(open_demand.remaining);
+        if !capacity.is_up && open_demand.spec.kind == JobKind::Service && open_demand.spec.gpus == 0.0 {
+            // Services do not wait for a machine to boot: they use capacity of GPU machines that is
+            // free now, which GPU jobs then cannot use.
+            take_from_gpu_machines(&mut self.pool, open_demand.spec, served);
         }
-        *open.tasks_by_zone.entry(zone.clone()).or_default() += tasks;
-        if open.spec.one_zone {
-            open.fixed_zone = Some(zone);
+        *open_demand.tasks_by_zone.entry(zone.clone()).or_default() += tasks;
+        if open_demand.spec.one_zone {
+            open_demand.fixed_zone = Some(zone);
         }
-        open.remaining -= served;
+        open_demand.remaining -= served;
     }
 }
 
-/// What makes one offer better than another: the least is best.
+/// The rank of an offer; the lowest is best.
 struct OfferRank {
-    /// How many tasks of the job the zone has, if these are to be spread.
+    /// The number of tasks of the job in the zone if they are to be spread, otherwise 0.
     tasks_in_zone: u32,
     has_unneeded_gpus: bool,
     cost_per_task: f64,
 }
 
 impl OfferRank {
-    fn new(offer: &TypedOffer, open: &OpenDemand) -> Self {
-        let spec = open.spec;
+    fn new(offer: &TypedOffer, open_demand: &OpenDemand) -> Self {
+        let spec = open_demand.spec;
         let capacity = Resources::of_type(offer.machine_type);
-        let tasks = open.size.count_fitting_in(capacity).min(open.remaining).max(1);
+        let tasks = open_demand.size.count_fitting_in(capacity).min(open_demand.remaining).max(1);
         Self {
-            tasks_in_zone: if spec.spread { open.tasks_in(&offer.offer.zone) } else { 0 },
+            tasks_in_zone: if spec.spread { open_demand.tasks_in(&offer.offer.zone) } else { 0 },
             has_unneeded_gpus: spec.gpus == 0.0 && offer.machine_type.gpus > 0.0,
             cost_per_task: offer.price() / f64::from(tasks),
         }
@@ -255,7 +268,7 @@
     }
 }
 
-/// Takes capacity for this many tasks off machines with GPUs that are up.
+/// Removes capacity for this many tasks from machines with GPUs that are up.
 fn take_from_gpu_machines(pool: &mut [ExpectedCapacity], spec: &JobSpec, tasks: u32) {
     let size = Resources::of_task(spec);
     let mut remaining = tasks;
