--- a/crates/emulator/tests/cloud.rs
+++ b/crates/emulator/tests/cloud.rs
@@ -55,7 +55,7 @@
         Self { cloud: Cloud::new(settings, addresses, seed, now), start: now, now }
     }
 
-    fn ask(&mut self, method: &str, path: &str, body: Json) -> (u16, Json) {
+    fn send(&mut self, method: &str, path: &str, body: Json) -> (u16, Json) {
         let body = wire::encode(&body).into();
         let request = Request { method: method.into(), path: path.into(), body };
         let reply = self.cloud.execute(&request, self.now);
@@ -63,7 +63,7 @@
     }
 
     fn rent(&mut self, rental_id: &str, spot: bool, number: u32) -> (u16, Json) {
-        self.ask(
+        self.send(
             "POST",
             "/machines",
             json!({"hire":rental_id,"shape":"m4","bay":"east","loaner":spot,"number":number}),
@@ -75,13 +75,13 @@
     }
 
     fn listed(&mut self) -> Vec<Json> {
-        let (status, list) = self.ask("GET", "/machines?page=500", Json::Null);
+        let (status, list) = self.send("GET", "/machines?page=500", Json::Null);
         assert_eq!(status, 200);
         list["frames"].as_array().expect("a list").clone()
     }
 
     fn release(&mut self, names: &Json) {
-        assert_eq!(self.ask("POST", "/machines/release", json!({ "frames": names })).0, 200);
+        assert_eq!(self.send("POST", "/machines/release", json!({ "frames": names })).0, 200);
     }
 }
 
@@ -103,12 +103,12 @@
     assert_eq!(t.rent("r-4", false, 51).0, 400);
     assert_eq!(t.rent("r-4", false, 0).0, 400);
     let names: Vec<String> = (0..101).map(|n| format!("host-{n:06}")).collect();
-    assert_eq!(t.ask("POST", "/machines/release", json!({ "frames": names })).0, 400);
-    assert_eq!(t.ask("GET", "/machines?page=501", Json::Null).0, 400);
+    assert_eq!(t.send("POST", "/machines/release", json!({ "frames": names })).0, 400);
+    assert_eq!(t.send("GET", "/machines?page=501", Json::Null).0, 400);
     for (field, value) in [("shape", json!("m5")), ("bay", json!("west")), ("number", json!("x"))] {
         let mut body = json!({"hire":"r-9","shape":"m4","bay":"east","loaner":false,"number":1});
         body[field] = value;
-        assert_eq!(t.ask("POST", "/machines", body).0, 400, "{field}");
+        assert_eq!(t.send("POST", "/machines", body).0, 400, "{field}");
     }
 }
 
@@ -138,7 +138,7 @@
     let after = t.rent("r-2", false, 3).1["frames"].clone();
     t.set_time(80.0);
     let path = format!("/machines?after={}&page=1", after[0].as_str().expect("a name"));
-    let (_, page) = t.ask("GET", &path, Json::Null);
+    let (_, page) = t.send("GET", &path, Json::Null);
     assert_eq!((&page["frames"][0]["id"], &page["has_next"]), (&after[1], &json!(true)));
 }
 
@@ -184,7 +184,7 @@
     let (mut at, mut expected) = (500.0, 1.6);
     let mut prices = HashSet::new();
     while at < 2000.0 {
-        let types = t.ask("GET", "/machine_types", Json::Null).1;
+        let types = t.send("GET", "/machine_types", Json::Null).1;
         let price = types["shapes"][0]["spot_price"].as_f64().expect("a price");
         assert!((11.99..=24.01).contains(&price), "{price}");
         prices.insert(price.to_bits());
@@ -242,7 +242,7 @@
 #[test]
 fn requests_are_refused_above_the_rate_limit_and_during_outages() {
     let mut t = Test::new(CloudSettings { rps: 2.0, ..settings() }, 1);
-    let statuses: Vec<u16> = (0..6).map(|_| t.ask("GET", "/machine_types", Json::Null).0).collect();
+    let statuses: Vec<u16> = (0..6).map(|_| t.send("GET", "/machine_types", Json::Null).0).collect();
     assert_eq!(statuses, [200, 200, 200, 200, 429, 429], "two seconds' worth at once");
     t.set_time(1.0);
     t.cloud.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() });
--- a/crates/emulator/tests/journal.rs
+++ b/crates/emulator/tests/journal.rs
@@ -64,7 +64,7 @@
                     assert!((8..ends[3]).contains(&at) && found as usize <= at, "byte {at}");
                 }
                 Err(e) => panic!("byte {at}: {e}"),
-                // Damage in the last entry cannot be told from an interrupted write.
+                // Damage in the last entry cannot be distinguished from an interrupted write.
                 Ok((_, recovered)) => {
                     assert!(at >= ends[3], "byte {at}");
                     assert_eq!(recovered, entries()[..3]);
--- a/crates/emulator/tests/state.rs
+++ b/crates/emulator/tests/state.rs
@@ -34,7 +34,7 @@
         self.service.handle(caller, &request(method, path, &body), self.now)
     }
 
-    fn ask(&mut self, method: &str, path: &str, body: Json) -> (u16, Json) {
+    fn send(&mut self, method: &str, path: &str, body: Json) -> (u16, Json) {
         match self.step(0, method, path, body) {
             RequestOutcome::Answer(reply, _) => (reply.status, json(&reply)),
             step => panic!("{step:?}"),
@@ -42,7 +42,7 @@
     }
 
     fn put(&mut self, key: &str, lease: Option<u64>) -> (u16, Json) {
-        self.ask("POST", "/txn", json!({"if":[],"then":[{"put":key,"v":{"x":1},"hold":lease}]}))
+        self.send("POST", "/txn", json!({"if":[],"then":[{"put":key,"v":{"x":1},"hold":lease}]}))
     }
 
     fn advance(&mut self, ms: u64) {
@@ -50,11 +50,11 @@
     }
 
     fn has(&mut self, key: &str) -> bool {
-        self.ask("GET", &format!("/keys/{key}"), Json::Null).0 == 200
+        self.send("GET", &format!("/keys/{key}"), Json::Null).0 == 200
     }
 
     fn lease(&mut self, ms: u64) -> u64 {
-        self.ask("POST", "/leases", json!({"life_ms":ms})).1["hold"].as_u64().expect("a lease")
+        self.send("POST", "/leases", json!({"life_ms":ms})).1["hold"].as_u64().expect("a lease")
     }
 }
 
@@ -64,17 +64,17 @@
     assert_eq!(t.put("a/b", None), (200, json!({"epoch":1})));
     let txn = json!({"if":[{"k":"a/b","stamp":1},{"k":"a/c","stamp":0}],
         "then":[{"put":"a/c","v":{"y":2.0}},{"remove":"a/b"}]});
-    assert_eq!(t.ask("POST", "/txn", txn.clone()), (200, json!({"epoch":2})));
-    assert_eq!(t.ask("POST", "/txn", txn), (409, json!({"failed":["a/b","a/c"],"epoch":2})));
-    assert_eq!(t.ask("GET", "/keys/a/c", Json::Null), (200, json!({"k":"a/c","v":{"y":2.0},"stamp":2})));
-    assert_eq!(t.ask("GET", "/keys/a/b", Json::Null), (404, json!({"epoch":2})));
-    assert_eq!(t.ask("POST", "/txn", json!({"if":[{"k":"a/c","stamp":2}]})), (200, json!({"epoch":2})));
+    assert_eq!(t.send("POST", "/txn", txn.clone()), (200, json!({"epoch":2})));
+    assert_eq!(t.send("POST", "/txn", txn), (409, json!({"failed":["a/b","a/c"],"epoch":2})));
+    assert_eq!(t.send("GET", "/keys/a/c", Json::Null), (200, json!({"k":"a/c","v":{"y":2.0},"stamp":2})));
+    assert_eq!(t.send("GET", "/keys/a/b", Json::Null), (404, json!({"epoch":2})));
+    assert_eq!(t.send("POST", "/txn", json!({"if":[{"k":"a/c","stamp":2}]})), (200, json!({"epoch":2})));
     for n in 0..4 {
         t.put(&format!("c/{n}"), None);
     }
-    let (_, page) = t.ask("GET", "/keys?prefix=c/&after=c/0&page=2", Json::Null);
+    let (_, page) = t.send("GET", "/keys?prefix=c/&after=c/0&page=2", Json::Null);
     assert_eq!((&page["entries"][0]["k"], &page["has_next"]), (&json!("c/1"), &json!(true)));
-    let (_, page) = t.ask("GET", "/keys?prefix=c/&after=c/2&page=2", Json::Null);
+    let (_, page) = t.send("GET", "/keys?prefix=c/&after=c/2&page=2", Json::Null);
     assert_eq!((page["entries"].as_array().map(Vec::len), &page["has_next"]), (Some(1), &json!(false)));
 }
 
@@ -96,7 +96,7 @@
         json!({"if":[],"then":[{"put":"a","v":1,"hold":99}]}),
     ];
     for case in cases {
-        let (status, answer) = t.ask("POST", "/txn", case.clone());
+        let (status, answer) = t.send("POST", "/txn", case.clone());
         assert_eq!(status, 400, "{case} {answer}");
     }
     let binary = Value::Map(vec![(
@@ -111,14 +111,14 @@
     let largest_value = "x".repeat(2046);
     let largest_txn =
         json!({"if":vec![json!({"k":"a","stamp":0}); 16],"then":[put("a", json!(largest_value))]});
-    assert_eq!(t.ask("POST", "/txn", largest_txn).0, 200, "all limits are inclusive");
+    assert_eq!(t.send("POST", "/txn", largest_txn).0, 200, "all limits are inclusive");
     for (method, path, status) in
         [("GET", "/keys?page=1001", 400), ("GET", "/follow?hold_ms=60001", 400), ("PUT", "/txn", 404)]
     {
-        assert_eq!(t.ask(method, path, Json::Null).0, status, "{path}");
+        assert_eq!(t.send(method, path, Json::Null).0, status, "{path}");
     }
-    assert_eq!(t.ask("POST", "/leases", json!({"life_ms":99})).0, 400);
-    assert_eq!(t.ask("POST", "/leases/7/touch", Json::Null).0, 404);
+    assert_eq!(t.send("POST", "/leases", json!({"life_ms":99})).0, 400);
+    assert_eq!(t.send("POST", "/leases/7/touch", Json::Null).0, 404);
 }
 
 #[test]
@@ -131,7 +131,7 @@
         t.put("free", Some(lease));
         t.put("free", None);
         t.advance(900);
-        assert_eq!(t.ask("POST", &format!("/leases/{lease}/touch"), Json::Null).0, 200);
+        assert_eq!(t.send("POST", &format!("/leases/{lease}/touch"), Json::Null).0, 200);
         t.advance(999);
         assert!(t.has("m"), "renewed in time");
         t.advance(102);
@@ -139,7 +139,7 @@
         assert_eq!(t.put("m", Some(lease)).1["error"], "no such lease");
         let ended = t.lease(600_000);
         t.put("m", Some(ended));
-        assert_eq!(t.ask("DELETE", &format!("/leases/{ended}"), Json::Null).0, 200);
+        assert_eq!(t.send("DELETE", &format!("/leases/{ended}"), Json::Null).0, 200);
         assert!(!t.has("m"));
     }
 }
@@ -155,7 +155,7 @@
     t.service.set_faults(ServiceFaults::default(), t.now);
     t.advance(999);
     assert!(t.has("m") && !t.has("n"));
-    t.ask("POST", &format!("/leases/{lease}/touch"), Json::Null);
+    t.send("POST", &format!("/leases/{lease}/touch"), Json::Null);
     let refused = ServiceFaults { refused: [0].into(), ..ServiceFaults::default() };
     t.service.set_faults(refused, t.now);
     t.advance(1101);
@@ -175,40 +175,44 @@
     };
     t.put("d/1", None);
     assert!(t.service.poll_watch(&watch, t.now).is_none(), "another prefix");
-    t.ask("POST", "/txn", json!({"then":[{"remove":"c/1"},{"put":"c/2","v":5}]}));
-    let news = json(&t.service.poll_watch(&watch, t.now).expect("an answer"));
-    assert_eq!(news, json!({"epoch":3,"news":[{"remove":"c/1","stamp":3},{"put":"c/2","v":5,"stamp":3}]}));
-    let RequestOutcome::Wait(idle) = t.step(1, "GET", "/follow?prefix=c/&after=3&hold_ms=5000", Json::Null)
+    t.send("POST", "/txn", json!({"then":[{"remove":"c/1"},{"put":"c/2","v":5}]}));
+    let changes = json(&t.service.poll_watch(&watch, t.now).expect("an answer"));
+    assert_eq!(changes, json!({"epoch":3,"news":[{"remove":"c/1","stamp":3},{"put":"c/2","v":5,"stamp":3}]}));
+    let RequestOutcome::Wait(watch_without_changes) =
+        t.step(1, "GET", "/follow?prefix=c/&after=3&hold_ms=5000", Json::Null)
     else {
         panic!("nothing has changed yet")
     };
     t.service.set_faults(ServiceFaults { outage: true, ..ServiceFaults::default() }, t.now);
     t.advance(5000);
-    assert!(t.service.poll_watch(&idle, t.now).is_none(), "a watch stays open in an outage");
+    assert!(t.service.poll_watch(&watch_without_changes, t.now).is_none(), "a watch stays open in an outage");
     t.service.set_faults(ServiceFaults::default(), t.now);
-    assert_eq!(json(&t.service.poll_watch(&idle, t.now).expect("time is up"))["news"], json!([]));
+    assert_eq!(
+        json(&t.service.poll_watch(&watch_without_changes, t.now).expect("time is up"))["news"],
+        json!([])
+    );
     for _ in 0..10_000 {
         t.put("d/1", None);
     }
-    assert_eq!(t.ask("GET", "/follow?prefix=c/&after=2", Json::Null).0, 410);
-    assert_eq!(t.ask("GET", "/follow?prefix=c/&after=3", Json::Null).0, 200);
+    assert_eq!(t.send("GET", "/follow?prefix=c/&after=2", Json::Null).0, 410);
+    assert_eq!(t.send("GET", "/follow?prefix=c/&after=3", Json::Null).0, 200);
 }
 
 #[test]
 fn rate_limits_allow_bursts_of_one_second() {
     let mut t = Test::new(StateLimits { rps: 10.0, write_rps: 4.0, ..LIMITS });
     let failing = json!({"if":[{"k":"none","stamp":9}],"then":[{"remove":"a"},{"remove":"b"}]});
-    assert_eq!(t.ask("POST", "/txn", failing.clone()).0, 409);
+    assert_eq!(t.send("POST", "/txn", failing.clone()).0, 409);
     assert_eq!(t.put("a", None).0, 200);
     assert_eq!(
-        t.ask("POST", "/txn", failing).0,
+        t.send("POST", "/txn", failing).0,
         429,
         "changes of failed transactions count towards the limit"
     );
-    let statuses: Vec<u16> = (0..9).map(|_| t.ask("GET", "/keys/a", Json::Null).0).collect();
+    let statuses: Vec<u16> = (0..9).map(|_| t.send("GET", "/keys/a", Json::Null).0).collect();
     assert_eq!(statuses, [vec![200; 7], vec![429; 2]].concat());
     t.advance(100);
-    assert_eq!(t.ask("GET", "/keys/a", Json::Null).0, 200);
+    assert_eq!(t.send("GET", "/keys/a", Json::Null).0, 200);
 }
 
 #[test]
@@ -246,7 +250,7 @@
     let lease = t.lease(1000);
     t.put("member", Some(lease));
     t.put("a", None);
-    t.ask("POST", "/txn", json!({"then":[{"remove":"a"},{"put":"b","v":{"z":[1,null,2.5]}}]}));
+    t.send("POST", "/txn", json!({"then":[{"remove":"a"},{"put":"b","v":{"z":[1,null,2.5]}}]}));
     let (before, old_lease) = (t.service.data().keys.clone(), lease);
     t.advance(500);
     t.service = open(t.now);
@@ -259,11 +263,11 @@
     for n in 0..1200 {
         t.advance(10);
         let v = "x".repeat(1500);
-        assert_eq!(t.ask("POST", "/txn", json!({"then":[{"put":format!("k/{}", n % 5),"v":v}]})).0, 200);
+        assert_eq!(t.send("POST", "/txn", json!({"then":[{"put":format!("k/{}", n % 5),"v":v}]})).0, 200);
     }
     assert!(std::fs::metadata(&path).expect("a file").len() < 2 << 20);
     let (before, revision) = (t.service.data().keys.clone(), t.service.data().revision);
     t.service = open(t.now);
     assert_eq!((&t.service.data().keys, t.service.data().revision), (&before, revision));
-    assert_eq!(t.ask("GET", "/follow?prefix=k/&after=3", Json::Null).0, 410);
+    assert_eq!(t.send("GET", "/follow?prefix=k/&after=3", Json::Null).0, 410);
 }
