--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -51,7 +51,7 @@
     #[error(transparent)]
     Site(#[from] emulator::SiteError),
     #[error(transparent)]
-    Live(#[from] emulator::LiveError),
+    Live(#[from] emulator::EmulationError),
     #[error("the settings cannot be written as TOML: {0}")]
     Settings(#[from] toml::ser::Error),
     #[error("{0}: {1}")]
@@ -95,7 +95,7 @@
         let outcome = tokio::select! {
             () = termination_signal() => Ok(()),
             () = async {
-                emulation.all_healthy().await;
+                emulation.wait_until_all_healthy().await;
                 tell(&emulation, begun);
                 std::future::pending().await
             } => Ok(()),
@@ -143,13 +143,13 @@
 }
 
 fn tell(emulation: &Emulation, begun: Instant) {
-    println!("users (load balancer)  {}", emulation.users);
+    println!("users (load balancer)  {}", emulation.balancer_addr);
     for c in &emulation.controllers {
-        println!("controller {:<12}{}  zone {}", c.name, c.door, c.file.zone);
+        println!("controller {:<12}{}  zone {}", c.name, c.proxy_addr, c.file.zone);
     }
-    println!("cloud                  {}", emulation.cloud);
+    println!("cloud                  {}", emulation.cloud_addr);
     if let Some(c) = emulation.controllers.first() {
-        println!("state service          {}", c.state);
+        println!("state service          {}", c.state_addr);
     }
     println!("ready after {:.2} s; Ctrl-C ends it", begun.elapsed().as_secs_f64());
 }
@@ -158,7 +158,7 @@
 fn tell_end(emulation: &Emulation) {
     let (machines, spent) = emulation.summary();
     println!("stopped: {machines} machines were up, {spent:.4} spent (simulated)");
-    let t = emulation.tally();
+    let t = emulation.user_statistics();
     if t.submitted > 0 {
         println!(
             "users: {} jobs submitted, {} accepted, {} done (longest {:.1} s), {} cancelled, {} refused, \
@@ -166,13 +166,13 @@
             t.submitted,
             t.accepted,
             t.done,
-            t.longest.as_secs_f64(),
+            t.longest_completion.as_secs_f64(),
             t.cancelled,
             t.refused,
             t.given_up
         );
     }
-    for (rule, job) in &t.broken {
+    for (rule, job) in &t.violations {
         println!("broken, as its user saw it: {rule} {job}");
     }
 }
@@ -185,15 +185,15 @@
         let emulation = Emulation::start(&site).await?;
         let folder = &args.settings;
         std::fs::create_dir_all(folder).map_err(failed(folder))?;
-        println!("users (load balancer)  {}", emulation.users);
-        println!("cloud                  {}", emulation.cloud);
+        println!("users (load balancer)  {}", emulation.balancer_addr);
+        println!("cloud                  {}", emulation.cloud_addr);
         for (name, text) in site.settings(&emulation)? {
             let path = folder.join(format!("{name}.toml"));
             std::fs::write(&path, text).map_err(failed(&path))?;
             println!("sageloom serve --config {}", path.display());
         }
         for c in &emulation.controllers {
-            println!("users reach {} at {}", c.name, c.door);
+            println!("users reach {} at {}", c.name, c.proxy_addr);
         }
         termination_signal().await;
         tell_end(&emulation);
--- a/crates/daemon/tests/drains_loopback.rs
+++ b/crates/daemon/tests/drains_loopback.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use emulator::{Emulation, SiteFile, TaskEvent, TaskEventKind, Troubles};
+use emulator::{Emulation, ServiceFaults, SiteFile, TaskEvent, TaskEventKind};
 use net::Client;
 use wire::{JobKind, JobSpec, TaskState};
 
@@ -117,7 +117,7 @@
 }
 
 fn events(emulation: &Emulation) -> Vec<TaskEvent> {
-    emulation.change_site(|site| site.history.events().to_vec())
+    emulation.with_site(|site| site.history.events().to_vec())
 }
 
 fn is_service(task: &str) -> bool {
@@ -136,14 +136,14 @@
 }
 
 fn leader(emulation: &Emulation) -> Option<String> {
-    let value = emulation.record(store::key::LEADER)?;
+    let value = emulation.state_value(store::key::LEADER)?;
     let name = value.as_map()?.iter().find(|(k, _)| k.as_str() == Some("name"))?.1.as_str()?.to_owned();
     Some(name)
 }
 
 /// The machines sorted by the number of running tasks that their workers report, most first.
 fn machines_with_replicas(emulation: &Emulation) -> Vec<String> {
-    let mut machines = emulation.change_site(|site| {
+    let mut machines = emulation.with_site(|site| {
         let rank = |w: &emulator::Worker| {
             let replicas = w.tasks().iter().filter(|t| t.state == TaskState::Running).count();
             (std::cmp::Reverse(replicas), w.info.name.clone())
@@ -198,7 +198,8 @@
     for _ in 0..40 {
         let wait = Duration::from_secs(5);
         let body = wire::encode(spec);
-        let answer = client.request(&emulation.users, "POST", "/v1/jobs", body, wire::BODY_LIMIT, wait).await;
+        let answer =
+            client.request(&emulation.balancer_addr, "POST", "/v1/jobs", body, wire::BODY_LIMIT, wait).await;
         if answer.is_ok_and(|a| matches!(a.status, 200 | 201)) {
             return;
         }
@@ -226,7 +227,7 @@
 async fn two_concurrent_drains_keep_budgets_and_finish_despite_failures() {
     let site = site();
     let emulation = Emulation::start(&site).await.expect("free ports");
-    emulation.change_site(|site| site.history.record());
+    emulation.with_site(|site| site.history.start_recording());
     let mut folder = tempfile::tempdir().expect("a folder");
     folder.disable_cleanup(std::env::var("SAGELOOM_KEEP_LOGS").is_ok());
     let mut processes = Processes { folder, children: BTreeMap::new() };
@@ -237,7 +238,7 @@
         processes.start(name);
     }
     let config = processes.settings(&settings[0].0);
-    tokio::time::timeout(Duration::from_secs(20), emulation.all_healthy()).await.expect("healthy");
+    tokio::time::timeout(Duration::from_secs(20), emulation.wait_until_all_healthy()).await.expect("healthy");
     let service: JobSpec = toml::from_str(SERVICE).expect("a job");
     for n in 1..=SERVICES {
         let spec =
@@ -250,7 +251,7 @@
     assert!(machines.len() >= WORKERS, "{} workers", machines.len());
 
     // Rented machines do not boot at first.
-    let before: BTreeSet<String> = emulation.change_site(|site| {
+    let before: BTreeSet<String> = emulation.with_site(|site| {
         site.cloud.set_never_up(1.0);
         site.cloud.live().map(|info| info.name.clone()).collect()
     });
@@ -272,11 +273,11 @@
     // only when nothing was left to move.
     until("a machine that does not boot is rented", 60, || {
         let names: Vec<String> =
-            emulation.change_site(|site| site.cloud.live().map(|info| info.name.clone()).collect());
+            emulation.with_site(|site| site.cloud.live().map(|info| info.name.clone()).collect());
         names.iter().any(|name| !before.contains(name))
     })
     .await;
-    emulation.change_site(|site| site.cloud.set_never_up(0.0));
+    emulation.with_site(|site| site.cloud.set_never_up(0.0));
     until("a replica is stopped to be moved", 60, || stop_count(&emulation) >= 1).await;
 
     // The leader is killed in mid-step and restarts at once.
@@ -287,7 +288,7 @@
     until("the next leader continues the drains", 60, || stop_count(&emulation) >= 3).await;
 
     // The key-value store is unavailable for longer than a cancellation may take.
-    emulation.set_state_troubles(Troubles { outage: true, ..Troubles::default() });
+    emulation.set_state_faults(ServiceFaults { outage: true, ..ServiceFaults::default() });
     let error = drain(&config, &["status", "rack-a"]).await.expect_err("the key-value store is unavailable");
     assert!(error.ends_with("nothing was written"), "{error}");
     let outage_began = Instant::now();
@@ -295,14 +296,14 @@
         outage_began.elapsed() > Duration::from_secs(CANCEL_S + 2)
     })
     .await;
-    emulation.set_state_troubles(Troubles::default());
+    emulation.set_state_faults(ServiceFaults::default());
     let before = stop_count(&emulation);
     until("the drains continue after the outage", 60, || stop_count(&emulation) > before).await;
 
     // A drained machine dies.
-    let still_exists = |m: &&String| emulation.change_site(|site| site.worker(m).is_some());
+    let still_exists = |m: &&String| emulation.with_site(|site| site.worker(m).is_some());
     if let Some(victim) = machines[4..8].iter().find(still_exists) {
-        emulation.change_site(|site| site.cloud.kill(victim, Instant::now()));
+        emulation.with_site(|site| site.cloud.kill(victim, Instant::now()));
     }
 
     let mut ends = BTreeMap::new();
@@ -321,7 +322,7 @@
     println!("{ends:?} after {:.1} s", started_at.elapsed().as_secs_f64());
     assert!(ends.values().all(|line| line.contains(": finished;")), "{ends:?}");
     for machine in &machines[0..8] {
-        assert!(emulation.change_site(|site| site.worker(machine).is_none()), "{machine} is still there");
+        assert!(emulation.with_site(|site| site.worker(machine).is_none()), "{machine} is still there");
     }
     until("all replicas run again", 60, || running_replica_count(&emulation) == all).await;
     let most_down = check_history(&events(&emulation));
--- a/crates/emulator/src/cloud/mod.rs
+++ b/crates/emulator/src/cloud/mod.rs
@@ -1,7 +1,7 @@
-//! The cloud: rents machines by the second, by "Controller nodes -> cloud" of the
-//! protocol's page.
+//! The cloud, which rents out machines by the second, as specified in "Controller nodes -> cloud"
+//! of the protocol document.
 
-mod machines;
+mod machine;
 mod prices;
 
 use std::collections::{BTreeMap, HashMap};
@@ -12,85 +12,91 @@
 use rand::{RngExt, SeedableRng};
 use wire::{MachineList, MachineNames, MachineType, MachineTypes, RentRequest};
 
-use crate::bucket::Bucket;
+use crate::service_faults::{RequestOutcome, ServiceFaults};
 use crate::state::query;
-use crate::troubles::{Step, Troubles};
+use crate::token_bucket::TokenBucket;
 use crate::worker::MachineInfo;
-use machines::{End, Machine};
+use machine::{Machine, MachineEnd};
 use prices::Prices;
 
 #[derive(Debug, Clone)]
 pub struct CloudSettings {
     pub types: Vec<MachineType>,
-    /// How many machines there are of a type and zone, ordinary and spot. What is not
-    /// named cannot be had.
+    /// The number of ordinary and spot machines by type and zone; none of those not listed.
     pub capacity: HashMap<(String, String), (u32, u32)>,
     pub rps: f64,
     pub list_lag: Duration,
-    /// Shares of the machines that come up late, at once, or never.
+    /// Share of the machines that boot slowly.
     pub slow_boots: f64,
+    /// Share of the machines that boot within two seconds.
     pub quick_boots: f64,
+    /// Share of the machines that never come up.
     pub never_up: f64,
-    /// The mean life of spot machines and of all machines; None: without end.
+    /// Mean time until a spot machine is reclaimed; None: never.
     pub spot_life: Option<Duration>,
+    /// Mean time until a machine fails; None: never.
     pub life: Option<Duration>,
-    /// The nominal time from a spot notice to the end, and the share that has none.
+    /// Nominal time from a spot notice to the end of the machine.
     pub notice: Duration,
+    /// Share of the spot machines that are reclaimed without notice.
     pub no_notice: f64,
-    /// The number of the first machine. Names must never come back.
-    pub first: u64,
+    /// The number in the name of the first machine. Machine names must never be reused, so it must
+    /// be higher than all numbers of earlier runs whose names are still known.
+    pub first_number: u64,
 }
 
-/// What happens to machines, for whoever has their workers.
+/// An event of a machine, for the owner of its worker.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Event {
+pub enum MachineEvent {
     Up(String),
-    /// It will be taken away at this time.
+    /// The spot machine will be reclaimed at this time.
     Notice(String, Instant),
-    /// Deleted, taken or dead.
+    /// The machine was deleted, reclaimed or failed.
     Gone(String),
 }
 
-/// Gives a new machine's address; None if there is none left.
+/// Assigns an address to a new machine; None if no address is left.
 pub type Addresses = Box<dyn FnMut(&str) -> Option<String> + Send>;
 
-const MAX_MACHINES_PER_RENTAL: u32 = 50;
-const MAX_MACHINES_PER_RELEASE: usize = 100;
-const PAGE_MAX: usize = 500;
-/// Bursts of so many seconds' worth are allowed.
+const MAX_RENT_COUNT: u32 = 50;
+const MAX_RELEASE_COUNT: usize = 100;
+const MAX_PAGE_MACHINES: usize = 500;
+/// Largest burst of requests, in seconds of the rate.
 const BURST_S: f64 = 2.0;
-/// How long a machine that died is still listed as running.
-const DEATH_UNSEEN: Duration = Duration::from_secs(30);
-/// How long one lag of the list lasts.
-const LAG_LASTS: Duration = Duration::from_secs(1);
+/// How long a failed machine is still listed as running.
+const FAILURE_LIST_DELAY: Duration = Duration::from_secs(30);
+/// How often the lag of the machine list changes.
+const LAG_REDRAW_INTERVAL: Duration = Duration::from_secs(1);
 
 pub struct Cloud {
     settings: CloudSettings,
     addresses: Addresses,
     machines: BTreeMap<String, Machine>,
-    /// What each request that succeeded was answered.
-    hires: HashMap<String, Vec<String>>,
+    /// Names of the machines in the answer to each rental request that succeeded, by the id of the
+    /// request. A repeated request gets the same answer.
+    completed_rentals: HashMap<String, Vec<String>>,
     prices: Prices,
-    troubles: Troubles,
-    bucket: Bucket,
+    faults: ServiceFaults,
+    bucket: TokenBucket,
+    /// Current lag of the machine list, and until when it applies.
     lag: (Duration, Instant),
     next: u64,
-    events: Vec<Event>,
+    events: Vec<MachineEvent>,
     rng: StdRng,
 }
 
 impl Cloud {
     pub fn new(settings: CloudSettings, addresses: Addresses, seed: u64, now: Instant) -> Self {
-        let bucket = Bucket::new(settings.rps, BURST_S, now);
+        let bucket = TokenBucket::new(settings.rps, BURST_S, now);
         let prices = Prices::new(&settings.types, now);
-        let next = settings.first;
+        let next = settings.first_number;
         Self {
             settings,
             addresses,
             machines: BTreeMap::new(),
-            hires: HashMap::new(),
+            completed_rentals: HashMap::new(),
             prices,
-            troubles: Troubles::default(),
+            faults: ServiceFaults::default(),
             bucket,
             lag: (Duration::ZERO, now),
             next,
@@ -99,25 +105,25 @@
         }
     }
 
-    pub fn troubles(&self) -> &Troubles {
-        &self.troubles
+    pub fn faults(&self) -> &ServiceFaults {
+        &self.faults
     }
 
-    pub fn set_troubles(&mut self, troubles: Troubles) {
-        self.troubles = troubles;
+    pub fn set_faults(&mut self, faults: ServiceFaults) {
+        self.faults = faults;
     }
 
-    /// What a machine is.
+    /// The properties of a machine.
     pub fn info(&self, name: &str) -> Option<MachineInfo> {
         self.machines.get(name).map(|m| m.info.clone())
     }
 
-    /// The machines that are rented and not gone.
+    /// The rented machines that have not ended.
     pub fn live(&self) -> impl Iterator<Item = &MachineInfo> {
         self.machines.values().filter(|m| m.end.is_none()).map(|m| &m.info)
     }
 
-    /// Money spent so far, in the prices' unit.
+    /// Money spent so far, in the currency of the prices.
     pub fn spent(&mut self, now: Instant) -> f64 {
         self.charge(now);
         self.prices.spent
@@ -125,25 +131,25 @@
 
     fn charge(&mut self, now: Instant) {
         for m in self.machines.values_mut().filter(|m| m.end.is_none()) {
-            self.prices.charge(&m.info, m.charged, now);
-            m.charged = m.charged.max(now);
+            self.prices.charge(&m.info, m.charged_until, now);
+            m.charged_until = m.charged_until.max(now);
         }
     }
 
-    /// Takes a request.
-    pub fn handle(&mut self, request: &Request, now: Instant) -> Step {
-        if let Some(late) = self.troubles.lateness(&mut self.rng) {
-            return Step::Late(late);
+    /// Handles a request and applies the injected faults.
+    pub fn handle(&mut self, request: &Request, now: Instant) -> RequestOutcome {
+        if let Some(delay) = self.faults.draw_execution_delay(&mut self.rng) {
+            return RequestOutcome::Late(delay);
         }
-        let reply = self.carry_out(request, now);
-        self.troubles.answer(reply, &mut self.rng)
+        let reply = self.execute(request, now);
+        self.faults.draw_answer_outcome(reply, &mut self.rng)
     }
 
-    /// Carries a request out now.
-    pub fn carry_out(&mut self, request: &Request, now: Instant) -> Reply {
+    /// Executes a request now.
+    pub fn execute(&mut self, request: &Request, now: Instant) -> Reply {
         self.poll(now);
-        if self.troubles.outage {
-            return Reply::error(503, "trouble");
+        if self.faults.outage {
+            return Reply::error(503, "the cloud is unavailable");
         }
         if !self.bucket.take(1.0, now) {
             return Reply::error(429, "too many requests");
@@ -155,20 +161,20 @@
             }
             ("POST", "/machines") => match wire::decode(&request.body) {
                 Ok(rental) => self.rent(rental, now),
-                Err(_) => Reply::error(400, "not a rental request"),
+                Err(_) => Reply::error(400, "the body is not a rental request"),
             },
             ("POST", "/machines/release") => match wire::decode::<MachineNames>(&request.body) {
-                Ok(names) if names.machines.len() <= MAX_MACHINES_PER_RELEASE => {
+                Ok(names) if names.machines.len() <= MAX_RELEASE_COUNT => {
                     names.machines.iter().for_each(|name| self.delete(name, now));
                     Reply::new(200, &MachineNames { machines: names.machines })
                 }
-                _ => Reply::error(400, "not a list of up to 100 names"),
+                _ => Reply::error(400, "the body is not a list of up to 100 machine names"),
             },
             ("GET", "/machines") => {
                 let value = |name: &str| query.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
-                let page = value("page").map_or(Ok(PAGE_MAX), str::parse);
+                let page = value("page").map_or(Ok(MAX_PAGE_MACHINES), str::parse);
                 match page {
-                    Ok(page) if (1..=PAGE_MAX).contains(&page) => {
+                    Ok(page) if (1..=MAX_PAGE_MACHINES).contains(&page) => {
                         Reply::new(200, &self.list(value("after").unwrap_or_default(), page, now))
                     }
                     _ => Reply::error(400, "page must be 1 to 500"),
@@ -178,31 +184,33 @@
         }
     }
 
-    fn rent(&mut self, r: RentRequest, now: Instant) -> Reply {
-        if let Some(machines) = self.hires.get(&r.request) {
+    fn rent(&mut self, rental: RentRequest, now: Instant) -> Reply {
+        if let Some(machines) = self.completed_rentals.get(&rental.request) {
             return Reply::new(200, &MachineNames { machines: machines.clone() });
         }
-        let Some(kind) = self.settings.types.iter().find(|t| t.name == r.machine_type).cloned() else {
+        let Some(machine_type) = self.settings.types.iter().find(|t| t.name == rental.machine_type).cloned()
+        else {
             return Reply::error(400, "no such shape");
         };
-        if !kind.zones.contains(&r.zone)
-            || !(1..=MAX_MACHINES_PER_RENTAL).contains(&r.count)
-            || r.request.is_empty()
+        if !machine_type.zones.contains(&rental.zone)
+            || !(1..=MAX_RENT_COUNT).contains(&rental.count)
+            || rental.request.is_empty()
         {
             return Reply::error(400, "malformed rental request");
         }
-        let all = self.settings.capacity.get(&(r.machine_type.clone(), r.zone.clone()));
-        let all = all.map_or(0, |(ordinary, spot)| if r.spot { *spot } else { *ordinary });
-        let same =
-            |i: &&MachineInfo| i.machine_type.name == r.machine_type && i.zone == r.zone && i.spot == r.spot;
-        let free = all.saturating_sub(self.live().filter(same).count() as u32);
+        let capacity = self.settings.capacity.get(&(rental.machine_type.clone(), rental.zone.clone()));
+        let capacity = capacity.map_or(0, |(ordinary, spot)| if rental.spot { *spot } else { *ordinary });
+        let is_same_kind = |i: &&MachineInfo| {
+            i.machine_type.name == rental.machine_type && i.zone == rental.zone && i.spot == rental.spot
+        };
+        let free = capacity.saturating_sub(self.live().filter(is_same_kind).count() as u32);
         let mut names = Vec::new();
-        for _ in 0..free.min(r.count) {
+        for _ in 0..free.min(rental.count) {
             let name = format!("host-{:06}", self.next);
             let Some(addr) = (self.addresses)(&name) else { break };
             self.next += 1;
-            let (zone, machine_type) = (r.zone.clone(), kind.clone());
-            let info = MachineInfo { name: name.clone(), addr, machine_type, zone, spot: r.spot };
+            let (zone, machine_type) = (rental.zone.clone(), machine_type.clone());
+            let info = MachineInfo { name: name.clone(), addr, machine_type, zone, spot: rental.spot };
             let machine = Machine::new(info, &self.settings, now, &mut self.rng);
             self.machines.insert(name.clone(), machine);
             names.push(name);
@@ -210,112 +218,115 @@
         if names.is_empty() {
             return Reply::error(503, "no capacity");
         }
-        self.hires.insert(r.request, names.clone());
+        self.completed_rentals.insert(rental.request, names.clone());
         Reply::new(200, &MachineNames { machines: names })
     }
 
     fn delete(&mut self, name: &str, now: Instant) {
         let Some(m) = self.machines.get_mut(name) else { return };
         match m.end {
-            Some((_, End::Failed)) => m.end = Some((now, End::Deleted)),
+            Some((_, MachineEnd::Failed)) => m.end = Some((now, MachineEnd::Deleted)),
             Some(_) => {}
             None => {
-                self.prices.charge(&m.info, m.charged, now);
-                self.prices.charge_least(&m.info, now.saturating_duration_since(m.rented));
-                m.end = Some((now, End::Deleted));
-                self.events.push(Event::Gone(name.to_owned()));
+                self.prices.charge(&m.info, m.charged_until, now);
+                self.prices.charge_minimum(&m.info, now.saturating_duration_since(m.rented_at));
+                m.end = Some((now, MachineEnd::Deleted));
+                self.events.push(MachineEvent::Gone(name.to_owned()));
             }
         }
     }
 
-    /// From now on this share of the machines that are rented never comes up.
+    /// Sets the share of newly rented machines that never come up.
     pub fn set_never_up(&mut self, share: f64) {
         self.settings.never_up = share;
     }
 
-    /// A machine stops on its own, or is taken back.
-    fn lose(&mut self, name: &str, how: End, now: Instant) {
+    /// Ends a machine that failed or is reclaimed.
+    fn end_machine(&mut self, name: &str, end: MachineEnd, now: Instant) {
         let Some(m) = self.machines.get_mut(name).filter(|m| m.end.is_none()) else { return };
-        self.prices.charge(&m.info, m.charged, now);
-        m.end = Some((now, how));
-        self.events.push(Event::Gone(name.to_owned()));
+        self.prices.charge(&m.info, m.charged_until, now);
+        m.end = Some((now, end));
+        self.events.push(MachineEvent::Gone(name.to_owned()));
     }
 
-    /// A machine dies now.
+    /// Makes a machine fail now.
     pub fn kill(&mut self, name: &str, now: Instant) {
-        self.lose(name, End::Failed, now);
+        self.end_machine(name, MachineEnd::Failed, now);
     }
 
-    /// A spot machine gets its notice now, or is taken at once if `notice` is None.
+    /// Gives a spot machine its notice now, or reclaims it at once if `notice` is None.
     pub fn reclaim(&mut self, name: &str, notice: Option<Duration>, now: Instant) {
         match notice {
-            None => self.lose(name, End::Taken, now),
+            None => self.end_machine(name, MachineEnd::Reclaimed, now),
             Some(notice) => {
                 if let Some(m) = self.machines.get_mut(name).filter(|m| m.info.spot && m.end.is_none()) {
-                    m.noticed = true;
-                    m.taken = Some(now + notice);
-                    self.events.push(Event::Notice(name.to_owned(), now + notice));
+                    m.notice_given = true;
+                    m.taken_at = Some(now + notice);
+                    self.events.push(MachineEvent::Notice(name.to_owned(), now + notice));
                 }
             }
         }
     }
 
-    /// A notice's length: half to one and a half times the nominal one.
+    /// Draws the length of a notice, half to one and a half times the nominal one; None: no notice.
     pub fn draw_notice(&mut self) -> Option<Duration> {
-        let without = self.rng.random_bool(self.settings.no_notice.clamp(0.0, 1.0));
-        (!without).then(|| self.settings.notice.mul_f64(self.rng.random_range(0.5..1.5)))
+        let is_without_notice = self.rng.random_bool(self.settings.no_notice.clamp(0.0, 1.0));
+        (!is_without_notice).then(|| self.settings.notice.mul_f64(self.rng.random_range(0.5..1.5)))
     }
 
-    /// Lets time pass; what has happened to machines since the last call.
+    /// Advances the cloud to `now` and records the events of machines for `take_events`.
     pub fn poll(&mut self, now: Instant) {
         if self.prices.due(now) {
             self.charge(now);
-            self.prices.step(now, &mut self.rng);
+            self.prices.update(now, &mut self.rng);
         }
         let due = |at: Option<Instant>| at.is_some_and(|at| at <= now);
         let names: Vec<String> =
             self.machines.iter().filter(|(_, m)| m.end.is_none()).map(|(n, _)| n.clone()).collect();
         for name in names {
             let Some(m) = self.machines.get_mut(&name) else { continue };
-            if !m.told_up && due(m.up) {
-                m.told_up = true;
-                self.events.push(Event::Up(name.clone()));
+            if !m.up_reported && due(m.up_at) {
+                m.up_reported = true;
+                self.events.push(MachineEvent::Up(name.clone()));
             }
-            if due(m.taken) {
-                self.lose(&name, End::Taken, now);
-            } else if due(m.dies) {
-                self.lose(&name, End::Failed, now);
-            } else if !m.noticed && due(m.reclaimed) {
-                m.noticed = true;
+            if due(m.taken_at) {
+                self.end_machine(&name, MachineEnd::Reclaimed, now);
+            } else if due(m.fails_at) {
+                self.end_machine(&name, MachineEnd::Failed, now);
+            } else if !m.notice_given && due(m.reclaim_at) {
+                m.notice_given = true;
                 let notice = self.draw_notice();
                 self.reclaim(&name, notice, now);
             }
         }
-        // What is gone is listed for a while yet.
-        let listed = self.settings.list_lag * 2 + Duration::from_secs(5);
-        self.machines
-            .retain(|_, m| !matches!(m.end, Some((at, End::Deleted | End::Taken)) if at + listed <= now));
+        // Ended machines are kept while lagging lists may still show them.
+        let max_list_lag = self.settings.list_lag * 2 + Duration::from_secs(5);
+        self.machines.retain(|_, m| {
+            !matches!(m.end, Some((at, MachineEnd::Deleted | MachineEnd::Reclaimed))
+                if at + max_list_lag <= now)
+        });
     }
 
-    pub fn take_events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<MachineEvent> {
         std::mem::take(&mut self.events)
     }
 
     fn list(&mut self, after: &str, page: usize, now: Instant) -> MachineList {
         if now >= self.lag.1 {
-            // Now and then up to twice the usual lag, so that a list may be older than the last.
+            // One time in ten up to twice the usual lag, so a list may be older than the previous one.
             let times = if self.rng.random_bool(0.1) { 1.0..2.0 } else { 0.3..1.0 };
-            self.lag = (self.settings.list_lag.mul_f64(self.rng.random_range(times)), now + LAG_LASTS);
+            self.lag =
+                (self.settings.list_lag.mul_f64(self.rng.random_range(times)), now + LAG_REDRAW_INTERVAL);
         }
         let lag = self.lag.0;
         let range = (std::ops::Bound::Excluded(after), std::ops::Bound::Unbounded);
         let mut machines = Vec::new();
         for (_, m) in self.machines.range_mut::<str, _>(range) {
-            let Some(listed) = m.listed(lag, now) else { continue };
+            let Some(list_item) = m.listed(lag, now) else { continue };
             if machines.len() == page {
                 return MachineList { machines, has_more: true };
             }
-            machines.push(listed);
+            machines.push(list_item);
         }
         MachineList { machines, has_more: false }
     }
--- a/crates/emulator/src/cloud/prices.rs
+++ b/crates/emulator/src/cloud/prices.rs
@@ -7,58 +7,60 @@
 
 use crate::worker::MachineInfo;
 
-/// Spot prices, which move around the nominal ones, and what was spent.
+/// Spot prices, which vary around the nominal ones, and the total cost of the machines.
 pub struct Prices {
-    /// Today's spot price as a multiple of the nominal one, by type.
+    /// Current spot price as a multiple of the nominal one, by machine type.
     factors: BTreeMap<String, f64>,
     next: Instant,
     pub spent: f64,
 }
 
-/// How often spot prices move, and how far from the nominal one they may be.
-const MOVES: Duration = Duration::from_secs(30);
-const FARTHEST: f64 = 1.0 / 3.0;
-/// A machine that is deleted costs at least this time.
-const LEAST: Duration = Duration::from_secs(60);
+/// How often spot prices change.
+const PRICE_UPDATE_INTERVAL: Duration = Duration::from_secs(30);
+/// Largest deviation of a spot price, as a share of the nominal one.
+const MAX_PRICE_DEVIATION: f64 = 1.0 / 3.0;
+/// A deleted machine is charged for at least this time.
+const MIN_BILLED_TIME: Duration = Duration::from_secs(60);
 
 impl Prices {
     pub fn new(types: &[MachineType], now: Instant) -> Self {
         let factors = types.iter().map(|t| (t.name.clone(), 1.0)).collect();
-        Self { factors, next: now + MOVES, spent: 0.0 }
+        Self { factors, next: now + PRICE_UPDATE_INTERVAL, spent: 0.0 }
     }
 
     pub fn due(&self, now: Instant) -> bool {
         now >= self.next
     }
 
-    pub fn step(&mut self, now: Instant, rng: &mut StdRng) {
+    pub fn update(&mut self, now: Instant, rng: &mut StdRng) {
         for factor in self.factors.values_mut() {
-            *factor = (*factor + rng.random_range(-0.08..0.08)).clamp(1.0 - FARTHEST, 1.0 + FARTHEST);
+            *factor = (*factor + rng.random_range(-0.08..0.08))
+                .clamp(1.0 - MAX_PRICE_DEVIATION, 1.0 + MAX_PRICE_DEVIATION);
         }
-        self.next = now + MOVES;
+        self.next = now + PRICE_UPDATE_INTERVAL;
     }
 
     fn spot_price(&self, t: &MachineType) -> f64 {
         t.spot_price * self.factors.get(&t.name).copied().unwrap_or(1.0)
     }
 
-    /// The types with the prices of now.
+    /// The machine types with the current spot prices.
     pub fn current(&self, types: &[MachineType]) -> Vec<MachineType> {
         types.iter().map(|t| MachineType { spot_price: self.spot_price(t), ..t.clone() }).collect()
     }
 
     fn add(&mut self, machine: &MachineInfo, time: Duration) {
         let t = &machine.machine_type;
-        let an_hour = if machine.spot { self.spot_price(t) } else { t.price };
-        self.spent += an_hour * time.as_secs_f64() / 3600.0;
+        let price_per_hour = if machine.spot { self.spot_price(t) } else { t.price };
+        self.spent += price_per_hour * time.as_secs_f64() / 3600.0;
     }
 
     pub fn charge(&mut self, machine: &MachineInfo, from: Instant, to: Instant) {
         self.add(machine, to.saturating_duration_since(from));
     }
 
-    /// What is missing to the least that a machine costs that is deleted at this age.
-    pub fn charge_least(&mut self, machine: &MachineInfo, age: Duration) {
-        self.add(machine, LEAST.saturating_sub(age));
+    /// Charges a machine that is deleted at this age for the rest of the minimum billed time.
+    pub fn charge_minimum(&mut self, machine: &MachineInfo, age: Duration) {
+        self.add(machine, MIN_BILLED_TIME.saturating_sub(age));
     }
 }
--- a/crates/emulator/src/config/hcl_file.rs
+++ b/crates/emulator/src/config/hcl_file.rs
@@ -1,4 +1,4 @@
-//! Reading HCL so that every mistake is one line with the file, the line and the field.
+//! Reads site files (HCL). Every error is one line that names the file, the line and the field.
 
 use std::path::Path;
 
@@ -25,7 +25,7 @@
     text.get(..at).map_or(1, |before| before.matches('\n').count() + 1)
 }
 
-/// Where the field is, or, if it is missing, the block that it should be in.
+/// The byte offset of a field or, if it is missing, of the block that it belongs in.
 fn locate(body: &Body, path: &[String]) -> Option<usize> {
     let (first, rest) = path.split_first()?;
     for structure in body {
@@ -33,8 +33,8 @@
             Structure::Attribute(a) if a.has_key(first) => return a.span().map(|s| s.start),
             Structure::Block(b) if b.has_ident(first) => {
                 let labels: Vec<&str> = b.labels.iter().map(|l| l.as_str()).collect();
-                let same = rest.iter().zip(&labels).all(|(p, l)| p == l);
-                if same {
+                let labels_match = rest.iter().zip(&labels).all(|(p, l)| p == l);
+                if labels_match {
                     let inner = rest.get(labels.len()..).unwrap_or_default();
                     return locate(&b.body, inner).or_else(|| b.span().map(|s| s.start));
                 }
@@ -45,21 +45,21 @@
     None
 }
 
-/// Blocks of which there may be several, told apart by one label.
-const NAMED: [&str; 5] = ["controller", "machine_type", "team", "load", "trouble"];
+/// Types of blocks that may occur several times and have a name as their label.
+const LABELED_BLOCKS: [&str; 5] = ["controller", "machine_type", "team", "load", "trouble"];
 
-/// A block that is there twice or has the wrong labels, and where it is. Once read as
-/// values, such blocks would have become one.
-fn misplaced(body: &Body) -> Option<(usize, String, &'static str)> {
+/// Returns the offset and path of the first block that is duplicated or has the wrong labels, and
+/// what is wrong with it. This cannot be checked later, because deserialization merges such blocks.
+fn invalid_block(body: &Body) -> Option<(usize, String, &'static str)> {
     let mut seen = Vec::new();
     for block in body.blocks() {
         let mut path = vec![block.ident.as_str()];
         path.extend(block.labels.iter().map(|l| l.as_str()));
-        let labels = usize::from(NAMED.contains(&block.ident.as_str()));
+        let labels = usize::from(LABELED_BLOCKS.contains(&block.ident.as_str()));
         let why = match block.labels.len() {
-            n if n > labels => Some("has a label too many"),
+            n if n > labels => Some("has too many labels"),
             n if n < labels => Some("must have a name"),
-            _ if seen.contains(&path) => Some("is there twice"),
+            _ if seen.contains(&path) => Some("is defined twice"),
             _ => None,
         };
         if let Some(why) = why {
@@ -70,8 +70,8 @@
     None
 }
 
-/// The field that serde's message names, if it names one that is not in the path.
-fn named(message: &str) -> Option<String> {
+/// The unknown or missing field that an error message of serde names, if any.
+fn field_in_message(message: &str) -> Option<String> {
     let rest = message.strip_prefix("unknown field `").or(message.strip_prefix("missing field `"))?;
     rest.split('`').next().map(str::to_owned)
 }
@@ -83,7 +83,7 @@
         Self::parse(&file, &text)
     }
 
-    /// Reads and checks a description; `file` is only for what is said of mistakes.
+    /// Parses and validates a site file; `file` is the name in error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, SiteError> {
         let body = hcl_edit::parser::parse_body(text).map_err(|e| {
             let line = e.location().line();
@@ -93,7 +93,7 @@
             let line = locate(&body, &path).map_or(1, |at| line_of(text, at));
             SiteError::Field { file: file.to_owned(), line, field: path.join("."), why }
         };
-        if let Some((at, field, why)) = misplaced(&body) {
+        if let Some((at, field, why)) = invalid_block(&body) {
             let line = line_of(text, at);
             return Err(SiteError::Field { file: file.to_owned(), line, field, why: why.to_owned() });
         }
@@ -103,7 +103,7 @@
             let mut path: Vec<String> =
                 e.path().iter().map(ToString::to_string).filter(|segment| segment != "?").collect();
             let message = e.inner().to_string();
-            if let Some(name) = named(&message)
+            if let Some(name) = field_in_message(&message)
                 && path.last() != Some(&name)
             {
                 path.push(name);
@@ -113,7 +113,7 @@
             }
             field(path, one_line(&message))
         })?;
-        match site.mistake() {
+        match site.first_error() {
             Some((path, why)) => Err(field(path, why)),
             None => Ok(site),
         }
--- a/crates/emulator/src/config/load.rs
+++ b/crates/emulator/src/config/load_and_faults.rs
@@ -1,4 +1,4 @@
-//! The blocks `load` and `trouble` of a site's file.
+//! The blocks `load` (streams of jobs) and `trouble` (injected faults) of a site file.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use wire::{JobKind, JobSpec, Priority};
 
 use super::{SiteFile, seconds};
-use crate::schedule::{Kind, Trouble};
+use crate::fault_schedule::{FaultKind, ScheduledFault};
 use crate::users::Load;
-use crate::worker::Faults;
+use crate::worker::MachineFaults;
 
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum KindFile {
+pub enum JobKindFile {
     Array,
     Gang,
     Service,
@@ -27,12 +27,12 @@
     Production,
 }
 
-/// Jobs that come again and again.
+/// A stream of jobs that users submit at random times.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadFile {
     pub team: String,
-    pub kind: KindFile,
+    pub kind: JobKindFile,
     pub priority: PriorityFile,
     pub per_minute: f64,
     pub tasks: u32,
@@ -60,8 +60,8 @@
     pub save_s: f64,
     #[serde(default)]
     pub deadline_s: Option<f64>,
-    /// How long a service runs before it is cancelled; of other jobs, `cancelled` are
-    /// cancelled within this time.
+    /// How long a service runs before it is cancelled. Of other jobs, the share `cancelled` is
+    /// cancelled at a random time within this time.
     pub stays_s: f64,
     #[serde(default)]
     pub cancelled: f64,
@@ -91,105 +91,105 @@
 #[serde(deny_unknown_fields)]
 pub struct TroubleFile {
     pub kind: TroubleKind,
-    /// From the beginning of the site.
+    /// Begin of the fault, relative to the start of the site.
     pub at_s: f64,
     #[serde(default)]
     pub for_s: f64,
-    /// Of the requests or machines.
+    /// The share of the requests or machines that is affected; None: all of them.
     #[serde(default)]
     pub share: Option<f64>,
-    /// For `state_refuses`.
+    /// The controller that is refused, for `state_refuses`.
     #[serde(default)]
     pub controller: Option<String>,
-    /// How slow or late at most.
+    /// Maximum delay, for the kinds that are slow or late.
     #[serde(default)]
     pub delay_s: f64,
 }
 
 impl SiteFile {
-    /// The class of a load's jobs is its name.
+    /// The streams of jobs. The class of their jobs is the name of the block.
     pub fn loads(&self) -> Vec<Load> {
         let load = |(name, l): (&String, &LoadFile)| Load {
             job: l.job(name),
             per_minute: l.per_minute,
-            stays: seconds(l.stays_s),
+            lifetime: seconds(l.stays_s),
             cancelled: l.cancelled,
         };
         self.load.iter().map(load).collect()
     }
 
-    pub fn troubles(&self) -> Vec<Trouble> {
+    pub fn scheduled_faults(&self) -> Vec<ScheduledFault> {
         let trouble = |(name, t): (&String, &TroubleFile)| {
-            let (share, by) = (t.share.unwrap_or(1.0), seconds(t.delay_s));
-            let named = |n: &String| t.controller.as_ref() == Some(n);
-            let caller = self.controller.keys().position(named).unwrap_or(usize::MAX);
-            let machines = |faults| Kind::Machines(share, faults);
-            let fine = Faults::default();
+            let (share, max_delay) = (t.share.unwrap_or(1.0), seconds(t.delay_s));
+            let is_named = |n: &String| t.controller.as_ref() == Some(n);
+            let caller = self.controller.keys().position(is_named).unwrap_or(usize::MAX);
+            let machines = |faults| FaultKind::Machines(share, faults);
+            let no_faults = MachineFaults::default();
             let kind = match t.kind {
-                TroubleKind::StateOutage => Kind::StateOutage,
-                TroubleKind::StateRefuses => Kind::StateRefuses(caller),
-                TroubleKind::StateSlow => Kind::StateSlow(share, by),
-                TroubleKind::StateLate => Kind::StateLate(share, by),
-                TroubleKind::StateLost => Kind::StateLost(share),
-                TroubleKind::CloudOutage => Kind::CloudOutage,
-                TroubleKind::CloudSlow => Kind::CloudSlow(share, by),
-                TroubleKind::CloudLate => Kind::CloudLate(share, by),
-                TroubleKind::CloudLost => Kind::CloudLost(share),
-                TroubleKind::Hang => machines(Faults { hangs: true, ..fine }),
-                TroubleKind::Deaf => machines(Faults { deaf: true, ..fine }),
-                TroubleKind::Mute => machines(Faults { mute: true, ..fine }),
-                TroubleKind::Faulty => machines(Faults { faulty: true, ..fine }),
-                TroubleKind::Death => Kind::Deaths(share),
-                TroubleKind::Reclaim => Kind::Reclaims(share),
+                TroubleKind::StateOutage => FaultKind::StateOutage,
+                TroubleKind::StateRefuses => FaultKind::StateRefuses(caller),
+                TroubleKind::StateSlow => FaultKind::StateSlow(share, max_delay),
+                TroubleKind::StateLate => FaultKind::StateLate(share, max_delay),
+                TroubleKind::StateLost => FaultKind::StateLost(share),
+                TroubleKind::CloudOutage => FaultKind::CloudOutage,
+                TroubleKind::CloudSlow => FaultKind::CloudSlow(share, max_delay),
+                TroubleKind::CloudLate => FaultKind::CloudLate(share, max_delay),
+                TroubleKind::CloudLost => FaultKind::CloudLost(share),
+                TroubleKind::Hang => machines(MachineFaults { hangs: true, ..no_faults }),
+                TroubleKind::Deaf => machines(MachineFaults { unreachable: true, ..no_faults }),
+                TroubleKind::Mute => machines(MachineFaults { reports_lost: true, ..no_faults }),
+                TroubleKind::Faulty => machines(MachineFaults { tasks_fail: true, ..no_faults }),
+                TroubleKind::Death => FaultKind::Deaths(share),
+                TroubleKind::Reclaim => FaultKind::Reclaims(share),
             };
-            let (at, lasts) = (seconds(t.at_s), seconds(t.for_s).max(Duration::from_millis(1)));
-            Trouble { name: name.clone(), kind, at, lasts }
+            let (at, duration) = (seconds(t.at_s), seconds(t.for_s).max(Duration::from_millis(1)));
+            ScheduledFault { name: name.clone(), kind, at, duration }
         };
         self.trouble.iter().map(trouble).collect()
     }
 
-    pub(super) fn load_mistake(&self) -> Option<(Vec<String>, String)> {
+    pub(super) fn load_and_fault_error(&self) -> Option<(Vec<String>, String)> {
         let path =
             |block: &str, name: &String, field: &str| vec![block.to_owned(), name.clone(), field.to_owned()];
         for (name, l) in &self.load {
-            let of = |field: &str| path("load", name, field);
+            let field_of = |field: &str| path("load", name, field);
             if !self.team.contains_key(&l.team) {
-                return Some((of("team"), "is none of the teams".into()));
+                return Some((field_of("team"), "is not the name of a team".into()));
             }
             if !l.per_minute.is_finite() || !(1e-3..=6000.0).contains(&l.per_minute) {
-                return Some((of("per_minute"), "must be a number from 0.001 to 6000".into()));
+                return Some((field_of("per_minute"), "must be a number from 0.001 to 6000".into()));
             }
             if !l.stays_s.is_finite() || !(0.0..=1e9).contains(&l.stays_s) {
-                return Some((of("stays_s"), "must be a number of 0 or more".into()));
+                return Some((field_of("stays_s"), "must be a number of 0 or more".into()));
             }
             if !(0.0..=1.0).contains(&l.cancelled) {
-                return Some((of("cancelled"), "must be a share from 0 to 1".into()));
+                return Some((field_of("cancelled"), "must be a share from 0 to 1".into()));
             }
             if let Some(field) = l.job(name).invalid_field() {
-                return Some((of(in_file(field)), "is not valid for a job".into()));
+                return Some((field_of(file_field_name(field)), "is not valid for a job".into()));
             }
         }
         for (name, t) in &self.trouble {
-            let of = |field: &str| path("trouble", name, field);
+            let field_of = |field: &str| path("trouble", name, field);
             for (field, value) in [("at_s", t.at_s), ("for_s", t.for_s), ("delay_s", t.delay_s)] {
                 if !value.is_finite() || !(0.0..=1e9).contains(&value) {
-                    return Some((of(field), "must be a number of 0 or more".into()));
+                    return Some((field_of(field), "must be a number of 0 or more".into()));
                 }
             }
             if t.share.is_some_and(|s| !(0.0..=1.0).contains(&s)) {
-                return Some((of("share"), "must be a share from 0 to 1".into()));
+                return Some((field_of("share"), "must be a share from 0 to 1".into()));
             }
             let known = t.controller.as_ref().is_some_and(|c| self.controller.contains_key(c));
             if !known && (t.controller.is_some() || matches!(t.kind, TroubleKind::StateRefuses)) {
-                return Some((of("controller"), "must be one of the controllers".into()));
+                return Some((field_of("controller"), "must be the name of a controller".into()));
             }
         }
         None
     }
 }
 
-/// A job's field as it is called in the file.
-fn in_file(field: &'static str) -> &'static str {
+/// The name in the site file of a field of a job.
+fn file_field_name(field: &'static str) -> &'static str {
     match field {
         "threads" => "tasks",
         "mem_gb" => "memory_gb",
@@ -213,9 +213,9 @@
             class: class.to_owned(),
             team: self.team.clone(),
             kind: match self.kind {
-                KindFile::Array => JobKind::Array,
-                KindFile::Gang => JobKind::Gang,
-                KindFile::Service => JobKind::Service,
+                JobKindFile::Array => JobKind::Array,
+                JobKindFile::Gang => JobKind::Gang,
+                JobKindFile::Service => JobKind::Service,
             },
             priority: match self.priority {
                 PriorityFile::Low => Priority::Low,
--- a/crates/emulator/src/config/mod.rs
+++ b/crates/emulator/src/config/mod.rs
@@ -1,9 +1,8 @@
-//! The file that describes an emulated site (HCL), and the settings files that its
-//! controllers get.
+//! The file that describes an emulated site (HCL), and the settings files of its controllers.
 
 mod check;
 mod hcl_file;
-mod load;
+mod load_and_faults;
 mod settings;
 
 use std::collections::BTreeMap;
@@ -22,14 +21,13 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteFile {
-    /// Everything that is drawn is drawn from it.
-    #[serde(default = "one")]
+    /// Seed of all random draws.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// A folder that the state service keeps its data in; None: it keeps nothing.
+    /// Folder for the data of the state service and of jobs; None: nothing is stored.
     #[serde(default)]
     pub data: Option<PathBuf>,
     pub listen: ListenFile,
-    /// By name.
     pub controller: BTreeMap<String, ControllerFile>,
     pub machine_type: BTreeMap<String, MachineTypeFile>,
     pub team: BTreeMap<String, TeamFile>,
@@ -37,18 +35,19 @@
     pub state: StateFile,
     pub cloud: CloudFile,
     pub limits: LimitsFile,
-    /// Jobs of the emulated users.
+    /// Streams of jobs that the emulated users submit, by name.
     #[serde(default)]
-    pub load: BTreeMap<String, load::LoadFile>,
+    pub load: BTreeMap<String, load_and_faults::LoadFile>,
+    /// Injected faults, by name.
     #[serde(default)]
-    pub trouble: BTreeMap<String, load::TroubleFile>,
+    pub trouble: BTreeMap<String, load_and_faults::TroubleFile>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-/// IP addresses and ports; port 0 takes any.
+/// IP addresses and ports; port 0 stands for any free port.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenFile {
@@ -60,12 +59,13 @@
 #[serde(deny_unknown_fields)]
 pub struct ControllerFile {
     pub zone: String,
-    /// Its own addresses.
+    /// The controller's own address for users and workers.
     pub front: String,
+    /// The controller's own address for other controllers.
     pub internal: String,
-    /// What users use in the place of `front`.
+    /// Address of a proxy that users use instead of `front`.
     pub door: String,
-    /// Where it alone reaches the state service.
+    /// Address at which only this controller reaches the state service.
     pub state: String,
 }
 
@@ -81,8 +81,9 @@
     pub price: f64,
     pub spot_price: f64,
     pub boot_s: f64,
-    /// How many machines there are, by zone.
+    /// Number of ordinary machines, by zone.
     pub capacity: BTreeMap<String, u32>,
+    /// Number of spot machines, by zone.
     #[serde(default)]
     pub spot_capacity: BTreeMap<String, u32>,
 }
@@ -122,25 +123,29 @@
 pub struct CloudFile {
     pub rps: f64,
     pub list_lag_s: f64,
-    /// Shares of the machines.
+    /// Share of the machines that boot slowly.
     #[serde(default)]
     pub slow_boots: f64,
+    /// Share of the machines that boot within two seconds.
     #[serde(default)]
     pub quick_boots: f64,
+    /// Share of the machines that never come up.
     #[serde(default)]
     pub never_up: f64,
-    /// Mean lives; None: without end.
+    /// Mean time until a spot machine is reclaimed; None: never.
     #[serde(default)]
     pub spot_life_s: Option<f64>,
+    /// Mean time until a machine fails; None: never.
     #[serde(default)]
     pub life_s: Option<f64>,
     #[serde(default)]
     pub notice_s: f64,
+    /// Share of the spot machines that are reclaimed without notice.
     #[serde(default)]
     pub no_notice: f64,
 }
 
-/// What each controller is told that it may use. Nothing enforces it here.
+/// The resource limits in each controller's settings. The emulation does not enforce them.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitsFile {
@@ -154,7 +159,7 @@
 }
 
 impl SiteFile {
-    /// The host that machines have their addresses on: that of the users' address.
+    /// The host of the machines' addresses: the one in the address for users.
     pub fn host(&self) -> String {
         self.listen
             .users
@@ -170,8 +175,8 @@
     pub fn site_settings(&self) -> SiteSettings {
         SiteSettings {
             cloud: self.cloud_settings(),
-            report: seconds(self.workers.report_s),
-            lease: seconds(self.workers.lease_s),
+            report_interval: seconds(self.workers.report_s),
+            lease_duration: seconds(self.workers.lease_s),
             gang_wait: seconds(self.workers.gang_wait_s),
             gang_peer: seconds(self.workers.gang_peer_s),
             controllers: self.controller.keys().cloned().collect(),
@@ -180,7 +185,7 @@
     }
 
     fn cloud_settings(&self) -> CloudSettings {
-        let kind = |(name, t): (&String, &MachineTypeFile)| MachineType {
+        let machine_type = |(name, t): (&String, &MachineTypeFile)| MachineType {
             name: name.clone(),
             cpus: t.cpus,
             gpus: t.gpus,
@@ -195,20 +200,21 @@
         let mut capacity = std::collections::HashMap::new();
         for (name, t) in &self.machine_type {
             for zone in t.zones() {
-                let of = |all: &BTreeMap<String, u32>| all.get(&zone).copied().unwrap_or(0);
-                let both = (of(&t.capacity), of(&t.spot_capacity));
-                capacity.insert((name.clone(), zone), both);
+                let count_in = |all: &BTreeMap<String, u32>| all.get(&zone).copied().unwrap_or(0);
+                let counts = (count_in(&t.capacity), count_in(&t.spot_capacity));
+                capacity.insert((name.clone(), zone), counts);
             }
         }
         let c = &self.cloud;
-        // A state service with a file remembers machines of earlier runs, whose names must
-        // not come back: they would, counted by seconds, if many were rented in a few.
-        let first = match self.data {
+        // A state service with a file remembers the machines of earlier runs, whose names must not
+        // be reused. Numbering from the time in seconds would reuse names if an earlier run rented
+        // many machines within a few seconds, so each second has 1000 numbers.
+        let first_number = match self.data {
             Some(_) => SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_secs() * 1000),
             None => 1,
         };
         CloudSettings {
-            types: self.machine_type.iter().map(kind).collect(),
+            types: self.machine_type.iter().map(machine_type).collect(),
             capacity,
             rps: c.rps,
             list_lag: seconds(c.list_lag_s),
@@ -219,7 +225,7 @@
             life: c.life_s.map(seconds),
             notice: seconds(c.notice_s),
             no_notice: c.no_notice,
-            first,
+            first_number,
         }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,36 +1,37 @@
-//! An emulated site: stand-ins for everything the service speaks with, written by the
-//! protocols alone. They are state machines that time is passed into, so that the same
-//! code runs on a test's clock without sockets and behind HTTP on loopback.
+//! An emulated site: implementations of everything the scheduler communicates with (users, load
+//! balancer, workers, cloud, state service), written from the protocol documents alone. They are
+//! state machines that get the current time as an argument, so the same code runs on a test's
+//! clock without sockets and over HTTP on loopback.
 
 mod balancer;
-mod bucket;
 mod cloud;
 mod config;
+mod emulation;
+mod fault_schedule;
 mod gang;
 mod history;
-mod images;
+mod image_cache;
 mod jobs;
 mod journal;
-mod live;
-mod schedule;
+mod service_faults;
 mod site;
 mod state;
-mod troubles;
+mod token_bucket;
 mod users;
 mod worker;
 
 pub use balancer::Balancer;
-pub use cloud::{Addresses, Cloud, CloudSettings, Event};
+pub use cloud::{Addresses, Cloud, CloudSettings, MachineEvent};
 pub use config::{SiteError, SiteFile};
-pub use gang::{Gang, GangRules, Part};
+pub use emulation::{Controller, Emulation, EmulationError};
+pub use fault_schedule::{FaultKind, FaultSchedule, ScheduledFault};
+pub use gang::{Gang, GangRules, GangTaskState};
 pub use history::{History, TaskEvent, TaskEventKind};
-pub use images::Images;
+pub use image_cache::ImageCache;
 pub use jobs::{Job, JobChange, Jobs};
 pub use journal::{Journal, JournalError};
-pub use live::{Controller, Emulation, LiveError};
-pub use schedule::{Kind, Schedule, Trouble};
-pub use site::{Sending, Site, SiteSettings};
-pub use state::{Data, Outcome, StateLimits, StateService, Watch};
-pub use troubles::{Step, Troubles};
-pub use users::{Load, Question, Tally, Told, Users};
-pub use worker::{ANSWER_WAIT, Faults, Heard, MachineInfo, Ticket, Worker, WorkerRules};
+pub use service_faults::{RequestOutcome, ServiceFaults};
+pub use site::{OutgoingReport, Site, SiteSettings};
+pub use state::{Data, ExecutionOutcome, StateLimits, StateService, Watch};
+pub use users::{Load, UserRequest, UserResponse, UserStatistics, Users};
+pub use worker::{MachineFaults, MachineInfo, REPORT_TIMEOUT, ReportOutcome, Ticket, Worker, WorkerRules};
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! The site: the cloud, the workers on its machines, and the jobs they run.
+//! The emulated site: the cloud, the workers on its machines, and the jobs that they run.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,30 +6,31 @@
 use net::{Reply, Request};
 use wire::{Commands, Heartbeat, JobSpec, MachineStatus};
 
-use crate::cloud::{Addresses, Cloud, CloudSettings, Event};
+use crate::cloud::{Addresses, Cloud, CloudSettings, MachineEvent};
 use crate::gang::GangRules;
 use crate::history::History;
 use crate::jobs::Jobs;
-use crate::troubles::Step;
-use crate::worker::{Faults, Heard, Ticket, Worker, WorkerRules};
+use crate::service_faults::RequestOutcome;
+use crate::worker::{MachineFaults, ReportOutcome, Ticket, Worker, WorkerRules};
 
 #[derive(Debug, Clone)]
 pub struct SiteSettings {
     pub cloud: CloudSettings,
-    pub report: Duration,
-    pub lease: Duration,
+    /// Mean interval of the workers' reports.
+    pub report_interval: Duration,
+    pub lease_duration: Duration,
     pub gang_wait: Duration,
     pub gang_peer: Duration,
-    /// The controllers' names, in the order of their numbers.
+    /// Names of the controllers; a controller's index is its number.
     pub controllers: Vec<String>,
     pub seed: u64,
 }
 
-/// A report that is to be sent, and to which controller.
+/// A worker's report that must be sent, and the number of the controller that gets it.
 #[derive(Debug)]
-pub struct Sending {
+pub struct OutgoingReport {
     pub machine: String,
-    pub to: usize,
+    pub controller: usize,
     pub ticket: Ticket,
     pub report: Heartbeat,
 }
@@ -42,20 +43,20 @@
     rules: WorkerRules,
     controllers: Vec<String>,
     seed: u64,
-    /// Machines that came up and that are gone, since the last `take_changes`.
+    /// Machines that came up or ended since the last `take_changes`.
     changes: Vec<(String, MachineStatus)>,
 }
 
 impl Site {
     pub fn new(settings: SiteSettings, addresses: Addresses, now: Instant) -> Self {
         let s = settings;
-        let gangs = GangRules { wait: s.gang_wait, peer: s.gang_peer };
+        let gangs = GangRules { start_timeout: s.gang_wait, peer_timeout: s.gang_peer };
         Self {
             cloud: Cloud::new(s.cloud, addresses, s.seed ^ 1, now),
             jobs: Jobs::new(gangs, s.seed ^ 2),
             history: History::default(),
             workers: BTreeMap::new(),
-            rules: WorkerRules { report: s.report, lease: s.lease },
+            rules: WorkerRules { report_interval: s.report_interval, lease_duration: s.lease_duration },
             controllers: s.controllers,
             seed: s.seed ^ 3,
             changes: Vec::new(),
@@ -74,35 +75,35 @@
         self.workers.get(machine)
     }
 
-    /// A request to the cloud.
-    pub fn cloud_request(&mut self, request: &Request, now: Instant) -> Step {
-        let step = self.cloud.handle(request, now);
-        self.follow_cloud(now);
-        step
+    /// Handles a request to the cloud.
+    pub fn cloud_request(&mut self, request: &Request, now: Instant) -> RequestOutcome {
+        let outcome = self.cloud.handle(request, now);
+        self.apply_machine_events(now);
+        outcome
     }
 
-    /// A request to the cloud that is carried out late.
-    pub fn late_cloud_request(&mut self, request: &Request, now: Instant) {
-        self.cloud.carry_out(request, now);
-        self.follow_cloud(now);
+    /// Executes a request to the cloud whose execution was delayed.
+    pub fn execute_delayed_cloud_request(&mut self, request: &Request, now: Instant) {
+        self.cloud.execute(request, now);
+        self.apply_machine_events(now);
     }
 
-    fn follow_cloud(&mut self, now: Instant) {
+    fn apply_machine_events(&mut self, now: Instant) {
         for event in self.cloud.take_events() {
             match event {
-                Event::Up(name) => {
+                MachineEvent::Up(name) => {
                     let Some(info) = self.cloud.info(&name) else { continue };
                     self.seed = self.seed.wrapping_add(1);
                     let worker = Worker::new(info, self.rules, self.controllers.len(), self.seed, now);
                     self.workers.insert(name.clone(), worker);
                     self.changes.push((name, MachineStatus::Running));
                 }
-                Event::Notice(name, at) => {
+                MachineEvent::Notice(name, at) => {
                     if let Some(worker) = self.workers.get_mut(&name) {
                         worker.set_notice(at);
                     }
                 }
-                Event::Gone(name) => {
+                MachineEvent::Gone(name) => {
                     if let Some(mut worker) = self.workers.remove(&name) {
                         worker.kill(&mut self.jobs, now);
                         self.history.extend(worker.take_events(now));
@@ -113,47 +114,60 @@
         }
     }
 
-    /// Machines that came up (running) or are gone (failed) since the last call.
+    /// Returns the machines that came up (running) or ended (failed) since the last call.
     pub fn take_changes(&mut self) -> Vec<(String, MachineStatus)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Lets time pass; the reports that are to be sent now.
-    pub fn poll(&mut self, now: Instant) -> Vec<Sending> {
+    /// Advances the site to `now` and returns the reports that must be sent.
+    pub fn poll(&mut self, now: Instant) -> Vec<OutgoingReport> {
         self.cloud.poll(now);
-        self.follow_cloud(now);
+        self.apply_machine_events(now);
         self.jobs.poll(now);
         let mut out = Vec::new();
         for (name, worker) in &mut self.workers {
             worker.poll(&mut self.jobs, now);
             self.history.extend(worker.take_events(now));
-            if let Some((ticket, report)) = worker.due(now) {
-                out.push(Sending { machine: name.clone(), to: worker.target(), ticket, report });
+            if let Some((ticket, report)) = worker.take_due_report(now) {
+                out.push(OutgoingReport {
+                    machine: name.clone(),
+                    controller: worker.target(),
+                    ticket,
+                    report,
+                });
             }
         }
         out
     }
 
-    /// What came of a report. A status other than 200 and 421, or none, is `Nothing`.
-    pub fn heard(&mut self, machine: &str, ticket: Ticket, status: Option<u16>, body: &[u8], now: Instant) {
-        let heard = match status {
-            Some(200) => Heard::Answer(wire::decode(body).ok()),
+    /// Passes the response to a report on to its worker. Any status other than 200 and 421, or no
+    /// response, counts as `ReportOutcome::Failed`.
+    pub fn record_report_outcome(
+        &mut self,
+        machine: &str,
+        ticket: Ticket,
+        status: Option<u16>,
+        body: &[u8],
+        now: Instant,
+    ) {
+        let outcome = match status {
+            Some(200) => ReportOutcome::Answer(wire::decode(body).ok()),
             Some(421) => {
                 let name = wire::decode::<wire::Redirect>(body).ok().and_then(|r| r.report_to);
-                Heard::Elsewhere(name.and_then(|n| self.controllers.iter().position(|c| *c == n)))
+                ReportOutcome::Redirected(name.and_then(|n| self.controllers.iter().position(|c| *c == n)))
             }
-            _ => Heard::Nothing,
+            _ => ReportOutcome::Failed,
         };
         if let Some(worker) = self.workers.get_mut(machine) {
-            worker.heard(ticket, heard, Some(&mut self.jobs), now);
+            worker.record_report_outcome(ticket, outcome, Some(&mut self.jobs), now);
         }
     }
 
-    /// A request to a machine's own address; None if nothing reaches it now. What a
-    /// machine that hangs was sent reaches it when it goes on.
+    /// Handles a request to a machine's own address. Returns None if the machine cannot be reached
+    /// now; a caller repeats the request to a hung machine when it works again.
     pub fn machine_request(&mut self, machine: &str, request: &Request, now: Instant) -> Option<Reply> {
         let worker = self.workers.get_mut(machine)?;
-        if worker.faults().hangs || worker.faults().deaf {
+        if worker.faults().hangs || worker.faults().unreachable {
             return None;
         }
         Some(match (request.method.as_str(), request.path.as_str()) {
@@ -169,13 +183,13 @@
         })
     }
 
-    /// Whether a machine is up, and hangs: it will take what it is sent later.
+    /// Whether a machine is up but hangs, so that requests to it are handled later.
     pub fn hangs(&self, machine: &str) -> bool {
         self.workers.get(machine).is_some_and(|w| w.faults().hangs)
     }
 
-    /// From now on this is wrong with a machine, and nothing else.
-    pub fn set_faults(&mut self, machine: &str, faults: Faults, now: Instant) {
+    /// Replaces the faults of a machine.
+    pub fn set_machine_faults(&mut self, machine: &str, faults: MachineFaults, now: Instant) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.set_faults(faults, &mut self.jobs, now);
         }
--- a/crates/emulator/src/state/data.rs
+++ b/crates/emulator/src/state/data.rs
@@ -1,4 +1,4 @@
-//! The keys, leases and changes of the state service: what its file holds.
+//! The keys, leases and recent changes of the state service, and the entries of its file.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use wire::{Condition, Event, Item};
 
-/// How many changes are kept for watches.
-pub const CHANGES_KEPT: usize = 10_000;
+/// Number of changes that are retained for watches.
+pub const MAX_RETAINED_CHANGES: usize = 10_000;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
@@ -16,7 +16,7 @@
     pub lease: Option<u64>,
 }
 
-/// One change of a key; no value: deleted.
+/// A change of a key. Without a value, the key is deleted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Write {
     pub key: String,
@@ -24,24 +24,25 @@
     pub lease: Option<u64>,
 }
 
-/// What is done to the data, one entry of the log each.
+/// A change of the data, stored as one entry of the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
+    /// The writes of one transaction.
     Writes(Vec<Write>),
     Granted {
         lease: u64,
         ttl_ms: u64,
     },
-    /// The lease's keys go with it.
+    /// The lease ends and its keys are deleted.
     Ended {
         lease: u64,
     },
-    /// The beginning of a snapshot. What follows builds on these numbers.
+    /// The first entry of a snapshot, which resets the data to these numbers.
     Base {
         revision: u64,
         last_lease: u64,
     },
-    /// A key of a snapshot.
+    /// A key in a snapshot.
     Held {
         key: String,
         entry: Entry,
@@ -49,23 +50,23 @@
 }
 
 #[derive(Debug, Clone)]
-struct Past {
+struct RetainedChange {
     revision: u64,
     key: String,
     value: Option<Value>,
 }
 
-/// The data. Changed by `apply` alone, so that the log repeats all of it.
+/// The data. Only `apply` changes it, so replaying the log restores all of it.
 #[derive(Debug, Clone, Default)]
 pub struct Data {
     pub revision: u64,
     pub keys: BTreeMap<String, Entry>,
-    /// How long each lease lasts, in milliseconds, and its keys.
+    /// Time to live in milliseconds and attached keys of each lease.
     pub leases: BTreeMap<u64, (u64, BTreeSet<String>)>,
     last_lease: u64,
-    past: VecDeque<Past>,
-    /// Changes up to this revision are not kept any more.
-    forgotten: u64,
+    retained: VecDeque<RetainedChange>,
+    /// Changes up to this revision are no longer retained.
+    compacted_revision: u64,
 }
 
 impl Data {
@@ -73,8 +74,8 @@
         self.keys.get(key).map_or(0, |e| e.version)
     }
 
-    /// The keys that have other versions than these.
-    pub fn failed(&self, conditions: &[Condition]) -> Vec<String> {
+    /// The keys whose versions differ from those in the conditions.
+    pub fn failed_conditions(&self, conditions: &[Condition]) -> Vec<String> {
         let fails = |c: &&Condition| self.version(&c.key) != c.version;
         conditions.iter().filter(fails).map(|c| c.key.clone()).collect()
     }
@@ -105,7 +106,7 @@
                 }
             }
             Change::Base { revision, last_lease } => {
-                *self = Self { revision, last_lease, forgotten: revision, ..Self::default() };
+                *self = Self { revision, last_lease, compacted_revision: revision, ..Self::default() };
             }
             Change::Held { key, entry } => {
                 if let Some((_, keys)) = entry.lease.and_then(|l| self.leases.get_mut(&l)) {
@@ -125,7 +126,7 @@
             }
             None => match self.keys.remove(&key) {
                 Some(old) => Some(old),
-                // What was not there has not changed.
+                // Deleting a missing key is not a change.
                 None => return,
             },
         };
@@ -135,31 +136,32 @@
         if let Some((_, keys)) = lease.and_then(|l| self.leases.get_mut(&l)) {
             keys.insert(key.clone());
         }
-        self.past.push_back(Past { revision: self.revision, key, value });
-        while self.past.len() > CHANGES_KEPT
-            && let Some(gone) = self.past.pop_front()
+        self.retained.push_back(RetainedChange { revision: self.revision, key, value });
+        while self.retained.len() > MAX_RETAINED_CHANGES
+            && let Some(dropped) = self.retained.pop_front()
         {
-            self.forgotten = gone.revision;
+            self.compacted_revision = dropped.revision;
         }
     }
 
-    /// What changed under a prefix after a revision; None if that is too long ago.
+    /// The changes of keys with a prefix after a revision; None if they are no longer all retained.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Event<Value>>> {
-        if after < self.forgotten {
+        if after < self.compacted_revision {
             return None;
         }
-        let begin = self.past.partition_point(|p| p.revision <= after);
-        let event = |p: &Past| Event {
+        let begin = self.retained.partition_point(|p| p.revision <= after);
+        let event = |p: &RetainedChange| Event {
             put: p.value.is_some().then(|| p.key.clone()),
             delete: p.value.is_none().then(|| p.key.clone()),
             value: p.value.clone(),
             version: p.revision,
         };
-        Some(self.past.range(begin..).filter(|p| p.key.starts_with(prefix)).map(event).collect())
+        Some(self.retained.range(begin..).filter(|p| p.key.starts_with(prefix)).map(event).collect())
     }
 
-    /// Keys with a prefix, beginning after a key, at most `count` and `bytes` (as JSON):
-    /// the items, and whether there are more.
+    /// Returns a page of the keys with a prefix that follow the key `after`, of at most `count`
+    /// items and `bytes` bytes of JSON, and whether there are more. A page has at least one item if
+    /// there is one, even if it is larger.
     pub fn page(&self, prefix: &str, after: &str, count: usize, bytes: usize) -> (Vec<Item<Value>>, bool) {
         use std::ops::Bound::{Excluded, Included, Unbounded};
         let from = if after < prefix { Included(prefix) } else { Excluded(after) };
@@ -178,7 +180,8 @@
         (items, false)
     }
 
-    /// All of it, as changes that build it again. Watches begin anew after it.
+    /// The data as changes that restore it. Recent changes are not included, so watches have to
+    /// start from the snapshot's revision.
     pub fn snapshot(&self) -> Vec<Change> {
         let mut all = vec![Change::Base { revision: self.revision, last_lease: self.last_lease }];
         all.extend(self.leases.iter().map(|(l, (ttl_ms, _))| Change::Granted { lease: *l, ttl_ms: *ttl_ms }));
