--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -1,6 +1,6 @@
-//! Combinations of two faults on the machines' side, on a clock of their own: controllers
-//! with their real decisions and answers, a scripted state service, and workers as the
-//! protocol describes them. Each test brings one combination about, by its script alone.
+//! Tests of two faults at once between controllers and workers, on an emulated clock. The
+//! controllers are real; the state service is scripted, and the workers follow the protocol. Each
+//! test scripts one combination of faults.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,42 +21,43 @@
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
 
-/// As the example settings have them.
-const LEASE: Duration = Duration::from_secs(24);
-const CANCEL: Duration = Duration::from_secs(44);
+/// Lease duration of the example settings.
+const LEASE_DURATION: Duration = Duration::from_secs(24);
+/// Time within which a cancelled task must have ended, by the example settings.
+const CANCELLATION_BOUND: Duration = Duration::from_secs(44);
 
-fn secs(s: f64) -> Duration {
-    Duration::from_secs_f64(s)
+fn secs(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds)
 }
 
-/// Controllers and the state service.
-struct Site {
-    nodes: Vec<Arc<Controller>>,
-    keys: HashMap<String, u64>,
+/// A cluster of controllers with a scripted state service.
+struct FakeCluster {
+    controllers: Vec<Arc<Controller>>,
+    versions: HashMap<String, u64>,
     log: Vec<(u64, KeyWrite)>,
-    /// How much of the log each controller's mirror has.
-    seen: Vec<usize>,
+    /// Number of log entries that each controller's replica has applied.
+    applied_len: Vec<usize>,
     epoch: u64,
     now: Instant,
 }
 
-impl Site {
-    /// All controllers are live, the first leads; the machines have eight CPUs each.
+impl FakeCluster {
+    /// All controllers are live and the first one leads. Each machine has eight CPUs.
     fn new(controllers: usize, machines: &[(&str, &str)]) -> Self {
         let controller = |n: usize| {
             let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
             settings.node_name = format!("n-{n}");
             Controller::new(settings, Operators::default(), 100 + n as u64)
         };
-        let mut site = Self {
-            nodes: (0..controllers).map(controller).collect(),
-            keys: HashMap::new(),
+        let mut cluster = Self {
+            controllers: (0..controllers).map(controller).collect(),
+            versions: HashMap::new(),
             log: Vec::new(),
-            seen: vec![0; controllers],
+            applied_len: vec![0; controllers],
             epoch: 0,
             now: Instant::now(),
         };
-        let kind = MachineType {
+        let machine_type = MachineType {
             name: "m".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -68,16 +69,17 @@
             boot_s: 30.0,
             zones: vec!["a".into(), "b".into()],
         };
-        site.put(vec![KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] })]);
+        cluster
+            .write(vec![KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![machine_type] })]);
         for (id, zone) in machines {
-            site.record(id, zone);
+            cluster.add_machine(id, zone);
         }
-        site.map(&(0..controllers).collect::<Vec<_>>());
-        (0..controllers).for_each(|n| site.read(n));
-        site
+        cluster.publish_map(&(0..controllers).collect::<Vec<_>>());
+        (0..controllers).for_each(|n| cluster.catch_up(n));
+        cluster
     }
 
-    fn record(&mut self, id: &str, zone: &str) {
+    fn add_machine(&mut self, id: &str, zone: &str) {
         let record = MachineRecord {
             addr: id.into(),
             machine_type: "m".into(),
@@ -85,126 +87,133 @@
             spot: false,
             release: false,
         };
-        self.put(vec![KeyWrite::new(key::machine(id), &record)]);
+        self.write(vec![KeyWrite::new(key::machine(id), &record)]);
     }
 
-    fn txn(&mut self, conditions: &[Condition], puts: Vec<KeyWrite>) -> bool {
-        if conditions.iter().any(|c| self.keys.get(&c.key).copied().unwrap_or(0) != c.version) {
+    fn txn(&mut self, conditions: &[Condition], writes: Vec<KeyWrite>) -> bool {
+        if conditions.iter().any(|c| self.versions.get(&c.key).copied().unwrap_or(0) != c.version) {
             return false;
         }
         let revision = self.log.last().map_or(1, |l| l.0 + 1);
-        for put in puts {
-            match put.value {
-                Some(_) => self.keys.insert(put.key.clone(), revision),
-                None => self.keys.remove(&put.key),
+        for write in writes {
+            match write.value {
+                Some(_) => self.versions.insert(write.key.clone(), revision),
+                None => self.versions.remove(&write.key),
             };
-            self.log.push((revision, put));
+            self.log.push((revision, write));
         }
         true
     }
 
-    fn put(&mut self, puts: Vec<KeyWrite>) {
-        assert!(self.txn(&[], puts));
+    fn write(&mut self, writes: Vec<KeyWrite>) {
+        assert!(self.txn(&[], writes));
     }
 
-    /// A new map of these controllers, of which the first leads.
-    fn map(&mut self, live: &[usize]) {
+    /// Commits a cluster map with the next epoch; the first of these controllers leads.
+    fn publish_map(&mut self, live: &[usize]) {
         self.epoch += 1;
-        let live: Vec<Member> = live.iter().map(|n| self.nodes[*n].identity.clone()).collect();
-        self.put(vec![
+        let live: Vec<Member> = live.iter().map(|n| self.controllers[*n].identity.clone()).collect();
+        self.write(vec![
             KeyWrite::new(key::LEADER.into(), &live[0]),
             KeyWrite::new(key::MAP.into(), &ClusterMap { epoch: self.epoch, live }),
         ]);
     }
 
-    /// A controller ends, and another process begins under its name. It knows nothing.
+    /// Replaces a controller by a new process of the same name, with an empty replica.
     fn restart(&mut self, n: usize) {
-        let settings = self.nodes[n].settings.clone();
-        let incarnation = self.nodes[n].identity.incarnation + 1000;
-        self.nodes[n] = Controller::new(settings, Operators::default(), incarnation);
-        self.seen[n] = 0;
+        let settings = self.controllers[n].settings.clone();
+        let incarnation = self.controllers[n].identity.incarnation + 1000;
+        self.controllers[n] = Controller::new(settings, Operators::default(), incarnation);
+        self.applied_len[n] = 0;
     }
 
-    /// A controller reads all changes.
-    fn read(&mut self, n: usize) {
-        let mut core = self.nodes[n].state();
-        for (revision, put) in &self.log[self.seen[n]..] {
-            let (change, bad) = decode_change(&put.key, put.value.clone());
-            assert!(!bad, "{}", put.key);
-            core.records.replica.apply(change, *revision);
-            core.records.replica.revision = *revision;
+    /// Applies all committed changes to a controller's replica.
+    fn catch_up(&mut self, n: usize) {
+        let mut state = self.controllers[n].state();
+        for (revision, write) in &self.log[self.applied_len[n]..] {
+            let (change, bad) = decode_change(&write.key, write.value.clone());
+            assert!(!bad, "{}", write.key);
+            state.records.replica.apply(change, *revision);
+            state.records.replica.revision = *revision;
         }
-        self.seen[n] = self.log.len();
-        (core.records.is_loaded, core.records.fresh_at) = (true, Some(self.now));
-        core.pauses = crate::state::PauseDetector::new(self.now);
+        self.applied_len[n] = self.log.len();
+        (state.records.is_loaded, state.records.fresh_at) = (true, Some(self.now));
+        state.pauses = crate::state::PauseDetector::new(self.now);
     }
 
-    /// A round of decisions: it is committed if nothing changed meanwhile, and told
-    /// which commands to send.
-    fn round(&mut self, n: usize) -> Vec<(Name, Commands)> {
-        let (sends, conditions, puts) = {
-            let controller = &self.nodes[n];
-            let mut core = controller.state();
-            let Some(round) = scheduler::decide(
+    /// Runs a scheduling cycle and commits it unless its records changed meanwhile. Returns the
+    /// commands to send.
+    fn run_cycle(&mut self, n: usize) -> Vec<(Name, Commands)> {
+        let (outgoing, conditions, writes) = {
+            let controller = &self.controllers[n];
+            let mut state = controller.state();
+            let Some(cycle) = scheduler::decide(
                 controller,
-                &mut core,
+                &mut state,
                 scheduler::CycleContext::new(16, self.now, 1_000_000),
             ) else {
                 return Vec::new();
             };
             let assembled = scheduler::build_transaction(
-                &core.records.replica,
-                &round,
+                &state.records.replica,
+                &cycle,
                 &controller.state_limits(),
                 usize::MAX,
             );
-            (round.commands, assembled.conditions, assembled.writes)
+            (cycle.commands, assembled.conditions, assembled.writes)
         };
-        self.txn(&conditions, puts);
-        sends.into_iter().map(|sent| (sent.machine, sent.commands)).collect()
+        self.txn(&conditions, writes);
+        outgoing.into_iter().map(|sent| (sent.machine, sent.commands)).collect()
     }
 
-    /// A worker's report arrives: the answer with which it stays, if it gets one.
-    fn report(&mut self, n: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
-        match process_heartbeat(&self.nodes[n], report, HeartbeatRoute::Direct, self.now) {
+    /// Delivers a heartbeat to a controller. Returns the response that renews the lease, if there
+    /// is one.
+    fn receive_heartbeat(&mut self, n: usize, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
+        match process_heartbeat(&self.controllers[n], heartbeat, HeartbeatRoute::Direct, self.now) {
             HeartbeatOutcome::Respond(response) => wire::decode(&wire::encode(&response)).ok(),
             _ => None,
         }
     }
 
-    fn answered(&mut self, n: usize, machine: &str, commands: &Commands, report: Option<Heartbeat>) {
+    fn record_response(
+        &mut self,
+        n: usize,
+        machine: &str,
+        commands: &Commands,
+        heartbeat: Option<Heartbeat>,
+    ) {
         scheduler::record_response(
-            &mut self.nodes[n].state(),
+            &mut self.controllers[n].state(),
             machine,
             commands.fencing_token.into(),
-            report,
+            heartbeat,
             self.now,
         );
     }
 
     fn job(&self, id: &str) -> Box<JobRecord> {
-        let put = self.log.iter().rfind(|(_, p)| p.key == key::job(id)).map(|(_, p)| p);
-        let (change, _) = decode_change(&key::job(id), put.and_then(|p| p.value.clone()));
+        let write = self.log.iter().rfind(|(_, p)| p.key == key::job(id)).map(|(_, p)| p);
+        let (change, _) = decode_change(&key::job(id), write.and_then(|p| p.value.clone()));
         match change {
             sched::replica::RecordChange::Job(_, Some(job)) => job,
             other => unreachable!("{other:?}"),
         }
     }
 
-    /// The attempt of a job's first task that is on record.
+    /// The recorded attempt of a job's first assignment.
     fn attempt(&self, id: &str) -> Option<u64> {
         self.job(id).assignments.first().map(|a| a.attempt)
     }
 
-    /// Some controller cancels a job.
+    /// Commits the cancellation of a job, as another controller would.
     fn cancel(&mut self, id: &str) {
         let mut job = self.job(id);
         job.phase = Phase::Cancelled;
         job.compact_if_final();
-        self.put(vec![KeyWrite::new(key::job(id), &job)]);
+        self.write(vec![KeyWrite::new(key::job(id), &job)]);
     }
 
-    /// The record says that these tasks are on these machines.
+    /// Records a job with these assignments: task, attempt and machine.
     fn assign(&mut self, spec: JobSpec, run: &[(u32, u64, &str)]) {
         let mut job = JobRecord::new(spec.clone(), None, 1000);
         job.attempt = run.iter().map(|r| r.1).max().unwrap_or(0);
@@ -217,70 +226,79 @@
                 desired: DesiredState::Running,
             })
             .collect();
-        self.put(vec![KeyWrite::new(key::job(&spec.id), &job)]);
+        self.write(vec![KeyWrite::new(key::job(&spec.id), &job)]);
     }
 
-    fn wait(&mut self, s: f64) {
-        self.now += secs(s);
+    fn advance(&mut self, seconds: f64) {
+        self.now += secs(seconds);
     }
 
-    /// The worker reports to a controller and hears the answer.
-    fn meet(&mut self, n: usize, host: &mut Host) {
-        host.live(self.now);
-        let answer = self.report(n, &host.report());
-        host.hear(self.now, answer);
+    /// Sends a worker's heartbeat to a controller and the response back.
+    fn exchange_heartbeat(&mut self, n: usize, worker: &mut FakeWorker) {
+        worker.expire_lease(self.now);
+        let response = self.receive_heartbeat(n, &worker.heartbeat());
+        worker.receive_response(self.now, response);
     }
 
-    /// The owner asks a worker for its status.
-    fn ask(&mut self, n: usize, host: &mut Host) {
-        host.live(self.now);
-        let report = host.report();
-        if let Some(w) = self.nodes[n].state().machines.workers.get_mut(host.id) {
-            w.receive_response(report, self.now);
+    /// Polls a worker's status, as its owner does.
+    fn poll_status(&mut self, n: usize, worker: &mut FakeWorker) {
+        worker.expire_lease(self.now);
+        let heartbeat = worker.heartbeat();
+        if let Some(w) = self.controllers[n].state().machines.workers.get_mut(worker.id) {
+            w.receive_response(heartbeat, self.now);
         }
     }
 
-    /// A round whose commands reach the workers, and whose answers come back.
-    fn command(&mut self, n: usize, hosts: &mut [&mut Host]) -> Vec<Command> {
+    /// Runs a scheduling cycle and delivers its commands to these workers and their responses
+    /// back; other workers do not respond. Returns the commands sent.
+    fn run_cycle_and_deliver(&mut self, n: usize, workers: &mut [&mut FakeWorker]) -> Vec<Command> {
         let mut sent = Vec::new();
-        for (machine, commands) in self.round(n) {
-            let host = hosts.iter_mut().find(|h| *machine == *h.id);
-            let report = host.map(|h| h.execute(&commands, self.now));
-            self.answered(n, &machine, &commands, report);
+        for (machine, commands) in self.run_cycle(n) {
+            let worker = workers.iter_mut().find(|w| *machine == *w.id);
+            let heartbeat = worker.map(|w| w.receive_commands(&commands, self.now));
+            self.record_response(n, &machine, &commands, heartbeat);
             sent.extend(commands.commands);
         }
         sent
     }
 }
 
-/// A worker as the protocol has it.
-struct Host {
+/// A worker that follows the protocol.
+struct FakeWorker {
     id: &'static str,
     zone: &'static str,
-    session: u64,
-    seq: u64,
-    token: u64,
-    /// When the last answered report was sent, or the session began.
-    renewed: Instant,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
+    /// When the last answered heartbeat was sent, or the incarnation began.
+    renewed_at: Instant,
     tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
 }
 
-impl Host {
+impl FakeWorker {
     fn new(id: &'static str, zone: &'static str, now: Instant) -> Self {
-        Self { id, zone, session: 1, seq: 0, token: 0, renewed: now, tasks: BTreeMap::new() }
+        Self {
+            id,
+            zone,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
+            renewed_at: now,
+            tasks: BTreeMap::new(),
+        }
     }
 
-    /// The lease ends: everything is killed and forgotten.
-    fn live(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.renewed) > LEASE {
-            self.session += 1;
-            self.renewed = now;
+    /// Kills and forgets all tasks once the lease has expired, and begins a new incarnation.
+    fn expire_lease(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.renewed_at) > LEASE_DURATION {
+            self.incarnation += 1;
+            self.renewed_at = now;
             self.tasks.clear();
         }
     }
 
-    fn report(&mut self) -> Heartbeat {
-        self.seq += 1;
+    fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), (state, cause))| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
@@ -294,32 +312,32 @@
             machine_type: "m".into(),
             zone: self.zone.into(),
             spot: false,
-            incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             spot_notice_s: None,
             tasks: tasks.collect(),
         }
     }
 
-    /// The answer to a report that was sent at this time.
-    fn hear(&mut self, sent: Instant, answer: Option<HeartbeatResponse>) {
-        let Some(answer) = answer.filter(|a| a.fencing_token >= self.token) else { return };
-        (self.token, self.renewed) = (answer.fencing_token, sent);
-        self.obey(&answer.commands);
+    /// Handles the response to a heartbeat that was sent at `sent`.
+    fn receive_response(&mut self, sent: Instant, response: Option<HeartbeatResponse>) {
+        let Some(response) = response.filter(|a| a.fencing_token >= self.fencing_token) else { return };
+        (self.fencing_token, self.renewed_at) = (response.fencing_token, sent);
+        self.apply_commands(&response.commands);
     }
 
-    /// A request to the machine itself.
-    fn execute(&mut self, commands: &Commands, now: Instant) -> Heartbeat {
-        self.live(now);
-        if commands.fencing_token >= self.token && commands.incarnation == self.session {
-            self.token = commands.fencing_token;
-            self.obey(&commands.commands);
+    /// Handles a command request and returns the status, as the worker's endpoint does.
+    fn receive_commands(&mut self, commands: &Commands, now: Instant) -> Heartbeat {
+        self.expire_lease(now);
+        if commands.fencing_token >= self.fencing_token && commands.incarnation == self.incarnation {
+            self.fencing_token = commands.fencing_token;
+            self.apply_commands(&commands.commands);
         }
-        self.report()
+        self.heartbeat()
     }
 
-    fn obey(&mut self, commands: &[Command]) {
+    fn apply_commands(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
@@ -334,7 +352,7 @@
                         state.0 = TaskState::Saving;
                     }
                 }
-                Command::Stop { task, attempt, .. } => self.end(task, *attempt, ExitReason::Stopped),
+                Command::Stop { task, attempt, .. } => self.exit_task(task, *attempt, ExitReason::Stopped),
                 Command::Forget { task, attempt } => {
                     let exited = |s: &(TaskState, Option<ExitReason>)| s.0 == TaskState::Exited;
                     let key = (task.clone(), *attempt);
@@ -346,7 +364,7 @@
         }
     }
 
-    fn end(&mut self, task: &str, attempt: u64, cause: ExitReason) {
+    fn exit_task(&mut self, task: &str, attempt: u64, cause: ExitReason) {
         if let Some(state) = self.tasks.get_mut(&(task.to_owned(), attempt))
             && state.0 != TaskState::Exited
         {
@@ -354,37 +372,37 @@
         }
     }
 
-    fn runs(&self, task: &str) -> bool {
+    fn is_running(&self, task: &str) -> bool {
         self.tasks.iter().any(|((t, _), (state, _))| t == task && *state != TaskState::Exited)
     }
 }
 
-/// A task runs on a worker of the only controller, as its record says.
-fn running(controllers: usize) -> (Site, Host) {
-    let mut site = Site::new(controllers, &[("host-1", "a")]);
-    let mut host = Host::new("host-1", "a", site.now);
-    site.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
-    let owner = owner(&site);
-    site.read(owner);
-    site.meet(owner, &mut host);
-    site.meet(owner, &mut host);
-    site.command(owner, &mut [&mut host]);
-    assert!(host.runs("j-1/0"));
-    (site, host)
+/// A cluster in which a recorded task runs on the only worker.
+fn cluster_with_running_task(controllers: usize) -> (FakeCluster, FakeWorker) {
+    let mut cluster = FakeCluster::new(controllers, &[("host-1", "a")]);
+    let mut worker = FakeWorker::new("host-1", "a", cluster.now);
+    cluster.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
+    let owner = first_machine_owner(&cluster);
+    cluster.catch_up(owner);
+    cluster.exchange_heartbeat(owner, &mut worker);
+    cluster.exchange_heartbeat(owner, &mut worker);
+    cluster.run_cycle_and_deliver(owner, &mut [&mut worker]);
+    assert!(worker.is_running("j-1/0"));
+    (cluster, worker)
 }
 
-/// The controller that owns the first machine by the newest map.
-fn owner(site: &Site) -> usize {
-    let put = site.log.iter().rfind(|(_, p)| p.key == key::MAP).map(|(_, p)| p.clone());
-    let put = put.expect("a map");
-    let (sched::replica::RecordChange::Map(Some(map)), false) = decode_change(&put.key, put.value) else {
-        unreachable!("a map")
+/// The index of the controller that owns the first machine by the newest map.
+fn first_machine_owner(cluster: &FakeCluster) -> usize {
+    let write = cluster.log.iter().rfind(|(_, p)| p.key == key::MAP).map(|(_, p)| p.clone());
+    let write = write.expect("a cluster map");
+    let (sched::replica::RecordChange::Map(Some(map)), false) = decode_change(&write.key, write.value) else {
+        unreachable!("a cluster map")
     };
     let owner = map.owner("host-1", "a").expect("an owner").name.clone();
-    site.nodes.iter().position(|n| n.identity.name == owner).expect("a controller")
+    cluster.controllers.iter().position(|n| n.identity.name == owner).expect("a controller")
 }
 
-#[path = "faults_reports.rs"]
-mod hearing;
 #[path = "faults_records.rs"]
 mod records;
+#[path = "faults_reports.rs"]
+mod reports;
--- a/crates/daemon/tests/unit/faults_reports.rs
+++ b/crates/daemon/tests/unit/faults_reports.rs
@@ -1,199 +1,208 @@
-//! Workers that are not reached, or do not hear or speak: renewals, launches and stops.
+//! Lease renewals, start and stop commands when a worker is unreachable, deaf (receives nothing,
+//! but its heartbeats arrive) or mute (reaches no controller, but requests reach it).
 
 use super::*;
 
-/// Answers reach a worker, requests to it do not: one of them is always on its way when
-/// it reports. Each answer renews its lease, and without the stops it would keep a
-/// cancelled task alive for good.
+/// Heartbeat responses reach a worker but requests do not: one is always in flight when it sends a
+/// heartbeat. Each response renews the lease, and without stop commands in it a cancelled task
+/// would run for ever.
 #[test]
-fn an_answer_that_renews_a_lease_stops_what_is_cancelled() {
-    let (mut site, mut host) = running(1);
-    site.cancel("j-1");
-    site.read(0);
-    let told = site.now;
-    while host.runs("j-1/0") {
-        assert!(site.now < told + CANCEL, "it runs on");
-        site.read(0);
-        for (machine, commands) in site.round(0) {
-            // Lost; the worker reports before that is known.
-            site.meet(0, &mut host);
-            site.wait(2.5);
-            site.answered(0, &machine, &commands, None);
+fn heartbeat_response_stops_a_cancelled_task_when_requests_are_lost() {
+    let (mut cluster, mut worker) = cluster_with_running_task(1);
+    cluster.cancel("j-1");
+    cluster.catch_up(0);
+    let cancelled_at = cluster.now;
+    while worker.is_running("j-1/0") {
+        assert!(cluster.now < cancelled_at + CANCELLATION_BOUND, "the cancelled task still runs");
+        cluster.catch_up(0);
+        for (machine, commands) in cluster.run_cycle(0) {
+            // The request is lost; the worker sends a heartbeat before the time-out.
+            cluster.exchange_heartbeat(0, &mut worker);
+            cluster.advance(2.5);
+            cluster.record_response(0, &machine, &commands, None);
         }
-        site.wait(0.1);
+        cluster.advance(0.1);
     }
-    assert!(site.now < told + secs(3.0), "with the first answer that it hears");
+    assert!(cluster.now < cancelled_at + secs(3.0), "the first response that arrives stops it");
 }
 
-/// Leaders change again and again, and the worker never reaches its owner. Any
-/// controller renews its lease once in each epoch, but not for a cancelled task.
+/// Leaders change repeatedly, and the worker never reaches its owner. Any controller renews its
+/// lease once in each epoch, but not for a cancelled task.
 #[test]
-fn others_do_not_renew_the_lease_of_what_is_cancelled() {
-    let (mut site, mut host) = running(3);
-    site.cancel("j-1");
-    let told = site.now;
-    while host.runs("j-1/0") {
-        assert!(site.now < told + CANCEL, "it runs on");
-        site.map(&[0, 1, 2]);
-        let owner = owner(&site);
+fn non_owner_does_not_renew_the_lease_of_a_cancelled_task() {
+    let (mut cluster, mut worker) = cluster_with_running_task(3);
+    cluster.cancel("j-1");
+    let cancelled_at = cluster.now;
+    while worker.is_running("j-1/0") {
+        assert!(cluster.now < cancelled_at + CANCELLATION_BOUND, "the cancelled task still runs");
+        cluster.publish_map(&[0, 1, 2]);
+        let owner = first_machine_owner(&cluster);
         for n in 0..3 {
-            site.read(n);
+            cluster.catch_up(n);
             if n != owner {
-                site.meet(n, &mut host);
+                cluster.exchange_heartbeat(n, &mut worker);
             }
         }
-        site.wait(5.0);
-        host.live(site.now);
+        cluster.advance(5.0);
+        worker.expire_lease(cluster.now);
     }
-    // What is not cancelled is renewed.
-    site.assign(spec("j-2", JobKind::Array), &[(0, 1, "host-1")]);
-    site.map(&[0, 1, 2]);
-    let others = (0..3).find(|n| *n != owner(&site)).expect("some");
-    site.read(others);
-    let before = host.renewed;
-    site.wait(1.0);
-    site.meet(others, &mut host);
-    assert!(host.renewed > before);
+    // The lease of a task that is not cancelled is renewed.
+    cluster.assign(spec("j-2", JobKind::Array), &[(0, 1, "host-1")]);
+    cluster.publish_map(&[0, 1, 2]);
+    let others =
+        (0..3).find(|n| *n != first_machine_owner(&cluster)).expect("a controller that is not the owner");
+    cluster.catch_up(others);
+    let before = worker.renewed_at;
+    cluster.advance(1.0);
+    cluster.exchange_heartbeat(others, &mut worker);
+    assert!(worker.renewed_at > before);
 }
 
-/// The state service refuses a controller alone, and another one confirms a cancellation.
-/// The first has placed a task of that job, and its machine hung when it was to be
-/// launched; now it goes on. Nothing is launched by so old a copy of the records,
-/// neither by request nor with an answer.
+/// The state service refuses one controller, and another one confirms a cancellation. The first
+/// has placed a task of that job, whose machine hung at the start command and now continues. No
+/// task must be started from so stale a replica, neither by a request nor by a heartbeat response.
 #[test]
-fn nothing_is_launched_by_an_old_copy_of_the_records() {
+fn no_task_is_started_from_a_stale_replica() {
     let launches = |old: f64| {
-        let mut site = Site::new(1, &[("host-1", "a")]);
-        let mut host = Host::new("host-1", "a", site.now);
-        site.meet(0, &mut host);
-        site.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
-        site.read(0);
-        for (machine, commands) in site.round(0) {
-            site.wait(2.5);
-            site.answered(0, &machine, &commands, None);
+        let mut cluster = FakeCluster::new(1, &[("host-1", "a")]);
+        let mut worker = FakeWorker::new("host-1", "a", cluster.now);
+        cluster.exchange_heartbeat(0, &mut worker);
+        cluster.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
+        cluster.catch_up(0);
+        for (machine, commands) in cluster.run_cycle(0) {
+            cluster.advance(2.5);
+            cluster.record_response(0, &machine, &commands, None);
         }
-        site.cancel("j-1");
-        site.wait(old - 2.5);
+        cluster.cancel("j-1");
+        cluster.advance(old - 2.5);
         let by_answer = {
-            site.meet(0, &mut host);
-            host.runs("j-1/0")
+            cluster.exchange_heartbeat(0, &mut worker);
+            worker.is_running("j-1/0")
         };
-        let by_request = site.command(0, &mut [&mut host]).iter().any(|c| matches!(c, Command::Start { .. }));
+        let by_request = cluster
+            .run_cycle_and_deliver(0, &mut [&mut worker])
+            .iter()
+            .any(|c| matches!(c, Command::Start { .. }));
         (by_answer, by_request)
     };
-    assert_eq!(launches(3.5), (true, true), "it cannot know better yet");
+    assert_eq!(launches(3.5), (true, true), "the replica is still fresh enough");
     for old in [5.0, 14.0, 23.0, 60.0] {
         assert_eq!(launches(old), (false, false), "{old} s");
     }
 }
 
-/// A machine reaches no controller, but requests reach it: its owner hears of it all the
-/// time, and nobody renews its lease. Its task is killed with that, is proven so, and is
-/// started elsewhere, once; a launch from before meets another session. Nothing is placed
-/// there while that lasts, as it would be killed again.
+/// A mute machine: it reaches no controller but answers requests, so that its owner has its status
+/// and nobody renews its lease. The task is killed when the lease expires, is proven to have
+/// ended, and starts elsewhere exactly once; an earlier start command meets a newer incarnation.
+/// Nothing is placed on the machine meanwhile, since it would be killed again.
 #[test]
-fn a_mute_machine_gets_no_work_and_its_tasks_start_elsewhere_once() {
-    let mut site = Site::new(1, &[("host-1", "a"), ("host-2", "a")]);
-    let (mut mute, mut other) = (Host::new("host-1", "a", site.now), Host::new("host-2", "a", site.now));
-    site.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
-    site.read(0);
-    for host in [&mut mute, &mut other] {
-        site.meet(0, host);
-        site.meet(0, host);
+fn mute_machine_gets_no_work_and_its_tasks_start_elsewhere_once() {
+    let mut cluster = FakeCluster::new(1, &[("host-1", "a"), ("host-2", "a")]);
+    let (mut mute, mut other) =
+        (FakeWorker::new("host-1", "a", cluster.now), FakeWorker::new("host-2", "a", cluster.now));
+    cluster.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
+    cluster.catch_up(0);
+    for worker in [&mut mute, &mut other] {
+        cluster.exchange_heartbeat(0, worker);
+        cluster.exchange_heartbeat(0, worker);
     }
-    assert!(mute.runs("j-1/0"));
+    assert!(mute.is_running("j-1/0"));
     let late = Commands {
-        fencing_token: mute.token,
+        fencing_token: mute.fencing_token,
         incarnation: 1,
         commands: vec![Command::Start { task: "j-1/0".into(), attempt: 1 }],
     };
     for step in 0..160 {
-        site.wait(0.5);
-        site.read(0);
+        cluster.advance(0.5);
+        cluster.catch_up(0);
         if step % 6 == 0 {
-            site.meet(0, &mut other);
+            cluster.exchange_heartbeat(0, &mut other);
         }
         if step % 4 == 0 {
-            site.ask(0, &mut mute);
+            cluster.poll_status(0, &mut mute);
         }
         if step == 60 {
-            mute.execute(&late, site.now);
+            mute.receive_commands(&late, cluster.now);
         }
-        site.command(0, &mut [&mut mute, &mut other]);
-        assert!(!(mute.runs("j-1/0") && other.runs("j-1/0")), "step {step}");
-        assert!(mute.session == 1 || !mute.runs("j-1/0"), "started there again, step {step}");
+        cluster.run_cycle_and_deliver(0, &mut [&mut mute, &mut other]);
+        assert!(!(mute.is_running("j-1/0") && other.is_running("j-1/0")), "step {step}");
+        assert!(
+            mute.incarnation == 1 || !mute.is_running("j-1/0"),
+            "restarted on the mute machine, step {step}"
+        );
     }
-    assert!(other.runs("j-1/0") && mute.session > 1);
+    assert!(other.is_running("j-1/0") && mute.incarnation > 1);
 }
 
-/// A launch is offered with an answer that is held up, and the machine reaches no
-/// controller any more. Its job is cancelled, and counts in its team's limit until it is
-/// proven that nothing will come of the launch: a request shows the worker a later token.
+/// A start command is in a delayed response, and the machine becomes mute. Its job is cancelled,
+/// and counts against its team's limit until the start is ruled out: a request shows the worker a
+/// later token.
 #[test]
-fn a_launch_in_a_lost_answer_is_ruled_out_while_the_machine_is_mute() {
-    let mut site = Site::new(1, &[("host-1", "a")]);
-    let mut host = Host::new("host-1", "a", site.now);
-    site.meet(0, &mut host);
-    site.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
-    site.read(0);
-    site.wait(1.0);
-    let sent = site.now;
-    let held = site.report(0, &host.report());
+fn start_command_in_a_lost_response_is_fenced_off_while_the_machine_is_mute() {
+    let mut cluster = FakeCluster::new(1, &[("host-1", "a")]);
+    let mut worker = FakeWorker::new("host-1", "a", cluster.now);
+    cluster.exchange_heartbeat(0, &mut worker);
+    cluster.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
+    cluster.catch_up(0);
+    cluster.advance(1.0);
+    let sent = cluster.now;
+    let held = cluster.receive_heartbeat(0, &worker.heartbeat());
     assert!(held.as_ref().is_some_and(|a| !a.commands.is_empty()));
-    site.cancel("j-1");
-    site.read(0);
-    site.ask(0, &mut host);
-    let commands = site.round(0);
-    assert_eq!(site.job("j-1").assignments.len(), 1, "the answer may still arrive");
+    cluster.cancel("j-1");
+    cluster.catch_up(0);
+    cluster.poll_status(0, &mut worker);
+    let commands = cluster.run_cycle(0);
+    assert_eq!(cluster.job("j-1").assignments.len(), 1, "the answer may still arrive");
     for (machine, commands) in commands {
-        let report = host.execute(&commands, site.now);
-        site.answered(0, &machine, &commands, Some(report));
+        let heartbeat = worker.receive_commands(&commands, cluster.now);
+        cluster.record_response(0, &machine, &commands, Some(heartbeat));
     }
-    site.wait(1.0);
-    site.round(0);
-    assert!(site.job("j-1").assignments.is_empty(), "it stays on record");
-    host.hear(sent, held);
-    assert!(!host.runs("j-1/0"));
+    cluster.advance(1.0);
+    cluster.run_cycle(0);
+    assert!(cluster.job("j-1").assignments.is_empty(), "the assignment stays on record");
+    worker.receive_response(sent, held);
+    assert!(!worker.is_running("j-1/0"));
 }
 
-/// A machine hears nothing, though its reports arrive: its task is killed with its lease.
-/// Meanwhile the leader changes. Nothing is proven by what shows no token of the new epoch,
-/// and the task starts elsewhere only once it is.
+/// A deaf machine: its heartbeats arrive, but the task is killed when the lease expires. Meanwhile
+/// the leader changes. Heartbeats without a token of the new epoch prove nothing, and the task
+/// starts elsewhere only once its end is proven.
 #[test]
-fn what_a_deaf_machine_reports_proves_nothing_to_a_new_leader() {
-    let (mut site, mut host) = running(2);
-    site.map(&[1]);
-    let killed_at = host.renewed + LEASE;
+fn heartbeats_of_a_deaf_machine_prove_nothing_to_a_new_leader() {
+    let (mut cluster, mut worker) = cluster_with_running_task(2);
+    cluster.publish_map(&[1]);
+    let killed_at = worker.renewed_at + LEASE_DURATION;
     for step in 0..20 {
-        site.wait(3.0);
-        site.read(1);
-        host.live(site.now);
-        site.report(1, &host.report());
-        for (machine, commands) in site.round(1) {
-            site.answered(1, &machine, &commands, None);
+        cluster.advance(3.0);
+        cluster.catch_up(1);
+        worker.expire_lease(cluster.now);
+        cluster.receive_heartbeat(1, &worker.heartbeat());
+        for (machine, commands) in cluster.run_cycle(1) {
+            cluster.record_response(1, &machine, &commands, None);
         }
-        assert_eq!(site.attempt("j-1"), Some(1), "step {step}");
+        assert_eq!(cluster.attempt("j-1"), Some(1), "step {step}");
     }
-    assert!(site.now > killed_at && !host.runs("j-1/0"));
-    // It hears again.
-    let round = |site: &mut Site, host: &mut Host| {
-        site.wait(3.0);
-        site.read(1);
-        site.meet(1, host);
-        site.command(1, &mut [host]);
+    assert!(cluster.now > killed_at && !worker.is_running("j-1/0"));
+    // The machine receives responses again.
+    let run_step = |cluster: &mut FakeCluster, worker: &mut FakeWorker| {
+        cluster.advance(3.0);
+        cluster.catch_up(1);
+        cluster.exchange_heartbeat(1, worker);
+        cluster.run_cycle_and_deliver(1, &mut [worker]);
     };
     for _ in 0..4 {
-        round(&mut site, &mut host);
+        run_step(&mut cluster, &mut worker);
     }
-    assert!(site.attempt("j-1").is_none_or(|a| a > 1), "proven over, and started anew");
+    assert!(cluster.attempt("j-1").is_none_or(|a| a > 1), "its end is proven and it was restarted");
 }
 
-/// A machine hangs when its task is to be launched, and the job is cancelled. Later it goes
-/// on, and carries out what was held up, in any order. Or only the launch is held up, while
-/// the machine reports and hears nothing. Whatever starts by that is known and stopped: the
-/// record keeps it, with its part of the team's limit, until it cannot start any more.
+/// A machine hangs when its task is to be started, and the job is cancelled. Later it continues
+/// and carries out the delayed commands in either order. Or only the start command is delayed,
+/// while the machine sends heartbeats and receives nothing. Any task that starts that way must be
+/// known and stopped: its assignment stays on record, with its share of the team's limit, until it
+/// cannot start any more.
 #[test]
-fn a_launch_that_is_held_up_is_on_record_until_it_cannot_start() {
+fn delayed_start_command_stays_on_record_until_it_is_fenced_off() {
     for (hangs, backwards, deaf) in [
         (3.0, false, false),
         (8.0, true, false),
@@ -204,32 +213,32 @@
         (9.0, false, true),
         (20.0, false, true),
     ] {
-        let mut site = Site::new(1, &[("host-1", "a")]);
-        let mut host = Host::new("host-1", "a", site.now);
-        site.meet(0, &mut host);
-        site.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
+        let mut cluster = FakeCluster::new(1, &[("host-1", "a")]);
+        let mut worker = FakeWorker::new("host-1", "a", cluster.now);
+        cluster.exchange_heartbeat(0, &mut worker);
+        cluster.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
         let mut held: Vec<Commands> = Vec::new();
         let mut unanswered: Vec<(Instant, Name, Commands)> = Vec::new();
-        let start = site.now;
-        let mut told = None;
+        let start = cluster.now;
+        let mut cancelled_at = None;
         let mut started = false;
         for tick in 0..700 {
-            site.read(0);
-            if told.is_none() && site.now > start + secs(1.0) {
-                site.cancel("j-1");
-                site.read(0);
-                told = Some(site.now);
+            cluster.catch_up(0);
+            if cancelled_at.is_none() && cluster.now > start + secs(1.0) {
+                cluster.cancel("j-1");
+                cluster.catch_up(0);
+                cancelled_at = Some(cluster.now);
             }
-            let hung = site.now < start + secs(hangs);
-            for (machine, commands) in site.round(0) {
+            let hung = cluster.now < start + secs(hangs);
+            for (machine, commands) in cluster.run_cycle(0) {
                 if hung {
                     if !deaf || held.is_empty() {
                         held.push(commands.clone());
                     }
-                    unanswered.push((site.now, machine, commands));
+                    unanswered.push((cluster.now, machine, commands));
                 } else {
-                    let report = host.execute(&commands, site.now);
-                    site.answered(0, &machine, &commands, Some(report));
+                    let heartbeat = worker.receive_commands(&commands, cluster.now);
+                    cluster.record_response(0, &machine, &commands, Some(heartbeat));
                 }
             }
             if !hung {
@@ -237,137 +246,141 @@
                     held.reverse();
                 }
                 for commands in held.drain(..) {
-                    host.execute(&commands, site.now);
+                    worker.receive_commands(&commands, cluster.now);
                 }
             }
-            let late = |u: &mut (Instant, Name, Commands)| site.now >= u.0 + secs(2.5);
+            let late = |u: &mut (Instant, Name, Commands)| cluster.now >= u.0 + secs(2.5);
             let over: Vec<_> = unanswered.extract_if(.., late).collect();
             for (_, machine, commands) in over {
-                site.answered(0, &machine, &commands, None);
+                cluster.record_response(0, &machine, &commands, None);
             }
-            started |= host.runs("j-1/0");
-            assert!(!host.runs("j-1/0") || site.attempt("j-1") == Some(1), "it runs unknown");
-            if told.is_some_and(|t| site.now > t + CANCEL) {
-                assert!(!host.runs("j-1/0"), "hung for {hangs} s");
+            started |= worker.is_running("j-1/0");
+            assert!(
+                !worker.is_running("j-1/0") || cluster.attempt("j-1") == Some(1),
+                "it runs without an assignment"
+            );
+            if cancelled_at.is_some_and(|t| cluster.now > t + CANCELLATION_BOUND) {
+                assert!(!worker.is_running("j-1/0"), "hung for {hangs} s");
             }
             match (hung, deaf) {
-                (true, true) if tick % 5 == 0 => drop(site.report(0, &host.report())),
-                (false, _) if tick % 30 == 0 => site.meet(0, &mut host),
+                (true, true) if tick % 5 == 0 => drop(cluster.receive_heartbeat(0, &worker.heartbeat())),
+                (false, _) if tick % 30 == 0 => cluster.exchange_heartbeat(0, &mut worker),
                 _ => {}
             }
-            site.wait(0.1);
+            cluster.advance(0.1);
         }
-        assert!(started != backwards, "the launch comes first, or not at all");
-        assert!(site.job("j-1").assignments.is_empty(), "its share is free");
+        assert!(started != backwards, "the start command arrives first or is fenced off");
+        assert!(cluster.job("j-1").assignments.is_empty(), "its share of the team limit is free");
     }
 }
 
-/// A controller is cut off with the workers of its zone from the state service and from the
-/// others, for longer than a lease. A job is cancelled through the next leader: its tasks
-/// are gone in time.
+/// A controller and the workers of its zone are partitioned from the state service and from the
+/// other controllers for longer than a lease. A job is cancelled through the next leader: its
+/// tasks must end within the cancellation bound.
 #[test]
-fn a_zone_that_is_cut_off_with_its_controller_keeps_nothing_alive() {
-    let (mut site, mut host) = running(2);
-    let old = owner(&site);
-    site.map(&[1 - old]);
-    site.cancel("j-1");
-    let told = site.now;
+fn partitioned_zone_does_not_keep_cancelled_tasks_running() {
+    let (mut cluster, mut worker) = cluster_with_running_task(2);
+    let old = first_machine_owner(&cluster);
+    cluster.publish_map(&[1 - old]);
+    cluster.cancel("j-1");
+    let cancelled_at = cluster.now;
     let mut ran_for = Duration::ZERO;
-    while site.now < told + CANCEL + secs(40.0) {
-        host.live(site.now);
-        if host.runs("j-1/0") {
-            ran_for = site.now - told;
+    while cluster.now < cancelled_at + CANCELLATION_BOUND + secs(40.0) {
+        worker.expire_lease(cluster.now);
+        if worker.is_running("j-1/0") {
+            ran_for = cluster.now - cancelled_at;
         }
-        site.meet(old, &mut host);
-        site.command(old, &mut [&mut host]);
-        site.wait(3.0);
+        cluster.exchange_heartbeat(old, &mut worker);
+        cluster.run_cycle_and_deliver(old, &mut [&mut worker]);
+        cluster.advance(3.0);
     }
-    assert!(ran_for < CANCEL, "{ran_for:?}");
-    // It ran on inside, as no trouble should end it sooner than it has to.
-    assert!(ran_for > LEASE, "{ran_for:?}");
+    assert!(ran_for < CANCELLATION_BOUND, "{ran_for:?}");
+    // The task runs on inside the partition for a lease: a fault must not end it earlier than
+    // necessary.
+    assert!(ran_for > LEASE_DURATION, "{ran_for:?}");
 }
 
-/// A task is told to stop for other work, and saves. Then its job is cancelled, and its
-/// machine may get another owner, too. It need not be saved any more: the first answer
-/// ends it.
+/// A task is preempted and saves its checkpoint. Then its job is cancelled, and its machine may
+/// change owner. The checkpoint is no longer needed: the first response must end the task.
 #[test]
-fn a_task_that_saves_is_ended_when_its_job_is_cancelled() {
+fn saving_task_is_ended_when_its_job_is_cancelled() {
     for changes in [false, true] {
-        let (mut site, mut host) = running(2);
-        let mut job = site.job("j-1");
+        let (mut cluster, mut worker) = cluster_with_running_task(2);
+        let mut job = cluster.job("j-1");
         job.assignments[0].desired = DesiredState::Stopped;
-        site.put(vec![KeyWrite::new(key::job("j-1"), &job)]);
-        let old = owner(&site);
-        site.read(old);
-        site.command(old, &mut [&mut host]);
-        assert_eq!(host.tasks.values().next(), Some(&(TaskState::Saving, None)));
-        site.cancel("j-1");
-        site.wait(0.5);
+        cluster.write(vec![KeyWrite::new(key::job("j-1"), &job)]);
+        let old = first_machine_owner(&cluster);
+        cluster.catch_up(old);
+        cluster.run_cycle_and_deliver(old, &mut [&mut worker]);
+        assert_eq!(worker.tasks.values().next(), Some(&(TaskState::Saving, None)));
+        cluster.cancel("j-1");
+        cluster.advance(0.5);
         let new = if changes { 1 - old } else { old };
-        site.map(&[new]);
-        site.read(new);
-        site.meet(new, &mut host);
-        assert!(!host.runs("j-1/0"));
-        site.meet(new, &mut host);
-        site.round(new);
-        assert!(site.job("j-1").assignments.is_empty());
+        cluster.publish_map(&[new]);
+        cluster.catch_up(new);
+        cluster.exchange_heartbeat(new, &mut worker);
+        assert!(!worker.is_running("j-1/0"));
+        cluster.exchange_heartbeat(new, &mut worker);
+        cluster.run_cycle(new);
+        assert!(cluster.job("j-1").assignments.is_empty());
     }
 }
 
-/// Requests never reach a machine, only answers do: a launch is not answered, and its job is
-/// cancelled. The answers show the worker later tokens, which rules the launch out, though
-/// there is always a request on its way: none of those launches anything.
+/// Requests never reach a machine, only responses do. A start command is not answered, and its job
+/// is cancelled. The responses show the worker later tokens, which rules the start out, although
+/// some request without a start command is always in flight.
 #[test]
-fn requests_that_launch_nothing_keep_nothing_on_record() {
-    let mut site = Site::new(1, &[("host-1", "a")]);
-    let mut host = Host::new("host-1", "a", site.now);
-    site.meet(0, &mut host);
-    site.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
-    site.read(0);
-    let start = site.now;
-    let mut waits: Option<(Instant, Commands)> = None;
+fn unanswered_requests_without_start_commands_keep_no_assignment_on_record() {
+    let mut cluster = FakeCluster::new(1, &[("host-1", "a")]);
+    let mut worker = FakeWorker::new("host-1", "a", cluster.now);
+    cluster.exchange_heartbeat(0, &mut worker);
+    cluster.assign(spec("j-1", JobKind::Array), &[(0, 1, "host-1")]);
+    cluster.catch_up(0);
+    let start = cluster.now;
+    let mut in_flight: Option<(Instant, Commands)> = None;
     let mut reported = start;
-    while !site.job("j-1").assignments.is_empty() {
-        assert!(site.now < start + secs(30.0), "it stays on record");
-        site.read(0);
-        for (_, commands) in site.round(0) {
-            waits = Some((site.now, commands));
-            if site.job("j-1").phase == Phase::Active {
-                site.cancel("j-1");
+    while !cluster.job("j-1").assignments.is_empty() {
+        assert!(cluster.now < start + secs(30.0), "the assignment stays on record");
+        cluster.catch_up(0);
+        for (_, commands) in cluster.run_cycle(0) {
+            in_flight = Some((cluster.now, commands));
+            if cluster.job("j-1").phase == Phase::Active {
+                cluster.cancel("j-1");
             }
         }
-        if let Some((_, commands)) = waits.take_if(|(at, _)| site.now >= *at + secs(2.5)) {
-            site.answered(0, "host-1", &commands, None);
+        if let Some((_, commands)) = in_flight.take_if(|(at, _)| cluster.now >= *at + secs(2.5)) {
+            cluster.record_response(0, "host-1", &commands, None);
         }
-        // The worst moments: as soon as a request is on its way.
-        if waits.is_some() && site.now >= reported + secs(2.5) {
-            site.meet(0, &mut host);
-            reported = site.now;
+        // The worst moment for a heartbeat: just after a request was sent.
+        if in_flight.is_some() && cluster.now >= reported + secs(2.5) {
+            cluster.exchange_heartbeat(0, &mut worker);
+            reported = cluster.now;
         }
-        site.wait(0.1);
+        cluster.advance(0.1);
     }
-    assert!(host.tasks.is_empty());
+    assert!(worker.tasks.is_empty());
 }
 
-/// A machine hears nothing: it loses its lease though its reports are answered. That shows,
-/// and it gets no work until it hears, though nothing else would raise the token that its
-/// reports have to show.
+/// A deaf machine loses its lease though its heartbeats are answered. The controller must notice
+/// that and give it no work until it receives responses, although nothing else would raise the
+/// token that its heartbeats have to show.
 #[test]
-fn a_deaf_machine_counts_as_deaf_until_it_hears() {
-    let (mut site, mut host) = running(1);
-    let hears = |site: &Site| site.nodes[0].state().machines.workers["host-1"].receives_commands();
-    let deaf_at = site.now;
-    while site.now < deaf_at + LEASE * 3 {
-        site.wait(3.0);
-        site.read(0);
-        host.live(site.now);
-        site.report(0, &host.report());
-        assert!(host.session == 1 || !hears(&site), "{:?}", site.now - deaf_at);
+fn deaf_machine_gets_no_work_until_it_receives_responses() {
+    let (mut cluster, mut worker) = cluster_with_running_task(1);
+    let receives_commands =
+        |cluster: &FakeCluster| cluster.controllers[0].state().machines.workers["host-1"].receives_commands();
+    let deaf_at = cluster.now;
+    while cluster.now < deaf_at + LEASE_DURATION * 3 {
+        cluster.advance(3.0);
+        cluster.catch_up(0);
+        worker.expire_lease(cluster.now);
+        cluster.receive_heartbeat(0, &worker.heartbeat());
+        assert!(worker.incarnation == 1 || !receives_commands(&cluster), "{:?}", cluster.now - deaf_at);
     }
     for _ in 0..2 {
-        site.wait(3.0);
-        site.read(0);
-        site.meet(0, &mut host);
+        cluster.advance(3.0);
+        cluster.catch_up(0);
+        cluster.exchange_heartbeat(0, &mut worker);
     }
-    assert!(hears(&site));
+    assert!(receives_commands(&cluster));
 }
