--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -1,5 +1,5 @@
-//! Tests of pipelines and of smaller limits, with controllers that talk to a stand-in
-//! for the state service: conditional transactions, lists, watches, limits, outages.
+//! Tests of pipelines and of lowered limits of the state service, with controllers that talk to a
+//! fake one: conditional transactions, lists, watches, limits and outages.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -28,11 +28,11 @@
     keys: BTreeMap<String, (Value, u64)>,
     log: Vec<Event<Value>>,
     revision: u64,
-    out: bool,
-    /// Most bytes of a value and changes of a transaction, if they are limited.
+    in_outage: bool,
+    /// Maximum bytes of a value and operations of a transaction, if they are limited.
     limits: Option<(usize, usize)>,
-    /// How many transactions more it takes before it is above the rate.
-    rate: Option<usize>,
+    /// Transactions that are still accepted before the rate limit applies.
+    accepted_txns: Option<usize>,
     refused: Vec<u16>,
 }
 
@@ -54,14 +54,14 @@
     }
 
     fn txn(&mut self, txn: Txn<Value>) -> Reply {
-        if let Some(left) = &mut self.rate {
+        if let Some(left) = &mut self.accepted_txns {
             if *left == 0 {
                 self.refused.push(429);
                 return Reply::error(429, "too many");
             }
             *left -= 1;
         }
-        let puts: Vec<KeyWrite> = txn
+        let writes: Vec<KeyWrite> = txn
             .ops
             .into_iter()
             .map(|op| match op {
@@ -72,7 +72,9 @@
         let json =
             |p: &KeyWrite| p.value.as_ref().map_or(0, |v| serde_json::to_string(v).expect("JSON").len());
         if let Some((bytes, ops)) = self.limits
-            && (puts.len() > ops || txn.conditions.len() > ops * 4 || puts.iter().any(|p| json(p) > bytes))
+            && (writes.len() > ops
+                || txn.conditions.len() > ops * 4
+                || writes.iter().any(|p| json(p) > bytes))
         {
             self.refused.push(400);
             return Reply::error(400, "too large");
@@ -83,9 +85,9 @@
         if !failed.is_empty() {
             return Reply::new(409, &serde_json::json!({"failed": failed, "epoch": self.revision}));
         }
-        // All of it at one revision.
+        // The whole transaction has one revision.
         let revision = self.revision + 1;
-        for put in puts {
+        for put in writes {
             self.revision = revision - 1;
             self.put(put);
         }
@@ -102,7 +104,7 @@
     }
 
     async fn answer(self, request: Request) -> Reply {
-        if self.store().out {
+        if self.store().in_outage {
             return Reply::error(503, "outage");
         }
         if request.path == "/txn" {
@@ -152,7 +154,7 @@
         addr
     }
 
-    /// A controller that follows the records, alone among its kind.
+    /// The only controller, which follows the records and has loaded them.
     async fn controller(&self, incarnation: u64, text: &str) -> Arc<Controller> {
         let mut settings = Settings::parse("example", text).expect("valid");
         settings.external.state = self.listen().await;
@@ -172,7 +174,7 @@
         controller
     }
 
-    /// This controller leads, and is the only one.
+    /// Makes this controller the leader and the only live one.
     fn elect(&self, controller: &Arc<Controller>, epoch: u64) {
         let mut store = self.store();
         store.put(KeyWrite::new(
@@ -189,19 +191,21 @@
 
     fn with_types() -> Self {
         let service = Self::default();
-        let kind = crate::worker::tests::machine_type(4000.0, 9000.0, &["a"]);
-        service.store().put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }));
+        let machine_type = crate::worker::tests::machine_type(4000.0, 9000.0, &["a"]);
+        service
+            .store()
+            .put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![machine_type] }));
         service
     }
 }
 
-/// The mirror has all that there is.
-async fn caught_up(service: &Service, controller: &Arc<Controller>) {
+/// Waits until the controller's replica has the newest revision.
+async fn wait_until_caught_up(service: &Service, controller: &Arc<Controller>) {
     let revision = service.store().revision;
     assert!(controller.wait_for_revision(revision, Duration::from_secs(5)).await);
 }
 
-async fn ask(
+async fn send_request(
     controller: &Arc<Controller>,
     method: &str,
     path: &str,
@@ -213,185 +217,198 @@
 }
 
 async fn submit(controller: &Arc<Controller>, spec: &JobSpec) -> (u16, Option<JobState>) {
-    let (status, job) = ask(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
+    let (status, job) = send_request(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
     (status, job.map(|j| j.state))
 }
 
-async fn state(controller: &Arc<Controller>, id: &str) -> Option<JobState> {
-    ask(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await.1.map(|j| j.state)
+async fn job_state(controller: &Arc<Controller>, id: &str) -> Option<JobState> {
+    send_request(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await.1.map(|j| j.state)
 }
 
-fn step(id: &str, needs: &[&str]) -> JobSpec {
+fn spec_with_dependencies(id: &str, needs: &[&str]) -> JobSpec {
     let needs = needs.iter().map(|n| (*n).to_owned()).collect();
     JobSpec { dependencies: Some(needs), ..spec(id, JobKind::Array) }
 }
 
-/// One round of a controller, committed.
-async fn round(controller: &Arc<Controller>) {
+/// Runs and commits one scheduling cycle of a controller.
+async fn run_cycle(controller: &Arc<Controller>) {
     let decided = {
-        let mut core = controller.state();
+        let mut state = controller.state();
         let ops = controller.state_limits().txn_ops;
         scheduler::decide(
             controller,
-            &mut core,
+            &mut state,
             scheduler::CycleContext::new(ops, Instant::now(), crate::controller::wall_ms()),
         )
     };
-    if let Some(round) = decided {
-        scheduler::commit(controller, round).await;
+    if let Some(cycle) = decided {
+        scheduler::commit(controller, cycle).await;
     }
 }
 
 #[tokio::test]
-async fn submissions_that_await_others_are_answered_by_what_is_known() {
+async fn submissions_with_dependencies_are_checked_against_known_jobs() {
     let service = Service::with_types();
-    let controller = service.controller(1, &with_next()).await;
+    let controller = service.controller(1, &settings_with_lowered_limits()).await;
     service.elect(&controller, 1);
-    caught_up(&service, &controller).await;
+    wait_until_caught_up(&service, &controller).await;
     assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await, (201, Some(JobState::Queued)));
     assert_eq!(submit(&controller, &spec("j-2", JobKind::Service)).await.0, 201);
-    // Null, absent and empty are none; duplicates count once.
-    assert_eq!(submit(&controller, &step("j-3", &[])).await.0, 201);
+    // Null, absent and empty lists mean no dependencies; duplicates count once.
+    assert_eq!(submit(&controller, &spec_with_dependencies("j-3", &[])).await.0, 201);
     assert_eq!(
-        submit(&controller, &step("j-4", &["j-1", "j-1", "j-3"])).await,
+        submit(&controller, &spec_with_dependencies("j-4", &["j-1", "j-1", "j-3"])).await,
         (201, Some(JobState::Queued))
     );
-    let shown = ask(&controller, "GET", "/v1/jobs/j-4", Vec::new()).await.1.expect("a job");
+    let shown = send_request(&controller, "GET", "/v1/jobs/j-4", Vec::new()).await.1.expect("a job");
     assert_eq!(shown.waits_for, ["j-1", "j-3"]);
     for (needs, status) in [(&["j-9"], 422), (&["j-2"], 422), (&["j-5"], 422), (&["x-1"], 400)] {
-        assert_eq!(submit(&controller, &step("j-5", needs)).await.0, status, "{needs:?}");
+        assert_eq!(submit(&controller, &spec_with_dependencies("j-5", needs)).await.0, status, "{needs:?}");
     }
-    let mut odd: serde_json::Value = wire::decode(&wire::encode(&step("j-6", &[]))).expect("a description");
+    let mut odd: serde_json::Value =
+        wire::decode(&wire::encode(&spec_with_dependencies("j-6", &[]))).expect("a description");
     for (awaits, status) in
         [(serde_json::json!("j-1"), 400), (serde_json::json!([7]), 400), (serde_json::Value::Null, 201)]
     {
         odd["awaits"] = awaits;
-        assert_eq!(ask(&controller, "POST", "/v1/jobs", wire::encode(&odd)).await.0, status, "{odd}");
+        assert_eq!(
+            send_request(&controller, "POST", "/v1/jobs", wire::encode(&odd)).await.0,
+            status,
+            "{odd}"
+        );
     }
-    // A late copy of a submission keeps its 200, whatever it names.
-    assert_eq!(submit(&controller, &step("j-4", &["j-9"])).await, (200, Some(JobState::Queued)));
-    // One that is too long now may have been accepted when more was allowed.
+    // A late copy of an accepted submission gets 200, whatever dependencies it names.
+    assert_eq!(
+        submit(&controller, &spec_with_dependencies("j-4", &["j-9"])).await,
+        (200, Some(JobState::Queued))
+    );
+    // A description that is too long now may have been accepted under higher limits.
     let text = |n: usize| "x".repeat(n);
     let long = JobSpec { types: Some(vec![text(200); 20]), ..spec("j-66", JobKind::Array) };
     assert_eq!(submit(&controller, &long).await.0, 400);
     let short = spec("j-66", JobKind::Array);
     service.store().put(KeyWrite::new(key::job("j-66"), &JobRecord::new(short, None, 0)));
     assert_eq!(submit(&controller, &long).await, (200, Some(JobState::Queued)));
-    // A description near the limit that is there now is taken, with a list of thousands.
+    // A description near the current limit is accepted, with thousands of dependencies.
     let ids: Vec<String> = (0..6000).map(|n| format!("j-{}", 10_000 + n)).collect();
     for id in &ids {
         let mut record = JobRecord::new(spec(id, JobKind::Array), None, 0);
         record.phase = Phase::Active;
         service.store().put(KeyWrite::new(key::job(id), &record));
     }
-    caught_up(&service, &controller).await;
+    wait_until_caught_up(&service, &controller).await;
     let long = JobSpec { dependencies: Some(ids), ..spec("j-7", JobKind::Array) };
     service.store().limits = Some((2048, 4));
     assert_eq!(submit(&controller, &long).await, (201, Some(JobState::Queued)));
-    caught_up(&service, &controller).await;
+    wait_until_caught_up(&service, &controller).await;
     assert!(
         service.store().refused.is_empty() && controller.state().records.reader.is_chunked(&key::job("j-7"))
     );
     assert_eq!(controller.state().records.replica.jobs["j-7"].value.dependencies.len(), 6000);
-    // Only checked if it can be.
-    service.store().out = true;
+    // Dependencies cannot be checked during an outage.
+    service.store().in_outage = true;
     sleep(Duration::from_millis(1700)).await;
-    assert_eq!(submit(&controller, &step("j-8", &["j-1"])).await.0, 503);
-    service.store().out = false;
-    // With an old controller live, nothing is taken that it could not read.
+    assert_eq!(submit(&controller, &spec_with_dependencies("j-8", &["j-1"])).await.0, 503);
+    service.store().in_outage = false;
+    // While a controller of the old version is live, no job that it could not read is accepted.
     let old = Member { name: "n-9".into(), zone: "a".into(), incarnation: 9 };
     service.store().put(KeyWrite::new(key::member("n-9"), &old));
     let since = Instant::now();
     while !controller.state().old_version_is_live() && since.elapsed() < Duration::from_secs(5) {
         sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(submit(&controller, &step("j-8", &["j-1"])).await.0, 503);
+    assert_eq!(submit(&controller, &spec_with_dependencies("j-8", &["j-1"])).await.0, 503);
     assert_eq!(submit(&controller, &spec("j-8", JobKind::Array)).await.0, 201);
     controller.shutdown.cancel();
 }
 
-/// The first of a chain is cancelled, and the controller ends at once; all others too,
-/// and the state service is away. Whoever is asked says the same, before the records
-/// of the others have followed, and they do.
+/// A job of a dependency chain is cancelled, and the controller ends at once; later the next one
+/// ends too, and the state service has an outage. Every controller reports the dependants as
+/// cancelled before their records have been updated, and the records follow.
 #[tokio::test]
-async fn a_cancelled_job_takes_those_after_it_along_whatever_ends() {
+async fn cancellation_reaches_dependants_across_controller_ends_and_an_outage() {
     let service = Service::with_types();
     let first = service.controller(1, EXAMPLE).await;
     service.elect(&first, 1);
-    caught_up(&service, &first).await;
+    wait_until_caught_up(&service, &first).await;
     assert_eq!(submit(&first, &spec("j-0", JobKind::Array)).await.0, 201);
     for n in 1..40 {
         let need = format!("j-{}", n - 1);
-        assert_eq!(submit(&first, &step(&format!("j-{n}"), &[&need])).await.0, 201);
+        assert_eq!(submit(&first, &spec_with_dependencies(&format!("j-{n}"), &[&need])).await.0, 201);
     }
-    assert_eq!(submit(&first, &step("j-90", &["j-0"])).await.0, 201);
-    let (status, told) = ask(&first, "POST", "/v1/jobs/j-1/withdraw", Vec::new()).await;
-    assert_eq!((status, told.map(|t| t.state)), (200, Some(JobState::Cancelled)));
+    assert_eq!(submit(&first, &spec_with_dependencies("j-90", &["j-0"])).await.0, 201);
+    let (status, job) = send_request(&first, "POST", "/v1/jobs/j-1/withdraw", Vec::new()).await;
+    assert_eq!((status, job.map(|t| t.state)), (200, Some(JobState::Cancelled)));
     first.shutdown.cancel();
-    // Nobody has written down anything of the others yet.
+    // None of the dependants' records has been updated yet.
     let second = service.controller(2, EXAMPLE).await;
     for id in ["j-2", "j-20", "j-39"] {
-        assert_eq!(state(&second, id).await, Some(JobState::Cancelled), "{id}");
+        assert_eq!(job_state(&second, id).await, Some(JobState::Cancelled), "{id}");
     }
-    assert_eq!(state(&second, "j-0").await, Some(JobState::Queued));
-    assert_eq!(state(&second, "j-90").await, Some(JobState::Queued), "it does not need it");
-    // What comes meanwhile is cancelled too, and a cancellation of it is answered so.
-    assert_eq!(submit(&second, &step("j-50", &["j-39"])).await, (201, Some(JobState::Cancelled)));
-    let (_, told) = ask(&second, "POST", "/v1/jobs/j-39/withdraw", Vec::new()).await;
-    assert_eq!(told.map(|t| t.state), Some(JobState::Cancelled));
+    assert_eq!(job_state(&second, "j-0").await, Some(JobState::Queued));
+    assert_eq!(job_state(&second, "j-90").await, Some(JobState::Queued), "j-90 does not depend on j-1");
+    // A submission in the meantime is cancelled too, and a cancellation of a dependant is answered
+    // so.
+    assert_eq!(
+        submit(&second, &spec_with_dependencies("j-50", &["j-39"])).await,
+        (201, Some(JobState::Cancelled))
+    );
+    let (_, job) = send_request(&second, "POST", "/v1/jobs/j-39/withdraw", Vec::new()).await;
+    assert_eq!(job.map(|t| t.state), Some(JobState::Cancelled));
     service.elect(&second, 2);
-    caught_up(&service, &second).await;
-    round(&second).await;
-    service.store().out = true;
-    round(&second).await;
-    service.store().out = false;
+    wait_until_caught_up(&service, &second).await;
+    run_cycle(&second).await;
+    service.store().in_outage = true;
+    run_cycle(&second).await;
+    service.store().in_outage = false;
     let left = |controller: &Arc<Controller>| {
         controller.state().records.replica.pipelines.cancelled_by_dependency().count()
     };
-    assert!((1..38).contains(&left(&second)), "a few at a time");
+    assert!((1..38).contains(&left(&second)), "not all in one cycle");
     second.shutdown.cancel();
     let third = service.controller(3, EXAMPLE).await;
     service.elect(&third, 3);
-    caught_up(&service, &third).await;
+    wait_until_caught_up(&service, &third).await;
     for _ in 0..40 {
-        round(&third).await;
+        run_cycle(&third).await;
     }
     assert_eq!(left(&third), 0);
     let cancelled =
         third.state().records.replica.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
     assert_eq!(cancelled, 40, "j-1 to j-39 and j-50");
-    assert_eq!(state(&third, "j-2").await, Some(JobState::Cancelled));
+    assert_eq!(job_state(&third, "j-2").await, Some(JobState::Cancelled));
     third.shutdown.cancel();
 }
 
-/// One committed outcome decides: the cancellation of a job that is done by then.
+/// The first committed outcome stands: the cancellation of a job that is done by then is answered
+/// with done.
 #[tokio::test]
-async fn a_cancellation_that_comes_too_late_is_answered_with_done() {
+async fn cancellation_of_a_job_that_is_already_done_is_answered_with_done() {
     let service = Service::with_types();
     let controller = service.controller(1, EXAMPLE).await;
     service.elect(&controller, 1);
-    caught_up(&service, &controller).await;
+    wait_until_caught_up(&service, &controller).await;
     assert_eq!(submit(&controller, &spec("j-0", JobKind::Array)).await.0, 201);
-    assert_eq!(submit(&controller, &step("j-1", &["j-0"])).await.0, 201);
-    // Done, as another controller has written; this one does not know.
+    assert_eq!(submit(&controller, &spec_with_dependencies("j-1", &["j-0"])).await.0, 201);
+    // Another controller has recorded the end; this one does not know it.
     let mut done = JobRecord::new(spec("j-0", JobKind::Array), None, 0);
     (done.phase, done.ended_ms) = (Phase::Done, 5);
     done.compact_if_final();
     service.store().put(KeyWrite::new(key::job("j-0"), &done));
-    let (status, told) = ask(&controller, "POST", "/v1/jobs/j-0/withdraw", Vec::new()).await;
-    assert_eq!((status, told.map(|t| t.state)), (200, Some(JobState::Done)));
-    caught_up(&service, &controller).await;
-    assert!(controller.state().records.replica.open_job_ids.contains("j-1"), "it may begin");
+    let (status, job) = send_request(&controller, "POST", "/v1/jobs/j-0/withdraw", Vec::new()).await;
+    assert_eq!((status, job.map(|t| t.state)), (200, Some(JobState::Done)));
+    wait_until_caught_up(&service, &controller).await;
+    assert!(controller.state().records.replica.open_job_ids.contains("j-1"), "its dependency is done");
     controller.shutdown.cancel();
 }
 
-const SMALL: &str = "txn_ops = 16\nnext = { value_kb = 2, txn_ops = 4, write_rps = 20 }";
+const LOWERED_LIMITS: &str = "txn_ops = 16\nnext = { value_kb = 2, txn_ops = 4, write_rps = 20 }";
 
-fn with_next() -> String {
-    EXAMPLE.replacen("txn_ops = 16", SMALL, 1)
+fn settings_with_lowered_limits() -> String {
+    EXAMPLE.replacen("txn_ops = 16", LOWERED_LIMITS, 1)
 }
 
-/// As production leaves it: 1,300 tasks on machines, in one value of 6 KiB.
+/// An array as the version in production leaves it: 1,300 assigned tasks in one value of 6 KiB.
 fn production_array() -> JobRecord {
     let mut job = JobRecord::new(JobSpec { tasks: 2000, ..spec("j-1", JobKind::Array) }, None, 1000);
     (0..480).for_each(|t| job.done.insert(t));
@@ -403,10 +420,10 @@
     job
 }
 
-/// The limits fall a second after the upgrade: every record stays changeable, each
-/// change is whole for whoever reads, and parts that are no longer named go.
+/// The limits are lowered a second after the upgrade: every record stays writable, every reader
+/// sees each change whole, and chunks that no head refers to are deleted.
 #[tokio::test]
-async fn a_large_record_of_production_is_ended_task_by_task_after_the_limits_have_fallen() {
+async fn large_record_stays_writable_after_the_limits_are_lowered() {
     let service = Service::with_types();
     service.store().put(KeyWrite::new(key::job("j-1"), &production_array()));
     let mut fleet = FleetRecord::default();
@@ -424,44 +441,44 @@
         });
     }
     service.store().put(KeyWrite::new(key::FLEET.into(), &fleet));
-    let controller = service.controller(1, &with_next()).await;
+    let controller = service.controller(1, &settings_with_lowered_limits()).await;
     service.elect(&controller, 1);
-    caught_up(&service, &controller).await;
-    assert!(controller.state_limits().chunked, "all have said that they are new");
+    wait_until_caught_up(&service, &controller).await;
+    assert!(controller.state_limits().chunked, "all controllers have announced the new version");
     service.store().limits = Some((2048, 4));
     let mut tasks: Vec<u32> = (500..1800).collect();
-    let mut seen = 0;
+    let mut commits = 0;
     while !tasks.is_empty() {
         let (mut record, version) = {
-            let core = controller.state();
-            (core.records.replica.jobs["j-1"].value.clone(), core.records.replica.jobs["j-1"].version)
+            let state = controller.state();
+            (state.records.replica.jobs["j-1"].value.clone(), state.records.replica.jobs["j-1"].version)
         };
         let some: Vec<u32> = tasks.drain(..tasks.len().min(130)).collect();
         some.iter().for_each(|t| record.end_assignment(*t, 1, TerminationReason::Done, 2000, 60));
         let conditions = vec![Condition { key: key::job("j-1"), version }];
         let put = KeyWrite::new(key::job("j-1"), &record);
         let Ok(TxnOutcome::Committed { .. }) = controller.commit(conditions, vec![put]).await else {
-            unreachable!("the record stays changeable")
+            unreachable!("the record stays writable")
         };
-        caught_up(&service, &controller).await;
+        wait_until_caught_up(&service, &controller).await;
         assert_eq!(controller.state().records.replica.jobs["j-1"].value.assignments.len(), tasks.len());
-        // Whoever reads all of it anew sees the same.
-        let other = service.controller(9, &with_next()).await;
+        // A controller that reads all records from the start sees the same.
+        let other = service.controller(9, &settings_with_lowered_limits()).await;
         assert_eq!(other.state().records.replica.jobs["j-1"].value.assignments, record.assignments);
         other.shutdown.cancel();
-        seen += 1;
+        commits += 1;
     }
-    assert!(seen >= 10);
-    // The record of the fleet: hundreds of rentals, one dropped.
+    assert!(commits >= 10);
+    // The fleet record: a hundred scale-outs, one of which is removed.
     let version = controller.state().records.replica.fleet.as_ref().map_or(0, |f| f.version);
     fleet.scale_outs.pop();
     let put = KeyWrite::new(key::FLEET.into(), &fleet);
     let conditions = vec![Condition { key: key::FLEET.into(), version }];
     assert!(matches!(controller.commit(conditions, vec![put]).await, Ok(TxnOutcome::Committed { .. })));
-    caught_up(&service, &controller).await;
+    wait_until_caught_up(&service, &controller).await;
     assert_eq!(controller.state().records.replica.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
     assert!(service.store().refused.is_empty(), "{:?}", service.store().refused);
-    // What no head names goes after a while, and nothing else.
+    // Chunks that no head refers to are deleted after a while, and nothing else.
     let before = service.store().keys.len();
     let (mut collector, mut now) = (ChunkCollector::default(), Instant::now());
     for _ in 0..200 {
@@ -469,39 +486,39 @@
         if let Some(ChunkDeletion { condition, deletions }) = collector.next(&controller, now) {
             let outcome = controller.commit(vec![condition], deletions).await;
             assert!(matches!(outcome, Ok(TxnOutcome::Committed { .. })));
-            caught_up(&service, &controller).await;
+            wait_until_caught_up(&service, &controller).await;
         }
     }
     assert!(service.store().keys.len() + 8 < before);
     assert!(controller.state().records.reader.orphans().is_empty());
-    let last = service.controller(8, &with_next()).await;
+    let last = service.controller(8, &settings_with_lowered_limits()).await;
     assert_eq!(last.state().records.replica.fleet.as_ref().map(|f| f.value.scale_outs.len()), Some(99));
     controller.shutdown.cancel();
     last.shutdown.cancel();
 }
 
-/// A head that is carried out late, after its parts were swept, names nothing.
+/// A head that is applied late, after its chunks were deleted, must conflict.
 #[tokio::test]
-async fn a_late_head_does_not_name_parts_that_are_gone() {
+async fn late_head_record_does_not_refer_to_deleted_chunks() {
     let service = Service::with_types();
     let job = production_array();
     service.store().put(KeyWrite::new(key::job("j-1"), &job));
-    let controller = service.controller(1, &with_next()).await;
+    let controller = service.controller(1, &settings_with_lowered_limits()).await;
     service.elect(&controller, 1);
-    caught_up(&service, &controller).await;
+    wait_until_caught_up(&service, &controller).await;
     let version = controller.state().records.replica.jobs["j-1"].version;
-    let chunked = store::split_record(&KeyWrite::new(key::job("j-1"), &job), 77, 2048).expect("parts");
-    let first = chunked.chunks.last().expect("parts").key.clone();
+    let chunked = store::split_record(&KeyWrite::new(key::job("j-1"), &job), 77, 2048).expect("chunks");
+    let first = chunked.chunks.last().expect("chunks").key.clone();
     chunked.chunks.into_iter().for_each(|p| service.store().put(p));
     let at = service.store().revision;
-    caught_up(&service, &controller).await;
+    wait_until_caught_up(&service, &controller).await;
     let (mut collector, mut now) = (ChunkCollector::default(), Instant::now());
     for _ in 0..20 {
         now += Duration::from_secs(6);
         if let Some(ChunkDeletion { condition, deletions }) = collector.next(&controller, now) {
             let outcome = controller.commit(vec![condition], deletions).await;
             assert!(matches!(outcome, Ok(TxnOutcome::Committed { .. })));
-            caught_up(&service, &controller).await;
+            wait_until_caught_up(&service, &controller).await;
         }
     }
     let conditions = vec![Condition { key: key::job("j-1"), version }, Condition { key: first, version: at }];
@@ -510,12 +527,12 @@
     controller.shutdown.cancel();
 }
 
-/// The limits that are to come are there, though one controller has not said that it is
-/// new: what is refused shows it. And the rate falls in the middle of a burst.
+/// The lower limits apply although one controller has not announced the new version: a refused
+/// write reveals them. Then the rate limit drops in the middle of a burst.
 #[tokio::test]
-async fn what_is_refused_shows_the_new_limits() {
+async fn refused_writes_reveal_the_lowered_limits() {
     let service = Service::with_types();
-    let text = with_next().replacen(
+    let text = settings_with_lowered_limits().replacen(
         "[external]",
         "[[peers]]\nnode_name = \"n-1\"\naddress = \"127.0.0.1:3\"\n[external]",
         1,
@@ -524,8 +541,8 @@
     service.store().put(KeyWrite::new(key::job("j-1"), &job));
     let controller = service.controller(1, &text).await;
     service.elect(&controller, 1);
-    caught_up(&service, &controller).await;
-    assert!(!controller.state_limits().chunked, "the other may still come back old");
+    wait_until_caught_up(&service, &controller).await;
+    assert!(!controller.state_limits().chunked, "the other controller may still run the old version");
     service.store().limits = Some((2048, 4));
     let write = async || {
         let version = controller.state().records.replica.jobs["j-1"].version;
@@ -534,15 +551,15 @@
     };
     assert!(matches!(write().await, Err(StoreError::Refused(400))));
     assert!(controller.state_limits().chunked && controller.state_limits().txn_ops == 4);
-    assert!(matches!(write().await, Ok(TxnOutcome::Committed { .. })), "in smaller pieces");
-    caught_up(&service, &controller).await;
-    assert_eq!(service.store().refused, [400], "never sent again unchanged");
-    assert_eq!(controller.state_limits().write_rps, 30.0, "the full rate until then");
-    service.store().rate = Some(0);
+    assert!(matches!(write().await, Ok(TxnOutcome::Committed { .. })), "committed in chunks");
+    wait_until_caught_up(&service, &controller).await;
+    assert_eq!(service.store().refused, [400], "the refused write is not repeated unchanged");
+    assert_eq!(controller.state_limits().write_rps, 30.0, "the full rate until a refusal");
+    service.store().accepted_txns = Some(0);
     let e =
         controller.kv_client.txn(Vec::new(), vec![KeyWrite::delete(key::job("j-2"))]).await.expect_err("429");
     controller.note_refusal(&e);
-    assert_eq!(controller.state_limits().write_rps, 20.0, "from the first refusal on");
+    assert_eq!(controller.state_limits().write_rps, 20.0, "the lowered rate after a refusal");
     controller.update_write_share(&mut controller.state(), Instant::now());
     assert!(controller.state().writes.limiter.per_second() <= 20.0);
     controller.shutdown.cancel();
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -1,6 +1,5 @@
-//! A stand-in for the state service for several controllers, each with a door of its
-//! own to it and troubles of its own: refusals, slowness, answers that are lost, and
-//! transactions that are carried out late.
+//! A fake state service for several controllers. Each controller has its own link to it with its
+//! own faults: refused requests, slow or lost responses, and transactions that are applied late.
 
 use std::collections::{BTreeMap, HashMap};
 use std::future::pending;
@@ -24,37 +23,37 @@
 use crate::settings::{Peer, Settings};
 use crate::{api, change_feed, freshness_checks, scheduler};
 
-/// What a controller meets at the state service.
+/// Fault on a controller's link to the state service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum Trouble {
+pub enum LinkFault {
     #[default]
     None,
     Refused,
     /// Every second request is refused.
     Flaky,
-    /// What is asked is carried out at once, and each answer takes so long.
+    /// Requests are applied at once; each response is delayed by this time.
     Slow(Duration),
-    /// Transactions are carried out at once, and their answers are lost.
+    /// Transactions are applied at once, and their responses are lost.
     Unanswered,
-    /// Transactions get no answer and are carried out so much later.
+    /// Transactions get no response and are applied after this delay.
     Late(Duration),
 }
 
 #[derive(Default)]
-pub struct Door {
-    trouble: Mutex<Trouble>,
-    /// Watches tell nothing: only what is asked for is known.
-    pub deaf: AtomicBool,
+pub struct StoreLink {
+    fault: Mutex<LinkFault>,
+    /// Watches deliver no changes: the controller knows only what it requests.
+    pub watches_stalled: AtomicBool,
     requests: AtomicU32,
 }
 
-impl Door {
-    pub fn set(&self, trouble: Trouble) {
-        *self.trouble.lock().unwrap_or_else(PoisonError::into_inner) = trouble;
+impl StoreLink {
+    pub fn set_fault(&self, fault: LinkFault) {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    fn trouble(&self) -> Trouble {
-        *self.trouble.lock().unwrap_or_else(PoisonError::into_inner)
+    fn fault(&self) -> LinkFault {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -65,9 +64,9 @@
     pub revision: u64,
     leases: HashMap<u64, (Duration, Instant)>,
     last_lease: u64,
-    /// All transactions that were asked for, in this order.
+    /// All transactions received, in order of arrival.
     pub sent: Vec<Txn<Value>>,
-    /// Most items of a page.
+    /// Maximum items of a page; 0 for the default of 400.
     pub page: usize,
 }
 
@@ -127,7 +126,7 @@
         Reply::new(200, &serde_json::json!({"epoch": self.revision}))
     }
 
-    /// A job's record as it stands.
+    /// The current record of a job.
     pub fn job(&self, id: &str) -> Option<JobRecord> {
         let (value, ..) = self.keys.get(&key::job(id))?;
         match store::decode_change(&key::job(id), Some(value.clone())) {
@@ -136,7 +135,7 @@
         }
     }
 
-    /// The map as it stands.
+    /// The current cluster map.
     pub fn map(&self) -> Option<ClusterMap> {
         let (value, ..) = self.keys.get(key::MAP)?;
         match store::decode_change(key::MAP, Some(value.clone())) {
@@ -154,38 +153,38 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn come_in(self, door: Arc<Door>, request: Request) -> Reply {
-        let n = door.requests.fetch_add(1, Ordering::Relaxed);
+    async fn receive(self, link: Arc<StoreLink>, request: Request) -> Reply {
+        let n = link.requests.fetch_add(1, Ordering::Relaxed);
         let txn = request.path == "/txn";
         if txn {
             let sent = wire::decode(&request.body).expect("a transaction");
             self.store().sent.push(sent);
         }
-        match door.trouble() {
-            Trouble::Refused => return Reply::error(503, "outage"),
-            Trouble::Flaky if n % 2 == 1 => return Reply::error(503, "outage"),
-            Trouble::Slow(by) => {
-                let reply = self.answer(&door, request).await;
-                sleep(by).await;
+        match link.fault() {
+            LinkFault::Refused => return Reply::error(503, "outage"),
+            LinkFault::Flaky if n % 2 == 1 => return Reply::error(503, "outage"),
+            LinkFault::Slow(delay) => {
+                let reply = self.answer(&link, request).await;
+                sleep(delay).await;
                 return reply;
             }
-            Trouble::Unanswered if txn => {
-                self.answer(&door, request).await;
+            LinkFault::Unanswered if txn => {
+                self.answer(&link, request).await;
                 return pending().await;
             }
-            Trouble::Late(by) if txn => {
+            LinkFault::Late(delay) if txn => {
                 tokio::spawn(async move {
-                    sleep(by).await;
-                    self.answer(&door, request).await;
+                    sleep(delay).await;
+                    self.answer(&link, request).await;
                 });
                 return pending().await;
             }
             _ => {}
         }
-        self.answer(&door, request).await
+        self.answer(&link, request).await
     }
 
-    async fn answer(&self, door: &Door, request: Request) -> Reply {
+    async fn answer(&self, link: &StoreLink, request: Request) -> Reply {
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         let field = |name: &str| {
             query.split('&').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')).map(str::to_owned)
@@ -200,7 +199,7 @@
             let waits = || {
                 let mut store = self.store();
                 store.end_leases();
-                store.revision <= after || hold > 0 && door.deaf.load(Ordering::Relaxed)
+                store.revision <= after || hold > 0 && link.watches_stalled.load(Ordering::Relaxed)
             };
             while waits() && Instant::now() < until {
                 sleep(Duration::from_millis(5)).await;
@@ -243,49 +242,54 @@
         Reply::new(200, &Items { items, more, revision: store.revision })
     }
 
-    /// A way to the state service for one controller.
-    pub async fn door(&self) -> (Arc<Door>, String) {
+    /// A link to the state service for one controller, and its address.
+    pub async fn link(&self) -> (Arc<StoreLink>, String) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address").to_string();
-        let door = Arc::new(Door::default());
-        let (this, of) = (self.clone(), door.clone());
+        let link = Arc::new(StoreLink::default());
+        let (this, link_of_requests) = (self.clone(), link.clone());
         let connections = Arc::new(net::Connections::new(256, &[], |_| 0));
-        let serve = move |request| this.clone().come_in(of.clone(), request);
+        let serve = move |request| this.clone().receive(link_of_requests.clone(), request);
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
         tokio::spawn(net::serve(listener, connections, 1 << 20, serve, stop, tasks));
-        (door, addr)
+        (link, addr)
     }
 
-    /// One of `size` controllers, without any duty yet.
-    pub async fn controller(&self, n: usize, size: usize, incarnation: u64) -> (Arc<Controller>, Arc<Door>) {
-        let (door, addr) = self.door().await;
+    /// One of `size` controllers, without any background task.
+    pub async fn controller(
+        &self,
+        n: usize,
+        size: usize,
+        incarnation: u64,
+    ) -> (Arc<Controller>, Arc<StoreLink>) {
+        let (link, addr) = self.link().await;
         let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
         settings.node_name = format!("n-{n}");
         settings.external.state = addr;
-        // So that checks follow each other closely.
+        // A high rate, so that freshness checks follow each other closely.
         settings.facts.state.rps = 2000.0;
         let others = (0..size).filter(|p| *p != n);
         settings.peers =
             others.map(|p| Peer { node_name: format!("n-{p}"), address: "127.0.0.1:1".into() }).collect();
         (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e4, 1e4);
-        (Controller::new(settings, Operators::default(), incarnation), door)
+        (Controller::new(settings, Operators::default(), incarnation), link)
     }
 
-    /// One that follows the records, and knows them.
-    pub async fn follower(&self, n: usize, size: usize) -> (Arc<Controller>, Arc<Door>) {
-        let (controller, door) = self.controller(n, size, 1 + n as u64).await;
-        follow(&controller);
-        assert!(soon(20, || controller.state().records.is_loaded).await);
-        (controller, door)
+    /// A controller that follows the records and has loaded them.
+    pub async fn follower(&self, n: usize, size: usize) -> (Arc<Controller>, Arc<StoreLink>) {
+        let (controller, link) = self.controller(n, size, 1 + n as u64).await;
+        start_following(&controller);
+        assert!(eventually(20, || controller.state().records.is_loaded).await);
+        (controller, link)
     }
 
-    /// These controllers are live, the first of them leads.
-    pub fn elect(&self, nodes: &[&Arc<Controller>], epoch: u64) {
+    /// Makes these controllers live and the first of them the leader.
+    pub fn elect(&self, controllers: &[&Arc<Controller>], epoch: u64) {
         let mut store = self.store();
-        let live = nodes.iter().map(|n| n.identity.clone()).collect();
+        let live = controllers.iter().map(|n| n.identity.clone()).collect();
         store.put(KeyWrite::new(key::MAP.into(), &ClusterMap { epoch, live }));
-        store.put(KeyWrite::new(key::LEADER.into(), &nodes[0].identity));
-        for controller in nodes {
+        store.put(KeyWrite::new(key::LEADER.into(), &controllers[0].identity));
+        for controller in controllers {
             store.put(KeyWrite::new(key::member(&controller.identity.name), &controller.identity));
             store.put(KeyWrite::new(
                 key::upgraded(&controller.identity.name),
@@ -296,22 +300,24 @@
 
     pub fn with_types() -> Self {
         let service = Self::default();
-        let kind = crate::worker::tests::machine_type(40.0, 90.0, &["a"]);
-        service.store().put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![kind] }));
+        let machine_type = crate::worker::tests::machine_type(40.0, 90.0, &["a"]);
+        service
+            .store()
+            .put(KeyWrite::new(key::TYPES.into(), &MachineTypesRecord { types: vec![machine_type] }));
         service
     }
 }
 
-/// Starts the duties that keep the mirror.
-pub fn follow(controller: &Arc<Controller>) {
+/// Starts the background tasks that keep the replica up to date.
+pub fn start_following(controller: &Arc<Controller>) {
     controller.spawn_task(change_feed::follow_records(controller.clone()));
     controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
 }
 
-/// Whether something comes about within so many seconds.
-pub async fn soon(seconds: u64, mut so: impl FnMut() -> bool) -> bool {
+/// Whether the condition becomes true within so many seconds.
+pub async fn eventually(seconds: u64, mut condition: impl FnMut() -> bool) -> bool {
     timeout(Duration::from_secs(seconds), async {
-        while !so() {
+        while !condition() {
             sleep(Duration::from_millis(5)).await;
         }
     })
@@ -319,13 +325,13 @@
     .is_ok()
 }
 
-/// The mirror has all that there is, and by itself.
-pub async fn caught_up(service: &Service, controller: &Arc<Controller>) {
+/// Waits until the change feed has brought the controller's replica to the newest revision.
+pub async fn wait_until_caught_up(service: &Service, controller: &Arc<Controller>) {
     let revision = service.store().revision;
     assert!(controller.wait_for_revision(revision, Duration::from_secs(20)).await);
 }
 
-pub async fn ask(
+pub async fn send_request(
     controller: &Arc<Controller>,
     method: &str,
     path: &str,
@@ -337,57 +343,59 @@
 }
 
 pub async fn submit_once(controller: &Arc<Controller>, spec: &JobSpec) -> (u16, Option<JobState>) {
-    let (status, job) = ask(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
+    let (status, job) = send_request(controller, "POST", "/v1/jobs", wire::encode(spec)).await;
     (status, job.map(|j| j.state))
 }
 
 pub async fn state_once(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
-    let (status, job) = ask(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await;
+    let (status, job) = send_request(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await;
     (status, job.map(|j| j.state))
 }
 
 pub async fn cancel_once(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
-    let (status, job) = ask(controller, "POST", &format!("/v1/jobs/{id}/withdraw"), Vec::new()).await;
+    let (status, job) =
+        send_request(controller, "POST", &format!("/v1/jobs/{id}/withdraw"), Vec::new()).await;
     (status, job.map(|j| j.state))
 }
 
-/// As users do: a 503 is no answer, and they ask again. On a busy machine there may be
-/// one at any time.
-pub async fn again(ask: impl AsyncFn() -> (u16, Option<JobState>)) -> (u16, Option<JobState>) {
+/// Retries a request on 503, as users do. On a busy machine a 503 may come at any time.
+pub async fn retry_while_unavailable(
+    request: impl AsyncFn() -> (u16, Option<JobState>),
+) -> (u16, Option<JobState>) {
     let since = Instant::now();
     loop {
-        let answer = ask().await;
-        if answer.0 != 503 || since.elapsed() > Duration::from_secs(20) {
-            return answer;
+        let response = request().await;
+        if response.0 != 503 || since.elapsed() > Duration::from_secs(20) {
+            return response;
         }
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 pub async fn submit(controller: &Arc<Controller>, spec: &JobSpec) -> (u16, Option<JobState>) {
-    again(async || submit_once(controller, spec).await).await
+    retry_while_unavailable(async || submit_once(controller, spec).await).await
 }
 
-pub async fn state(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
-    again(async || state_once(controller, id).await).await
+pub async fn job_state(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
+    retry_while_unavailable(async || state_once(controller, id).await).await
 }
 
 pub async fn cancel(controller: &Arc<Controller>, id: &str) -> (u16, Option<JobState>) {
-    again(async || cancel_once(controller, id).await).await
+    retry_while_unavailable(async || cancel_once(controller, id).await).await
 }
 
-/// One round of a controller, committed.
-pub async fn round(controller: &Arc<Controller>) {
+/// Runs and commits one scheduling cycle of a controller.
+pub async fn run_cycle(controller: &Arc<Controller>) {
     let decided = {
-        let mut core = controller.state();
+        let mut state = controller.state();
         let ops = controller.state_limits().txn_ops;
         scheduler::decide(
             controller,
-            &mut core,
+            &mut state,
             scheduler::CycleContext::new(ops, Instant::now(), crate::controller::wall_ms()),
         )
     };
-    if let Some(round) = decided {
-        scheduler::commit(controller, round).await;
+    if let Some(cycle) = decided {
+        scheduler::commit(controller, cycle).await;
     }
 }
