--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -1,5 +1,5 @@
-//! About four thousand machines, and where nothing is bounded below that. What is counted
-//! here (changes, requests, bytes, machines looked at) fails when a fixed limit comes back.
+//! Tests with about four thousand machines. They count changes, requests, bytes and machines
+//! examined, so that a fixed limit below that size fails them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,29 +21,34 @@
 const MACHINES: usize = 4000;
 const NOW_MS: u64 = 500_000;
 
-fn apply(world: &mut Replica, change: RecordChange) {
-    let version = world.revision + 1;
-    world.apply(change, version);
-    world.revision = version;
+fn apply(replica: &mut Replica, change: RecordChange) {
+    let version = replica.revision + 1;
+    replica.apply(change, version);
+    replica.revision = version;
 }
 
-/// Takes in what a round would write, as if it had been committed; tells how many changes.
-fn commit(controller: &Arc<Controller>, world: &mut Replica, mut round: scheduler::SchedulingCycle) -> usize {
-    let scheduler::CycleTransaction { writes: puts, left_out, teams, .. } =
-        scheduler::build_transaction(world, &round, &controller.state_limits(), usize::MAX);
-    for (id, record) in std::mem::take(&mut round.jobs) {
+/// Applies the writes of a scheduling cycle as if it had been committed; returns the number of
+/// writes.
+fn commit(
+    controller: &Arc<Controller>,
+    replica: &mut Replica,
+    mut cycle: scheduler::SchedulingCycle,
+) -> usize {
+    let scheduler::CycleTransaction { writes, left_out, teams, .. } =
+        scheduler::build_transaction(replica, &cycle, &controller.state_limits(), usize::MAX);
+    for (id, record) in std::mem::take(&mut cycle.jobs) {
         if !left_out.contains(&id) {
-            apply(world, RecordChange::Job(id, Some(record)));
+            apply(replica, RecordChange::Job(id, Some(record)));
         }
     }
     for (team, record) in teams {
-        apply(world, RecordChange::Team(team, Some(record)));
+        apply(replica, RecordChange::Team(team, Some(record)));
     }
-    puts.len()
+    writes.len()
 }
 
-fn report(controller: &Arc<Controller>, machine: &str, seq: u64, token: u64) -> Heartbeat {
-    let core = controller.state();
+fn report(controller: &Arc<Controller>, machine: &str, sequence: u64, token: u64) -> Heartbeat {
+    let state = controller.state();
     let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskStatus {
         task: format!("{job}/{}", a.task),
         attempt: a.attempt,
@@ -51,7 +56,7 @@
         cause: None,
         checkpointed: None,
     };
-    let record = &core.records.replica.machines[machine].value;
+    let record = &state.records.replica.machines[machine].value;
     Heartbeat {
         machine: machine.into(),
         addr: record.addr.clone(),
@@ -59,53 +64,61 @@
         zone: record.zone.to_string(),
         spot: record.spot,
         incarnation: 1,
-        sequence: seq,
+        sequence,
         fencing_token: token,
         spot_notice_s: None,
-        tasks: core.records.replica.assignments(machine).map(running).collect(),
+        tasks: state.records.replica.assignments(machine).map(running).collect(),
     }
 }
 
-/// An array for every machine there is. A round places as much of it as a transaction holds,
-/// and it takes no more rounds than that.
+/// Arrays with a task for every machine: each cycle places as many tasks as a transaction holds,
+/// so that no more cycles are needed than the writes require.
 #[test]
-fn thousands_of_tasks_are_placed_in_as_many_rounds_as_changes_need() {
+fn thousands_of_tasks_are_placed_in_as_few_cycles_as_the_writes_need() {
     let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
     scale::fill(&controller, now);
-    let mut core = controller.state();
-    let free_before: usize = core.records.replica.machines.len() - core.records.replica.jobs_by_machine.len();
+    let mut state = controller.state();
+    let free_before: usize =
+        state.records.replica.machines.len() - state.records.replica.jobs_by_machine.len();
     for n in 0..40 {
         let mut job = spec(&format!("j-{}", 5_000_000 + n), JobKind::Array);
         (job.tasks, job.cpus) = (100, 1.0);
         let record = JobRecord::new(job, None, 1000);
         apply(
-            &mut core.records.replica,
-            RecordChange::Job(record.spec.as_ref().expect("some").id.clone(), Some(Box::new(record))),
+            &mut state.records.replica,
+            RecordChange::Job(
+                record.spec.as_ref().expect("a description").id.clone(),
+                Some(Box::new(record)),
+            ),
         );
     }
-    let waiting = |world: &Replica| {
-        world.open_job_ids.iter().map(|id| pending_task_count(&world.jobs[id].value)).sum::<u32>()
+    let waiting = |replica: &Replica| {
+        replica.open_job_ids.iter().map(|id| pending_task_count(&replica.jobs[id].value)).sum::<u32>()
     };
-    let first = waiting(&core.records.replica);
+    let first = waiting(&state.records.replica);
     assert!(first >= 4000, "{first}");
-    let mut rounds = 0;
-    while waiting(&core.records.replica) > 0 && rounds < 40 {
-        rounds += 1;
-        let at = now + Duration::from_millis(100 * rounds);
-        core.records.fresh_at = Some(at);
-        core.machines.workers.values_mut().for_each(|w| w.set_last_status_at(at));
-        let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, at, NOW_MS))
+    let mut cycles = 0;
+    while waiting(&state.records.replica) > 0 && cycles < 40 {
+        cycles += 1;
+        let at = now + Duration::from_millis(100 * cycles);
+        state.records.fresh_at = Some(at);
+        state.machines.workers.values_mut().for_each(|w| w.set_last_status_at(at));
+        let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, at, NOW_MS))
             .expect("entitled");
-        assert!(commit(&controller, &mut core.records.replica, round) <= 16);
+        assert!(commit(&controller, &mut state.records.replica, cycle) <= 16);
     }
-    assert_eq!(waiting(&core.records.replica), 0, "after {rounds} rounds, {free_before} machines were empty");
-    assert!(rounds <= 8, "{rounds}");
+    assert_eq!(
+        waiting(&state.records.replica),
+        0,
+        "after {cycles} cycles, {free_before} machines were empty"
+    );
+    assert!(cycles <= 8, "{cycles}");
 }
 
-/// The other controllers are gone, and one has all machines. All workers that come are
-/// answered, those that do not are asked before they are given up, and no machine is given
-/// up that was not.
+/// All other controllers are gone, and one owns all machines. Every worker that sends a heartbeat
+/// is answered, the others are probed before they count as lost, and no machine is given up
+/// without a probe.
 #[test]
 fn one_controller_takes_over_all_machines() {
     let controller = scale::controller(MACHINES, 5);
@@ -115,14 +128,14 @@
     assert!(before < MACHINES / 2, "{before}");
     let map = ClusterMap { epoch: 8, live: vec![controller.identity.clone()] };
     {
-        let mut core = controller.state();
-        apply(&mut core.records.replica, RecordChange::Map(Some(map)));
-        let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, now, NOW_MS))
+        let mut state = controller.state();
+        apply(&mut state.records.replica, RecordChange::Map(Some(map)));
+        let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, now, NOW_MS))
             .expect("entitled");
-        assert!(round.jobs.is_empty(), "nothing is over");
-        assert_eq!(core.machines.workers.len(), MACHINES);
+        assert!(cycle.jobs.is_empty(), "no task has ended");
+        assert_eq!(state.machines.workers.len(), MACHINES);
     }
-    // Half of the workers find the new owner; each is answered and its lease renewed.
+    // Half of the workers reach the new owner: each gets a response, and its lease is renewed.
     let machines: Vec<Name> = controller.state().records.replica.machines.keys().cloned().collect();
     let later = now + Duration::from_secs(2);
     for id in machines.iter().step_by(2) {
@@ -130,29 +143,42 @@
         let outcome = process_heartbeat(&controller, &report, HeartbeatRoute::Direct, later);
         assert!(matches!(outcome, HeartbeatOutcome::Respond(_)), "{id}: {outcome:?}");
     }
-    // The others are late. None of them has been asked yet: whatever time has passed, they
-    // are not silent.
-    let silent = now + controller.silence_limit() * 2;
-    let mut core = controller.state();
-    let unmet: Vec<Name> =
-        core.machines.workers.iter().filter(|(_, w)| !w.was_heard_from()).map(|(id, _)| id.clone()).collect();
-    assert!(unmet.len() > MACHINES / 4, "{}", unmet.len());
-    assert!(unmet.iter().all(|id| core.machines.workers[id].silent_for(silent) == Duration::ZERO));
-    for id in &unmet {
-        core.machines.workers.get_mut(id).expect("owned").note_probe_failure();
+    // The others send no heartbeat. None of them has been probed yet: they do not count as silent,
+    // however much time has passed.
+    let after_silence_limit = now + controller.silence_limit() * 2;
+    let mut state = controller.state();
+    let not_heard_from: Vec<Name> = state
+        .machines
+        .workers
+        .iter()
+        .filter(|(_, w)| !w.was_heard_from())
+        .map(|(id, _)| id.clone())
+        .collect();
+    assert!(not_heard_from.len() > MACHINES / 4, "{}", not_heard_from.len());
+    assert!(
+        not_heard_from
+            .iter()
+            .all(|id| state.machines.workers[id].silent_for(after_silence_limit) == Duration::ZERO)
+    );
+    for id in &not_heard_from {
+        state.machines.workers.get_mut(id).expect("owned").note_probe_failure();
     }
-    assert!(unmet.iter().all(|id| core.machines.workers[id].silent_for(silent) > controller.silence_limit()));
+    assert!(
+        not_heard_from
+            .iter()
+            .all(|id| state.machines.workers[id].silent_for(after_silence_limit) > controller.silence_limit())
+    );
 }
 
-/// A zone of a third of all machines is lost: a change for each job that had something there,
-/// whatever their number, and the machines are told gone in one change of one record.
+/// A zone with a quarter of all machines is lost: that costs one change for each job with tasks
+/// there, whatever their number, and the removed machines are named in one change of one record.
 #[test]
-fn a_zone_of_a_thousand_machines_costs_a_change_for_each_job() {
+fn lost_zone_of_a_thousand_machines_costs_one_change_per_job() {
     let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
     scale::fill(&controller, now);
-    let mut core = controller.state();
-    let lost: Vec<Name> = core
+    let mut state = controller.state();
+    let lost: Vec<Name> = state
         .records
         .replica
         .machines
@@ -161,38 +187,41 @@
         .map(|(id, _)| id.clone())
         .collect();
     assert_eq!(lost.len(), MACHINES / 4);
-    let hit: std::collections::BTreeSet<String> = lost
+    let affected_jobs: std::collections::BTreeSet<String> = lost
         .iter()
-        .flat_map(|id| core.records.replica.assignments(id).map(|(job, ..)| job.to_owned()))
+        .flat_map(|id| state.records.replica.assignments(id).map(|(job, ..)| job.to_owned()))
         .collect();
     let fleet = FleetRecord { scale_outs: Vec::new(), removed_machines: Some(lost) };
-    assert!(store::KeyWrite::new("f".into(), &fleet).json_len() < 4096, "one small value names all of them");
-    apply(&mut core.records.replica, RecordChange::Fleet(Some(fleet)));
-    let (mut changes, mut rounds) = (0, 0);
-    while !core.records.replica.machines_without_record.is_empty() {
-        rounds += 1;
-        assert!(rounds < 200, "{} left", core.records.replica.machines_without_record.len());
-        let at = now + Duration::from_millis(100 * rounds);
-        let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, at, NOW_MS))
+    assert!(
+        store::KeyWrite::new("f".into(), &fleet).json_len() < 4096,
+        "one small value names all lost machines"
+    );
+    apply(&mut state.records.replica, RecordChange::Fleet(Some(fleet)));
+    let (mut changes, mut cycles) = (0, 0);
+    while !state.records.replica.machines_without_record.is_empty() {
+        cycles += 1;
+        assert!(cycles < 200, "{} left", state.records.replica.machines_without_record.len());
+        let at = now + Duration::from_millis(100 * cycles);
+        let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, at, NOW_MS))
             .expect("entitled");
-        changes += commit(&controller, &mut core.records.replica, round);
+        changes += commit(&controller, &mut state.records.replica, cycle);
     }
-    assert!(hit.len() > 100, "{}", hit.len());
-    assert!(changes <= hit.len() * 3 / 2, "{changes} changes for {} jobs", hit.len());
+    assert!(affected_jobs.len() > 100, "{}", affected_jobs.len());
+    assert!(changes <= affected_jobs.len() * 3 / 2, "{changes} changes for {} jobs", affected_jobs.len());
 }
 
-/// All controllers come back at once: what one says of the machines that it owns alone fits
-/// into a message, with room for twice as many.
+/// All controllers restart at once: the status that one controller sends about all machines fits
+/// into a message, even with twice as many machines.
 #[test]
-fn what_one_owner_says_of_all_machines_fits_into_a_message() {
+fn status_of_all_machines_of_one_owner_fits_into_a_message() {
     let controller = scale::controller(2 * MACHINES, 1);
     let now = Instant::now();
     {
-        let mut core = controller.state();
-        let owned: Vec<Name> = core.records.replica.owned_by(&controller.identity).cloned().collect();
+        let mut state = controller.state();
+        let owned: Vec<Name> = state.records.replica.owned_by(&controller.identity).cloned().collect();
         assert_eq!(owned.len(), 2 * MACHINES);
         for id in owned {
-            core.machines.workers.insert(id, Worker::new("10.1.0.1:9000".into(), 7, now));
+            state.machines.workers.insert(id, Worker::new("10.1.0.1:9000".into(), 7, now));
         }
     }
     let summary = peer_status::own_status(&controller);
@@ -201,60 +230,61 @@
     assert!(bytes.len() < peer_client::MAX_MESSAGE_BYTES, "{}", bytes.len());
 }
 
-/// A gang on every machine. Before all controllers are upgraded its record cannot be written:
-/// it takes nobody's room then. Afterwards it is placed, and its record lies in parts.
+/// A gang with tasks on nearly every machine. Before all controllers are upgraded its record
+/// cannot be written, and it must not reserve room that other jobs can use. Afterwards it is
+/// placed, with its record in chunks.
 #[test]
-fn a_gang_on_all_machines_waits_for_the_upgrade_and_is_placed_after_it() {
+fn gang_on_all_machines_is_placed_only_after_the_upgrade() {
     let controller = scale::controller(MACHINES, 1);
     let now = Instant::now();
     {
-        let mut core = controller.state();
-        let owned: Vec<Name> = core.records.replica.owned_by(&controller.identity).cloned().collect();
+        let mut state = controller.state();
+        let owned: Vec<Name> = state.records.replica.owned_by(&controller.identity).cloned().collect();
         for id in owned {
             let mut worker = Worker::new("10.1.0.1:9000".into(), 7, now);
             worker.set_owned_since(now);
-            core.machines.workers.insert(id, worker);
+            state.machines.workers.insert(id, worker);
         }
     }
     let machines: Vec<Name> = controller.state().records.replica.machines.keys().cloned().collect();
     for id in &machines {
         let report = report(&controller, id, 1, first_token(7));
-        let mut core = controller.state();
-        let worker = core.machines.workers.get_mut(id).expect("owned");
+        let mut state = controller.state();
+        let worker = state.machines.workers.get_mut(id).expect("owned");
         worker.receive_heartbeat(report, now);
         worker.renew_lease(now);
     }
-    let mut core = controller.state();
-    core.records.fresh_at = Some(now);
-    let add = |world: &mut Replica, id: &str, kind, tasks, cpus| {
+    let mut state = controller.state();
+    state.records.fresh_at = Some(now);
+    let add = |replica: &mut Replica, id: &str, kind, tasks, cpus| {
         let mut job = spec(id, kind);
         (job.tasks, job.cpus) = (tasks, cpus);
-        apply(world, RecordChange::Job(id.into(), Some(Box::new(JobRecord::new(job, None, 1000)))));
+        apply(replica, RecordChange::Job(id.into(), Some(Box::new(JobRecord::new(job, None, 1000)))));
     };
-    // So many that there is one on nearly every machine without GPUs, three thousand.
-    add(&mut core.records.replica, "j-1", JobKind::Gang, 6900, 4.0);
-    add(&mut core.records.replica, "j-2", JobKind::Array, 4, 2.0);
-    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, now, NOW_MS))
+    // Enough tasks for nearly every machine without GPUs; there are three thousand of these.
+    add(&mut state.records.replica, "j-1", JobKind::Gang, 6900, 4.0);
+    add(&mut state.records.replica, "j-2", JobKind::Array, 4, 2.0);
+    let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, now, NOW_MS))
         .expect("entitled");
-    assert!(!round.placed_jobs.contains("j-1"), "its record cannot be written");
-    assert!(round.placed_jobs.contains("j-2"), "nobody waits with it");
-    commit(&controller, &mut core.records.replica, round);
+    assert!(!cycle.placed_jobs.contains("j-1"), "its record cannot be written");
+    assert!(cycle.placed_jobs.contains("j-2"), "other jobs are not held back");
+    commit(&controller, &mut state.records.replica, cycle);
     controller.limit_changes.all_upgraded.store(true, std::sync::atomic::Ordering::Relaxed);
     let later = now + Duration::from_secs(21);
-    core.records.fresh_at = Some(later);
-    core.machines.workers.values_mut().for_each(|w| {
+    state.records.fresh_at = Some(later);
+    state.machines.workers.values_mut().for_each(|w| {
         w.note_process_pause(later);
         w.set_last_status_at(later);
     });
-    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, later, NOW_MS))
+    let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, later, NOW_MS))
         .expect("entitled");
-    let record = round.jobs.get("j-1").expect("placed");
+    let record = cycle.jobs.get("j-1").expect("placed");
     assert_eq!(record.assignments.len(), 6900);
     let machines: std::collections::BTreeSet<&Name> = record.assignments.iter().map(|a| &a.machine).collect();
     assert!(machines.len() > 2900, "{}", machines.len());
     let put = store::KeyWrite::new(store::key::job("j-1"), record);
     assert!(put.value_len() as f64 > controller.state_limits().value_bytes);
     let assembled =
-        scheduler::build_transaction(&core.records.replica, &round, &controller.state_limits(), usize::MAX);
+        scheduler::build_transaction(&state.records.replica, &cycle, &controller.state_limits(), usize::MAX);
     assert_eq!(assembled.chunked_job.as_deref(), Some("j-1"));
 }
--- a/crates/daemon/tests/unit/production.rs
+++ b/crates/daemon/tests/unit/production.rs
@@ -1,7 +1,7 @@
-//! What the version in production reads and writes: a frozen copy of its record types,
-//! kept to see that both versions understand each other. It ignores keys and fields
-//! that it does not know, drops the latter when it writes a record again, and reads
-//! nothing of a record in another form. Never to be changed with the records.
+//! A frozen copy of the record types of the version in production, which verifies that both
+//! versions can read each other's records. That version ignores unknown keys and fields, drops
+//! unknown fields when it rewrites a record, and reads nothing of a record in another format.
+//! These types must not change when the current records do.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
@@ -17,7 +17,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Want {
+pub enum DesiredState {
     #[serde(rename = "r")]
     Run,
     #[serde(rename = "s")]
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     #[serde(rename = "array")]
     Array,
     #[serde(rename = "ensemble")]
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Rank {
+pub enum Priority {
     #[serde(rename = "idle")]
     Low,
     #[serde(rename = "normal")]
@@ -51,8 +51,8 @@
     pub id: String,
     pub pattern: String,
     pub owner: String,
-    pub weave: Kind,
-    pub rank: Rank,
+    pub weave: JobKind,
+    pub rank: Priority,
     pub threads: u32,
     pub cpus: f64,
     pub gpus: f64,
@@ -73,7 +73,7 @@
     pub due_s: Option<f64>,
 }
 
-type Group = (String, usize, u64, Want, String);
+type AssignmentGroup = (String, usize, u64, DesiredState, String);
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
@@ -86,10 +86,10 @@
     pub submitted_ms: u64,
     #[serde(default)]
     pub attempt: u64,
-    #[serde(default, skip_serializing_if = "nothing")]
+    #[serde(default, skip_serializing_if = "is_empty_range")]
     pub done: (u32, String),
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub run: Vec<Group>,
+    pub run: Vec<AssignmentGroup>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub avoid: Vec<(String, u64)>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -102,7 +102,7 @@
     pub error_ms: u64,
 }
 
-fn nothing(done: &(u32, String)) -> bool {
+fn is_empty_range(done: &(u32, String)) -> bool {
     done.0 == 0 && done.1.is_empty()
 }
 
@@ -136,11 +136,11 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Types {
-    pub types: Vec<Kinds>,
+    pub types: Vec<MachineType>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Kinds {
+pub struct MachineType {
     pub label: String,
     pub cpus: f64,
     pub gpus: f64,
@@ -154,7 +154,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct ScaleOut {
     pub r: String,
     pub t: String,
     pub z: String,
@@ -166,24 +166,24 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    pub rentals: Vec<Rental>,
+    pub rentals: Vec<ScaleOut>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gone: Option<Vec<(String, usize, String)>>,
 }
 
-/// What production makes of a key's value.
+/// How production reads the value of a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Read {
-    /// A key that it does not know.
+    /// A key unknown to production.
     Ignored,
-    /// There is a record, but none that it can read: what it knew of it stands, and it
-    /// answers 503 for the job.
+    /// A record that production cannot read: it keeps its last known state and answers 503 for the
+    /// job.
     Unreadable,
-    /// The record, as it would write it again.
+    /// The record as production would rewrite it.
     Record(Value),
 }
 
-fn again<T: DeserializeOwned + Serialize>(value: &Value) -> Read {
+fn reencode<T: DeserializeOwned + Serialize>(value: &Value) -> Read {
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, value).expect("into memory");
     match wire::decode::<T>(&bytes) {
@@ -198,14 +198,14 @@
 pub fn read(key: &str, value: &Value) -> Read {
     let Some(rest) = key.strip_prefix("sageloom/") else { return Read::Ignored };
     match rest.split_once('/') {
-        Some(("jobs", _)) => again::<Job>(value),
-        Some(("machines", _)) => again::<Machine>(value),
-        Some(("teams", _)) => again::<Team>(value),
-        Some(("members", _)) => again::<Member>(value),
-        None if rest == "leader" => again::<Member>(value),
-        None if rest == "map" => again::<Map>(value),
-        None if rest == "types" => again::<Types>(value),
-        None if rest == "fleet" => again::<Fleet>(value),
+        Some(("jobs", _)) => reencode::<Job>(value),
+        Some(("machines", _)) => reencode::<Machine>(value),
+        Some(("teams", _)) => reencode::<Team>(value),
+        Some(("members", _)) => reencode::<Member>(value),
+        None if rest == "leader" => reencode::<Member>(value),
+        None if rest == "map" => reencode::<Map>(value),
+        None if rest == "types" => reencode::<Types>(value),
+        None if rest == "fleet" => reencode::<Fleet>(value),
         _ => Read::Ignored,
     }
 }
@@ -217,18 +217,18 @@
     use store::{KeyWrite, decode_change};
     use wire::JobKind;
 
-    fn golden(part: &str) -> Vec<(String, Vec<u8>)> {
+    fn golden(section: &str) -> Vec<(String, Vec<u8>)> {
         let text = include_str!("../../testdata/production.json");
         let all: serde_json::Value = serde_json::from_str(text).expect("test data");
         let hex = |s: &str| {
             let digit = |i| u8::from_str_radix(&s[i..i + 2], 16).expect("hex");
             (0..s.len()).step_by(2).map(digit).collect()
         };
-        let list = all[part].as_object().expect("a part").iter();
+        let list = all[section].as_object().expect("a section").iter();
         list.map(|(k, v)| (k.clone(), hex(v.as_str().expect("text")))).collect()
     }
 
-    /// A record as it is written again by the version of now, without any change.
+    /// A record as the current version rewrites it without any change.
     fn rewritten(key: &str, change: &RecordChange) -> KeyWrite {
         let key = key.to_owned();
         match change {
@@ -243,20 +243,20 @@
         }
     }
 
-    /// Bytes that production's own encoders wrote: all is read, and written again so
-    /// that production reads the same.
+    /// Bytes from the encoders of production are read, and rewritten so that production reads the
+    /// same.
     #[test]
-    fn what_production_wrote_is_read_and_written_back_alike() {
+    fn records_and_messages_of_production_are_read_and_rewritten_alike() {
         let records = golden("records");
         assert!(records.len() >= 14);
         for (key, bytes) in records {
             let value = rmpv::decode::read_value(&mut bytes.as_slice()).expect("a value");
             let (change, bad) = decode_change(&key, Some(value.clone()));
             assert!(!bad, "{key}");
-            let put = rewritten(&key, &change);
+            let write = rewritten(&key, &change);
             let before = read(&key, &value);
             assert!(matches!(before, Read::Record(_)), "{key}");
-            assert_eq!(read(&key, &put.value.expect("a value")), before, "{key}");
+            assert_eq!(read(&key, &write.value.expect("a value")), before, "{key}");
         }
         for (name, bytes) in golden("messages") {
             let message = peer::decode(&bytes).unwrap_or_else(|| unreachable!("{name} is not read"));
@@ -264,20 +264,21 @@
         }
     }
 
-    /// What is new in a record is either nothing that production has to know, or it
-    /// cannot read the record at all and touches nothing of it.
+    /// A new feature of a record is either irrelevant to production, or makes the whole record
+    /// unreadable to it, so that production does not modify it.
     #[test]
-    fn production_reads_new_records_right_or_not_at_all() {
+    fn production_reads_new_records_correctly_or_not_at_all() {
         let key = "sageloom/jobs/j-1";
         let spec = crate::worker::tests::spec("j-1", JobKind::Array);
         let value = |job: &JobRecord| KeyWrite::new(key.into(), job).value.expect("a value");
         let job = JobRecord::waiting(spec.clone(), None, 5, vec!["j-0".into()]);
-        assert_eq!(read(key, &value(&job)), Read::Unreadable, "a job that waits");
-        // Once it may begin it is a job like any other, with its times counted from then.
-        let mut begun = job.clone();
-        begun.activate(900);
+        assert_eq!(read(key, &value(&job)), Read::Unreadable, "a job that waits for its dependencies");
+        // Once its dependencies are done it is a job like any other, with times that count from
+        // then.
+        let mut activated = job.clone();
+        activated.activate(900);
         let plain = JobRecord::new(spec.clone(), None, 900);
-        assert_eq!(read(key, &value(&begun)), read(key, &value(&plain)));
+        assert_eq!(read(key, &value(&activated)), read(key, &value(&plain)));
         let mut done = JobRecord::new(spec, None, 5);
         let tasks = done.spec.as_ref().map_or(0, |s| s.tasks);
         for task in 0..tasks {
@@ -294,15 +295,15 @@
         let Read::Record(old) = read(key, &value(&done)) else { unreachable!("a final record") };
         let RecordChange::Job(_, Some(back)) = decode_change(key, Some(old)).0 else { unreachable!("a job") };
         assert_eq!((back.phase, back.done.len(), back.ended_ms), (now::Phase::Done, tasks, 0));
-        let chunked = store::split_record(&KeyWrite::new(key.into(), &job), 7, 100).expect("parts");
+        let chunked = store::split_record(&KeyWrite::new(key.into(), &job), 7, 100).expect("chunks");
         assert_eq!(read(key, &chunked.head.value.expect("a value")), Read::Unreadable);
-        for put in chunked.chunks {
-            assert_eq!(read(&put.key, &put.value.expect("a value")), Read::Ignored);
+        for write in chunked.chunks {
+            assert_eq!(read(&write.key, &write.value.expect("a value")), Read::Ignored);
         }
-        let mark = KeyWrite::new(
+        let marker = KeyWrite::new(
             store::key::upgraded("n-1"),
             &now::SchemaMarker { schema_version: now::SCHEMA_VERSION },
         );
-        assert_eq!(read(&mark.key, &mark.value.expect("a value")), Read::Ignored);
+        assert_eq!(read(&marker.key, &marker.value.expect("a value")), Read::Ignored);
     }
 }
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -1,5 +1,5 @@
-//! Two thousand machines and ten thousand tasks, of which a controller owns its
-//! part or, left alone, all. What a round costs is counted, not timed.
+//! Tests with two thousand machines and ten thousand tasks, all owned by one controller or a share
+//! of them. The cost of a scheduling cycle is counted, not timed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 const EPOCH: u64 = 7;
 const NOW_MS: u64 = 500_000;
 
-fn kind(name: &str, cpus: f64, gpus: f64) -> MachineType {
+fn machine_type(name: &str, cpus: f64, gpus: f64) -> MachineType {
     MachineType {
         name: name.into(),
         cpus,
@@ -37,46 +37,51 @@
     }
 }
 
-fn apply(world: &mut Replica, change: RecordChange) {
-    let version = world.revision + 1;
-    world.apply(change, version);
-    world.revision = version;
+fn apply(replica: &mut Replica, change: RecordChange) {
+    let version = replica.revision + 1;
+    replica.apply(change, version);
+    replica.revision = version;
 }
 
-/// The leader of `live` controllers, with so many empty machines of five kinds.
+/// The leader of `live` controllers, with this many empty machines of four types.
 pub fn controller(machines: usize, live: usize) -> Arc<Controller> {
     let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
     (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e6, 1e6);
     let controller = Controller::new(settings, Operators::default(), 1);
-    let kinds = [kind("s", 4.0, 0.0), kind("m", 8.0, 0.0), kind("l", 16.0, 0.0), kind("g", 16.0, 2.0)];
-    let mut core = controller.state();
-    let w = &mut core.records.replica;
-    apply(w, RecordChange::Types(Some(MachineTypesRecord { types: kinds.to_vec() })));
+    let machine_types = [
+        machine_type("s", 4.0, 0.0),
+        machine_type("m", 8.0, 0.0),
+        machine_type("l", 16.0, 0.0),
+        machine_type("g", 16.0, 2.0),
+    ];
+    let mut state = controller.state();
+    let replica = &mut state.records.replica;
+    apply(replica, RecordChange::Types(Some(MachineTypesRecord { types: machine_types.to_vec() })));
     let mut members = vec![controller.identity.clone()];
     members.extend((1..live).map(|n| Member {
         name: format!("n-{n}"),
         zone: ZONES[n % 4].into(),
         incarnation: 1 + n as u64,
     }));
-    apply(w, RecordChange::Leader(Some(controller.identity.clone())));
-    apply(w, RecordChange::Map(Some(ClusterMap { epoch: EPOCH, live: members })));
+    apply(replica, RecordChange::Leader(Some(controller.identity.clone())));
+    apply(replica, RecordChange::Map(Some(ClusterMap { epoch: EPOCH, live: members })));
     for n in 0..machines {
         let record = MachineRecord {
             addr: "10.1.0.1:9000".into(),
-            machine_type: kinds[n / 4 % 4].name.as_str().into(),
+            machine_type: machine_types[n / 4 % 4].name.as_str().into(),
             zone: ZONES[n % 4].into(),
             spot: false,
             release: false,
         };
-        apply(w, RecordChange::Machine(format!("host-{n:06}"), Some(record)));
+        apply(replica, RecordChange::Machine(format!("host-{n:06}"), Some(record)));
     }
-    core.records.is_loaded = true;
-    drop(core);
+    state.records.is_loaded = true;
+    drop(state);
     controller
 }
 
-/// Adds a job; it is placed as far as there is room.
-fn add(controller: &Arc<Controller>, inventory: &mut Inventory, core: &mut ControllerState, spec: JobSpec) {
+/// Adds a job and places as many of its tasks as there is room for.
+fn add(controller: &Arc<Controller>, inventory: &mut Inventory, state: &mut ControllerState, spec: JobSpec) {
     let id = spec.id.clone();
     let mut job = JobRecord::new(spec, None, 1000);
     let limits = Limits {
@@ -86,15 +91,15 @@
         gang_wait_s: 30.0,
         now_ms: NOW_MS,
     };
-    place(&core.records.replica, inventory, &mut job, &controller.teams[0], |_| true, limits);
-    apply(&mut core.records.replica, RecordChange::Job(id, Some(Box::new(job))));
+    place(&state.records.replica, inventory, &mut job, &controller.teams[0], |_| true, limits);
+    apply(&mut state.records.replica, RecordChange::Job(id, Some(Box::new(job))));
 }
 
-/// Fills the machines with services, gangs and arrays; their workers report what
-/// the records say.
+/// Fills the machines with services, gangs and arrays; heartbeats of the workers report what the
+/// records say.
 pub fn fill(controller: &Arc<Controller>, now: Instant) {
-    let mut core = controller.state();
-    let mut inventory = Inventory::new(&core.records.replica, |_| true);
+    let mut state = controller.state();
+    let mut inventory = Inventory::new(&state.records.replica, |_| true);
     for n in 0..600 {
         let mut s = spec(&format!("j-{n:06}"), [JobKind::Service, JobKind::Gang, JobKind::Array][n / 200]);
         s.image = format!("i-{}", n % 40);
@@ -106,9 +111,9 @@
             JobKind::Gang => (s.tasks, s.cpus, s.gpus, s.one_zone) = ([1, 2, 4][n % 3], 14.0, 2.0, true),
             JobKind::Array => (s.tasks, s.cpus) = (80, 1.0),
         }
-        add(controller, &mut inventory, &mut core, s);
+        add(controller, &mut inventory, &mut state, s);
     }
-    let ids: Vec<Name> = core.records.replica.owned_by(&controller.identity).cloned().collect();
+    let ids: Vec<Name> = state.records.replica.owned_by(&controller.identity).cloned().collect();
     for id in ids {
         let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskStatus {
             task: format!("{job}/{}", a.task),
@@ -127,60 +132,60 @@
             sequence: 1,
             fencing_token: first_token(EPOCH),
             spot_notice_s: None,
-            tasks: core.records.replica.assignments(&id).map(running).collect(),
+            tasks: state.records.replica.assignments(&id).map(running).collect(),
         };
         let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
         worker.receive_heartbeat(report, now);
         worker.renew_lease(now);
-        core.machines.workers.insert(id, worker);
+        state.machines.workers.insert(id, worker);
     }
-    core.records.fresh_at = Some(now);
+    state.records.fresh_at = Some(now);
 }
 
-fn due(core: &ControllerState, now: Instant) -> usize {
-    core.machines.workers.values().filter(|w| w.is_reconciliation_due(now)).count()
+fn due_reconciliations(state: &ControllerState, now: Instant) -> usize {
+    state.machines.workers.values().filter(|w| w.is_reconciliation_due(now)).count()
 }
 
 #[test]
-fn a_round_looks_only_at_machines_with_news() {
+fn cycle_reconciles_only_machines_with_changes() {
     let controller = controller(2000, 1);
     let now = Instant::now();
     fill(&controller, now);
-    let mut core = controller.state();
-    let tasks: usize = core.records.replica.jobs_by_machine.values().flatten().map(|(_, t)| t.len()).sum();
+    let mut state = controller.state();
+    let tasks: usize = state.records.replica.jobs_by_machine.values().flatten().map(|(_, t)| t.len()).sum();
     assert!(
-        core.machines.workers.len() == 2000 && tasks > 10_000,
+        state.machines.workers.len() == 2000 && tasks > 10_000,
         "{} machines, {tasks} tasks",
-        core.machines.workers.len()
+        state.machines.workers.len()
     );
-    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(0, now, NOW_MS))
+    let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(0, now, NOW_MS))
         .expect("entitled");
-    assert!(round.commands.is_empty(), "what runs is left alone");
-    assert_eq!(due(&core, now + Duration::from_millis(100)), 0, "nothing is open");
-    // One job is cancelled: only its machines are looked at.
-    let id = core.records.replica.open_job_ids.iter().next().expect("some").clone();
-    let mut job = core.records.replica.jobs[&id].value.clone();
+    assert!(cycle.commands.is_empty(), "no commands for running tasks");
+    assert_eq!(due_reconciliations(&state, now + Duration::from_millis(100)), 0, "no reconciliation is due");
+    // One job is cancelled: only its machines are reconciled.
+    let id = state.records.replica.open_job_ids.iter().next().expect("an open job").clone();
+    let mut job = state.records.replica.jobs[&id].value.clone();
     job.phase = Phase::Cancelled;
     let machines: std::collections::BTreeSet<_> = job.assignments.iter().map(|a| a.machine.clone()).collect();
-    apply(&mut core.records.replica, RecordChange::Job(id, Some(job)));
+    apply(&mut state.records.replica, RecordChange::Job(id, Some(job)));
     let later = now + Duration::from_millis(200);
-    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(0, later, NOW_MS))
+    let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(0, later, NOW_MS))
         .expect("entitled");
     let sent: std::collections::BTreeSet<_> =
-        round.commands.iter().map(|sent| sent.machine.clone()).collect();
+        cycle.commands.iter().map(|sent| sent.machine.clone()).collect();
     assert!(sent == machines && !sent.is_empty());
 }
 
-/// A zone of hundreds of machines is lost at once. Each job with something on them
-/// costs one change for all its ends, whatever their number, and what is placed
-/// anew in the same round costs no further one but its team's.
+/// A zone of hundreds of machines is lost at once. Each job with tasks there costs one change for
+/// all their ends, whatever their number, and placements in the same cycle cost no further change
+/// but that of their team.
 #[test]
-fn a_lost_zone_costs_a_change_for_each_job() {
+fn lost_zone_costs_one_change_per_job() {
     let controller = controller(2000, 1);
     let now = Instant::now();
     fill(&controller, now);
-    let mut core = controller.state();
-    let lost: Vec<Name> = core
+    let mut state = controller.state();
+    let lost: Vec<Name> = state
         .records
         .replica
         .machines
@@ -189,75 +194,76 @@
         .map(|(id, _)| id.clone())
         .collect();
     assert_eq!(lost.len(), 500);
-    let hit: std::collections::BTreeSet<String> = lost
+    let affected_jobs: std::collections::BTreeSet<String> = lost
         .iter()
-        .flat_map(|id| core.records.replica.assignments(id).map(|(job, ..)| job.to_owned()))
+        .flat_map(|id| state.records.replica.assignments(id).map(|(job, ..)| job.to_owned()))
         .collect();
     apply(
-        &mut core.records.replica,
+        &mut state.records.replica,
         RecordChange::Fleet(Some(FleetRecord {
             scale_outs: Vec::new(),
             removed_machines: Some(lost.clone()),
         })),
     );
     let mut changes = 0;
-    let mut rounds = 0;
-    while !core.records.replica.machines_without_record.is_empty() {
-        rounds += 1;
-        assert!(rounds < 200, "{} left", core.records.replica.machines_without_record.len());
-        let at = now + Duration::from_millis(100 * rounds);
-        let mut round =
-            scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, at, NOW_MS))
+    let mut cycles = 0;
+    while !state.records.replica.machines_without_record.is_empty() {
+        cycles += 1;
+        assert!(cycles < 200, "{} left", state.records.replica.machines_without_record.len());
+        let at = now + Duration::from_millis(100 * cycles);
+        let mut cycle =
+            scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, at, NOW_MS))
                 .expect("entitled");
-        let scheduler::CycleTransaction { writes: puts, left_out, teams, .. } = scheduler::build_transaction(
-            &core.records.replica,
-            &round,
+        let scheduler::CycleTransaction { writes, left_out, teams, .. } = scheduler::build_transaction(
+            &state.records.replica,
+            &cycle,
             &controller.state_limits(),
             usize::MAX,
         );
-        changes += puts.len();
-        for (id, record) in std::mem::take(&mut round.jobs) {
+        changes += writes.len();
+        for (id, record) in std::mem::take(&mut cycle.jobs) {
             if !left_out.contains(&id) {
-                apply(&mut core.records.replica, RecordChange::Job(id, Some(record)));
+                apply(&mut state.records.replica, RecordChange::Job(id, Some(record)));
             }
         }
         for (team, record) in teams {
-            apply(&mut core.records.replica, RecordChange::Team(team, Some(record)));
+            apply(&mut state.records.replica, RecordChange::Team(team, Some(record)));
         }
     }
-    assert!(hit.len() > 100, "{}", hit.len());
-    assert!(changes <= hit.len() * 3 / 2, "{changes} changes for {} jobs", hit.len());
+    assert!(affected_jobs.len() > 100, "{}", affected_jobs.len());
+    assert!(changes <= affected_jobs.len() * 3 / 2, "{changes} changes for {} jobs", affected_jobs.len());
 }
 
-/// Arrays end all the time on a busy site. That does not keep the jobs waiting that
-/// had something on machines that are gone.
+/// Array tasks end constantly on a busy site. They must not delay jobs that had tasks on removed
+/// machines.
 #[test]
-fn what_was_on_lost_machines_ends_before_what_ends_all_the_time() {
+fn tasks_of_removed_machines_end_before_ordinary_ends() {
     let controller = controller(2000, 1);
     let now = Instant::now();
     fill(&controller, now);
-    let mut core = controller.state();
-    let kind =
-        |core: &ControllerState, id: &str| core.records.replica.jobs[id].value.spec.as_ref().map(|s| s.kind);
-    let service = core
+    let mut state = controller.state();
+    let job_kind = |state: &ControllerState, id: &str| {
+        state.records.replica.jobs[id].value.spec.as_ref().map(|s| s.kind)
+    };
+    let service = state
         .records
         .replica
         .open_job_ids
         .iter()
-        .find(|id| kind(&core, id) == Some(JobKind::Service))
+        .find(|id| job_kind(&state, id) == Some(JobKind::Service))
         .cloned();
-    let service = service.expect("some");
-    let lost = core.records.replica.jobs[&service].value.assignments[0].machine.clone();
-    let arrays: Vec<String> = core
+    let service = service.expect("an open job");
+    let lost = state.records.replica.jobs[&service].value.assignments[0].machine.clone();
+    let arrays: Vec<String> = state
         .records
         .replica
         .open_job_ids
         .iter()
-        .filter(|id| kind(&core, id) == Some(JobKind::Array))
+        .filter(|id| job_kind(&state, id) == Some(JobKind::Array))
         .cloned()
         .collect();
     let proofs = arrays.iter().filter_map(|id| {
-        let a = core.records.replica.jobs[id].value.assignments.first()?;
+        let a = state.records.replica.jobs[id].value.assignments.first()?;
         let machine = a.machine.to_string();
         Some(peer::TerminationProof {
             job: id.clone(),
@@ -268,20 +274,20 @@
         })
     });
     let proofs: Vec<peer::TerminationProof> = proofs.collect();
-    assert!(proofs.len() > 16, "more than a round holds");
-    drop(core);
+    assert!(proofs.len() > 16, "more than a cycle holds");
+    drop(state);
     controller.accept_forwarded_proofs(EPOCH, proofs, now);
-    core = controller.state();
+    state = controller.state();
     apply(
-        &mut core.records.replica,
+        &mut state.records.replica,
         RecordChange::Fleet(Some(FleetRecord {
             scale_outs: Vec::new(),
             removed_machines: Some(vec![lost.clone()]),
         })),
     );
-    let round = scheduler::decide(&controller, &mut core, scheduler::CycleContext::new(16, now, NOW_MS))
+    let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, now, NOW_MS))
         .expect("entitled");
-    let record = round.jobs.get(&service).expect("its task is over");
+    let record = cycle.jobs.get(&service).expect("the end of its task");
     assert!(record.assignments.iter().all(|a| a.machine != lost));
-    assert!(round.jobs.len() > 4, "the arrays have the rest");
+    assert!(cycle.jobs.len() > 4, "the arrays have the rest");
 }
