--- a/crates/daemon/tests/unit/sim/machines.rs
+++ b/crates/daemon/tests/unit/sim/machines.rs
@@ -1,24 +1,24 @@
-//! Workers as the protocol describes them.
+//! Machines with workers that follow the protocol.
 
 use super::*;
 
-/// A worker as the protocol describes it.
+/// A machine with a worker that follows the protocol.
 pub(super) struct Machine {
     pub(super) up: bool,
-    pub(super) session: u64,
-    pub(super) seq: u64,
+    pub(super) incarnation: u64,
+    pub(super) sequence: u64,
     pub(super) token: u64,
-    pub(super) renewed: u64,
+    pub(super) renewed_at: u64,
     pub(super) tasks: BTreeMap<(String, u64), (TaskState, Option<ExitReason>)>,
-    /// Until when nothing reaches it, though its reports arrive.
-    pub(super) deaf: u64,
-    /// Until when every task that it starts fails.
-    pub(super) sick: u64,
+    /// The step until which it is deaf: nothing reaches it, though its heartbeats arrive.
+    pub(super) deaf_until: u64,
+    /// The step until which every task that it fetches fails.
+    pub(super) failing_until: u64,
 }
 
 impl Machine {
-    pub(super) fn report(&mut self, id: &str) -> Heartbeat {
-        self.seq += 1;
+    pub(super) fn heartbeat(&mut self, id: &str) -> Heartbeat {
+        self.sequence += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), (state, cause))| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
@@ -30,141 +30,148 @@
             machine: id.into(),
             addr: id.into(),
             machine_type: "m".into(),
-            zone: zone(id).into(),
-            spot: spot(id),
-            incarnation: self.session,
-            sequence: self.seq,
+            zone: zone_of(id).into(),
+            spot: is_spot(id),
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             fencing_token: self.token,
             spot_notice_s: None,
             tasks: tasks.collect(),
         }
     }
 
-    pub(super) fn holds(&self, task: &str) -> bool {
+    pub(super) fn is_running(&self, task: &str) -> bool {
         self.up && self.tasks.iter().any(|((t, _), (s, _))| t == task && *s != TaskState::Exited)
     }
 }
 
-pub(super) fn id(machine: usize) -> String {
+pub(super) fn machine_id(machine: usize) -> String {
     format!("host-{machine:06}")
 }
 
-/// Two zones; one machine of each is a spot machine.
-pub(super) fn zone(id: &str) -> &'static str {
+/// The zone of a machine: there are two zones, each with one spot machine.
+pub(super) fn zone_of(id: &str) -> &'static str {
     if id.ends_with(['0', '2', '4']) { "z" } else { "y" }
 }
 
-/// Jobs 1, 4 and 7 are services.
-pub(super) fn replica(task: &str) -> bool {
+/// Whether a task is a replica of a service: jobs 1, 4 and 7 are services.
+pub(super) fn is_service_task(task: &str) -> bool {
     ["j-1/", "j-4/", "j-7/"].iter().any(|job| task.starts_with(job))
 }
 
-pub(super) fn spot(id: &str) -> bool {
+pub(super) fn is_spot(id: &str) -> bool {
     id.ends_with(['4', '5'])
 }
 
-impl Sim {
-    pub(super) fn worker(&mut self, m: usize) {
+impl Simulation {
+    pub(super) fn step_worker(&mut self, m: usize) {
         if !self.machines[m].up {
             return;
         }
-        if self.step > self.machines[m].renewed + LEASE_STEPS {
+        if self.step > self.machines[m].renewed_at + LEASE_STEPS {
             let machine = &mut self.machines[m];
             machine.tasks.clear();
-            machine.session += 1;
-            machine.renewed = self.step;
+            machine.incarnation += 1;
+            machine.renewed_at = self.step;
         }
-        let sick = self.step < self.machines[m].sick;
+        let is_failing = self.step < self.machines[m].failing_until;
         for (name, (state, cause)) in &mut self.machines[m].tasks {
             match state {
-                TaskState::Fetching if sick => {
+                TaskState::Fetching if is_failing => {
                     *state = TaskState::Exited;
                     *cause = Some(ExitReason::Error);
                 }
                 TaskState::Fetching if self.rng.random_bool(0.3) => *state = TaskState::Running,
-                // Replicas run until they are stopped.
-                TaskState::Running if self.rng.random_bool(if replica(&name.0) { 0.001 } else { 0.02 }) => {
+                // Replicas of services rarely exit on their own.
+                TaskState::Running
+                    if self.rng.random_bool(if is_service_task(&name.0) { 0.001 } else { 0.02 }) =>
+                {
                     *state = TaskState::Exited;
-                    let fails = !self.calm && self.rng.random_bool(0.2);
-                    let says_done = !fails || self.sabotage == Sabotage::Done;
-                    *cause = Some(if says_done { ExitReason::Done } else { ExitReason::Error });
+                    let fails = !self.faults_ended && self.rng.random_bool(0.2);
+                    let reports_done = !fails || self.defect == Defect::FailuresReportedDone;
+                    *cause = Some(if reports_done { ExitReason::Done } else { ExitReason::Error });
                     if !fails {
-                        self.done.insert(name.0.clone());
+                        self.done_tasks.insert(name.0.clone());
                     }
                 }
                 _ => {}
             }
         }
-        if !self.calm && self.rng.random_bool(0.001) {
-            self.machines[m].sick = self.step + self.rng.random_range(50..300);
+        if !self.faults_ended && self.rng.random_bool(0.001) {
+            self.machines[m].failing_until = self.step + self.rng.random_range(50..300);
         }
-        if !self.calm && self.rng.random_bool(0.002) {
-            self.machines[m].deaf = self.step + self.rng.random_range(20..200);
+        if !self.faults_ended && self.rng.random_bool(0.002) {
+            self.machines[m].deaf_until = self.step + self.rng.random_range(20..200);
         }
         if self.rng.random_bool(0.3) {
-            // To the owner by the newest map, or to whoever still thinks so.
-            let n = self.rng.random_range(0..self.nodes.len());
-            let report = self.machines[m].report(&id(m));
+            // The heartbeat goes to a random controller, which answers only if it takes itself for
+            // the owner by its map.
+            let n = self.rng.random_range(0..self.controllers.len());
+            let heartbeat = self.machines[m].heartbeat(&machine_id(m));
             if self.rng.random_bool(0.1) {
                 let delay = self.rng.random_range(1..3 * LEASE_STEPS);
-                let copy = Message::Copy { to: n, machine: m, report: report.clone() };
-                self.mail.push((self.step + delay, copy));
+                let copy = Message::HeartbeatCopy { to: n, machine: m, heartbeat: heartbeat.clone() };
+                self.in_flight.push((self.step + delay, copy));
             }
             let sent = self.step;
-            let Some((token, orders)) = self.answer_report(n, m, report) else { return };
-            let heeds = self.sabotage != Sabotage::Tokens;
-            // The answer may be lost; it is never late.
+            let Some((token, commands)) = self.receive_heartbeat(n, m, heartbeat) else { return };
+            let checks_tokens = self.defect != Defect::IgnoredTokens;
+            // The response may be lost; it is never late.
             if self.rng.random_bool(0.8)
-                && self.step >= self.machines[m].deaf
-                && (token >= self.machines[m].token || !heeds)
+                && self.step >= self.machines[m].deaf_until
+                && (token >= self.machines[m].token || !checks_tokens)
             {
                 self.machines[m].token = token;
-                self.machines[m].renewed = sent;
-                self.execute(m, &orders);
+                self.machines[m].renewed_at = sent;
+                self.execute(m, &commands);
             }
         }
     }
 
-    pub(super) fn answer_report(
+    pub(super) fn receive_heartbeat(
         &mut self,
         n: usize,
         m: usize,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
     ) -> Option<(u64, Vec<Command>)> {
-        if self.step < self.frozen[n] {
+        if self.step < self.paused_until[n] {
             return None;
         }
         let now = self.now();
-        let controller = &self.nodes[n];
-        let mut core = controller.state();
-        let core = &mut *core;
-        let mine = core.records.replica.owner_of(&id(m)).is_some_and(|o| *o == controller.identity);
-        if !mine || !controller.may_renew_leases(core, now) {
+        let controller = &self.controllers[n];
+        let mut state = controller.state();
+        let state = &mut *state;
+        let is_owner =
+            state.records.replica.owner_of(&machine_id(m)).is_some_and(|o| *o == controller.identity);
+        if !is_owner || !controller.may_renew_leases(state, now) {
             return None;
         }
-        let worker =
-            core.machines.workers.get_mut(id(m).as_str()).filter(|w| !w.is_superseded_by(&report))?;
-        let news = worker.receive_heartbeat(report, now);
+        let worker = state
+            .machines
+            .workers
+            .get_mut(machine_id(m).as_str())
+            .filter(|w| !w.is_superseded_by(&heartbeat))?;
+        let is_new = worker.receive_heartbeat(heartbeat, now);
         worker.renew_lease(now);
-        let limits = controller.worker_limits(core.records.fresh_at);
-        let orders = if news {
-            worker.commands_for_heartbeat(&id(m), &core.records.replica, &limits, now)
+        let limits = controller.worker_limits(state.records.fresh_at);
+        let commands = if is_new {
+            worker.commands_for_heartbeat(&machine_id(m), &state.records.replica, &limits, now)
         } else {
             Vec::new()
         };
-        Some((worker.token().get(), orders))
+        Some((worker.token().get(), commands))
     }
 
-    pub(super) fn execute(&mut self, m: usize, orders: &[Command]) {
-        for order in orders {
-            match order {
+    pub(super) fn execute(&mut self, m: usize, commands: &[Command]) {
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => {
-                    let there = self.machines[m].tasks.keys().any(|(t, a)| t == task && a == attempt);
-                    if there {
+                    let is_known = self.machines[m].tasks.keys().any(|(t, a)| t == task && a == attempt);
+                    if is_known {
                         continue;
                     }
-                    if (0..MACHINES).any(|o| o != m && self.machines[o].holds(task)) {
-                        self.broken.insert("ran_twice");
+                    if (0..MACHINES).any(|o| o != m && self.machines[o].is_running(task)) {
+                        self.violations.insert("ran_twice");
                     }
                     let busy = self.machines[m].tasks.keys().any(|(t, _)| t == task);
                     let state = if busy {
@@ -172,12 +179,16 @@
                     } else {
                         (TaskState::Fetching, None)
                     };
-                    self.started += u64::from(!busy);
+                    self.tasks_started += u64::from(!busy);
                     if !busy {
                         self.check_place(m, task);
                         let job = task.split('/').next().unwrap_or_default();
-                        if self.needs.get(job).is_some_and(|needs| needs.iter().any(|n| !self.is_done(n))) {
-                            self.broken.insert("too_early");
+                        if self
+                            .dependencies
+                            .get(job)
+                            .is_some_and(|dependencies| dependencies.iter().any(|n| !self.is_done(n)))
+                        {
+                            self.violations.insert("too_early");
                         }
                     }
                     self.machines[m].tasks.insert((task.clone(), *attempt), state);
@@ -185,7 +196,7 @@
                 Command::Stop { task, attempt, .. } => {
                     if let Some(s) = self.machines[m].tasks.get_mut(&(task.clone(), *attempt))
                         && s.0 != TaskState::Exited
-                        && self.sabotage != Sabotage::Stops
+                        && self.defect != Defect::IgnoredStops
                     {
                         *s = (TaskState::Exited, Some(ExitReason::Stopped));
                     }
@@ -198,15 +209,15 @@
                 }
             }
         }
-        let on: f64 = self
+        let running_tasks: f64 = self
             .machines
             .iter()
-            .filter(|x| x.up)
-            .flat_map(|x| x.tasks.values())
+            .filter(|machine| machine.up)
+            .flat_map(|machine| machine.tasks.values())
             .filter(|s| s.0 != TaskState::Exited)
             .count() as f64;
-        if on > LIMIT {
-            self.broken.insert("quota");
+        if running_tasks > TEAM_CPU_LIMIT {
+            self.violations.insert("quota");
         }
     }
 }
--- a/crates/daemon/tests/unit/sim/messages.rs
+++ b/crates/daemon/tests/unit/sim/messages.rs
@@ -1,4 +1,4 @@
-//! Messages on their way: delayed, lost, copied, repeated.
+//! Messages in flight: delayed, lost, duplicated and repeated.
 
 use super::*;
 use crate::worker::FencingToken;
@@ -9,129 +9,136 @@
         from: usize,
         commands: Commands,
     },
-    Answer {
+    CommandResponse {
         to: usize,
         machine: usize,
         token: u64,
-        report: Option<Heartbeat>,
+        heartbeat: Option<Heartbeat>,
     },
-    /// A copy of a report, to any controller.
-    Copy {
+    /// A late copy of a heartbeat, to any controller.
+    HeartbeatCopy {
         to: usize,
         machine: usize,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
     },
     Txn {
         from: usize,
         conditions: Vec<Condition>,
-        puts: Vec<KeyWrite>,
-        /// Its sender knew of the smaller limits.
-        sized: bool,
+        writes: Vec<KeyWrite>,
+        /// Whether the sender knew the lower limits.
+        lowered_limits_known: bool,
     },
     TerminationProofs {
         to: usize,
         epoch: u64,
-        list: Vec<peer::TerminationProof>,
+        proofs: Vec<peer::TerminationProof>,
     },
 }
 
-impl Sim {
-    pub(super) fn post(&mut self, message: Message) {
+impl Simulation {
+    pub(super) fn send(&mut self, message: Message) {
         let delay = match self.rng.random_range(0..20) {
             0 => self.rng.random_range(50..400),
             1..5 => self.rng.random_range(5..30),
             _ => self.rng.random_range(0..3),
         };
-        self.mail.push((self.step + delay, message));
+        self.in_flight.push((self.step + delay, message));
     }
 
-    pub(super) fn deliver(&mut self) {
+    pub(super) fn deliver_due(&mut self) {
         let mut due = Vec::new();
-        let mut rest = Vec::new();
-        for (at, message) in std::mem::take(&mut self.mail) {
-            if at <= self.step { due.push(message) } else { rest.push((at, message)) }
+        let mut later = Vec::new();
+        for (at, message) in std::mem::take(&mut self.in_flight) {
+            if at <= self.step { due.push(message) } else { later.push((at, message)) }
         }
-        self.mail = rest;
+        self.in_flight = later;
         for message in due {
-            // What comes to a controller that stands still waits there for it.
-            if let Message::Copy { to, .. }
+            // Messages to a paused controller are queued until it resumes.
+            if let Message::HeartbeatCopy { to, .. }
             | Message::TerminationProofs { to, .. }
-            | Message::Answer { to, .. } = &message
-                && self.step < self.frozen[*to]
+            | Message::CommandResponse { to, .. } = &message
+                && self.step < self.paused_until[*to]
             {
-                self.mail.push((self.frozen[*to], message));
+                self.in_flight.push((self.paused_until[*to], message));
                 continue;
             }
             match message {
-                Message::Copy { to, machine, report } => {
-                    // Nobody reads the answer.
-                    let _ = self.answer_report(to, machine, report);
+                Message::HeartbeatCopy { to, machine, heartbeat } => {
+                    // The response is discarded.
+                    let _ = self.receive_heartbeat(to, machine, heartbeat);
                 }
-                Message::TerminationProofs { to, epoch, list } => {
+                Message::TerminationProofs { to, epoch, proofs } => {
                     if self.rng.random_bool(0.1) {
                         let at = self.step + self.rng.random_range(1..400);
-                        self.mail.push((at, Message::TerminationProofs { to, epoch, list: list.clone() }));
+                        self.in_flight
+                            .push((at, Message::TerminationProofs { to, epoch, proofs: proofs.clone() }));
                     }
-                    self.nodes[to].accept_forwarded_proofs(epoch, list, self.now());
+                    self.controllers[to].accept_forwarded_proofs(epoch, proofs, self.now());
                 }
-                Message::Txn { from, conditions, puts, sized } => {
-                    if self.state.txn(&conditions, puts) == Outcome::Refused {
-                        self.nodes[from]
+                Message::Txn { from, conditions, writes, lowered_limits_known } => {
+                    if self.state_service.txn(&conditions, writes) == Outcome::Refused {
+                        self.controllers[from]
                             .limit_changes
                             .sizes_reduced
-                            .store(!self.old[from], Ordering::Relaxed);
-                        if sized {
-                            self.broken.insert("refused");
+                            .store(!self.runs_old_version[from], Ordering::Relaxed);
+                        if lowered_limits_known {
+                            self.violations.insert("refused");
                         }
                     }
                 }
                 Message::Commands { to, from, commands } => {
                     if self.rng.random_bool(0.05) {
                         let at = self.step + self.rng.random_range(1..400);
-                        self.mail.push((at, Message::Commands { to, from, commands: commands.clone() }));
+                        self.in_flight.push((at, Message::Commands { to, from, commands: commands.clone() }));
                     }
-                    let reached = self.machines[to].up && self.step >= self.machines[to].deaf;
+                    let reached = self.machines[to].up && self.step >= self.machines[to].deaf_until;
                     let lost = self.rng.random_bool(0.1) || !reached;
-                    let heeds = self.sabotage != Sabotage::Tokens;
-                    let valid = !heeds || commands.fencing_token >= self.machines[to].token;
-                    if valid && commands.incarnation == self.machines[to].session && reached {
+                    let checks_tokens = self.defect != Defect::IgnoredTokens;
+                    let valid = !checks_tokens || commands.fencing_token >= self.machines[to].token;
+                    if valid && commands.incarnation == self.machines[to].incarnation && reached {
                         self.machines[to].token = self.machines[to].token.max(commands.fencing_token);
                         self.execute(to, &commands.commands);
                     }
-                    let report = (!lost).then(|| self.machines[to].report(&id(to)));
-                    self.post(Message::Answer {
+                    let heartbeat = (!lost).then(|| self.machines[to].heartbeat(&machine_id(to)));
+                    self.send(Message::CommandResponse {
                         to: from,
                         machine: to,
                         token: commands.fencing_token,
-                        report,
+                        heartbeat,
                     });
                 }
-                Message::Answer { to, machine, token, report } => {
-                    // Given up meanwhile: nobody reads the answer.
-                    if self.waiting.get(&(to, machine)) == Some(&token) {
-                        self.waiting.remove(&(to, machine));
-                        self.answered(to, machine, token, report);
+                Message::CommandResponse { to, machine, token, heartbeat } => {
+                    // A response to a request that already timed out is discarded.
+                    if self.pending_requests.get(&(to, machine)) == Some(&token) {
+                        self.pending_requests.remove(&(to, machine));
+                        self.record_response(to, machine, token, heartbeat);
                     }
                 }
             }
         }
-        let waiting: Vec<_> = self.waiting.iter().map(|(k, t)| (*k, *t)).collect();
-        for ((n, machine), token) in waiting {
+        let pending_requests: Vec<_> = self.pending_requests.iter().map(|(k, t)| (*k, *t)).collect();
+        for ((n, machine), token) in pending_requests {
             if self.rng.random_bool(0.03) {
-                self.waiting.remove(&(n, machine));
-                self.answered(n, machine, token, None);
+                self.pending_requests.remove(&(n, machine));
+                self.record_response(n, machine, token, None);
             }
         }
     }
 
-    pub(super) fn answered(&mut self, n: usize, machine: usize, token: u64, report: Option<Heartbeat>) {
+    pub(super) fn record_response(
+        &mut self,
+        n: usize,
+        machine: usize,
+        token: u64,
+        heartbeat: Option<Heartbeat>,
+    ) {
         let now = self.now();
-        if let Some(w) = self.nodes[n].state().machines.workers.get_mut(id(machine).as_str()) {
+        if let Some(w) = self.controllers[n].state().machines.workers.get_mut(machine_id(machine).as_str()) {
             let token = FencingToken::from(token);
-            match report {
-                Some(report) => {
+            match heartbeat {
+                Some(heartbeat) => {
                     w.commands_answered(token);
-                    w.receive_response(report, now);
+                    w.receive_response(heartbeat, now);
                 }
                 None => w.commands_failed(token, now),
             }
