--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -131,8 +131,8 @@
     fn catch_up(&mut self, n: usize) {
         let mut state = self.controllers[n].state();
         for (revision, write) in &self.log[self.applied_len[n]..] {
-            let (change, bad) = decode_change(&write.key, write.value.clone());
-            assert!(!bad, "{}", write.key);
+            let (change, unreadable) = decode_change(&write.key, write.value.clone());
+            assert!(!unreadable, "{}", write.key);
             state.records.replica.apply(change, *revision);
             state.records.replica.revision = *revision;
         }
@@ -192,8 +192,8 @@
     }
 
     fn job(&self, id: &str) -> Box<JobRecord> {
-        let write = self.log.iter().rfind(|(_, p)| p.key == key::job(id)).map(|(_, p)| p);
-        let (change, _) = decode_change(&key::job(id), write.and_then(|p| p.value.clone()));
+        let write = self.log.iter().rfind(|(_, write)| write.key == key::job(id)).map(|(_, write)| write);
+        let (change, _) = decode_change(&key::job(id), write.and_then(|write| write.value.clone()));
         match change {
             sched::replica::RecordChange::Job(_, Some(job)) => job,
             other => unreachable!("{other:?}"),
@@ -214,10 +214,10 @@
     }
 
     /// Records a job with these assignments: task, attempt and machine.
-    fn assign(&mut self, spec: JobSpec, run: &[(u32, u64, &str)]) {
+    fn assign(&mut self, spec: JobSpec, placements: &[(u32, u64, &str)]) {
         let mut job = JobRecord::new(spec.clone(), None, 1000);
-        job.attempt = run.iter().map(|r| r.1).max().unwrap_or(0);
-        job.assignments = run
+        job.attempt = placements.iter().map(|placement| placement.1).max().unwrap_or(0);
+        job.assignments = placements
             .iter()
             .map(|(task, attempt, machine)| Assignment {
                 task: *task,
@@ -393,7 +393,7 @@
 
 /// The index of the controller that owns the first machine by the newest map.
 fn first_machine_owner(cluster: &FakeCluster) -> usize {
-    let write = cluster.log.iter().rfind(|(_, p)| p.key == key::MAP).map(|(_, p)| p.clone());
+    let write = cluster.log.iter().rfind(|(_, write)| write.key == key::MAP).map(|(_, write)| write.clone());
     let write = write.expect("a cluster map");
     let (sched::replica::RecordChange::Map(Some(map)), false) = decode_change(&write.key, write.value) else {
         unreachable!("a cluster map")
--- a/crates/daemon/tests/unit/faults_records.rs
+++ b/crates/daemon/tests/unit/faults_records.rs
@@ -356,9 +356,9 @@
     assert!(worker.is_running("j-1/0"));
 }
 
-/// A gang whose machine lost its tasks gets another machine within the same attempt. It must not
-/// be the same machine: a late heartbeat about the end there would count for the new start. Then
-/// the leader changes. The gang is done once one of its tasks reports so.
+/// A gang waits when one of its machines loses its tasks, and gets another machine within the same
+/// attempt. It must not be the same machine: a late heartbeat about the end there would count for
+/// the new start. Then the leader changes. The gang is done once one of its tasks reports so.
 #[test]
 fn gang_replaces_a_lost_machine_within_the_same_attempt() {
     let mut cluster = FakeCluster::new(2, &[("host-1", "a"), ("host-2", "a"), ("host-3", "a")]);
--- a/crates/daemon/tests/unit/faults_reports.rs
+++ b/crates/daemon/tests/unit/faults_reports.rs
@@ -63,7 +63,7 @@
 /// task must be started from so stale a replica, neither by a request nor by a heartbeat response.
 #[test]
 fn no_task_is_started_from_a_stale_replica() {
-    let launches = |old: f64| {
+    let started_at_age = |replica_age_s: f64| {
         let mut cluster = FakeCluster::new(1, &[("host-1", "a")]);
         let mut worker = FakeWorker::new("host-1", "a", cluster.now);
         cluster.exchange_heartbeat(0, &mut worker);
@@ -74,8 +74,8 @@
             cluster.record_response(0, &machine, &commands, None);
         }
         cluster.cancel("j-1");
-        cluster.advance(old - 2.5);
-        let by_answer = {
+        cluster.advance(replica_age_s - 2.5);
+        let by_response = {
             cluster.exchange_heartbeat(0, &mut worker);
             worker.is_running("j-1/0")
         };
@@ -83,11 +83,11 @@
             .run_cycle_and_deliver(0, &mut [&mut worker])
             .iter()
             .any(|c| matches!(c, Command::Start { .. }));
-        (by_answer, by_request)
+        (by_response, by_request)
     };
-    assert_eq!(launches(3.5), (true, true), "the replica is still fresh enough");
-    for old in [5.0, 14.0, 23.0, 60.0] {
-        assert_eq!(launches(old), (false, false), "{old} s");
+    assert_eq!(started_at_age(3.5), (true, true), "the replica is still fresh enough");
+    for replica_age_s in [5.0, 14.0, 23.0, 60.0] {
+        assert_eq!(started_at_age(replica_age_s), (false, false), "replica age {replica_age_s} s");
     }
 }
 
@@ -152,7 +152,7 @@
     cluster.catch_up(0);
     cluster.poll_status(0, &mut worker);
     let commands = cluster.run_cycle(0);
-    assert_eq!(cluster.job("j-1").assignments.len(), 1, "the answer may still arrive");
+    assert_eq!(cluster.job("j-1").assignments.len(), 1, "the response may still arrive");
     for (machine, commands) in commands {
         let heartbeat = worker.receive_commands(&commands, cluster.now);
         cluster.record_response(0, &machine, &commands, Some(heartbeat));
@@ -203,7 +203,7 @@
 /// cannot start any more.
 #[test]
 fn delayed_start_command_stays_on_record_until_it_is_fenced_off() {
-    for (hangs, backwards, deaf) in [
+    for (hang_s, reverse_order, deaf) in [
         (3.0, false, false),
         (8.0, true, false),
         (15.0, false, false),
@@ -229,7 +229,7 @@
                 cluster.catch_up(0);
                 cancelled_at = Some(cluster.now);
             }
-            let hung = cluster.now < start + secs(hangs);
+            let hung = cluster.now < start + secs(hang_s);
             for (machine, commands) in cluster.run_cycle(0) {
                 if hung {
                     if !deaf || held.is_empty() {
@@ -242,16 +242,16 @@
                 }
             }
             if !hung {
-                if backwards {
+                if reverse_order {
                     held.reverse();
                 }
                 for commands in held.drain(..) {
                     worker.receive_commands(&commands, cluster.now);
                 }
             }
-            let late = |u: &mut (Instant, Name, Commands)| cluster.now >= u.0 + secs(2.5);
-            let over: Vec<_> = unanswered.extract_if(.., late).collect();
-            for (_, machine, commands) in over {
+            let is_timed_out = |request: &mut (Instant, Name, Commands)| cluster.now >= request.0 + secs(2.5);
+            let timed_out: Vec<_> = unanswered.extract_if(.., is_timed_out).collect();
+            for (_, machine, commands) in timed_out {
                 cluster.record_response(0, &machine, &commands, None);
             }
             started |= worker.is_running("j-1/0");
@@ -260,7 +260,7 @@
                 "it runs without an assignment"
             );
             if cancelled_at.is_some_and(|t| cluster.now > t + CANCELLATION_BOUND) {
-                assert!(!worker.is_running("j-1/0"), "hung for {hangs} s");
+                assert!(!worker.is_running("j-1/0"), "hung for {hang_s} s");
             }
             match (hung, deaf) {
                 (true, true) if tick % 5 == 0 => drop(cluster.receive_heartbeat(0, &worker.heartbeat())),
@@ -269,7 +269,7 @@
             }
             cluster.advance(0.1);
         }
-        assert!(started != backwards, "the start command arrives first or is fenced off");
+        assert!(started != reverse_order, "the start command arrives first or is fenced off");
         assert!(cluster.job("j-1").assignments.is_empty(), "its share of the team limit is free");
     }
 }
@@ -280,8 +280,8 @@
 #[test]
 fn partitioned_zone_does_not_keep_cancelled_tasks_running() {
     let (mut cluster, mut worker) = cluster_with_running_task(2);
-    let old = first_machine_owner(&cluster);
-    cluster.publish_map(&[1 - old]);
+    let old_owner = first_machine_owner(&cluster);
+    cluster.publish_map(&[1 - old_owner]);
     cluster.cancel("j-1");
     let cancelled_at = cluster.now;
     let mut ran_for = Duration::ZERO;
@@ -290,8 +290,8 @@
         if worker.is_running("j-1/0") {
             ran_for = cluster.now - cancelled_at;
         }
-        cluster.exchange_heartbeat(old, &mut worker);
-        cluster.run_cycle_and_deliver(old, &mut [&mut worker]);
+        cluster.exchange_heartbeat(old_owner, &mut worker);
+        cluster.run_cycle_and_deliver(old_owner, &mut [&mut worker]);
         cluster.advance(3.0);
     }
     assert!(ran_for < CANCELLATION_BOUND, "{ran_for:?}");
@@ -304,24 +304,24 @@
 /// change owner. The checkpoint is no longer needed: the first response must end the task.
 #[test]
 fn saving_task_is_ended_when_its_job_is_cancelled() {
-    for changes in [false, true] {
+    for owner_changes in [false, true] {
         let (mut cluster, mut worker) = cluster_with_running_task(2);
         let mut job = cluster.job("j-1");
         job.assignments[0].desired = DesiredState::Stopped;
         cluster.write(vec![KeyWrite::new(key::job("j-1"), &job)]);
-        let old = first_machine_owner(&cluster);
-        cluster.catch_up(old);
-        cluster.run_cycle_and_deliver(old, &mut [&mut worker]);
+        let old_owner = first_machine_owner(&cluster);
+        cluster.catch_up(old_owner);
+        cluster.run_cycle_and_deliver(old_owner, &mut [&mut worker]);
         assert_eq!(worker.tasks.values().next(), Some(&(TaskState::Saving, None)));
         cluster.cancel("j-1");
         cluster.advance(0.5);
-        let new = if changes { 1 - old } else { old };
-        cluster.publish_map(&[new]);
-        cluster.catch_up(new);
-        cluster.exchange_heartbeat(new, &mut worker);
+        let new_owner = if owner_changes { 1 - old_owner } else { old_owner };
+        cluster.publish_map(&[new_owner]);
+        cluster.catch_up(new_owner);
+        cluster.exchange_heartbeat(new_owner, &mut worker);
         assert!(!worker.is_running("j-1/0"));
-        cluster.exchange_heartbeat(new, &mut worker);
-        cluster.run_cycle(new);
+        cluster.exchange_heartbeat(new_owner, &mut worker);
+        cluster.run_cycle(new_owner);
         assert!(cluster.job("j-1").assignments.is_empty());
     }
 }
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn bad_input_is_refused_in_every_state_but_accepted_jobs_get_200() {
     use serde_json::json;
-    let bad = |id: &str| {
+    let bad_specs = |id: &str| {
         vec![
             malformed_spec(id, "cpus", None),
             malformed_spec(id, "owner", None),
@@ -75,7 +75,7 @@
     let (controller, link) = service.controller(0, 1, 1).await;
     let (other, _) = service.follower(1, 2).await;
     let all_refused = async |state: &str| {
-        for body in bad("j-5").iter().chain(&not_a_job) {
+        for body in bad_specs("j-5").iter().chain(&not_a_job) {
             assert_eq!(submit_body(&controller, body).await.0, 400, "{state}");
         }
         for body in unschedulable("j-5") {
@@ -108,7 +108,7 @@
     assert_eq!(submit(&other, &spec("j-2", JobKind::Array)).await.0, 201);
     assert_eq!(cancel(&other, "j-2").await.0, 200);
     for (id, state) in [("j-1", JobState::Queued), ("j-2", JobState::Cancelled)] {
-        for body in bad(id).iter().chain(&unschedulable(id)) {
+        for body in bad_specs(id).iter().chain(&unschedulable(id)) {
             let reported = retry_while_unavailable(async || {
                 let (status, job) = submit_body(&controller, body).await;
                 (status, job.map(|j| j.state))
@@ -117,10 +117,10 @@
         }
     }
     link.set_fault(LinkFault::Refused);
-    for body in bad("j-1").iter().chain(&unschedulable("j-1")) {
+    for body in bad_specs("j-1").iter().chain(&unschedulable("j-1")) {
         assert_eq!(submit_body(&controller, body).await.0, 503, "accepted, but may have ended");
     }
-    for body in bad("j-2").iter().chain(&unschedulable("j-2")) {
+    for body in bad_specs("j-2").iter().chain(&unschedulable("j-2")) {
         assert_eq!(submit_body(&controller, body).await.0, 200, "a final state cannot change");
     }
     all_refused("refused by the state service").await;
@@ -150,8 +150,9 @@
 #[test]
 fn invalid_numbers_from_outside_do_not_end_the_process() {
     let now = Instant::now();
-    let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, f64::MAX, f64::MIN, -1.0, 1e300, 1e-320];
-    for s in odd {
+    let invalid_numbers =
+        [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, f64::MAX, f64::MIN, -1.0, 1e300, 1e-320];
+    for s in invalid_numbers {
         assert!(wire::seconds(s) <= Duration::from_secs(1_000_000_000));
         let mut replica = Replica::default();
         let machine = MachineRecord {
@@ -190,8 +191,8 @@
         }
         let spec = JobSpec { checkpoint_save_s: s, checkpoint_interval_s: s, ..spec("j-1", JobKind::Gang) };
         sched::spot_notice::should_stop(&spec, Duration::from_secs(5));
-        let mut budget = store::RateLimiter::new(s, s, now);
-        let _ = now + budget.acquire(s, s, now);
+        let mut limiter = store::RateLimiter::new(s, s, now);
+        let _ = now + limiter.acquire(s, s, now);
     }
 }
 
@@ -235,12 +236,12 @@
     assert!(unreadable(6, row(1 << 59, 1).repeat(40)), "numbers that are far too large");
     assert!(unreadable(6, "?".into()));
     assert_eq!(Ranges::from((u32::MAX - 1, "3".into())).len(), u32::MAX, "u32::MAX is not a task number");
-    let gone = |digits: u64, text: String| {
+    let fleet_unreadable = |digits: u64, text: String| {
         let record = serde_json::json!({"rentals": [], "gone": [["host-", digits, text]]});
         store::decode_change(key::FLEET, KeyWrite::new(String::new(), &record).value).1
     };
-    assert!(!gone(6, number(7)));
-    assert!(gone(100_000, number(7)) && gone(6, number(1 << 59).repeat(40)));
+    assert!(!fleet_unreadable(6, number(7)));
+    assert!(fleet_unreadable(100_000, number(7)) && fleet_unreadable(6, number(1 << 59).repeat(40)));
 }
 
 /// A worker with an invalid name gets a 400: a transaction that recorded it together with other
@@ -328,10 +329,10 @@
     link.set_fault(LinkFault::Slow(Duration::from_millis(1900)));
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(7) {
-        let asked = Instant::now();
+        let asked_at = Instant::now();
         assert_eq!(state_once(&controller, "j-2").await, (200, Some(JobState::Cancelled)));
         assert_eq!(state_once(&controller, "j-1").await.0, 503);
-        assert!(asked.elapsed() < Duration::from_millis(2500), "{:?}", asked.elapsed());
+        assert!(asked_at.elapsed() < Duration::from_millis(2500), "{:?}", asked_at.elapsed());
     }
     let fresh = controller.state().records.fresh_at.map(|t| t.elapsed());
     assert!(fresh.is_some_and(|f| f < Duration::from_millis(5800)), "{fresh:?}");
@@ -363,9 +364,9 @@
     newer.failed_starts = 1;
     service.store().put(KeyWrite::new(key::job("j-1"), &newer));
     link.set_fault(LinkFault::Slow(Duration::from_millis(2400)));
-    let asked = Instant::now();
+    let asked_at = Instant::now();
     assert_eq!(cancel_once(&controller, "j-1").await.0, 503);
-    assert!(asked.elapsed() < Duration::from_millis(4900), "{:?}", asked.elapsed());
+    assert!(asked_at.elapsed() < Duration::from_millis(4900), "{:?}", asked_at.elapsed());
     link.set_fault(LinkFault::None);
     assert_eq!(cancel(&controller, "j-1").await, (200, Some(JobState::Cancelled)));
     assert_eq!(job_state(&controller, "j-1").await, (200, Some(JobState::Cancelled)));
@@ -422,15 +423,15 @@
 fn user_writes_do_not_starve_scheduling_cycles() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut budget = store::RateLimiter::new(1.0, 1.0, start);
+    let mut limiter = store::RateLimiter::new(1.0, 1.0, start);
     let (mut last, mut longest, mut written) = (0, 0, 0);
     for ms in (0..300_000).step_by(50) {
         if ms % 600 == 0 {
-            budget.acquire(1.0, 0.0, at(ms));
+            limiter.acquire(1.0, 0.0, at(ms));
         }
-        let ops = if ms % 250 == 0 { budget.allowance(at(ms)) } else { 0 };
+        let ops = if ms % 250 == 0 { limiter.allowance(at(ms)) } else { 0 };
         if ops > 0 {
-            budget.acquire(ops as f64, 0.0, at(ms));
+            limiter.acquire(ops as f64, 0.0, at(ms));
             (longest, last) = (longest.max(ms - last), ms);
             written += ops;
         }
@@ -480,14 +481,14 @@
         for user in 0..12usize {
             let (controller, id, reported) =
                 (controllers[random.below(3)].clone(), id.clone(), reported.clone());
-            let (what, after) = (random.below(8), Duration::from_millis(random.below(60) as u64));
+            let (action, after) = (random.below(8), Duration::from_millis(random.below(60) as u64));
             let service = service.clone();
             users.push(tokio::spawn(async move {
                 if user > 0 {
                     sleep(Duration::from_millis(20) + after).await;
                 }
                 let before = *reported.lock().expect("no panic");
-                let (status, state) = match (user, what) {
+                let (status, state) = match (user, action) {
                     (0, _) | (_, 0 | 1) => submit_once(&controller, &spec(&id, JobKind::Array)).await,
                     (1, 2..=4) => cancel_once(&controller, &id).await,
                     (2, 2..=4) => {
@@ -530,9 +531,9 @@
     }
 }
 
-fn spec_with_dependencies(id: &str, needs: &[&str]) -> JobSpec {
-    let needs = needs.iter().map(|n| (*n).to_owned()).collect();
-    JobSpec { dependencies: Some(needs), ..spec(id, JobKind::Array) }
+fn spec_with_dependencies(id: &str, dependencies: &[&str]) -> JobSpec {
+    let dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
+    JobSpec { dependencies: Some(dependencies), ..spec(id, JobKind::Array) }
 }
 
 /// A job that depends on one just cancelled is reported cancelled by every controller from then
@@ -628,11 +629,11 @@
     link.set_fault(LinkFault::Unanswered);
     // This controller sees none of the changes while the responses are missing.
     feed_tasks.iter().for_each(|f| f.abort());
-    let (one, two) = (spec("j-1", JobKind::Array), spec("j-3", JobKind::Array));
+    let (job_1, job_3) = (spec("j-1", JobKind::Array), spec("j-3", JobKind::Array));
     let requests = [
         tokio::spawn({
             let a = a.clone();
-            async move { submit_once(&a, &one).await }
+            async move { submit_once(&a, &job_1).await }
         }),
         tokio::spawn({
             let a = a.clone();
@@ -661,7 +662,7 @@
     assert_eq!(submit(&a, &spec("j-1", JobKind::Array)).await, (200, Some(JobState::Queued)));
     assert_eq!(cancel(&a, "j-2").await, (200, Some(JobState::Cancelled)));
     assert_eq!(job_state(&a, "j-3").await, (200, Some(JobState::Running)));
-    assert_eq!(submit(&a, &two).await, (200, Some(JobState::Running)));
+    assert_eq!(submit(&a, &job_3).await, (200, Some(JobState::Running)));
 }
 
 /// A controller joins, becomes leader and writes the map although none of its transactions is
@@ -692,24 +693,24 @@
     }
     let (a, b) = (&controllers[0], &controllers[1]);
     assert!(eventually(20, || service.store().map().is_some_and(|m| m.live.len() == 2)).await);
-    let late = |what: &str| {
+    let assert_late_copies_change_nothing = |moment: &str| {
         let mut store = service.store();
         let (sent, before) = (store.sent.clone(), store.revision);
         for txn in sent.iter().chain(sent.iter().rev()) {
-            assert_ne!(store.txn(txn.clone()).status, 200, "{what}: {txn:?}");
+            assert_ne!(store.txn(txn.clone()).status, 200, "{moment}: {txn:?}");
         }
         assert_eq!(store.revision, before);
     };
-    late("both are members");
+    assert_late_copies_change_nothing("both are members");
     for id in ["j-1", "j-2", "j-3"] {
         assert_eq!(submit(a, &spec(id, JobKind::Array)).await.0, 201);
     }
     assert_eq!(submit(b, &spec_with_dependencies("j-4", &["j-1"])).await.0, 201);
-    late("jobs are accepted");
+    assert_late_copies_change_nothing("jobs are accepted");
     place(a, "j-1", "m-1").await;
     assert_eq!(cancel(b, "j-1").await, (200, Some(JobState::Cancelled)));
     assert_eq!(cancel(a, "j-2").await, (200, Some(JobState::Cancelled)));
-    late("some are cancelled");
+    assert_late_copies_change_nothing("some are cancelled");
     wait_until_caught_up(&service, a).await;
     place(a, "j-3", "m-1").await;
     let mut done = service.store().job("j-3").expect("placed");
@@ -719,25 +720,26 @@
     wait_until_caught_up(&service, a).await;
     run_cycle(a).await;
     run_cycle(b).await;
-    late("one is done");
+    assert_late_copies_change_nothing("one is done");
     // A process restarts with another incarnation while its predecessor is still a member and has
     // requests in flight.
-    let leads = if a.state().is_leader(&a.identity) { 0 } else { 1 };
-    controllers[leads].shutdown.cancel();
-    let (again, _) = service.controller(leads, 2, 9).await;
-    start_following(&again);
-    again.spawn_task(membership::keep_membership(again.clone()));
+    let leader = if a.state().is_leader(&a.identity) { 0 } else { 1 };
+    controllers[leader].shutdown.cancel();
+    let (restarted, _) = service.controller(leader, 2, 9).await;
+    start_following(&restarted);
+    restarted.spawn_task(membership::keep_membership(restarted.clone()));
     assert!(
-        eventually(20, || again.state().is_leader(&again.identity) && again.state().is_live(&again.identity))
-            .await
+        eventually(20, || restarted.state().is_leader(&restarted.identity)
+            && restarted.state().is_live(&restarted.identity))
+        .await
     );
-    late("the leader came back");
+    assert_late_copies_change_nothing("the leader came back");
     let map = service.store().map().expect("a map");
-    assert!(map.contains(&again.identity.name, 9) && map.live.len() == 2, "{map:?}");
+    assert!(map.contains(&restarted.identity.name, 9) && map.live.len() == 2, "{map:?}");
     for (id, state_now) in
         [("j-1", JobState::Cancelled), ("j-3", JobState::Done), ("j-4", JobState::Cancelled)]
     {
-        assert_eq!(job_state(&again, id).await, (200, Some(state_now)));
+        assert_eq!(job_state(&restarted, id).await, (200, Some(state_now)));
     }
 }
 
@@ -753,10 +755,10 @@
     assert_eq!(submit(&a, &spec("j-1", JobKind::Array)).await.0, 201);
     wait_until_caught_up(&service, &b).await;
     link.set_fault(LinkFault::Late(Duration::from_millis(1200)));
-    let (one, two) = (a.clone(), a.clone());
+    let (canceller, submitter) = (a.clone(), a.clone());
     let late = [
-        tokio::spawn(async move { cancel_once(&one, "j-1").await.0 }),
-        tokio::spawn(async move { submit_once(&two, &spec("j-2", JobKind::Array)).await.0 }),
+        tokio::spawn(async move { cancel_once(&canceller, "j-1").await.0 }),
+        tokio::spawn(async move { submit_once(&submitter, &spec("j-2", JobKind::Array)).await.0 }),
     ];
     sleep(Duration::from_millis(200)).await;
     link.set_fault(LinkFault::None);
@@ -823,13 +825,13 @@
             }
             controllers.iter().for_each(|(_, link)| link.set_fault(LinkFault::None));
         }
-        let settled = || {
+        let all_joined = || {
             let store = service.store();
             let map = store.map().unwrap_or_default();
             map.epoch > epoch
                 && controllers.iter().all(|(n, _)| map.contains(&n.identity.name, n.identity.incarnation))
         };
-        assert!(eventually(20, settled).await, "after change {change}: {:?}", service.store().map());
+        assert!(eventually(20, all_joined).await, "after change {change}: {:?}", service.store().map());
         let revision = service.store().revision;
         for (controller, _) in &controllers {
             assert!(controller.wait_for_revision(revision, Duration::from_secs(5)).await);
@@ -887,10 +889,10 @@
     // The cancellation is committed first, while the other controller records the end from a stale
     // replica.
     feed_tasks.iter().for_each(|f| f.abort());
-    let view = b.state().records.replica.jobs["j-2"].value.clone();
+    let stale_record = b.state().records.replica.jobs["j-2"].value.clone();
     assert_eq!(cancel(&a, "j-2").await, (200, Some(JobState::Cancelled)));
     let mut late = scheduler::SchedulingCycle::default();
-    late.jobs.insert("j-2".into(), Box::new(done(*view)));
+    late.jobs.insert("j-2".into(), Box::new(done(*stale_record)));
     scheduler::commit(&b, late).await;
     start_following(&b);
     // The end is recorded again by a controller that has seen the cancellation: the assignment is
@@ -924,7 +926,7 @@
     assert_eq!(cancel(&a, "j-3").await.0, 200);
     link_a.set_fault(LinkFault::Refused);
     assert_eq!(cancel(&b, "j-1").await, (200, Some(JobState::Cancelled)));
-    let asked = Instant::now();
+    let asked_at = Instant::now();
     for id in ["j-1", "j-2", "j-9"] {
         assert_eq!(state_once(&a, id).await.0, 503, "{id}: its state may have changed");
         assert_eq!(submit_once(&a, &spec(id, JobKind::Array)).await.0, 503, "{id}");
@@ -935,7 +937,7 @@
         (200, Some(JobState::Cancelled)),
         "a final state is still answered"
     );
-    assert!(asked.elapsed() < Duration::from_secs(5), "refused too late: {:?}", asked.elapsed());
+    assert!(asked_at.elapsed() < Duration::from_secs(5), "refused too late: {:?}", asked_at.elapsed());
     link_b.set_fault(LinkFault::Refused);
     sleep(Duration::from_millis(600)).await;
     assert_eq!(job_state(&b, "j-1").await, (200, Some(JobState::Cancelled)));
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -111,13 +111,13 @@
             let txn = wire::decode(&request.body).expect("a transaction");
             return self.store().txn(txn);
         }
-        let field = |name: &str| {
+        let query_parameter = |name: &str| {
             let query = request.path.split_once('?')?.1;
             query.split('&').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')).map(str::to_owned)
         };
         if request.path.starts_with("/follow") {
-            let after: u64 = field("after").and_then(|a| a.parse().ok()).unwrap_or(0);
-            let hold: u64 = field("hold_ms").and_then(|a| a.parse().ok()).unwrap_or(0);
+            let after: u64 = query_parameter("after").and_then(|a| a.parse().ok()).unwrap_or(0);
+            let hold: u64 = query_parameter("hold_ms").and_then(|a| a.parse().ok()).unwrap_or(0);
             let until = Instant::now() + Duration::from_millis(hold);
             while self.store().revision <= after && Instant::now() < until {
                 sleep(Duration::from_millis(5)).await;
@@ -127,7 +127,7 @@
             return Reply::new(200, &Changes { revision: store.revision, events });
         }
         let store = self.store();
-        let after = field("after").unwrap_or_default();
+        let after = query_parameter("after").unwrap_or_default();
         let entries = store.keys.iter().filter(|(k, _)| **k > after);
         let items: Vec<Item<Value>> = entries
             .take(3)
@@ -140,9 +140,9 @@
     async fn listen(&self) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address").to_string();
-        let this = self.clone();
+        let service = self.clone();
         let connections = Arc::new(net::Connections::new(64, &[], |_| 0));
-        let serve = move |request| this.clone().answer(request);
+        let serve = move |request| service.clone().answer(request);
         tokio::spawn(net::serve(
             listener,
             connections,
@@ -225,9 +225,9 @@
     send_request(controller, "GET", &format!("/v1/jobs/{id}"), Vec::new()).await.1.map(|j| j.state)
 }
 
-fn spec_with_dependencies(id: &str, needs: &[&str]) -> JobSpec {
-    let needs = needs.iter().map(|n| (*n).to_owned()).collect();
-    JobSpec { dependencies: Some(needs), ..spec(id, JobKind::Array) }
+fn spec_with_dependencies(id: &str, dependencies: &[&str]) -> JobSpec {
+    let dependencies = dependencies.iter().map(|n| (*n).to_owned()).collect();
+    JobSpec { dependencies: Some(dependencies), ..spec(id, JobKind::Array) }
 }
 
 /// Runs and commits one scheduling cycle of a controller.
@@ -262,19 +262,23 @@
     );
     let shown = send_request(&controller, "GET", "/v1/jobs/j-4", Vec::new()).await.1.expect("a job");
     assert_eq!(shown.waits_for, ["j-1", "j-3"]);
-    for (needs, status) in [(&["j-9"], 422), (&["j-2"], 422), (&["j-5"], 422), (&["x-1"], 400)] {
-        assert_eq!(submit(&controller, &spec_with_dependencies("j-5", needs)).await.0, status, "{needs:?}");
+    for (dependencies, status) in [(&["j-9"], 422), (&["j-2"], 422), (&["j-5"], 422), (&["x-1"], 400)] {
+        assert_eq!(
+            submit(&controller, &spec_with_dependencies("j-5", dependencies)).await.0,
+            status,
+            "{dependencies:?}"
+        );
     }
-    let mut odd: serde_json::Value =
+    let mut raw_spec: serde_json::Value =
         wire::decode(&wire::encode(&spec_with_dependencies("j-6", &[]))).expect("a description");
     for (awaits, status) in
         [(serde_json::json!("j-1"), 400), (serde_json::json!([7]), 400), (serde_json::Value::Null, 201)]
     {
-        odd["awaits"] = awaits;
+        raw_spec["awaits"] = awaits;
         assert_eq!(
-            send_request(&controller, "POST", "/v1/jobs", wire::encode(&odd)).await.0,
+            send_request(&controller, "POST", "/v1/jobs", wire::encode(&raw_spec)).await.0,
             status,
-            "{odd}"
+            "{raw_spec}"
         );
     }
     // A late copy of an accepted submission gets 200, whatever dependencies it names.
@@ -333,8 +337,8 @@
     wait_until_caught_up(&service, &first).await;
     assert_eq!(submit(&first, &spec("j-0", JobKind::Array)).await.0, 201);
     for n in 1..40 {
-        let need = format!("j-{}", n - 1);
-        assert_eq!(submit(&first, &spec_with_dependencies(&format!("j-{n}"), &[&need])).await.0, 201);
+        let dependency = format!("j-{}", n - 1);
+        assert_eq!(submit(&first, &spec_with_dependencies(&format!("j-{n}"), &[&dependency])).await.0, 201);
     }
     assert_eq!(submit(&first, &spec_with_dependencies("j-90", &["j-0"])).await.0, 201);
     let (status, job) = send_request(&first, "POST", "/v1/jobs/j-1/withdraw", Vec::new()).await;
@@ -361,10 +365,10 @@
     service.store().in_outage = true;
     run_cycle(&second).await;
     service.store().in_outage = false;
-    let left = |controller: &Arc<Controller>| {
+    let unrecorded_cancellations = |controller: &Arc<Controller>| {
         controller.state().records.replica.pipelines.cancelled_by_dependency().count()
     };
-    assert!((1..38).contains(&left(&second)), "not all in one cycle");
+    assert!((1..38).contains(&unrecorded_cancellations(&second)), "not all in one cycle");
     second.shutdown.cancel();
     let third = service.controller(3, EXAMPLE).await;
     service.elect(&third, 3);
@@ -372,7 +376,7 @@
     for _ in 0..40 {
         run_cycle(&third).await;
     }
-    assert_eq!(left(&third), 0);
+    assert_eq!(unrecorded_cancellations(&third), 0);
     let cancelled =
         third.state().records.replica.jobs.values().filter(|j| j.value.phase == Phase::Cancelled).count();
     assert_eq!(cancelled, 40, "j-1 to j-39 and j-50");
@@ -412,9 +416,9 @@
 fn production_array() -> JobRecord {
     let mut job = JobRecord::new(JobSpec { tasks: 2000, ..spec("j-1", JobKind::Array) }, None, 1000);
     (0..480).for_each(|t| job.done.insert(t));
-    let on = |t: u32| format!("host-{:06}", 100 + (t * 7919) % 157).into();
+    let machine_of = |t: u32| format!("host-{:06}", 100 + (t * 7919) % 157).into();
     job.assignments = (500..1800)
-        .map(|t| Assignment { task: t, attempt: 1, machine: on(t), desired: DesiredState::Running })
+        .map(|t| Assignment { task: t, attempt: 1, machine: machine_of(t), desired: DesiredState::Running })
         .collect();
     job.attempt = 1;
     job
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -289,5 +289,5 @@
         .expect("entitled");
     let record = cycle.jobs.get(&service).expect("the end of its task");
     assert!(record.assignments.iter().all(|a| a.machine != lost));
-    assert!(cycle.jobs.len() > 4, "the arrays have the rest");
+    assert!(cycle.jobs.len() > 4, "ended array tasks fill the rest of the cycle");
 }
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -92,13 +92,13 @@
     fn end_leases(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, (_, until)| now < *until);
-        let over: Vec<String> = self
+        let expired: Vec<String> = self
             .keys
             .iter()
             .filter(|(_, (_, _, lease))| lease.is_some_and(|l| !self.leases.contains_key(&l)))
             .map(|(k, _)| k.clone())
             .collect();
-        for key in over {
+        for key in expired {
             self.change(key, None, None, self.revision + 1);
         }
     }
@@ -111,9 +111,9 @@
         if !failed.is_empty() {
             return Reply::new(409, &serde_json::json!({"failed": failed, "epoch": self.revision}));
         }
-        let ended =
+        let has_ended_lease =
             |op: &Op<Value>| matches!(op, Op::Put { lease: Some(l), .. } if !self.leases.contains_key(l));
-        if txn.ops.iter().any(ended) {
+        if txn.ops.iter().any(has_ended_lease) {
             return Reply::error(400, "no such lease");
         }
         let revision = self.revision + 1;
@@ -186,10 +186,10 @@
 
     async fn answer(&self, link: &StoreLink, request: Request) -> Reply {
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
-        let field = |name: &str| {
+        let query_parameter = |name: &str| {
             query.split('&').find_map(|f| f.strip_prefix(name)?.strip_prefix('=')).map(str::to_owned)
         };
-        let number = |name: &str| field(name).and_then(|n| n.parse().ok()).unwrap_or(0u64);
+        let number = |name: &str| query_parameter(name).and_then(|n| n.parse().ok()).unwrap_or(0u64);
         if path == "/txn" {
             return self.store().txn(wire::decode(&request.body).expect("a transaction"));
         }
@@ -229,7 +229,7 @@
             *until = Instant::now() + *ttl;
             return Reply::new(200, &"kept");
         }
-        let after = field("after").unwrap_or_default();
+        let after = query_parameter("after").unwrap_or_default();
         let page = if store.page == 0 { 400 } else { store.page };
         let items: Vec<Item<Value>> = store
             .keys
@@ -247,9 +247,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address").to_string();
         let link = Arc::new(StoreLink::default());
-        let (this, link_of_requests) = (self.clone(), link.clone());
+        let (service, link_of_requests) = (self.clone(), link.clone());
         let connections = Arc::new(net::Connections::new(256, &[], |_| 0));
-        let serve = move |request| this.clone().receive(link_of_requests.clone(), request);
+        let serve = move |request| service.clone().receive(link_of_requests.clone(), request);
         let (stop, tasks) = (CancellationToken::new(), TaskTracker::new());
         tokio::spawn(net::serve(listener, connections, 1 << 20, serve, stop, tasks));
         (link, addr)
