--- a/crates/daemon/tests/unit/faults_records.rs
+++ b/crates/daemon/tests/unit/faults_records.rs
@@ -238,31 +238,31 @@
 #[test]
 fn one_zone_job_stays_in_its_zone_while_a_task_may_run_there() {
     let mut cluster = FakeCluster::new(1, &[("host-1", "a"), ("host-2", "a"), ("host-3", "b")]);
-    let mut other_zone = FakeWorker::new("host-3", "b", cluster.now);
+    let mut other_zone_worker = FakeWorker::new("host-3", "b", cluster.now);
     let two_tasks = JobSpec { tasks: 2, one_zone: true, ..spec("j-1", JobKind::Array) };
     cluster.assign(two_tasks, &[(0, 1, "host-1"), (1, 1, "host-2")]);
-    let gone = |names: &[&str]| {
-        let gone = Some(names.iter().map(|n| (*n).into()).collect());
-        KeyWrite::new(key::FLEET.into(), &FleetRecord { scale_outs: Vec::new(), removed_machines: gone })
+    let fleet_with_removed = |names: &[&str]| {
+        let removed = Some(names.iter().map(|n| (*n).into()).collect());
+        KeyWrite::new(key::FLEET.into(), &FleetRecord { scale_outs: Vec::new(), removed_machines: removed })
     };
     // One machine is released, the other is unreachable.
-    cluster.write(vec![gone(&["host-2"])]);
-    let steps = |cluster: &mut FakeCluster, other_zone: &mut FakeWorker| {
+    cluster.write(vec![fleet_with_removed(&["host-2"])]);
+    let steps = |cluster: &mut FakeCluster, other_zone_worker: &mut FakeWorker| {
         for _ in 0..10 {
             cluster.advance(1.0);
             cluster.catch_up(0);
-            cluster.exchange_heartbeat(0, other_zone);
-            cluster.run_cycle_and_deliver(0, &mut [other_zone]);
+            cluster.exchange_heartbeat(0, other_zone_worker);
+            cluster.run_cycle_and_deliver(0, &mut [other_zone_worker]);
         }
     };
-    steps(&mut cluster, &mut other_zone);
+    steps(&mut cluster, &mut other_zone_worker);
     let job = cluster.job("j-1");
     assert!(job.assignments.len() == 1 && &*job.assignments[0].machine == "host-1", "{:?}", job.assignments);
-    assert!(other_zone.tasks.is_empty());
+    assert!(other_zone_worker.tasks.is_empty());
     // The unreachable machine is released, too.
-    cluster.write(vec![gone(&["host-1", "host-2"])]);
-    steps(&mut cluster, &mut other_zone);
-    assert!(other_zone.is_running("j-1/0") && other_zone.is_running("j-1/1"));
+    cluster.write(vec![fleet_with_removed(&["host-1", "host-2"])]);
+    steps(&mut cluster, &mut other_zone_worker);
+    assert!(other_zone_worker.is_running("j-1/0") && other_zone_worker.is_running("j-1/1"));
 }
 
 /// The tasks of a small array end far apart, and the leader changes in between. Late copies of
@@ -373,9 +373,9 @@
         cluster.catch_up(n);
         let up = |i: &usize| !hung.contains(i);
         (0..3).filter(up).for_each(|i| cluster.exchange_heartbeat(n, &mut workers[i]));
-        let mut other_zone: Vec<&mut FakeWorker> =
+        let mut other_zone_worker: Vec<&mut FakeWorker> =
             workers.iter_mut().enumerate().filter(|(i, _)| up(i)).map(|(_, h)| h).collect();
-        cluster.run_cycle_and_deliver(n, &mut other_zone);
+        cluster.run_cycle_and_deliver(n, &mut other_zone_worker);
     };
     (0..3).for_each(|_| run_step(&mut cluster, 0, &mut workers, &[]));
     assert!(workers[0].is_running("j-1/0") && workers[1].is_running("j-1/1"));
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -177,16 +177,16 @@
         };
         for n in 1..4 {
             let at = now + Duration::from_secs(n * 3);
-            let mut report = report("m-1", n);
-            report.spot_notice_s = Some(s);
-            report.tasks = vec![TaskStatus {
+            let mut heartbeat = heartbeat("m-1", n);
+            heartbeat.spot_notice_s = Some(s);
+            heartbeat.tasks = vec![TaskStatus {
                 task: "j-1/0".into(),
                 attempt: 1,
                 state: TaskState::Running,
                 cause: None,
                 checkpointed: None,
             }];
-            assert!(worker.receive_heartbeat(report, at));
+            assert!(worker.receive_heartbeat(heartbeat, at));
             worker.reconcile("m-1", &replica, &limits, at);
         }
         let spec = JobSpec { checkpoint_save_s: s, checkpoint_interval_s: s, ..spec("j-1", JobKind::Gang) };
@@ -196,7 +196,7 @@
     }
 }
 
-fn report(machine: &str, n: u64) -> Heartbeat {
+fn heartbeat(machine: &str, n: u64) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:1".into(),
@@ -253,10 +253,13 @@
     service.elect(&[&controller], 1);
     wait_until_caught_up(&service, &controller).await;
     for name in ["", "host 1", "host\u{7}1", &"x".repeat(300)] {
-        let body = wire::encode(&report(name, 1));
+        let body = wire::encode(&heartbeat(name, 1));
         assert_eq!(send_request(&controller, "POST", "/hello", body).await.0, 400, "{name:?}");
     }
-    assert_ne!(send_request(&controller, "POST", "/hello", wire::encode(&report("host-1", 1))).await.0, 400);
+    assert_ne!(
+        send_request(&controller, "POST", "/hello", wire::encode(&heartbeat("host-1", 1))).await.0,
+        400
+    );
     for body in [b"\xc1".to_vec(), Vec::new(), wire::encode(&7), malformed_spec("j-1", "cpus", None)] {
         assert_eq!(send_request(&controller, "POST", "/hello", body).await.0, 400);
     }
@@ -408,8 +411,8 @@
     assert!(eventually(20, || controller.state().is_live(&controller.identity)).await);
     assert_eq!(submit(&controller, &spec("j-1", JobKind::Array)).await.0, 201);
     for n in 0..200 {
-        let (controller, report) = (controller.clone(), wire::encode(&report(&format!("host-{n}"), 1)));
-        tokio::spawn(async move { crate::peer_client::relay_heartbeat(&controller, "n-1", report).await });
+        let (controller, heartbeat) = (controller.clone(), wire::encode(&heartbeat(&format!("host-{n}"), 1)));
+        tokio::spawn(async move { crate::peer_client::relay_heartbeat(&controller, "n-1", heartbeat).await });
     }
     let since = Instant::now();
     assert_eq!(job_state(&controller, "j-1").await, (200, Some(JobState::Queued)));
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -47,7 +47,7 @@
     writes.len()
 }
 
-fn report(controller: &Arc<Controller>, machine: &str, sequence: u64, token: u64) -> Heartbeat {
+fn heartbeat(controller: &Arc<Controller>, machine: &str, sequence: u64, token: u64) -> Heartbeat {
     let state = controller.state();
     let running = |(job, _, a): (&str, &JobRecord, &Assignment)| TaskStatus {
         task: format!("{job}/{}", a.task),
@@ -139,8 +139,8 @@
     let machines: Vec<Name> = controller.state().records.replica.machines.keys().cloned().collect();
     let later = now + Duration::from_secs(2);
     for id in machines.iter().step_by(2) {
-        let report = report(&controller, id, 2, first_token(7));
-        let outcome = process_heartbeat(&controller, &report, HeartbeatRoute::Direct, later);
+        let heartbeat = heartbeat(&controller, id, 2, first_token(7));
+        let outcome = process_heartbeat(&controller, &heartbeat, HeartbeatRoute::Direct, later);
         assert!(matches!(outcome, HeartbeatOutcome::Respond(_)), "{id}: {outcome:?}");
     }
     // The others send no heartbeat. None of them has been probed yet: they do not count as silent,
@@ -248,10 +248,10 @@
     }
     let machines: Vec<Name> = controller.state().records.replica.machines.keys().cloned().collect();
     for id in &machines {
-        let report = report(&controller, id, 1, first_token(7));
+        let heartbeat = heartbeat(&controller, id, 1, first_token(7));
         let mut state = controller.state();
         let worker = state.machines.workers.get_mut(id).expect("owned");
-        worker.receive_heartbeat(report, now);
+        worker.receive_heartbeat(heartbeat, now);
         worker.renew_lease(now);
     }
     let mut state = controller.state();
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -122,7 +122,7 @@
             cause: None,
             checkpointed: None,
         };
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: id.to_string(),
             addr: "10.1.0.1:9000".into(),
             machine_type: "m".into(),
@@ -134,8 +134,8 @@
             spot_notice_s: None,
             tasks: state.records.replica.assignments(&id).map(running).collect(),
         };
-        let mut worker = Worker::new(report.addr.clone(), EPOCH, now);
-        worker.receive_heartbeat(report, now);
+        let mut worker = Worker::new(heartbeat.addr.clone(), EPOCH, now);
+        worker.receive_heartbeat(heartbeat, now);
         worker.renew_lease(now);
         state.machines.workers.insert(id, worker);
     }
