--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -1,4 +1,4 @@
-//! Commits transactions within the limits that the key-value store currently has.
+//! Commits transactions within the limits of the key-value store, before and after these are reduced.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -247,7 +247,7 @@
         }
     }
 
-    /// The limits of the key-value store that apply now.
+    /// The limits of the key-value store to plan with.
     pub fn state_limits(&self) -> StateLimits {
         limits::effective_limits(&self.settings.facts.state, self.limit_changes.get())
     }
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,5 +1,5 @@
-//! The limits of the key-value store that apply now: the present ones, or the next ones, which come
-//! into force at some moment without notice.
+//! The limits of the key-value store to plan with: the present ones, or the smaller of the present
+//! and the next ones, which come into force at some moment without notice.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
@@ -69,7 +69,8 @@
     }
 }
 
-/// The limits of the key-value store that apply now.
+/// The limits of the key-value store to plan with. A size that may be reduced at any moment counts
+/// as reduced already.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateLimits {
     /// Requests a second, of all controllers together.
@@ -105,7 +106,8 @@
     }
 }
 
-/// Computes the limits that apply now from the settings and from what is known about changes.
+/// Computes the limits to plan with from the settings and from what is known about changes. Sizes
+/// are the smaller ones as soon as they may change, rates only once they are known to be reduced.
 pub fn effective_limits(state: &State, changes: LimitChanges) -> StateLimits {
     let next = state.next.clone().unwrap_or_default();
     let smaller_of = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
--- a/crates/sched/src/placement/queue.rs
+++ b/crates/sched/src/placement/queue.rs
@@ -47,7 +47,7 @@
 /// waiting, the lower one first.
 ///
 /// When demand exceeds capacity, serving jobs strictly by age makes every job late. A gang that has
-/// missed a target therefore yields to gangs that can still meet theirs, until it is one of those
+/// missed a target therefore yields to jobs that can still meet theirs, until it is one of those
 /// that have waited longest.
 pub fn queue_rank(
     job: &JobRecord,
--- a/crates/sched/src/records/fleet.rs
+++ b/crates/sched/src/records/fleet.rs
@@ -5,7 +5,7 @@
 use crate::assignment::Name;
 use crate::compact;
 
-/// A requested scale-out whose machines have not all started yet.
+/// A requested scale-out whose machines have not all registered yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOut {
     /// The id of the request, by which the cloud recognizes retries.
