--- a/crates/daemon/src/drains/eviction_budget.rs
+++ b/crates/daemon/src/drains/eviction_budget.rs
@@ -1,5 +1,6 @@
-//! Disruption budgets for the rescheduler's evictions, if drains are enabled. Evictions and drains
-//! both disrupt services voluntarily, and count against the same budgets.
+//! Disruption budgets for the rescheduler's evictions, if drains are enabled. Evictions and drains both
+//! disrupt services voluntarily. They count against the same budgets, so that neither exceeds a budget
+//! because of the other.
 
 use drain::budget::{Ledger, UnitId};
 use drain::view::{self, AssumeRunning};
--- a/crates/daemon/tests/unit/prober.rs
+++ b/crates/daemon/tests/unit/prober.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A controller that takes over thousands of machines has to probe all of them before the last ones
-/// count as lost. A few lost workers must hold only a part of the connections.
+/// A controller that takes over thousands of machines has to probe all of them long before the last
+/// ones count as silent. A few lost workers must hold only a part of the connections.
 #[test]
 fn thousands_of_workers_are_probed_before_they_count_as_silent() {
     let connections = 688;
--- a/crates/drain/examples/measure.rs
+++ b/crates/drain/examples/measure.rs
@@ -369,7 +369,7 @@
     println!("| --- | --- | --- | --- | --- |");
     for drained in [5, 10, 20, 50, 200, 1000, 4000] {
         let mut numbers = RandomNumbers(7 + drained as u64);
-        // Few services on many machines: the order matters only where machines share services.
+        // Few services on many machines, so that machines share services: there the order matters.
         let services = (drained as u64 / 2).max(3);
         let names: Vec<String> = (0..drained).map(machine_name).collect();
         let named: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "a")).collect();
--- a/crates/drain/src/view.rs
+++ b/crates/drain/src/view.rs
@@ -70,8 +70,8 @@
 /// The planned order of each drain's machines, by drain name.
 pub type Orders = HashMap<String, Vec<Name>>;
 
-/// The active drains, with their machines in the order in which they should be emptied: the
-/// planned order of the drain if there is one, else the greedy order.
+/// The active drains, sorted by name, with their machines in the order in which they should be
+/// emptied: the planned order of the drain if there is one, else the greedy order.
 pub fn active_drains(replica: &Replica, budgets: &Budgets, orders: &Orders) -> Vec<Drain> {
     let active = replica.drains.records.iter().filter(|(_, d)| d.value.is_active());
     // A drain without machines is passed on, and thereby finished, only once all its machines are
--- a/crates/model/src/size.rs
+++ b/crates/model/src/size.rs
@@ -58,7 +58,8 @@
     pub partial_answers: bool,
 }
 
-/// The renewal bound with two controllers and one worker, and a peer that restarts.
+/// The renewal bound with two controllers and one worker, and a peer that restarts and so forgets what
+/// it has confirmed.
 pub const RENEWAL: Size = Size {
     name: "renewal",
     controllers: 2,
--- a/crates/model/src/state.rs
+++ b/crates/model/src/state.rs
@@ -86,7 +86,7 @@
     pub proof_token: Token,
     /// The token and the age of the unanswered command.
     pub in_flight: Option<(Token, u8)>,
-    /// Whether an answer since the last report carried a launch.
+    /// Whether an answer since the last unsolicited report carried a launch.
     pub launch_offered: bool,
     /// Ticks since a report was last answered, which renews the lease.
     pub renewal_age: u8,
