--- a/crates/daemon/src/autoscaler/release_candidates.rs
+++ b/crates/daemon/src/autoscaler/release_candidates.rs
@@ -49,10 +49,10 @@
             Self::Marked => "marked",
             Self::Drained => "drained",
             Self::Silent => "silent",
-            Self::Unhealthy => "unhealthy",
+            Self::Unhealthy => "sick",
             Self::Idle => "idle",
             Self::Failed => "failed",
-            Self::NeverRegistered => "never registered",
+            Self::NeverRegistered => "never came up",
         }
     }
 }
--- a/crates/sched/tests/unit/rescheduler.rs
+++ b/crates/sched/tests/unit/rescheduler.rs
@@ -15,11 +15,7 @@
     let eviction_count =
         |replica: &Replica| find_evictions(replica, &inventory(replica), &policy, 1_000_000).len();
     assert_eq!(eviction_count(&crowded_replica(JobKind::Service, 2)), 1);
-    assert_eq!(
-        eviction_count(&crowded_replica(JobKind::Service, 1)),
-        0,
-        "single replicas are not replica_after_eviction"
-    );
+    assert_eq!(eviction_count(&crowded_replica(JobKind::Service, 1)), 0, "single replicas are not moved");
     assert_eq!(eviction_count(&crowded_replica(JobKind::Array, 2)), 0);
     assert_eq!(eviction_count(&crowded_replica(JobKind::Gang, 2)), 0);
     let mut balanced = replica_with(&[("a1", "m", "a", false), ("a2", "m", "a", false)]);
