--- a/crates/daemon/src/autoscaler/scale_in.rs
+++ b/crates/daemon/src/autoscaler/scale_in.rs
@@ -77,9 +77,9 @@
     /// not accept the record then.
     async fn record_earlier_releases(&self, controller: &Controller) {
         let has_record = |id: &&Name| controller.state().records.replica.machines.contains_key(*id);
-        let unrecorded: Vec<Name> = self.released.keys().filter(has_record).cloned().collect();
-        if !unrecorded.is_empty() {
-            self.record_removal(controller, unrecorded).await;
+        let still_recorded: Vec<Name> = self.released.keys().filter(has_record).cloned().collect();
+        if !still_recorded.is_empty() {
+            self.record_removal(controller, still_recorded).await;
         }
     }
 
--- a/crates/daemon/src/change_feed.rs
+++ b/crates/daemon/src/change_feed.rs
@@ -150,7 +150,7 @@
         controller.limit_changes.all_upgraded.store(true, Ordering::Relaxed);
         let limits = controller.state_limits();
         info!(value_bytes = limits.value_bytes, txn_ops = limits.txn_ops, "chunked records enabled");
-    } else if controller.limit_changes.missing_count_has_changed(missing.len()) {
+    } else if controller.limit_changes.not_upgraded_count_has_changed(missing.len()) {
         info!(
             controllers = sample_names(&missing),
             "waiting for upgrades of these controllers before chunked records are enabled"
--- a/crates/daemon/src/commit.rs
+++ b/crates/daemon/src/commit.rs
@@ -76,13 +76,14 @@
         if chunked.chunks.len() > MAX_CHUNKS {
             return Err(too_large());
         }
-        let first_key = chunked.chunks.last().map(|chunk| chunk.key.clone()).ok_or_else(too_large)?;
+        // The first chunk is written last.
+        let first_chunk_key = chunked.chunks.last().map(|chunk| chunk.key.clone()).ok_or_else(too_large)?;
         let chunks_per_txn = limits.txn_ops.min(MAX_TXN_BYTES / (value_bytes + CHUNK_OVERHEAD_BYTES)).max(1);
         let mut revision = 0;
         for chunks in chunked.chunks.chunks(chunks_per_txn) {
             revision = self.write_chunks_with_retries(&write.key, chunks, value_bytes).await?;
         }
-        let first_chunk_exists = Condition { key: first_key, version: revision };
+        let first_chunk_exists = Condition { key: first_chunk_key, version: revision };
         Ok(StoredChunks { head: chunked.head, first_chunk_exists })
     }
 
@@ -127,9 +128,9 @@
         let largest = written.iter().max_by_key(|value| value.bytes);
         let (key, bytes) = largest.map_or(("", 0), |value| (value.key.as_str(), value.bytes));
         warn!(key, bytes, changes = written.len(), "transaction refused as malformed or too large");
-        let exceeds_next = next.value_kb.is_some_and(|kb| bytes as f64 > kb * 1024.0)
+        let exceeds_reduced_limits = next.value_kb.is_some_and(|kb| bytes as f64 > kb * 1024.0)
             || next.txn_ops.is_some_and(|ops| written.len() > ops);
-        if exceeds_next && !already_chunked {
+        if exceeds_reduced_limits && !already_chunked {
             self.limit_changes.sizes_reduced.store(true, Ordering::Relaxed);
             let StateLimits { value_bytes, txn_ops, .. } = self.state_limits();
             info!(value_bytes, txn_ops, "key-value store has reduced its size limits");
--- a/crates/daemon/src/drains/housekeeping.rs
+++ b/crates/daemon/src/drains/housekeeping.rs
@@ -87,12 +87,12 @@
     let active = known.cordons.iter().filter(|(_, cordon)| cordon.value.active);
     let orphaned: BTreeSet<&str> =
         active.map(|((name, _), _)| name.as_str()).filter(|name| !has_record(name)).collect();
-    drains.orphaned_since.retain(|name, _| orphaned.contains(name.as_str()));
+    drains.orphaned_cordons_since.retain(|name, _| orphaned.contains(name.as_str()));
     for name in &orphaned {
-        drains.orphaned_since.entry((*name).to_owned()).or_insert(now);
+        drains.orphaned_cordons_since.entry((*name).to_owned()).or_insert(now);
     }
     let has_timed_out = |since: &Instant| now.saturating_duration_since(*since) > ORPHANED_CORDON_TIMEOUT;
-    let timed_out = drains.orphaned_since.iter().filter(|(_, since)| has_timed_out(since));
+    let timed_out = drains.orphaned_cordons_since.iter().filter(|(_, since)| has_timed_out(since));
     timed_out.map(|(name, _)| name.clone()).collect()
 }
 
--- a/crates/daemon/src/drains/report.rs
+++ b/crates/daemon/src/drains/report.rs
@@ -157,7 +157,8 @@
         let moved = wave.checked_sub(1).and_then(|w| waves.get(w)).map_or(0, Vec::len);
         if moved + emptied.len() > 0 {
             let when = if wave == 0 { "at once".to_owned() } else { format!("wave {wave}") };
-            let _ = writeln!(text, "  {when}: {moved} moved, empty after it: {}", names(&emptied));
+            let _ =
+                writeln!(text, "  {when}: {moved} moved, empty after it: {}", sample_names_or_none(&emptied));
         }
     }
     if waves.len() > MAX_WAVES_SHOWN {
@@ -176,7 +177,7 @@
     text
 }
 
-fn names(list: &[&str]) -> String {
+fn sample_names_or_none(list: &[&str]) -> String {
     if list.is_empty() { "none".into() } else { crate::load::sample_names(list) }
 }
 
--- a/crates/daemon/src/drains/running_tasks.rs
+++ b/crates/daemon/src/drains/running_tasks.rs
@@ -128,7 +128,7 @@
         return false;
     }
     let mut tasks = ObservedTasks::default();
-    answer.jobs.iter().for_each(|of_job| add(&mut tasks, of_job));
+    answer.tasks_by_job.iter().for_each(|of_job| add(&mut tasks, of_job));
     let RunningTasks { incarnation, epoch, .. } = answer;
     state
         .drains
@@ -153,7 +153,7 @@
         name: controller.identity.name.clone(),
         incarnation: controller.identity.incarnation,
         epoch,
-        jobs: tasks_on_owned_machines(controller, &state, jobs, clock::now()),
+        tasks_by_job: tasks_on_owned_machines(controller, &state, jobs, clock::now()),
     };
     Reply { status: 200, body: peer::encode_running_tasks(&answer), retry_after: None }
 }
--- a/crates/daemon/src/drains/unit_stops.rs
+++ b/crates/daemon/src/drains/unit_stops.rs
@@ -20,7 +20,7 @@
 /// The writes that stopping one unit takes: the records of its job, its team and its drain.
 const WRITES_PER_STOP: usize = 3;
 /// The bytes of a transaction that are counted for all records but the job's, for each unit.
-const OTHER_RECORDS_BYTES: usize = 700;
+const BYTES_BESIDES_JOB_RECORD: usize = 700;
 
 /// The transaction that stops the first units of a list.
 pub(super) struct UnitStops {
@@ -101,7 +101,7 @@
         let Some(attempt) = view::attempt_of(job, id) else { return Addition::LeftOut };
         let mut job = job.clone();
         mark_stopped(self.controller, &mut job, unit_move, self.now_ms);
-        let bytes = KeyWrite::new(key::job(&id.job), &job).json_len() + OTHER_RECORDS_BYTES;
+        let bytes = KeyWrite::new(key::job(&id.job), &job).json_len() + BYTES_BESIDES_JOB_RECORD;
         let fits_bytes = self.jobs.is_empty() || self.bytes + bytes <= MAX_TXN_BYTES;
         if self.writes_with(unit_move, &team) > self.max_writes || !fits_bytes {
             return Addition::LeftOut;
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -5,9 +5,10 @@
 
 use crate::settings::State;
 
-/// Bytes of a job's record besides its lists: the description and its fields.
+/// Bytes of a job's record besides its two lists, the assignments and the finished tasks: the
+/// description and the fields.
 const RECORD_BYTES_OUTSIDE_LISTS: f64 = 750.0;
-/// Least bytes that the lists of a job's record may take.
+/// Least bytes that the two lists of a job's record may take together.
 const MIN_LIST_BYTES: f64 = 512.0;
 /// Fraction of the list bytes that assignments may take.
 const ASSIGNMENTS_FRACTION: f64 = 0.55;
@@ -48,14 +49,14 @@
     /// See [`LimitChanges::rates_reduced`].
     pub rates_reduced: AtomicBool,
     /// How many controllers were not upgraded when that was last logged.
-    logged_missing: AtomicUsize,
+    logged_not_upgraded: AtomicUsize,
 }
 
 impl LimitChangeFlags {
     /// Stores how many controllers are not upgraded. Returns whether the number has changed since
     /// the last call.
-    pub fn missing_count_has_changed(&self, missing: usize) -> bool {
-        self.logged_missing.swap(missing, Ordering::Relaxed) != missing
+    pub fn not_upgraded_count_has_changed(&self, count: usize) -> bool {
+        self.logged_not_upgraded.swap(count, Ordering::Relaxed) != count
     }
 
     /// All flags as they are now.
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -38,7 +38,7 @@
             continue;
         }
         let lease_result = keep_lease(&controller, &mut renewed_at).await;
-        if commit_claim_if_leased(&controller, lease_result).await == Progress::Committed {
+        if commit_claim_if_leased(&controller, lease_result).await == ClaimOutcome::Applied {
             // The next claim follows without a pause: after a crash of all controllers, joining,
             // leadership and the cluster map have to be committed before workers' leases expire.
             continue;
@@ -86,36 +86,41 @@
     }
 }
 
-/// Whether a claim was committed.
+/// What became of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
-    Committed,
-    Nothing,
+enum ClaimOutcome {
+    /// It was committed, and this controller's copy of the records holds it.
+    Applied,
+    /// None was due, it was not committed, or the copy of the records does not hold it yet.
+    NotApplied,
 }
 
 /// Commits the next claim under the lease, unless the lease has expired.
-async fn commit_claim_if_leased(controller: &Controller, lease_result: Result<(), StoreError>) -> Progress {
+async fn commit_claim_if_leased(
+    controller: &Controller,
+    lease_result: Result<(), StoreError>,
+) -> ClaimOutcome {
     match lease_result {
         Err(StoreError::LeaseExpired) => {
             info!("lease expired");
             controller.state().membership.lease = None;
-            return Progress::Nothing;
+            return ClaimOutcome::NotApplied;
         }
         // A late answer does not show whether the lease has expired, and a claim under an expired
         // lease is refused. If claims waited for the answer, there would be no leader for as long
         // as the key-value store takes more than a second to answer.
         Ok(()) | Err(StoreError::Network(_)) => {}
-        Err(_) => return Progress::Nothing,
+        Err(_) => return ClaimOutcome::NotApplied,
     }
     let lease = controller.state().membership.lease;
-    let Some(lease) = lease else { return Progress::Nothing };
+    let Some(lease) = lease else { return ClaimOutcome::NotApplied };
     match commit_next_claim(controller, lease).await {
-        Ok(progress) => progress,
+        Ok(outcome) => outcome,
         Err(StoreError::LeaseExpired) => {
             controller.state().membership.lease = None;
-            Progress::Nothing
+            ClaimOutcome::NotApplied
         }
-        Err(_) => Progress::Nothing,
+        Err(_) => ClaimOutcome::NotApplied,
     }
 }
 
@@ -126,8 +131,8 @@
     Member {
         /// The version of the entry that it replaces.
         version: u64,
-        /// Whether the controller also has to record its schema version, below which it will not
-        /// return.
+        /// Whether the same transaction also records the controller's schema version, because the
+        /// recorded one is missing or different. The controller is not restarted with a lower one.
         records_schema: bool,
     },
     /// The leadership.
@@ -234,7 +239,8 @@
                 if records_schema {
                     // Together with the entry, so that no live controller is taken for one of the
                     // old version.
-                    writes.push(KeyWrite::new(key::schema_marker(&me.name), &SchemaMarker { schema_version }));
+                    writes
+                        .push(KeyWrite::new(key::schema_marker(&me.name), &SchemaMarker { schema_version }));
                 }
                 ClaimTransaction { conditions, writes }
             }
@@ -255,32 +261,32 @@
 }
 
 /// Commits the next claim, if there is one.
-async fn commit_next_claim(controller: &Controller, lease: u64) -> Result<Progress, StoreError> {
+async fn commit_next_claim(controller: &Controller, lease: u64) -> Result<ClaimOutcome, StoreError> {
     let schema_version = schema_version(controller);
     let claim = {
         let state = controller.state();
         if !state.records.is_loaded {
-            return Ok(Progress::Nothing);
+            return Ok(ClaimOutcome::NotApplied);
         }
         let tokens_run_low = state.machines.workers.values().any(Worker::tokens_run_low);
         next_claim(&state.records.replica, &controller.identity, schema_version, tokens_run_low)
     };
-    let Some(claim) = claim else { return Ok(Progress::Nothing) };
+    let Some(claim) = claim else { return Ok(ClaimOutcome::NotApplied) };
     claim.log(&controller.identity);
     let ClaimTransaction { conditions, writes } =
         claim.into_transaction(&controller.identity, schema_version, lease);
-    // Does not wait for the write rate: the lease would expire in the meantime, and a controller
+    // Does not wait for the rate limiter: the lease would expire in the meantime, and a controller
     // that has exceeded its rate would join again and again without ever being live.
     controller.state().writes.limiter.acquire(writes.len() as f64, 0.0, clock::now());
     controller.load.count_changes(Purpose::Members, writes.len());
     match controller.kv_client.txn(conditions, writes).await? {
         TxnOutcome::Committed { revision } => {
             let is_reached = controller.wait_for_revision(revision, REVISION_TIMEOUT).await;
-            Ok(if is_reached { Progress::Committed } else { Progress::Nothing })
+            Ok(if is_reached { ClaimOutcome::Applied } else { ClaimOutcome::NotApplied })
         }
         TxnOutcome::Conflict { revision, .. } => {
             controller.wait_for_revision(revision, REVISION_TIMEOUT).await;
-            Ok(Progress::Nothing)
+            Ok(ClaimOutcome::NotApplied)
         }
     }
 }
--- a/crates/daemon/src/peer_status.rs
+++ b/crates/daemon/src/peer_status.rs
@@ -134,7 +134,7 @@
     let mut is_urgent = true;
     loop {
         read_index::query_peer(&controller, &address).await;
-        if is_urgent || !was_exchanged_recently(&controller, &address) {
+        if is_urgent || !has_recent_status(&controller, &address) {
             exchange_status(&controller, &address).await;
         }
         is_urgent = timeout(STATUS_INTERVAL, controller.peer_status_due.notified()).await.is_ok();
@@ -142,7 +142,8 @@
     }
 }
 
-fn was_exchanged_recently(controller: &Controller, address: &str) -> bool {
+/// Whether a status of the peer at an address was received recently.
+fn has_recent_status(controller: &Controller, address: &str) -> bool {
     let Some(peer) = controller.settings.peers.iter().find(|p| p.address == address) else { return false };
     let state = controller.state();
     let received_at = state.peers.statuses.get(&peer.node_name).map(|p| p.received_at);
--- a/crates/daemon/src/read_barrier.rs
+++ b/crates/daemon/src/read_barrier.rs
@@ -13,9 +13,9 @@
 /// How long a caller waits for the outcome of a check, at most.
 const WAIT_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// The newest requests that checks have answered.
+/// The numbers of the newest requests that have been granted and refused.
 #[derive(Debug, Clone, Copy, Default)]
-struct Outcome {
+struct AnsweredUpTo {
     /// All requests up to this one were granted: the copy of the records was complete.
     granted: u64,
     /// All requests up to this one were refused, unless they were granted.
@@ -27,7 +27,7 @@
 pub struct ReadBarrier {
     newest: AtomicU64,
     wake: Notify,
-    outcome: watch::Sender<Outcome>,
+    answered_up_to: watch::Sender<AnsweredUpTo>,
 }
 
 impl Default for ReadBarrier {
@@ -35,7 +35,7 @@
         Self {
             newest: AtomicU64::new(0),
             wake: Notify::new(),
-            outcome: watch::Sender::new(Outcome::default()),
+            answered_up_to: watch::Sender::new(AnsweredUpTo::default()),
         }
     }
 }
@@ -47,10 +47,10 @@
     pub async fn wait(&self) -> bool {
         let request = self.newest.fetch_add(1, Ordering::Relaxed) + 1;
         self.wake.notify_one();
-        let mut outcome = self.outcome.subscribe();
-        let answered = outcome.wait_for(|o| o.granted >= request || o.refused >= request);
-        match timeout(WAIT_TIMEOUT, answered).await {
-            Ok(Ok(outcome)) => outcome.granted >= request,
+        let mut answered_up_to = self.answered_up_to.subscribe();
+        let answer = answered_up_to.wait_for(|up_to| up_to.granted >= request || up_to.refused >= request);
+        match timeout(WAIT_TIMEOUT, answer).await {
+            Ok(Ok(up_to)) => up_to.granted >= request,
             _ => false,
         }
     }
@@ -73,11 +73,11 @@
 
     /// Grants all requests up to this one.
     pub fn grant(&self, up_to: u64) {
-        self.outcome.send_modify(|o| o.granted = up_to);
+        self.answered_up_to.send_modify(|answered| answered.granted = up_to);
     }
 
     /// Refuses all requests up to this one that are not granted.
     pub fn refuse(&self, up_to: u64) {
-        self.outcome.send_modify(|o| o.refused = up_to);
+        self.answered_up_to.send_modify(|answered| answered.refused = up_to);
     }
 }
--- a/crates/daemon/src/read_index.rs
+++ b/crates/daemon/src/read_index.rs
@@ -160,9 +160,9 @@
 /// has read the records or was first heard from before this controller's last linearizable read.
 fn is_conclusive(state: &ControllerState, index: &ReadIndex) -> bool {
     let first_contact_at = state.peers.read_indexes.first_contact_at(&index.name, index.incarnation);
-    let read_since =
+    let was_heard_before_last_read =
         state.records.fresh_at.zip(first_contact_at).is_some_and(|(fresh, heard)| heard <= fresh);
-    index.epoch <= state.epoch() && (index.revision > 0 || read_since)
+    index.epoch <= state.epoch() && (index.revision > 0 || was_heard_before_last_read)
 }
 
 /// Applies cancellations from a peer. Returns whether all of them could be decoded.
@@ -224,9 +224,8 @@
     }
 }
 
-/// Sends one request. A controller of the version in production does not know this request: while
-/// such a controller is live, leases are renewed only within the bound after the last linearizable
-/// read.
+/// Sends one request. Controllers of versions without read indexes do not know it: while one of
+/// them is live, leases are renewed only within the bound after the last linearizable read.
 async fn send_request(
     controller: &Controller,
     address: &str,
--- a/crates/daemon/src/scheduler/placement/preemption.rs
+++ b/crates/daemon/src/scheduler/placement/preemption.rs
@@ -100,7 +100,7 @@
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) < interval;
         retry_at_ms(job) <= now_ms
             && (!is_gang || job.assignments.is_empty())
-            && !delays_preemption(job, now_ms)
+            && !waits_instead_of_preempting(job, now_ms)
             && self.cycle.victim_searches < MAX_VICTIM_SEARCHES
             && !self.scheduling.last_victim_search.get(candidate.id).is_some_and(is_recent)
     }
@@ -165,7 +165,7 @@
 }
 
 /// Whether an array waits for capacity to become free instead of preempting tasks.
-pub(super) fn delays_preemption(job: &JobRecord, now_ms: u64) -> bool {
+pub(super) fn waits_instead_of_preempting(job: &JobRecord, now_ms: u64) -> bool {
     // A job that has not inherited its priority does not wait: its user wants the result of this
     // very job.
     let inherits_priority =
--- a/crates/daemon/src/scheduler/worker_reconciliation.rs
+++ b/crates/daemon/src/scheduler/worker_reconciliation.rs
@@ -180,7 +180,7 @@
             !commands.is_empty() && commands.iter().all(|c| matches!(c, Command::Forget { .. }));
         let is_urgent = needs_acknowledgement
             || !commands.is_empty() && (!only_forgets || commands.len() > MAX_DELAYED_FORGETS);
-        let is_due = only_forgets && worker.is_cleanup_due(now);
+        let is_due = only_forgets && worker.may_send_only_forgets(now);
         if !(is_urgent || is_due) || !worker.may_send_commands(now) {
             return;
         }
--- a/crates/daemon/src/state/drains.rs
+++ b/crates/daemon/src/state/drains.rs
@@ -57,7 +57,7 @@
     /// When each drain's record was last written for its progress.
     pub progress_recorded_at: HashMap<String, Instant>,
     /// Since when cordons of drains without a record have existed, by drain.
-    pub orphaned_since: HashMap<String, Instant>,
+    pub orphaned_cordons_since: HashMap<String, Instant>,
     /// Drains whose records cannot be read, which has been logged.
     pub unreadable: HashSet<String>,
 }
--- a/crates/daemon/src/state/read_indexes.rs
+++ b/crates/daemon/src/state/read_indexes.rs
@@ -31,7 +31,8 @@
     pub fn record_contact(&mut self, name: &str, incarnation: u64, now: Instant) {
         let incarnations = self.first_contact_at.entry(name.to_owned()).or_default();
         if incarnations.iter().all(|(known, _)| *known != incarnation) {
-            // It is safe to forget the oldest: fewer of its read indexes are then conclusive.
+            // Dropping the oldest incarnation is safe: if it is heard from again, its first contact
+            // counts as later than it was, which can only make its read indexes inconclusive.
             if incarnations.len() >= MAX_INCARNATIONS {
                 incarnations.remove(0);
             }
--- a/crates/daemon/src/state/write_share.rs
+++ b/crates/daemon/src/state/write_share.rs
@@ -16,20 +16,20 @@
 
 use super::ControllerState;
 
-/// How often a share that follows the jobs is recomputed.
+/// How often a share that depends on the jobs of each controller is recomputed.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 /// The leader's fixed share.
 const FIXED_LEADER_SHARE: f64 = 0.65;
-/// The fixed share of all the other controllers together.
-const FIXED_OTHERS_SHARE: f64 = 0.45;
+/// The fixed share of all followers (the live controllers besides the leader) together.
+const FIXED_FOLLOWERS_SHARE: f64 = 0.45;
 /// Sum of all shares when they follow the jobs. Such shares are used up: with 1.1, the sum of the
 /// fixed shares, 3% of users' submissions were refused by the rate limit.
 const TOTAL_SHARE: f64 = 0.95;
 /// Least share of the leader, for records of machines, scale-outs and ends of jobs that others
 /// schedule.
 const MIN_LEADER_SHARE: f64 = 0.3;
-/// Least share of each other controller, for the same purposes.
-const MIN_OTHER_SHARE: f64 = 0.04;
+/// Least share of each follower, for the same purposes.
+const MIN_FOLLOWER_SHARE: f64 = 0.04;
 /// Write weight of a service or gang that runs completely, relative to a job whose tasks start and
 /// end all the time.
 const STABLE_JOB_WEIGHT: f64 = 0.1;
@@ -86,8 +86,8 @@
         if !self.writes.begin_update(basis, follows_jobs, now) {
             return;
         }
-        let others = live_controllers as f64 - 1.0;
-        let fixed = if is_leader { FIXED_LEADER_SHARE } else { FIXED_OTHERS_SHARE / others.max(1.0) };
+        let followers = live_controllers as f64 - 1.0;
+        let fixed = if is_leader { FIXED_LEADER_SHARE } else { FIXED_FOLLOWERS_SHARE / followers.max(1.0) };
         let by_jobs = if follows_jobs { share_by_jobs(self, &me.name) } else { None };
         self.writes.limiter.set_rate(total_rate * by_jobs.unwrap_or(fixed), now);
     }
@@ -108,7 +108,7 @@
     }
     let weight_of = |name: &str| weights.get(name).copied().unwrap_or(0.0) + 1.0;
     let total_weight: f64 = live.iter().map(|name| weight_of(name)).sum();
-    let min_share = |name: &str| if name == leader { MIN_LEADER_SHARE } else { MIN_OTHER_SHARE };
+    let min_share = |name: &str| if name == leader { MIN_LEADER_SHARE } else { MIN_FOLLOWER_SHARE };
     let distributable = TOTAL_SHARE - live.iter().map(|name| min_share(name)).sum::<f64>();
     live.contains(&me).then(|| min_share(me) + distributable.max(0.0) * weight_of(me) / total_weight)
 }
--- a/crates/daemon/src/worker/command_channel.rs
+++ b/crates/daemon/src/worker/command_channel.rs
@@ -16,7 +16,7 @@
 /// Number of failures in a row after which commands are considered not to reach the worker.
 const MAX_FAILURES: u32 = 3;
 /// Minimum time after a request before a request that has only forget commands is sent.
-const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
+const FORGET_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A request that has not been answered yet.
 #[derive(Debug)]
@@ -135,8 +135,8 @@
     }
 
     /// Whether a request that has only forget commands may be sent.
-    pub(super) fn is_cleanup_due(&self, now: Instant) -> bool {
-        self.sent_at.is_none_or(|at| now.saturating_duration_since(at) >= CLEANUP_INTERVAL)
+    pub(super) fn may_send_only_forgets(&self, now: Instant) -> bool {
+        self.sent_at.is_none_or(|at| now.saturating_duration_since(at) >= FORGET_INTERVAL)
     }
 
     /// Issues the next token, or returns `None` if the epoch has no more. Tokens of the next epoch
--- a/crates/daemon/src/worker/mod.rs
+++ b/crates/daemon/src/worker/mod.rs
@@ -255,8 +255,8 @@
     }
 
     /// Whether a request that has only forget commands may be sent.
-    pub fn is_cleanup_due(&self, now: Instant) -> bool {
-        self.commands.is_cleanup_due(now)
+    pub fn may_send_only_forgets(&self, now: Instant) -> bool {
+        self.commands.may_send_only_forgets(now)
     }
 
     /// Notes that the request with this token was answered.
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -284,7 +284,7 @@
         name: "n-1".into(),
         incarnation,
         epoch,
-        jobs: vec![peer::RunningTasksOfJob {
+        tasks_by_job: vec![peer::RunningTasksOfJob {
             job: "j-1".into(),
             tasks: vec![peer::RunningTask { task: 9, attempt: 3 }],
         }],
--- a/crates/daemon/tests/unit/scheduler_placement.rs
+++ b/crates/daemon/tests/unit/scheduler_placement.rs
@@ -7,7 +7,7 @@
 use wire::JobKind;
 
 use super::pass::remaining_reservation;
-use super::preemption::{MAX_PREEMPTION_DELAY_MS, delays_preemption};
+use super::preemption::{MAX_PREEMPTION_DELAY_MS, waits_instead_of_preempting};
 use crate::controller::Controller;
 use crate::worker::tests::spec;
 
@@ -33,14 +33,20 @@
     let mut array = spec("j-1", JobKind::Array);
     (array.estimated_runtime_s, array.deadline_s) = (10.0, Some(60.0));
     let mut job = JobRecord::new(array, None, 0);
-    assert!(!delays_preemption(&job, 1000), "not a step of a pipeline");
+    assert!(!waits_instead_of_preempting(&job, 1000), "not a step of a pipeline");
     job.accepted_ms = 1;
-    assert!(!delays_preemption(&job, 1000), "the last step, with its own priority");
+    assert!(!waits_instead_of_preempting(&job, 1000), "the last step, with its own priority");
     job.urgency.priority = Some(wire::Priority::High);
-    assert!(delays_preemption(&job, 1000));
-    assert!(!delays_preemption(&job, MAX_PREEMPTION_DELAY_MS), "it has waited for the maximum time");
+    assert!(waits_instead_of_preempting(&job, 1000));
+    assert!(
+        !waits_instead_of_preempting(&job, MAX_PREEMPTION_DELAY_MS),
+        "it has waited for the maximum time"
+    );
     job.urgency.deadline_ms = Some(20_000);
-    assert!(!delays_preemption(&job, 1000), "later steps of the pipeline would miss their deadlines");
+    assert!(
+        !waits_instead_of_preempting(&job, 1000),
+        "later steps of the pipeline would miss their deadlines"
+    );
 }
 
 /// Runs one scheduling cycle with these jobs. The only controller leads, and the only machine has
--- a/crates/drain/tests/unit/view.rs
+++ b/crates/drain/tests/unit/view.rs
@@ -23,8 +23,8 @@
     let mut cordon = replica.drains.cordons[&("d".to_owned(), 0)].value.clone();
     assert!(cordon.mark_gone(&"m-1".into()));
     replica.apply(RecordChange::Cordon(("d".into(), 0), Some(cordon)), 7);
-    let over = drains(&replica, &Orders::default());
-    assert!(over.len() == 1 && over[0].machines.is_empty());
+    let drains_to_finish = drains(&replica, &Orders::default());
+    assert!(drains_to_finish.len() == 1 && drains_to_finish[0].machines.is_empty());
 }
 
 #[test]
--- a/crates/peer/src/running_tasks.rs
+++ b/crates/peer/src/running_tasks.rs
@@ -27,8 +27,8 @@
     pub incarnation: u64,
     /// The epoch of the cluster map under which the sender owns the machines.
     pub epoch: u64,
-    /// The running tasks by job.
-    pub jobs: Vec<RunningTasksOfJob>,
+    /// The running tasks, grouped by job.
+    pub tasks_by_job: Vec<RunningTasksOfJob>,
 }
 
 /// The running tasks of one job.
--- a/crates/peer/tests/golden/running_tasks.rs
+++ b/crates/peer/tests/golden/running_tasks.rs
@@ -25,12 +25,17 @@
         RunningTask { task: 77_205, attempt: 77_206 },
         RunningTask { task: 77_207, attempt: 7_700_000_000_000_000_208 },
     ];
-    let jobs = vec![
+    let tasks_by_job = vec![
         RunningTasksOfJob { job: "j-000412".into(), tasks },
         RunningTasksOfJob { job: "j-1".into(), tasks: Vec::new() },
     ];
-    let running =
-        RunningTasks { nonce: 77_209, name: "controller-3".into(), incarnation: 77_210, epoch: 77_211, jobs };
+    let running = RunningTasks {
+        nonce: 77_209,
+        name: "controller-3".into(),
+        incarnation: 77_210,
+        epoch: 77_211,
+        tasks_by_job,
+    };
     check("running-tasks-full.rkyv", &running);
 }
 
@@ -41,7 +46,7 @@
         name: "c".into(),
         incarnation: 77_213,
         epoch: 77_214,
-        jobs: Vec::new(),
+        tasks_by_job: Vec::new(),
     };
     check("running-tasks-without-jobs.rkyv", &running);
 }
--- a/crates/sched/src/drain_records.rs
+++ b/crates/sched/src/drain_records.rs
@@ -86,11 +86,11 @@
 /// What happens to tasks that cannot save a checkpoint when the drain's `patience_ms` has elapsed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnsavedWork {
-    /// They keep running, and their machines are not scaled in.
+    /// The tasks keep running, and their machines are not scaled in.
     #[default]
     #[serde(rename = "leave")]
     Leave,
-    /// They are stopped and restarted elsewhere.
+    /// The tasks are stopped and restarted elsewhere; their work since their start is lost.
     #[serde(rename = "stop")]
     Stop,
 }
--- a/crates/sched/src/inventory.rs
+++ b/crates/sched/src/inventory.rs
@@ -320,7 +320,7 @@
         };
         Candidates {
             groups: self.slots_by_class.values().filter(class_suits).map(BTreeSet::iter).collect(),
-            individual: excluded.iter().copied().filter(slot_suits).collect(),
+            individually_ranked: excluded.iter().copied().filter(slot_suits).collect(),
             excluded,
         }
     }
@@ -334,13 +334,13 @@
     /// Machines that are in a group but are skipped there, sorted.
     excluded: Vec<usize>,
     /// Machines that are ranked individually.
-    pub(crate) individual: Vec<usize>,
+    pub(crate) individually_ranked: Vec<usize>,
 }
 
 impl Candidates<'_> {
     /// Candidates that are all ranked individually.
     pub(crate) fn from_slots(slots: &[usize]) -> Self {
-        Self { groups: Vec::new(), excluded: Vec::new(), individual: slots.to_vec() }
+        Self { groups: Vec::new(), excluded: Vec::new(), individually_ranked: slots.to_vec() }
     }
 
     /// Takes the next machine of a group that is not excluded.
--- a/crates/sched/src/placement/choice.rs
+++ b/crates/sched/src/placement/choice.rs
@@ -133,11 +133,11 @@
 impl<'a> Chooser<'a> {
     /// Ranks the first machine of each group of equivalent machines, and the individual candidates.
     fn rank_candidates(&mut self) {
-        let individual = std::mem::take(&mut self.candidates.individual);
+        let individually_ranked = std::mem::take(&mut self.candidates.individually_ranked);
         let groups = 0..self.candidates.groups.len();
         let first_of_groups: Vec<(usize, Option<usize>)> = groups
             .filter_map(|group| Some((self.candidates.next_in_group(group)?, Some(group))))
-            .chain(individual.into_iter().map(|slot| (slot, None)))
+            .chain(individually_ranked.into_iter().map(|slot| (slot, None)))
             .collect();
         let slots: &'a [Slot] = &self.ranker.request.inventory.slots;
         for (slot, group) in first_of_groups {
--- a/crates/sched/src/placement/image_fetch.rs
+++ b/crates/sched/src/placement/image_fetch.rs
@@ -10,7 +10,7 @@
 const FETCH_TIME_VARIATION: f64 = 0.25;
 /// The width of a fetch class of services: fetch times within a class are considered equal.
 const FETCH_CLASS_S: f64 = 2.0;
-/// The highest fetch class; slower fetches are considered equal.
+/// The upper bound of the fetch class: all fetches that take longer are considered equal.
 const MAX_FETCH_CLASS: f64 = 1e6;
 /// The lowest fetch rate that is assumed: a machine type may state none.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
--- a/crates/store/src/rate_limiter.rs
+++ b/crates/store/src/rate_limiter.rs
@@ -25,8 +25,8 @@
 const ALLOWANCE_AFTER_DENIAL: usize = 2;
 /// Changes that a cycle may make beyond the available tokens.
 const EXTRA_ALLOWANCE: usize = 2;
-/// A cycle may use the tokens of this much time in advance, in seconds.
-const ALLOWANCE_AHEAD_S: f64 = 0.5;
+/// A cycle may use in advance the tokens that will be added within this time, in seconds.
+const TOKENS_IN_ADVANCE_S: f64 = 0.5;
 
 /// Longest wait in seconds, and the most debt: as many tokens as are added in this time.
 const MAX_DEBT_S: f64 = 2.0;
@@ -75,7 +75,7 @@
         self.fill(now);
         if self.tokens >= 1.0 {
             self.denied_since = None;
-            return (self.tokens + self.per_s * ALLOWANCE_AHEAD_S) as usize + EXTRA_ALLOWANCE;
+            return (self.tokens + self.per_s * TOKENS_IN_ADVANCE_S) as usize + EXTRA_ALLOWANCE;
         }
         let since = *self.denied_since.get_or_insert(now);
         if now.saturating_duration_since(since) < MAX_DENIAL {
