--- a/crates/model/src/budget.rs
+++ b/crates/model/src/budget.rs
@@ -18,8 +18,9 @@
 
 use crate::explore::Model;
 
-/// The replicas of the team, and the service of each.
+/// The number of replicas of the team's services.
 const REPLICAS: usize = 3;
+/// The service that each replica belongs to.
 const SERVICE_OF: [usize; REPLICAS] = [0, 0, 1];
 const SERVICES: usize = 2;
 const STOPPERS: usize = 2;
@@ -48,8 +49,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct BudgetModel {
     pub removed: Option<Mechanism>,
-    /// The largest numbers of attempts of each replica, and of failures.
+    /// The largest number of attempts of each replica.
     pub attempts: u8,
+    /// The largest number of failures.
     pub failures: u8,
 }
 
--- a/crates/model/src/canonical.rs
+++ b/crates/model/src/canonical.rs
@@ -49,14 +49,14 @@
         rank(state, worker_id, |counters, visit| counters.sessions(visit));
         if size.late_reports == 0 {
             // Each report that arrives is the newest, so sequence numbers make no difference.
-            state.workers[worker_id].seq = 0;
+            state.workers[worker_id].sequence_number = 0;
             state
                 .controllers
                 .iter_mut()
                 .filter_map(|controller| controller.owned[worker_id].as_mut())
-                .for_each(|owned| owned.seq = 0);
+                .for_each(|owned| owned.sequence_number = 0);
         } else {
-            rank(state, worker_id, |counters, visit| counters.seqs(visit));
+            rank(state, worker_id, |counters, visit| counters.sequence_numbers(visit));
         }
     }
 }
@@ -94,10 +94,10 @@
         self.owned.iter_mut().flatten().for_each(|owned| visit(0, &mut owned.session));
     }
 
-    fn seqs(&mut self, visit: &mut dyn FnMut(u8, &mut u8)) {
-        visit(0, &mut self.worker.seq);
-        self.worker.late_report.iter_mut().for_each(|report| visit(0, &mut report.seq));
-        self.owned.iter_mut().flatten().for_each(|owned| visit(0, &mut owned.seq));
+    fn sequence_numbers(&mut self, visit: &mut dyn FnMut(u8, &mut u8)) {
+        visit(0, &mut self.worker.sequence_number);
+        self.worker.late_report.iter_mut().for_each(|report| visit(0, &mut report.sequence_number));
+        self.owned.iter_mut().flatten().for_each(|owned| visit(0, &mut owned.sequence_number));
     }
 }
 
--- a/crates/model/src/controller.rs
+++ b/crates/model/src/controller.rs
@@ -20,7 +20,7 @@
             epoch,
             owned_epoch: epoch,
             session: 0,
-            seq: 0,
+            sequence_number: 0,
             shown_token: Token::default(),
             token: first,
             proof_token: first,
@@ -50,7 +50,7 @@
     /// Applies a report. Returns false if a newer report has been applied already.
     pub fn ingest_report(&mut self, report: &Report, unsolicited: bool, mechanisms: Mechanisms) -> bool {
         self.shown_token = self.shown_token.max(report.token);
-        if (report.session, report.seq) <= (self.session, self.seq) {
+        if (report.session, report.sequence_number) <= (self.session, self.sequence_number) {
             return false;
         }
         if unsolicited {
@@ -60,7 +60,7 @@
         self.trusted |= !unsolicited || shown_since_owned || !mechanisms.has(Mechanism::TrustedReport);
         self.report_age = 0;
         self.session = report.session;
-        self.seq = report.seq;
+        self.sequence_number = report.sequence_number;
         self.tasks = report.tasks;
         for (ever_reported, task) in self.ever_reported.iter_mut().zip(report.tasks) {
             *ever_reported |= task != Task::Absent;
--- a/crates/model/src/size.rs
+++ b/crates/model/src/size.rs
@@ -237,7 +237,7 @@
         };
         let mut worker = Worker {
             session: 1,
-            seq: 1,
+            sequence_number: 1,
             token: Token::first(1),
             lease_age: 0,
             tasks: [Task::Absent; MAX_ATTEMPTS],
@@ -253,18 +253,19 @@
         let mut known_tasks = workers.map(|worker| worker.tasks);
         if start == Start::Failed {
             known_tasks[0][0] = Task::Exited;
-            (workers[0].session, workers[0].seq) = (2, 2);
+            (workers[0].session, workers[0].sequence_number) = (2, 2);
         }
         if start == Start::LateReport {
             let tasks = [Task::Exited, Task::Absent];
-            workers[0].late_report = Some(Report { session: 1, seq: 1, token: Token::first(1), tasks });
-            (workers[0].session, workers[0].seq) = (2, 2);
+            workers[0].late_report =
+                Some(Report { session: 1, sequence_number: 1, token: Token::first(1), tasks });
+            (workers[0].session, workers[0].sequence_number) = (2, 2);
         }
         let non_owner = controller;
         for (worker_id, tasks) in known_tasks.into_iter().enumerate().take(self.workers) {
             controller.owned[worker_id] = Some(OwnedWorker {
                 session: if start == Start::Failed { 1 } else { workers[worker_id].session },
-                seq: if start == Start::Failed { 1 } else { workers[worker_id].seq },
+                sequence_number: if start == Start::Failed { 1 } else { workers[worker_id].sequence_number },
                 shown_token: Token::first(1),
                 renewal_age: 0,
                 report_age: 0,
--- a/crates/model/src/state.rs
+++ b/crates/model/src/state.rs
@@ -75,9 +75,10 @@
     pub epoch: u8,
     /// The epoch since which the controller has owned the worker.
     pub owned_epoch: u8,
-    /// 0 if no report has arrived yet.
+    /// The worker's session; 0 if no report has arrived yet.
     pub session: u8,
-    pub seq: u8,
+    /// The sequence number of the newest report of the session.
+    pub sequence_number: u8,
     /// The highest token that a report has shown.
     pub shown_token: Token,
     /// The owner's current token.
@@ -183,7 +184,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Report {
     pub session: u8,
-    pub seq: u8,
+    /// The number of the report within the session.
+    pub sequence_number: u8,
     pub token: Token,
     pub tasks: [Task; MAX_ATTEMPTS],
 }
@@ -192,7 +194,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Worker {
     pub session: u8,
-    pub seq: u8,
+    /// The sequence number of the last report.
+    pub sequence_number: u8,
     /// The highest token that the worker has seen.
     pub token: Token,
     /// Ticks since the last answered report was sent, or the session began.
@@ -210,8 +213,13 @@
     }
 
     pub fn report(&mut self) -> Report {
-        self.seq += 1;
-        Report { session: self.session, seq: self.seq, token: self.token, tasks: self.tasks }
+        self.sequence_number += 1;
+        Report {
+            session: self.session,
+            sequence_number: self.sequence_number,
+            token: self.token,
+            tasks: self.tasks,
+        }
     }
 }
 
