--- a/crates/daemon/src/api/cancellation.rs
+++ b/crates/daemon/src/api/cancellation.rs
@@ -11,10 +11,11 @@
 use super::job_lookup::{lookup_job, replica_status};
 use crate::controller::Controller;
 
-/// How often a cancellation is tried while the job's record changes at the same time.
+/// How many times a cancellation is attempted when it conflicts with other writes to the job's
+/// record.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Cancels a job, unless it has reached a final state, which is the answer then.
+/// Cancels a job and returns its status. A job in a final state is left as it is.
 pub(super) async fn cancel(controller: &Controller, id: &str) -> Result<JobStatus, ApiError> {
     if !wire::is_job_id(id) {
         return Err(ApiError::UnknownJob);
@@ -36,14 +37,14 @@
     Err(ApiError::JobChanging)
 }
 
-/// A copy of the record of a job that can be cancelled, and its version.
+/// Returns a copy of the job's record and its version; `None` if the job cannot be cancelled.
 fn cancellable_record(controller: &Controller, id: &str) -> Option<(Box<JobRecord>, u64)> {
     let state = controller.state();
     let job = state.records.replica.jobs.get(id)?;
     matches!(job.value.phase, Phase::Active | Phase::Waiting).then(|| (job.value.clone(), job.version))
 }
 
-/// Writes the cancellation of a job; `None` if its record has another version by now.
+/// Writes the cancellation of a job; `None` if the record's version has changed since it was read.
 async fn write_cancellation(
     controller: &Controller,
     id: &str,
@@ -57,7 +58,7 @@
         Ok(TxnOutcome::Committed { revision }) => {
             debug!(job = id, "job cancelled");
             let done = record.done.len();
-            // All jobs that depend on it are cancelled with it from now on.
+            // Applying the change to the replica also cancels all jobs that depend on this one.
             let change = RecordChange::Job(id.to_owned(), Some(record));
             controller.state().records.replica.apply(change, revision);
             controller.wake_scheduler.notify_one();
--- a/crates/daemon/src/api/error.rs
+++ b/crates/daemon/src/api/error.rs
@@ -1,36 +1,36 @@
-//! What can go wrong with a request of a user or a worker, and the HTTP reply for it.
+//! Errors of requests from users and workers, and the HTTP replies that report them.
 
 use net::Reply;
 
-/// Seconds after which a client should repeat a request that could not be answered now.
+/// `Retry-After`, in seconds, of a request that may succeed soon.
 const RETRY_AFTER_S: u64 = 1;
-/// The same for what takes an operator, or the end of an upgrade, to change.
+/// `Retry-After`, in seconds, of a request that fails until an operator acts or an upgrade ends.
 const LONG_RETRY_AFTER_S: u64 = 5;
 
-/// Why a job can never run. The texts are sent to users.
+/// Why a job can never run. The messages are sent to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
     /// No team of this name is configured.
-    #[error("unknown team")]
+    #[error("owner: no team of this name is configured")]
     UnknownTeam,
-    /// The job is larger than the maximum quota of its team.
-    #[error("beyond the team's limit")]
+    /// The job, or one task of an array, needs more CPUs or GPUs than the team's maximum quota.
+    #[error("cpus, gpus: the job needs more than the maximum quota of its team")]
     ExceedsTeamQuota,
     /// The job depends on itself.
-    #[error("awaits: the job itself")]
+    #[error("awaits: a job cannot depend on itself")]
     DependsOnItself,
-    /// No machine type that the job allows can hold one of its tasks.
-    #[error("no allowed machine type can hold a task")]
+    /// No machine type that the job allows is large enough for one of its tasks.
+    #[error("no machine type that the job allows is large enough for one of its tasks")]
     NoSuitableMachineType,
-    /// The job depends on one that is not on record.
-    #[error("awaits: a job that was never accepted")]
+    /// The job depends on a job that has no record.
+    #[error("awaits: names a job that was never accepted")]
     UnknownDependency,
     /// The job depends on a service, which never completes.
-    #[error("awaits: a service is never done")]
+    #[error("awaits: names a service, which is never done")]
     DependsOnService,
 }
 
-/// Why a request is not carried out. The texts are sent to clients.
+/// Why a request is not carried out. The messages are sent to clients.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApiError {
     /// The path is not one of this API.
@@ -43,49 +43,49 @@
     #[error("{0}")]
     InvalidDescription(String),
     /// The job description does not fit in a record.
-    #[error("the description is too long to be kept")]
+    #[error("the job description is too long to be stored")]
     DescriptionTooLong,
     /// The body of a heartbeat cannot be decoded.
     #[error("{0}")]
     InvalidHeartbeat(String),
-    /// A heartbeat has no valid name of a machine.
-    #[error("frame: not a machine's name")]
+    /// The machine name in a heartbeat is invalid.
+    #[error("frame: not a valid machine name")]
     InvalidMachineName,
-    /// No job of this id was accepted.
+    /// No job with this id was accepted.
     #[error("no such job")]
     UnknownJob,
     /// The job can never run.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// The records are not loaded yet.
-    #[error("not ready")]
+    /// The records are not loaded yet, or only this controller has lost the key-value store.
+    #[error("not ready: the controller has not loaded the records or has lost the state service")]
     NotReady,
     /// The request was not completed within its deadline.
-    #[error("the state service takes too long")]
+    #[error("the state service took too long; the request may still be carried out")]
     DeadlineExceeded,
-    /// No linearizable read could be made.
-    #[error("the state service cannot be asked")]
+    /// The records could not be read linearizably.
+    #[error("the state service cannot be read now")]
     StoreUnavailable,
-    /// The write was not accepted by the key-value store.
-    #[error("the state service did not take it")]
+    /// The key-value store did not confirm the write.
+    #[error("the state service did not confirm the write")]
     WriteFailed,
-    /// The job's record changed at the same time.
-    #[error("try again")]
+    /// The job's record was changed by a concurrent write.
+    #[error("the job's record changed at the same time; try again")]
     ConcurrentWrite,
-    /// The job's record changed too often while it was to be cancelled.
-    #[error("the job is changing; try again")]
+    /// Each attempt to cancel the job conflicted with another write.
+    #[error("the job's record keeps changing; try again")]
     JobChanging,
     /// The machine types are not loaded yet.
-    #[error("the machine types are not known yet")]
+    #[error("the machine types are not loaded yet")]
     UnknownMachineTypes,
-    /// The job's record is of another version or origin.
+    /// The job's record was written in a format that this version cannot read.
     #[error("the job's record cannot be read")]
     UnreadableRecord,
-    /// The record of a dependency is of another version or origin.
-    #[error("the record of a job that it awaits cannot be read")]
+    /// The record of a dependency was written in a format that this version cannot read.
+    #[error("awaits: the record of a dependency cannot be read")]
     UnreadableDependency,
-    /// A live controller could not read the record of a job with dependencies.
-    #[error("a controller of an older version is live")]
+    /// A live controller of an older version cannot read the record of a job with dependencies.
+    #[error("awaits: a live controller of an older version cannot read jobs with dependencies")]
     OlderVersionLive,
 }
 
--- a/crates/daemon/src/api/heartbeats.rs
+++ b/crates/daemon/src/api/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: from the worker itself, or relayed by a peer.
+//! Heartbeats of workers, received directly or relayed by a peer.
 
 use std::time::Instant;
 
@@ -15,28 +15,29 @@
 use crate::state::ControllerState;
 use crate::worker::{FencingToken, Worker, stops_of_cancelled_jobs};
 
-/// The status of a reply that sends a worker to another controller.
+/// The HTTP status that redirects a worker to another controller.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// How a heartbeat came here.
+/// The route by which a heartbeat reached this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatRoute {
-    /// From the worker itself.
+    /// Sent by the worker itself.
     Direct,
-    /// Through a controller that does not own the machine.
+    /// Relayed by a controller that does not own the machine.
     Relayed,
 }
 
-/// What is to be done with a heartbeat.
+/// How a heartbeat is to be answered.
 #[derive(Debug, PartialEq)]
 pub(crate) enum HeartbeatOutcome {
-    /// Answer it: this renews the worker's lease.
+    /// Send this response, which renews the worker's lease.
     Respond(HeartbeatResponse),
-    /// Send the worker to another controller, or to any other if none is named.
+    /// Redirect the worker to the named controller, or to any other if none is named.
     Redirect(Option<String>),
-    /// Relay it to this controller, which owns the machine and may be partitioned from it.
+    /// Relay the heartbeat to the named controller, which owns the machine but may be partitioned
+    /// from it.
     Relay(String),
-    /// Record the machine, and answer with the first token of this epoch.
+    /// Record the machine, and respond with the first token of the epoch.
     RegisterMachine {
         /// The epoch of the cluster map.
         epoch: u64,
@@ -64,14 +65,14 @@
             relayed.unwrap_or_else(|| redirect(None))
         }
         HeartbeatOutcome::RegisterMachine { epoch } => {
-            // The machine is recorded before anything is launched on it.
+            // Nothing is launched on the machine before its record is written.
             request_registration(controller, &heartbeat);
             Reply::new(200, &renewal(FencingToken::first_of_epoch(epoch)))
         }
     }
 }
 
-/// The reply that sends a worker to another controller.
+/// The reply that redirects a worker to another controller.
 pub(super) fn redirect(report_to: Option<String>) -> Reply {
     Reply::new(MISDIRECTED_REQUEST, &Redirect { report_to })
 }
@@ -81,7 +82,7 @@
     HeartbeatResponse { fencing_token: token.get(), commands: Vec::new() }
 }
 
-/// Updates what is known of the worker and decides on the answer.
+/// Updates the worker's state and decides how its heartbeat is answered.
 pub(crate) fn process_heartbeat(
     controller: &Controller,
     heartbeat: &Heartbeat,
@@ -114,13 +115,13 @@
     process_for_own_worker(controller, state, heartbeat, epoch, now)
 }
 
-/// Whether the worker has to stop tasks of cancelled jobs. Only the owner may renew its lease
-/// then: the answers of others have no commands.
+/// Whether the worker has to stop tasks of cancelled jobs. If so, only the owner may renew its
+/// lease, because only the owner's responses carry commands.
 fn must_stop_tasks(heartbeat: &Heartbeat, replica: &Replica) -> bool {
     !stops_of_cancelled_jobs(&heartbeat.tasks, replica).is_empty()
 }
 
-/// Decides on a heartbeat of a machine that another controller owns.
+/// Decides how to answer a heartbeat from a machine that another controller owns.
 fn process_for_other_owner(
     controller: &Controller,
     state: &mut ControllerState,
@@ -132,9 +133,9 @@
     if route == HeartbeatRoute::Relayed || owner.name == controller.identity.name {
         return HeartbeatOutcome::Redirect(None);
     }
-    // The worker has seen no token of this epoch: after a crash of several controllers its lease
-    // may be about to expire. Any live controller renews it once, with the first token of the
-    // epoch; the next heartbeat is redirected.
+    // A worker that has seen no token of this epoch may hold a lease that is about to expire, for
+    // example after several controllers crashed. Any live controller renews it once, with the first
+    // token of the epoch; the next heartbeat is redirected.
     let token = FencingToken::first_of_epoch(state.epoch());
     let replica = &state.records.replica;
     if FencingToken::from(heartbeat.fencing_token) < token
@@ -145,14 +146,15 @@
     }
     state.machines.prune_redirections(state.records.replica.machines.len(), now);
     if state.machines.was_redirected(&heartbeat.machine, now) {
-        // It was sent to its owner just now and came back.
+        // The worker was redirected to its owner a short time ago and has come back.
         return HeartbeatOutcome::Relay(owner.name.clone());
     }
     state.machines.note_redirection(&heartbeat.machine, now);
     HeartbeatOutcome::Redirect(Some(owner.name.clone()))
 }
 
-/// Takes in a heartbeat of a worker of this controller, renews its lease and gives it commands.
+/// Handles a heartbeat from a machine that this controller owns: renews the lease and responds
+/// with commands.
 fn process_for_own_worker(
     controller: &Controller,
     state: &mut ControllerState,
@@ -165,7 +167,7 @@
     let replica = &records.replica;
     let limits = controller.worker_limits(records.fresh_at);
     let owned_since = replica.owned_since_epoch(machine);
-    if machines.workers.get(machine).is_some_and(|w| w.predates_ownership(owned_since)) {
+    if machines.workers.get(machine).is_some_and(|worker| worker.predates_ownership(owned_since)) {
         machines.workers.remove(machine);
     }
     let new_worker = || Worker::new(heartbeat.addr.clone(), epoch, now);
@@ -175,8 +177,8 @@
         return HeartbeatOutcome::Redirect(None);
     }
     let is_newest = worker.receive_heartbeat(heartbeat.clone(), now);
-    // A copy of an older heartbeat gets no new commands; it may still be the one whose answer the
-    // worker waits for.
+    // A duplicate or older heartbeat gets no new commands, but its lease is renewed: it may be the
+    // one whose response the worker is waiting for.
     worker.renew_lease(now);
     let commands = if is_newest {
         worker.commands_for_heartbeat(machine, replica, &limits, now)
@@ -190,7 +192,7 @@
     HeartbeatOutcome::Respond(response)
 }
 
-/// Has a machine recorded that sent its first heartbeat.
+/// Queues the machine of a first heartbeat for registration.
 fn request_registration(controller: &Controller, heartbeat: &Heartbeat) {
     let record = MachineRecord {
         addr: heartbeat.addr.clone(),
--- a/crates/daemon/src/api/machine_registration.rs
+++ b/crates/daemon/src/api/machine_registration.rs
@@ -1,4 +1,4 @@
-//! Records machines that have sent a heartbeat for the first time.
+//! Registration of machines that have sent their first heartbeat.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,16 +16,17 @@
 use crate::state::ControllerState;
 use crate::worker_client::fetch_status;
 
-/// How long further machines are waited for before a batch is recorded.
+/// How long further machines are collected before a batch is recorded.
 const BATCH_DELAY: Duration = Duration::from_millis(150);
-/// How long a machine has to confirm its name.
+/// How long a machine has to confirm its name when it is asked.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A machine that has no record yet, with the record that it is to get.
+/// A machine that has no record yet, and the record to be written for it.
 type NewMachine = (Name, MachineRecord);
 
-/// Records new machines in batches, until the controller stops. Each is asked itself first: a
-/// delayed duplicate of a heartbeat must not bring back a machine that was released.
+/// Records new machines in batches until the controller stops. Each machine is first asked to
+/// confirm its name, so that a delayed duplicate of a heartbeat does not record a released machine
+/// again.
 pub async fn register_machines(controller: Arc<Controller>) {
     loop {
         controller.unrecorded_machine.notified().await;
@@ -52,15 +53,15 @@
     batch.into_iter().filter_map(|id| unrecorded.remove_entry(&id)).collect()
 }
 
-/// The machines of a batch that confirm their names, which are asked at the same time.
+/// Asks all machines of a batch concurrently, and returns those that confirm their names.
 async fn confirm(controller: &Arc<Controller>, batch: Vec<NewMachine>) -> Vec<NewMachine> {
     let requests: Vec<_> = batch
         .into_iter()
         .map(|(id, record)| {
-            let asking = controller.clone();
-            controller
-                .task_tracker
-                .spawn(async move { confirms_name(&asking, &id, &record).await.then_some((id, record)) })
+            let task_controller = controller.clone();
+            controller.task_tracker.spawn(async move {
+                confirms_name(&task_controller, &id, &record).await.then_some((id, record))
+            })
         })
         .collect();
     let mut confirmed = Vec::new();
@@ -70,7 +71,7 @@
     confirmed
 }
 
-/// Whether the worker at the address of a record says that it is this machine's.
+/// Whether the worker at the recorded address reports that it runs on this machine.
 pub(crate) async fn confirms_name(controller: &Controller, machine: &str, record: &MachineRecord) -> bool {
     let status = fetch_status(controller, machine, &record.addr, CONFIRMATION_TIMEOUT).await;
     status.is_ok_and(|status| status.is_some())
@@ -97,14 +98,14 @@
             debug!(%error, "machine registration failed");
             controller.note_refusal(&error);
             if matches!(error, StoreError::RateLimited) {
-                // Tried again without waiting for their next heartbeats.
+                // Retried without waiting for the machines' next heartbeats.
                 controller.state().machines.unrecorded.extend(machines);
             }
         }
     }
 }
 
-/// Puts machines that were recorded into the replica.
+/// Adds newly recorded machines to the replica.
 fn apply_registrations(controller: &Controller, machines: Vec<NewMachine>, revision: u64) {
     let mut state = controller.state();
     let names: Vec<&Name> = machines.iter().map(|(id, _)| id).collect();
--- a/crates/daemon/src/api/mod.rs
+++ b/crates/daemon/src/api/mod.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface for users (`/v1/jobs`) and workers (`/hello`).
 //!
-//! This module routes requests; one module each handles submissions, cancellations, the status of
-//! jobs and heartbeats. Errors become replies in [`error`] alone.
+//! This module routes requests. Submissions, cancellations, status requests and heartbeats have a
+//! module each. Only [`error`] converts errors into replies.
 
 mod cancellation;
 mod error;
@@ -33,9 +33,9 @@
 /// The sub-resource of a job that cancels it.
 const CANCEL_ACTION: &str = "withdraw";
 
-/// How long a submission or a cancellation may take: users wait for 5 s.
+/// How long a submission or a cancellation may take. It is less than the 5 s that users wait.
 const WRITE_DEADLINE: Duration = Duration::from_millis(4500);
-/// How long the change of a conflicting transaction is waited for.
+/// How long to wait, after a conflict, for the conflicting change to reach the replica.
 const CONFLICT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A resource of this interface.
@@ -49,7 +49,7 @@
 }
 
 impl<'p> Resource<'p> {
-    /// The resource that a path names, whatever its query is.
+    /// Parses the path of a request; the query is ignored.
     fn parse(path: &'p str) -> Option<Self> {
         let path = path.split('?').next().unwrap_or_default();
         match path {
@@ -85,9 +85,9 @@
     }
 }
 
-/// The outcome, or an error at the deadline: with checks, transactions and conflicts that each
-/// take seconds, users would be left without an answer. What is under way may still be carried
-/// out, as after any 503, and is found when they ask again.
+/// Returns the outcome, or an error at the deadline. Without it, reads, transactions and conflicts
+/// that each take seconds could add up to more than users wait. After the deadline, as after any
+/// 503, the request may still be carried out; a repeated request shows whether it was.
 async fn with_deadline<T>(outcome: impl Future<Output = Result<T, ApiError>>) -> Result<T, ApiError> {
     timeout(WRITE_DEADLINE, outcome).await.unwrap_or(Err(ApiError::DeadlineExceeded))
 }
@@ -108,7 +108,7 @@
     }
 }
 
-/// Whether this controller can answer users.
+/// Replies whether this controller can answer users.
 fn health(controller: &Controller) -> Reply {
     let state = controller.state();
     if state.records.is_loaded && !state.alone_lost_store(clock::now()) {
--- a/crates/daemon/src/api/shard_choice.rs
+++ b/crates/daemon/src/api/shard_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of the shard that schedules a new job.
+//! Choice of the shard that schedules a new job.
 
 use std::time::Duration;
 
@@ -10,12 +10,13 @@
 use crate::scheduler;
 use crate::state::{ControllerState, RecentAssignments, SchedulingState};
 
-/// How long the CPUs of new jobs are counted against their shard before they are taken to show on
-/// its machines. This only chooses who looks for capacity; placement examines it anew.
+/// How long the CPUs of new jobs are counted against their shard. After that, the jobs are assumed
+/// to be placed and to show in the inventory. An error only affects which shard looks for capacity:
+/// placement checks the capacity again.
 const RECENT_ASSIGNMENT_PERIOD: Duration = Duration::from_millis(500);
 
-/// The shard with the most free capacity among those that can hold the entire job: the name of its
-/// controller. `None` if there is none, or if the leader has to place the job.
+/// Returns the name of the controller whose shard has the most free CPUs among those that can hold
+/// the entire job; `None` if no shard can, or if the leader has to place the job.
 pub(crate) fn choose_shard(controller: &Controller, spec: &JobSpec) -> Option<String> {
     let mut guard = controller.state();
     let state = &mut *guard;
@@ -30,11 +31,11 @@
         let slots = || {
             inventory
                 .slot_classes_of(member.incarnation)
-                .filter(|(s, _)| gpu_slots_lost(replica, spec, s) == 0)
+                .filter(|(slot, _)| gpu_slots_lost(replica, spec, slot) == 0)
         };
         let assigned = recent_assignments.cpus.get(&member.incarnation).copied().unwrap_or(0.0);
         let free_cpus =
-            slots().map(|(s, machines)| s.free().cpus * f64::from(machines)).sum::<f64>() - assigned;
+            slots().map(|(slot, machines)| slot.free().cpus * f64::from(machines)).sum::<f64>() - assigned;
         fits_entire_job(spec, slots()).then_some((free_cpus, member))
     });
     let (_, chosen) = shards.max_by(|a, b| a.0.total_cmp(&b.0))?;
@@ -42,8 +43,8 @@
     Some(chosen.name.clone())
 }
 
-/// Starts a new period of recent assignments, with a fresh inventory, once the last one is over or
-/// belongs to another epoch. `None` if there is no cluster map.
+/// Refreshes the inventory and starts a new period of recent assignments if the last period has
+/// ended or belongs to another epoch. `None` if there is no cluster map.
 fn refresh_recent_assignments(controller: &Controller, state: &mut ControllerState) -> Option<()> {
     let now = clock::now();
     let epoch = state.cluster_map()?.epoch;
--- a/crates/daemon/src/api/submission.rs
+++ b/crates/daemon/src/api/submission.rs
@@ -1,7 +1,7 @@
 //! Submission of jobs.
 //!
-//! A submission is idempotent: a job that was accepted is never rejected, whatever a repetition of
-//! its submission says, so the records are read before any rejection.
+//! A submission is idempotent: a job that was accepted is not rejected later, whatever a repeated
+//! submission contains. So the records are read before any rejection.
 
 use std::time::Duration;
 
@@ -19,24 +19,24 @@
 use crate::clock;
 use crate::controller::{Controller, wall_ms};
 
-/// How old the replica may be by which it is decided what became of a job's dependencies.
+/// Maximum age of the replica from which the state of a job's dependencies is decided.
 const MAX_DEPENDENCY_AGE: Duration = Duration::from_millis(1500);
 
 /// The answer to a submission.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum SubmitOutcome {
-    /// The job was accepted now.
+    /// The job was accepted by this submission.
     Accepted(JobStatus),
-    /// A job of this id was accepted before.
+    /// A job with this id was accepted before.
     Existing(JobStatus),
 }
 
-/// A submission that was read and is not accepted yet.
+/// A parsed submission that is not accepted yet.
 struct Submission {
     spec: JobSpec,
-    /// The jobs that have to complete first: sorted, each once.
+    /// The jobs that have to complete first, sorted and without duplicates.
     dependencies: Vec<Name>,
-    /// Bytes of the description that the job's record keeps.
+    /// Size of the description in the job's record, in bytes.
     description_bytes: usize,
 }
 
@@ -44,7 +44,7 @@
     fn parse(body: &[u8]) -> Result<Self, BadJob> {
         let mut spec = JobSpec::read(body)?;
         let mut dependencies: Vec<Name> =
-            spec.dependencies.take().unwrap_or_default().iter().map(|n| n.as_str().into()).collect();
+            spec.dependencies.take().unwrap_or_default().iter().map(|job| job.as_str().into()).collect();
         dependencies.sort_unstable();
         dependencies.dedup();
         let description_bytes = if dependencies.is_empty() { body.len() } else { wire::encode(&spec).len() };
@@ -52,7 +52,7 @@
     }
 }
 
-/// Accepts a job, unless it is on record or can never run.
+/// Accepts a job, unless it already has a record or can never run.
 pub(super) async fn submit(controller: &Controller, body: &[u8]) -> Result<SubmitOutcome, ApiError> {
     let submission = match Submission::parse(body) {
         Ok(submission) => submission,
@@ -73,20 +73,20 @@
         return Err(ApiError::NotReady);
     }
     if *description_bytes > controller.max_description_bytes() {
-        // It may have been accepted when the limits were larger.
+        // The job may have been accepted when the limits were larger.
         let existing = lookup_job(controller, &id).await?;
         return existing.map(SubmitOutcome::Existing).ok_or(ApiError::DescriptionTooLong);
     }
-    // By an outdated replica, a job would be called queued whose user was told long ago that one
-    // of its dependencies is cancelled.
+    // An outdated replica would report the job as queued after a dependency's cancellation was
+    // already confirmed to the user.
     if !dependencies.is_empty() && !is_replica_fresh(controller) && !controller.read_barrier.wait().await {
         return Err(ApiError::StoreUnavailable);
     }
     match validate_against_records(controller, spec, dependencies) {
         Ok(()) => {}
         Err(ApiError::Rejected(_)) => {
-            // Neither an accepted job nor one that depends on an accepted job may be rejected by an
-            // outdated replica: validated again after a linearizable read.
+            // The replica may be outdated and lack the accepted job itself or an accepted job that
+            // it depends on. So validation is repeated after a linearizable read.
             if let Some(status) = lookup_job(controller, &id).await? {
                 return Ok(SubmitOutcome::Existing(status));
             }
@@ -97,8 +97,8 @@
     create(controller, submission).await
 }
 
-/// Rejects a submission for reasons that take no records, so whatever state this controller is in;
-/// but if the records can be read, a job that was accepted before is answered with its status.
+/// Rejects a submission for a reason that does not depend on the records, even if the records
+/// cannot be read. A job that was accepted before is answered with its status instead.
 async fn reject_unless_accepted(
     controller: &Controller,
     id: Option<&str>,
@@ -113,14 +113,14 @@
     }
 }
 
-/// The status of a job that is on record.
+/// The status of a job that already has a record.
 async fn existing_job(controller: &Controller, id: &str) -> Result<SubmitOutcome, ApiError> {
     let status = lookup_job(controller, id).await?;
     status.map(SubmitOutcome::Existing).ok_or(ApiError::ConcurrentWrite)
 }
 
 fn is_replica_fresh(controller: &Controller) -> bool {
-    controller.state().records.fresh_at.is_some_and(|f| clock::since(f) < MAX_DEPENDENCY_AGE)
+    controller.state().records.fresh_at.is_some_and(|fresh_at| clock::since(fresh_at) < MAX_DEPENDENCY_AGE)
 }
 
 /// Writes the record of a new job.
@@ -159,9 +159,9 @@
     }
 }
 
-/// The status of a job that was accepted just now: queued, unless a dependency was cancelled.
+/// The status of a newly accepted job: queued, unless a dependency was cancelled.
 fn accepted_status(controller: &Controller, id: String) -> JobStatus {
-    replica_status(controller, &id).filter(|s| s.state.is_final()).unwrap_or(JobStatus {
+    replica_status(controller, &id).filter(|status| status.state.is_final()).unwrap_or(JobStatus {
         id,
         state: JobState::Queued,
         done: 0,
@@ -170,8 +170,8 @@
     })
 }
 
-/// The record of a new job: cancelled if one of its dependencies is, waiting if one has not
-/// completed, else active.
+/// The record of a new job: cancelled if a dependency is cancelled, waiting if a dependency has not
+/// completed, otherwise active.
 pub(crate) fn new_record(
     controller: &Controller,
     spec: JobSpec,
@@ -181,17 +181,18 @@
     let state = controller.state();
     let replica = &state.records.replica;
     let now_ms = wall_ms();
-    let phase = |n: &Name| replica.jobs.get(&**n).map(|j| j.value.phase);
-    let is_cancelled =
-        |n: &Name| phase(n) == Some(Phase::Cancelled) || replica.pipelines.is_cancelled_by_dependency(n);
+    let phase = |job: &Name| replica.jobs.get(&**job).map(|entry| entry.value.phase);
+    let is_cancelled = |job: &Name| {
+        phase(job) == Some(Phase::Cancelled) || replica.pipelines.is_cancelled_by_dependency(job)
+    };
     if dependencies.iter().any(is_cancelled) {
         let mut record = JobRecord::new(spec, None, now_ms);
         record.phase = Phase::Cancelled;
         record.compact_if_final();
         return record;
     }
-    // Completion is final: those dependencies need not be recorded.
-    let unmet: Vec<Name> = dependencies.into_iter().filter(|n| phase(n) != Some(Phase::Done)).collect();
+    // Completion is final, so completed dependencies need not be recorded.
+    let unmet: Vec<Name> = dependencies.into_iter().filter(|job| phase(job) != Some(Phase::Done)).collect();
     if unmet.is_empty() {
         JobRecord::new(spec, shard, now_ms)
     } else {
--- a/crates/daemon/src/api/validation.rs
+++ b/crates/daemon/src/api/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a submitted job can ever run, by the settings and by the records.
+//! Validation of submitted jobs: rejects jobs that can never run.
 
 use sched::autoscaling;
 use sched::records::Name;
@@ -7,7 +7,7 @@
 use super::error::{ApiError, Rejection};
 use crate::controller::Controller;
 
-/// Rejects a job that can never run by the settings and its own description.
+/// Checks a job against the settings and its own description.
 pub(super) fn validate_against_settings(
     controller: &Controller,
     spec: &JobSpec,
@@ -23,8 +23,8 @@
     Ok(())
 }
 
-/// Rejects a job that can never run by the replica of the records; any other error means that this
-/// cannot be told now.
+/// Checks a job against the replica of the records. An error other than [`ApiError::Rejected`]
+/// means that the check cannot be made now.
 pub(super) fn validate_against_records(
     controller: &Controller,
     spec: &JobSpec,
@@ -47,8 +47,8 @@
             return Err(Rejection::DependsOnService.into());
         }
     }
-    // A controller of an older version cannot read the record of a job with dependencies, and
-    // would have no answer for its user.
+    // A controller of an older version cannot read the record of a job with dependencies, so it
+    // could not answer the job's user.
     if !dependencies.is_empty() && state.old_version_is_live() {
         return Err(ApiError::OlderVersionLive);
     }
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -18,15 +18,15 @@
 use tokio_util::task::TaskTracker;
 use wire::{Heartbeat, Item, Items, JobKind};
 
-/// A stand-in for the key-value store with one job waiting, one done and one
-/// record that nobody can read. It refuses while `out`.
-async fn state_service(out: Arc<AtomicBool>) -> String {
+/// Starts a fake key-value store that holds an active job, a completed job and a record that cannot
+/// be read. It refuses all requests while `outage` is set. Returns its address.
+async fn start_key_value_store(outage: Arc<AtomicBool>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address").to_string();
     let serve = move |request: Request| {
-        let out = out.clone();
+        let outage = outage.clone();
         async move {
-            if out.load(Ordering::Relaxed) {
+            if outage.load(Ordering::Relaxed) {
                 return Reply::error(503, "outage");
             }
             if request.path.starts_with("/follow") {
@@ -34,7 +34,7 @@
                 sleep(Duration::from_millis(hold)).await;
                 return Reply::new(200, &serde_json::json!({"epoch": 7, "news": []}));
             }
-            let waiting = JobRecord::new(spec("j-1", JobKind::Array), None, 0);
+            let active = JobRecord::new(spec("j-1", JobKind::Array), None, 0);
             let mut done = JobRecord::new(spec("j-2", JobKind::Array), None, 0);
             done.phase = Phase::Done;
             done.compact_if_final();
@@ -44,7 +44,7 @@
                 version: 3,
             };
             let items = vec![
-                item("j-1", KeyWrite::new(key::job("j-1"), &waiting)),
+                item("j-1", KeyWrite::new(key::job("j-1"), &active)),
                 item("j-2", KeyWrite::new(key::job("j-2"), &done)),
                 item("j-3", KeyWrite::new(key::job("j-3"), &"from another version")),
             ];
@@ -66,54 +66,65 @@
     controller
 }
 
-/// During start, outage and recovery, the status of an accepted job is answered as soon as the
-/// key-value store answers, and never with a 404.
+/// A controller that cannot read the records must not answer a status request for an accepted job
+/// with 404: not at start, during an outage or after one.
 #[tokio::test]
 async fn an_accepted_job_is_never_unknown_during_and_after_an_outage() {
-    let out = Arc::new(AtomicBool::new(true));
-    let controller = controller(state_service(out.clone()).await).await;
-    let ask = async |id: &str| job_reply(status(&controller, id).await);
+    let outage = Arc::new(AtomicBool::new(true));
+    let controller = controller(start_key_value_store(outage.clone()).await).await;
+    let request_status = async |id: &str| job_reply(status(&controller, id).await);
     for id in ["j-1", "j-2", "j-3", "j-4"] {
-        let reply = ask(id).await;
-        assert_eq!((reply.status, reply.retry_after), (503, Some(1)), "{id}: nothing is known yet");
+        let reply = request_status(id).await;
+        assert_eq!(
+            (reply.status, reply.retry_after),
+            (503, Some(1)),
+            "{id}: the records have not been read yet"
+        );
     }
-    out.store(false, Ordering::Relaxed);
+    outage.store(false, Ordering::Relaxed);
     let since = Instant::now();
-    while ask("j-1").await.status == 503 {
-        assert!(since.elapsed() < Duration::from_secs(10), "answers soon after the outage");
+    while request_status("j-1").await.status == 503 {
+        assert!(since.elapsed() < Duration::from_secs(10), "the status is known soon after the outage");
         sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(ask("j-1").await.status, 200);
-    assert_eq!(ask("j-2").await.status, 200);
-    assert_eq!(ask("j-3").await.status, 503, "a record that cannot be read is no 404");
-    assert_eq!(ask("j-4").await.status, 404);
-    out.store(true, Ordering::Relaxed);
+    assert_eq!(request_status("j-1").await.status, 200);
+    assert_eq!(request_status("j-2").await.status, 200);
+    assert_eq!(request_status("j-3").await.status, 503, "a job whose record cannot be read is not unknown");
+    assert_eq!(request_status("j-4").await.status, 404);
+    outage.store(true, Ordering::Relaxed);
     let since = Instant::now();
-    assert_eq!(ask("j-2").await.status, 200, "what is final stays final");
+    assert_eq!(request_status("j-2").await.status, 200, "a final status does not change");
     for id in ["j-1", "j-4"] {
-        assert_eq!(ask(id).await.status, 503, "{id}: it may have changed meanwhile");
+        assert_eq!(
+            request_status(id).await.status,
+            503,
+            "{id}: the record may have changed during the outage"
+        );
     }
-    assert!(since.elapsed() < Duration::from_secs(4), "refused, not held back");
+    assert!(since.elapsed() < Duration::from_secs(4), "refused at once, not held until the outage ends");
     controller.shutdown.cancel();
 }
 
-/// The heartbeats of a worker that cannot reach its owner are relayed for a while only.
+/// A worker that comes back after a redirection cannot reach its owner: its heartbeats are relayed,
+/// and it is redirected again once a minute in case the owner can be reached by then.
 #[test]
-fn a_worker_that_comes_back_is_relayed_for_a_while_and_redirected_again() {
+fn a_returning_worker_is_relayed_and_redirected_again_after_a_minute() {
     let controller = crate::scale::controller(40, 2);
     let machine = {
         let state = controller.state();
-        let others = |id: &&Name| state.records.replica.owner_of(id).is_some_and(|o| o.name == "n-1");
-        state.records.replica.machines.keys().find(others).cloned().expect("one of the other's")
+        let is_owned_by_peer =
+            |id: &&Name| state.records.replica.owner_of(id).is_some_and(|owner| owner.name == "n-1");
+        state.records.replica.machines.keys().find(is_owned_by_peer).cloned().expect("a machine of the peer")
     };
-    let report: Heartbeat = wire::decode(&wire::encode(&serde_json::json!({"frame": &*machine, "addr": "a",
+    let heartbeat: Heartbeat =
+        wire::decode(&wire::encode(&serde_json::json!({"frame": &*machine, "addr": "a",
         "shape": "m", "bay": "z", "loaner": false, "stint": 1, "tally": 1, "baton": u64::MAX >> 1,
         "threads": []})))
-    .expect("a report");
+        .expect("a heartbeat");
     let start = Instant::now();
-    let relayed = |s: u64| {
-        let at = start + Duration::from_secs(s);
-        match process_heartbeat(&controller, &report, HeartbeatRoute::Direct, at) {
+    let is_relayed = |elapsed_s: u64| {
+        let at = start + Duration::from_secs(elapsed_s);
+        match process_heartbeat(&controller, &heartbeat, HeartbeatRoute::Direct, at) {
             HeartbeatOutcome::Relay(owner) => {
                 assert_eq!(owner, "n-1");
                 true
@@ -123,15 +134,15 @@
                 false
             }
             outcome @ (HeartbeatOutcome::Respond(_) | HeartbeatOutcome::RegisterMachine { .. }) => {
-                unreachable!("its record is there, and its owner is another: {outcome:?}")
+                unreachable!("the machine is recorded and owned by the peer: {outcome:?}")
             }
         }
     };
-    let seen: Vec<bool> = [0, 1, 2, 10, 59, 60, 61, 119, 120].map(relayed).to_vec();
-    assert_eq!(seen, [false, true, true, true, true, false, true, true, false]);
+    let outcomes: Vec<bool> = [0, 1, 2, 10, 59, 60, 61, 119, 120].map(is_relayed).to_vec();
+    assert_eq!(outcomes, [false, true, true, true, true, false, true, true, false]);
 }
 
-/// A delayed duplicate of a heartbeat must not bring back a machine that was released.
+/// A delayed duplicate of a heartbeat must not record a released machine again.
 #[tokio::test]
 async fn a_machine_is_recorded_only_if_it_confirms_its_name() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -157,48 +168,76 @@
     assert!(confirms_name(&controller, "host-2", &record(&addr)).await);
     assert!(
         !confirms_name(&controller, "host-1", &record(&addr)).await,
-        "another machine has its address now"
+        "another machine uses the recorded address now"
+    );
+    assert!(
+        !confirms_name(&controller, "host-1", &record("127.0.0.1:1")).await,
+        "no worker listens at the recorded address"
     );
-    assert!(!confirms_name(&controller, "host-1", &record("127.0.0.1:1")).await, "nobody is there");
 }
 
 #[test]
-fn each_error_is_answered_with_its_status_text_and_retry_time() {
+fn each_error_has_its_status_message_and_retry_after() {
     let cases = [
         (ApiError::UnknownPath, 404, "unknown path", None),
         (ApiError::MethodNotAllowed, 405, "method not allowed", None),
         (ApiError::InvalidDescription("not a map".into()), 400, "not a map", None),
-        (ApiError::DescriptionTooLong, 400, "the description is too long to be kept", None),
+        (ApiError::DescriptionTooLong, 400, "the job description is too long to be stored", None),
         (ApiError::InvalidHeartbeat("end of input".into()), 400, "end of input", None),
-        (ApiError::InvalidMachineName, 400, "frame: not a machine's name", None),
+        (ApiError::InvalidMachineName, 400, "frame: not a valid machine name", None),
         (ApiError::UnknownJob, 404, "no such job", None),
-        (Rejection::UnknownTeam.into(), 422, "unknown team", None),
-        (Rejection::ExceedsTeamQuota.into(), 422, "beyond the team's limit", None),
-        (Rejection::DependsOnItself.into(), 422, "awaits: the job itself", None),
-        (Rejection::NoSuitableMachineType.into(), 422, "no allowed machine type can hold a task", None),
-        (Rejection::UnknownDependency.into(), 422, "awaits: a job that was never accepted", None),
-        (Rejection::DependsOnService.into(), 422, "awaits: a service is never done", None),
-        (ApiError::NotReady, 503, "not ready", Some(1)),
-        (ApiError::DeadlineExceeded, 503, "the state service takes too long", Some(1)),
-        (ApiError::StoreUnavailable, 503, "the state service cannot be asked", Some(1)),
-        (ApiError::WriteFailed, 503, "the state service did not take it", Some(1)),
-        (ApiError::ConcurrentWrite, 503, "try again", Some(1)),
-        (ApiError::JobChanging, 503, "the job is changing; try again", Some(1)),
-        (ApiError::UnknownMachineTypes, 503, "the machine types are not known yet", Some(1)),
+        (Rejection::UnknownTeam.into(), 422, "owner: no team of this name is configured", None),
+        (
+            Rejection::ExceedsTeamQuota.into(),
+            422,
+            "cpus, gpus: the job needs more than the maximum quota of its team",
+            None,
+        ),
+        (Rejection::DependsOnItself.into(), 422, "awaits: a job cannot depend on itself", None),
+        (
+            Rejection::NoSuitableMachineType.into(),
+            422,
+            "no machine type that the job allows is large enough for one of its tasks",
+            None,
+        ),
+        (Rejection::UnknownDependency.into(), 422, "awaits: names a job that was never accepted", None),
+        (Rejection::DependsOnService.into(), 422, "awaits: names a service, which is never done", None),
+        (
+            ApiError::NotReady,
+            503,
+            "not ready: the controller has not loaded the records or has lost the state service",
+            Some(1),
+        ),
+        (
+            ApiError::DeadlineExceeded,
+            503,
+            "the state service took too long; the request may still be carried out",
+            Some(1),
+        ),
+        (ApiError::StoreUnavailable, 503, "the state service cannot be read now", Some(1)),
+        (ApiError::WriteFailed, 503, "the state service did not confirm the write", Some(1)),
+        (ApiError::ConcurrentWrite, 503, "the job's record changed at the same time; try again", Some(1)),
+        (ApiError::JobChanging, 503, "the job's record keeps changing; try again", Some(1)),
+        (ApiError::UnknownMachineTypes, 503, "the machine types are not loaded yet", Some(1)),
         (ApiError::UnreadableRecord, 503, "the job's record cannot be read", Some(5)),
-        (ApiError::UnreadableDependency, 503, "the record of a job that it awaits cannot be read", Some(5)),
-        (ApiError::OlderVersionLive, 503, "a controller of an older version is live", Some(5)),
+        (ApiError::UnreadableDependency, 503, "awaits: the record of a dependency cannot be read", Some(5)),
+        (
+            ApiError::OlderVersionLive,
+            503,
+            "awaits: a live controller of an older version cannot read jobs with dependencies",
+            Some(5),
+        ),
     ];
-    for (error, status, text, retry_after) in cases {
+    for (error, status, message, retry_after) in cases {
         let reply = Reply::from(error);
-        let body = wire::encode(&wire::ErrorBody { error: text.to_owned() });
-        assert_eq!((reply.status, reply.retry_after), (status, retry_after), "{text}");
-        assert_eq!(reply.body, body, "{text}");
+        let body = wire::encode(&wire::ErrorBody { error: message.to_owned() });
+        assert_eq!((reply.status, reply.retry_after), (status, retry_after), "{message}");
+        assert_eq!(reply.body, body, "{message}");
     }
 }
 
 #[test]
-fn a_path_names_one_resource_whatever_its_query_is() {
+fn a_path_is_parsed_to_a_resource_without_its_query() {
     let cases = [
         ("/hello", Some(Resource::Heartbeats)),
         ("/healthz?verbose", Some(Resource::Health)),
