--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -21,31 +21,31 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a controller until it is told to stop.
-    Serve(Files),
-    /// Check the settings files and say what is wrong with them.
-    Check(Files),
-    /// Submit, look at and withdraw jobs.
+    /// Run a controller until it receives SIGTERM or SIGINT.
+    Serve(SettingsFiles),
+    /// Check the settings files and report the first mistake.
+    Check(SettingsFiles),
+    /// Submit jobs, show their status and withdraw them.
     Job(client::JobArgs),
-    /// Retire machines in steps, within the teams' disruption budgets.
+    /// Drain machines in steps, within the disruption budgets of services and teams.
     Drain(drains::command::DrainArgs),
-    /// Try the service: controllers on an emulated site, until Ctrl-C.
+    /// Run controllers on an emulated site in one process, until Ctrl-C.
     Try(emulated::TryArgs),
-    /// Run an emulated site for controllers that are started by hand, until Ctrl-C.
+    /// Run only the emulated site, for controllers that are started by hand, until Ctrl-C.
     Emulate(emulated::EmulateArgs),
 }
 
 #[derive(clap::Args)]
-struct Files {
-    /// The platform's settings (TOML).
+struct SettingsFiles {
+    /// The platform's settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' own settings (HCL).
+    /// The operators' settings file (HCL); without it, the defaults apply.
     #[arg(long, value_name = "FILE")]
     operators: Option<PathBuf>,
 }
 
-/// Why the program ends with an error: one line that names what is to be changed.
+/// Why the program failed. The message is one line that names what has to be changed.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
@@ -64,7 +64,7 @@
     }
 }
 
-/// Runs the program by its command line.
+/// Parses the command line, runs the command and returns the exit code of the process.
 pub fn main() -> ExitCode {
     match run(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
@@ -80,8 +80,8 @@
         Command::Serve(files) => serve(&files)?,
         Command::Job(args) => runtime()?.block_on(client::run(args))?,
         Command::Drain(args) => runtime()?.block_on(drains::command::run(args))?,
-        Command::Try(args) => emulated::try_out(&args)?,
-        Command::Emulate(args) => emulated::emulate(&args)?,
+        Command::Try(args) => emulated::run_site_with_controllers(&args)?,
+        Command::Emulate(args) => emulated::run_site(&args)?,
         Command::Check(files) => {
             load(&files)?;
             println!("the settings are valid");
@@ -90,14 +90,14 @@
     Ok(())
 }
 
-fn serve(files: &Files) -> Result<(), ProcessError> {
+fn serve(files: &SettingsFiles) -> Result<(), ProcessError> {
     let (settings, operators) = load(files)?;
     logging::init()?;
     runtime()?.block_on(process::run(settings, operators, process::termination_signal()))
 }
 
 /// Loads and checks the settings files.
-fn load(files: &Files) -> Result<(Settings, Operators), SettingsError> {
+fn load(files: &SettingsFiles) -> Result<(Settings, Operators), SettingsError> {
     let settings = Settings::load(&files.config)?;
     let Some(file) = &files.operators else { return Ok((settings, Operators::default())) };
     let operators = Operators::load(file)?;
--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -1,4 +1,5 @@
-//! `sageloom try` and `sageloom emulate`: the service on an emulated site.
+//! The commands `sageloom try` and `sageloom emulate`, which run an emulated site: its cloud,
+//! machines, state service and load balancer.
 
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
@@ -14,34 +15,34 @@
 use crate::process::{ProcessError, run, runtime, termination_signal};
 use crate::settings::{Settings, SettingsError};
 
-/// What `sageloom try` runs without a file.
-const SITE: (&str, &str) = ("examples/site.hcl", include_str!("../../../examples/site.hcl"));
+/// The name and the contents of the site file that `sageloom try` runs without `--site`.
+const DEFAULT_SITE: (&str, &str) = ("examples/site.hcl", include_str!("../../../examples/site.hcl"));
 
 #[derive(clap::Args)]
 pub struct TryArgs {
-    /// The emulated site (HCL); by default a small one that is built in.
+    /// The file that describes the emulated site (HCL); by default a small site that is built in.
     #[arg(long, value_name = "FILE")]
     site: Option<PathBuf>,
-    /// The operators' own settings (HCL).
+    /// The operators' settings file (HCL); without it, the defaults apply.
     #[arg(long, value_name = "FILE")]
     operators: Option<PathBuf>,
-    /// A folder for the controllers' logs, one file each. Without it, and without
-    /// LOG_LEVEL, only errors are shown.
+    /// The folder for the controllers' logs, one file per controller. Without it, they log to
+    /// standard error: only errors, unless LOG_LEVEL is set.
     #[arg(long, value_name = "FOLDER")]
     logs: Option<PathBuf>,
 }
 
 #[derive(clap::Args)]
 pub struct EmulateArgs {
-    /// The emulated site (HCL).
+    /// The file that describes the emulated site (HCL).
     #[arg(long, value_name = "FILE")]
     site: PathBuf,
-    /// The folder that the controllers' settings files are written to.
+    /// The folder to which the controllers' settings files are written.
     #[arg(long, value_name = "FOLDER", default_value = "emulated")]
     settings: PathBuf,
 }
 
-/// Why an emulated site could not run.
+/// Why an emulated site, or a controller on it, could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatedError {
     #[error(transparent)]
@@ -51,26 +52,27 @@
     #[error(transparent)]
     Site(#[from] emulator::SiteError),
     #[error(transparent)]
-    Live(#[from] emulator::LiveError),
-    #[error("the settings cannot be written as TOML: {0}")]
-    Settings(#[from] toml::ser::Error),
-    #[error("{0}: {1}")]
-    Write(String, std::io::Error),
-    #[error("the controllers ended")]
-    Ended,
+    Emulation(#[from] emulator::LiveError),
+    #[error("the controllers' settings cannot be written as TOML: {0}")]
+    SerializeSettings(#[from] toml::ser::Error),
+    #[error("{0}: cannot create or write: {1}")]
+    WriteFile(String, std::io::Error),
+    #[error("all controllers ended before a stop was requested")]
+    ControllersEnded,
 }
 
-fn failed(path: &Path) -> impl FnOnce(std::io::Error) -> EmulatedError {
+fn write_error(path: &Path) -> impl FnOnce(std::io::Error) -> EmulatedError {
     let file = path.display().to_string();
-    |e| EmulatedError::Write(file, e)
+    |error| EmulatedError::WriteFile(file, error)
 }
 
-/// Three controllers, or as many as the file has, on an emulated site in one process.
-pub fn try_out(args: &TryArgs) -> Result<(), EmulatedError> {
-    let begun = Instant::now();
+/// Runs an emulated site and all its controllers (three on the default site) in this process, until
+/// the process is told to stop or a controller ends.
+pub fn run_site_with_controllers(args: &TryArgs) -> Result<(), EmulatedError> {
+    let started_at = Instant::now();
     let site = match &args.site {
         Some(file) => SiteFile::load(file)?,
-        None => SiteFile::parse(SITE.0, SITE.1)?,
+        None => SiteFile::parse(DEFAULT_SITE.0, DEFAULT_SITE.1)?,
     };
     let level = match std::env::var("LOG_LEVEL") {
         Err(_) if args.logs.is_none() => tracing::Level::ERROR,
@@ -78,125 +80,136 @@
     };
     let operators = args.operators.as_deref().map(Operators::load).transpose()?.unwrap_or_default();
     if let Some(folder) = &args.logs {
-        std::fs::create_dir_all(folder).map_err(failed(folder))?;
+        std::fs::create_dir_all(folder).map_err(write_error(folder))?;
     }
-    let _quiet = tracing::dispatcher::set_default(&subscriber(level, None));
+    let _subscriber_guard = tracing::dispatcher::set_default(&subscriber(level, None));
     runtime()?.block_on(async {
         let emulation = Emulation::start(&site).await?;
-        let stop = CancellationToken::new();
-        let (ends, mut ended) = mpsc::unbounded_channel();
+        let shutdown = CancellationToken::new();
+        let (outcome_sender, mut outcomes) = mpsc::unbounded_channel();
         let mut threads = Vec::new();
         for (name, text) in site.settings(&emulation)? {
             let settings = Settings::parse(&name, &text)?;
-            let log = args.logs.as_ref().map(|folder| folder.join(format!("{name}.log")));
+            let log_path = args.logs.as_ref().map(|folder| folder.join(format!("{name}.log")));
             let settings = (settings, operators.clone());
-            threads.push(controller(settings, level, log, stop.clone(), ends.clone())?);
+            threads.push(spawn_controller(
+                settings,
+                level,
+                log_path,
+                shutdown.clone(),
+                outcome_sender.clone(),
+            )?);
         }
         let outcome = tokio::select! {
             () = termination_signal() => Ok(()),
             () = async {
                 emulation.all_healthy().await;
-                tell(&emulation, begun);
+                print_addresses(&emulation, started_at);
                 std::future::pending().await
             } => Ok(()),
-            end = ended.recv() => end.unwrap_or(Err(EmulatedError::Ended)),
+            outcome = outcomes.recv() => outcome.unwrap_or(Err(EmulatedError::ControllersEnded)),
         };
-        stop.cancel();
-        // They leave the state service on their own; it has to be there for that.
-        let _ = tokio::task::spawn_blocking(|| threads.into_iter().for_each(|t| drop(t.join()))).await;
+        shutdown.cancel();
+        // Stopping controllers revoke their leases in the state service, so it runs until they end.
+        let _ =
+            tokio::task::spawn_blocking(|| threads.into_iter().for_each(|thread| drop(thread.join()))).await;
         if outcome.is_ok() {
-            tell_end(&emulation);
+            print_summary(&emulation);
         }
         emulation.stop().await;
         outcome
     })
 }
 
-/// A controller on a thread and a runtime of its own, as it would be in a process.
-fn controller(
+/// Starts a controller on a thread with a runtime of its own, as if it ran in a separate process.
+fn spawn_controller(
     (settings, operators): (Settings, Operators),
     level: tracing::Level,
-    log: Option<PathBuf>,
-    stop: CancellationToken,
-    ends: mpsc::UnboundedSender<Result<(), EmulatedError>>,
+    log_path: Option<PathBuf>,
+    shutdown: CancellationToken,
+    outcome_sender: mpsc::UnboundedSender<Result<(), EmulatedError>>,
 ) -> Result<JoinHandle<()>, EmulatedError> {
-    let file = match &log {
-        Some(path) => Some(std::fs::File::create(path).map_err(failed(path))?),
+    let log_file = match &log_path {
+        Some(path) => Some(std::fs::File::create(path).map_err(write_error(path))?),
         None => None,
     };
     let name = settings.node_name.clone();
-    let body = move || {
-        let _log = tracing::dispatcher::set_default(&subscriber(level, file));
-        let stopped = async move { stop.cancelled().await };
-        let end = runtime().and_then(|r| r.block_on(run(settings, operators, stopped)));
-        let _ = ends.send(end.map_err(EmulatedError::from));
+    let run_thread = move || {
+        let _subscriber_guard = tracing::dispatcher::set_default(&subscriber(level, log_file));
+        let stopped = async move { shutdown.cancelled().await };
+        let outcome = runtime().and_then(|runtime| runtime.block_on(run(settings, operators, stopped)));
+        let _ = outcome_sender.send(outcome.map_err(EmulatedError::from));
     };
-    std::thread::Builder::new().name(name).spawn(body).map_err(|e| ProcessError::Runtime(e).into())
+    std::thread::Builder::new()
+        .name(name)
+        .spawn(run_thread)
+        .map_err(|error| ProcessError::Runtime(error).into())
 }
 
-fn subscriber(level: tracing::Level, file: Option<std::fs::File>) -> tracing::Dispatch {
+fn subscriber(level: tracing::Level, log_file: Option<std::fs::File>) -> tracing::Dispatch {
     let fmt = tracing_subscriber::fmt().with_max_level(level).with_ansi(false).without_time();
-    match file {
+    match log_file {
         Some(file) => fmt.with_target(false).with_writer(Mutex::new(file)).finish().into(),
         None => fmt.with_target(false).with_writer(std::io::stderr).finish().into(),
     }
 }
 
-fn tell(emulation: &Emulation, begun: Instant) {
+fn print_addresses(emulation: &Emulation, started_at: Instant) {
     println!("users (load balancer)  {}", emulation.users);
-    for c in &emulation.controllers {
-        println!("controller {:<12}{}  zone {}", c.name, c.door, c.file.zone);
+    for controller in &emulation.controllers {
+        println!("controller {:<12}{}  zone {}", controller.name, controller.door, controller.file.zone);
     }
     println!("cloud                  {}", emulation.cloud);
-    if let Some(c) = emulation.controllers.first() {
-        println!("state service          {}", c.state);
+    if let Some(controller) = emulation.controllers.first() {
+        println!("state service          {}", controller.state);
     }
-    println!("ready after {:.2} s; Ctrl-C ends it", begun.elapsed().as_secs_f64());
+    println!("ready after {:.2} s; press Ctrl-C to stop", started_at.elapsed().as_secs_f64());
 }
 
-/// What came of it, all of it simulated.
-fn tell_end(emulation: &Emulation) {
+/// Prints the outcome of the run. All figures are simulated.
+fn print_summary(emulation: &Emulation) {
     let (machines, spent) = emulation.summary();
     println!("stopped: {machines} machines were up, {spent:.4} spent (simulated)");
-    let t = emulation.tally();
-    if t.submitted > 0 {
+    let tally = emulation.tally();
+    if tally.submitted > 0 {
         println!(
-            "users: {} jobs submitted, {} accepted, {} done (longest {:.1} s), {} cancelled, {} refused, \
-             {} given up",
-            t.submitted,
-            t.accepted,
-            t.done,
-            t.longest.as_secs_f64(),
-            t.cancelled,
-            t.refused,
-            t.given_up
+            "users: {} jobs submitted, {} accepted, {} done (longest {:.1} s), {} cancelled, \
+             {} refused with 400 or 422, {} given up",
+            tally.submitted,
+            tally.accepted,
+            tally.done,
+            tally.longest.as_secs_f64(),
+            tally.cancelled,
+            tally.refused,
+            tally.given_up
         );
     }
-    for (rule, job) in &t.broken {
-        println!("broken, as its user saw it: {rule} {job}");
+    for (rule, job) in &tally.broken {
+        println!("rule broken, as seen by the job's user: {rule} {job}");
     }
 }
 
-/// The stand-ins alone, for controllers that are started by hand.
-pub fn emulate(args: &EmulateArgs) -> Result<(), EmulatedError> {
+/// Runs only the emulated site, and writes the settings files for controllers that are started by
+/// hand.
+pub fn run_site(args: &EmulateArgs) -> Result<(), EmulatedError> {
     let site = SiteFile::load(&args.site)?;
     logging::init().map_err(ProcessError::from)?;
     runtime()?.block_on(async {
         let emulation = Emulation::start(&site).await?;
         let folder = &args.settings;
-        std::fs::create_dir_all(folder).map_err(failed(folder))?;
+        std::fs::create_dir_all(folder).map_err(write_error(folder))?;
         println!("users (load balancer)  {}", emulation.users);
         println!("cloud                  {}", emulation.cloud);
         for (name, text) in site.settings(&emulation)? {
             let path = folder.join(format!("{name}.toml"));
-            std::fs::write(&path, text).map_err(failed(&path))?;
+            std::fs::write(&path, text).map_err(write_error(&path))?;
             println!("sageloom serve --config {}", path.display());
         }
-        for c in &emulation.controllers {
-            println!("users reach {} at {}", c.name, c.door);
+        for controller in &emulation.controllers {
+            println!("users reach {} at {}", controller.name, controller.door);
         }
         termination_signal().await;
-        tell_end(&emulation);
+        print_summary(&emulation);
         emulation.stop().await;
         Ok(())
     })
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The program `sageloom`: one controller of the cluster scheduler, and its command line.
 //!
-//! docs/architecture.md tells which module does what. The layers, from the lowest up: plain state
-//! and decisions, the tasks of a controller that do input and output, `process` that composes
-//! them, `cli` on top.
+//! docs/architecture.md describes the modules. The layers, from the lowest up: plain state and
+//! decisions, the tasks of a controller that do input and output, `process`, which composes them,
+//! and `cli` on top.
 
 #![deny(missing_docs)]
 #![cfg_attr(not(test), deny(clippy::too_many_lines))]
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,24 +1,24 @@
-//! The log on standard error.
+//! Logging to standard error.
 
 use tracing::Level;
 
-/// The environment variable that says how much is logged.
+/// The environment variable that sets the log level.
 const LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// The environment names no level that there is.
+/// The log level in the environment is unknown.
 #[derive(Debug, thiserror::Error)]
-#[error("LOG_LEVEL: \"{0}\" is none of error, warn, info, debug")]
+#[error("LOG_LEVEL: \"{0}\" is not a log level; expected error, warn, info or debug")]
 pub struct LogLevelError(String);
 
-/// The level that the environment asks for; `info` if it does not say.
+/// Reads the log level from the environment; `info` if it is not set.
 pub fn level_from_environment() -> Result<Level, LogLevelError> {
-    let text = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
-    match text.as_str() {
+    let level = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
+    match level.as_str() {
         "" | "info" => Ok(Level::INFO),
         "error" => Ok(Level::ERROR),
         "warn" => Ok(Level::WARN),
         "debug" => Ok(Level::DEBUG),
-        _ => Err(LogLevelError(text)),
+        _ => Err(LogLevelError(level)),
     }
 }
 
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings.
+//! The operators' settings.
 
 mod hcl_file;
 
@@ -10,40 +10,42 @@
 
 use crate::settings::{Settings, SettingsError, read};
 
-/// Whether machines can be drained, and what of a team may be down for it.
+/// Settings of drains.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct DrainSettings {
-    /// Without it nothing of drains is read, written or asked for.
+    /// Whether machines can be drained. If not, no records of drains are read or written and peers
+    /// are not asked about drains.
     pub enabled: bool,
-    /// How much of a service and of a team may be down for it.
+    /// The disruption budgets: how much of a service and of a team a drain may stop at a time.
     pub budgets: Budgets,
 }
 
-/// Checked operators' settings.
+/// The operators' settings, checked.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operators {
-    /// How the rescheduler moves replicas.
+    /// The policy of the rescheduler, which moves replicas of services.
     pub rescheduler: Policy,
-    /// An idle machine is released after this long.
+    /// How long a machine may be idle before it is released.
     pub idle: Duration,
-    /// A machine that is silent for this long is released; `None`: by the platform's settings.
+    /// How long a machine may be silent before it is released. `None`: derived from the platform's
+    /// settings.
     pub silent: Option<Duration>,
-    /// Headroom for so many tasks of the latest GPU job, if its class is expected to start in
-    /// time.
+    /// For how many further tasks of the latest GPU job machines are kept free, if the class of the
+    /// job has an objective for its waiting time.
     pub spare_gpu_tasks: u32,
-    /// Whether machines can be drained, and how.
+    /// The settings of drains.
     pub drains: DrainSettings,
 }
 
 impl Operators {
-    /// Whether each budget is of a team that the platform's settings have.
+    /// Checks that each team with a disruption budget exists in the platform's settings.
     pub fn check_teams(&self, file: &str, settings: &Settings) -> Result<(), SettingsError> {
-        let known = |team: &String| settings.facts.teams.iter().any(|t| t.name == *team);
-        match self.drains.budgets.teams.keys().find(|team| !known(team)) {
+        let is_known = |team: &String| settings.facts.teams.iter().any(|known| known.name == *team);
+        match self.drains.budgets.teams.keys().find(|team| !is_known(team)) {
             Some(team) => Err(SettingsError::Field {
                 file: file.to_owned(),
                 field: format!("drains.team.{team}"),
-                why: "the platform's settings have no such team".into(),
+                reason: "the platform's settings (facts.teams) have no team of this name".into(),
             }),
             None => Ok(()),
         }
@@ -55,7 +57,7 @@
         Self::parse(&file, &text)
     }
 
-    /// Parses and checks settings. `file` names them in errors.
+    /// Parses and checks settings. `file` is the file name for error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         hcl_file::parse(file, text)
     }
--- a/crates/daemon/src/operators/hcl_file.rs
+++ b/crates/daemon/src/operators/hcl_file.rs
@@ -1,4 +1,4 @@
-//! The operators' file (HCL): its form, its defaults, and the checks of its values.
+//! The operators' settings file (HCL): its structure, defaults and checks.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,25 @@
 use super::{DrainSettings, Operators};
 use crate::settings::{SettingsError, one_line};
 
-/// Largest number of seconds, or threshold, that may be set.
+/// Maximum of the numbers of seconds and of the threshold.
 const MAX_NUMBER: f64 = 1e7;
-/// What `silent_s` is checked as if it is absent.
+/// A valid value that stands for an absent `silent_s` in the check.
 const UNSET_SILENT_S: f64 = 10.0;
 
-/// An attribute that must not have its value, and why.
-struct Mistake {
+/// An attribute with an invalid value, and the rule that it breaks.
+struct InvalidField {
     field: &'static str,
-    why: &'static str,
+    rule: &'static str,
 }
 
-impl Mistake {
-    fn new(field: &'static str, why: &'static str) -> Self {
-        Self { field, why }
+impl InvalidField {
+    fn new(field: &'static str, rule: &'static str) -> Self {
+        Self { field, rule }
     }
 }
 
-/// The file. Every attribute has a default.
+/// The contents of the file. Every attribute has a default, except that a team's budget needs
+/// `count` or `share`.
 #[derive(Debug, Clone, PartialEq, Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct HclFile {
@@ -58,27 +59,27 @@
 }
 
 impl HclTeamBudget {
-    /// The budget, if its attributes are valid.
-    fn checked(&self) -> Result<TeamBudget, Mistake> {
+    /// Checks the attributes and converts them to a budget.
+    fn to_team_budget(&self) -> Result<TeamBudget, InvalidField> {
         match (self.count, self.share) {
-            (Some(_), Some(_)) => Err(Mistake::new("share", "does not go with count")),
-            (None, None) => Err(Mistake::new("count", "count or share must be given")),
+            (Some(_), Some(_)) => Err(InvalidField::new("share", "must not be given together with count")),
+            (None, None) => Err(InvalidField::new("count", "either count or share must be given")),
             (Some(count), None) => {
-                checked_count(count).map(TeamBudget::Count).ok_or(Mistake::new("count", COUNT_RULE))
+                parse_count(count).map(TeamBudget::Count).ok_or(InvalidField::new("count", COUNT_RULE))
             }
             (None, Some(share)) if !(0.0..=1.0).contains(&share) => {
-                Err(Mistake::new("share", "must be a number from 0 to 1"))
+                Err(InvalidField::new("share", "must be a number from 0 to 1"))
             }
             (None, Some(share)) => Ok(TeamBudget::Share(share)),
         }
     }
 }
 
-/// Largest count that a budget may have.
+/// Maximum count of a budget.
 const MAX_COUNT: f64 = 1e6;
 const COUNT_RULE: &str = "must be a whole number from 0 to 1000000";
 
-fn checked_count(count: f64) -> Option<u32> {
+fn parse_count(count: f64) -> Option<u32> {
     ((0.0..=MAX_COUNT).contains(&count) && count.fract() == 0.0).then_some(count as u32)
 }
 
@@ -124,10 +125,10 @@
     }
 }
 
-/// Parses and checks a file. `file` names it in errors.
+/// Parses and checks the settings. `file` is the file name for error messages.
 pub(super) fn parse(file: &str, text: &str) -> Result<Operators, SettingsError> {
     let parsed: HclFile = hcl::from_str(text)
-        .map_err(|e| SettingsError::Parse { file: file.to_owned(), why: one_line(&e.to_string()) })?;
+        .map_err(|e| SettingsError::Parse { file: file.to_owned(), reason: one_line(&e.to_string()) })?;
     parsed.check_numbers(file)?;
     let seconds = wire::seconds;
     let HclFile { rescheduler, fleet, drains } = parsed;
@@ -162,25 +163,26 @@
             Some((field, _, min)) => Err(SettingsError::Field {
                 file: file.to_owned(),
                 field: field.to_owned(),
-                why: format!("must be a number of {min} or more"),
+                reason: format!("must be a number from {min} to {MAX_NUMBER}"),
             }),
         }
     }
 }
 
 fn drain_settings(file: &str, drains: &HclDrains) -> Result<DrainSettings, SettingsError> {
-    let error = |field: String, why: &str| SettingsError::Field {
+    let invalid_field = |field: String, rule: &str| SettingsError::Field {
         file: file.to_owned(),
         field: format!("drains.{field}"),
-        why: why.to_owned(),
+        reason: rule.to_owned(),
     };
     let mut teams = BTreeMap::new();
     for (team, budget) in &drains.team {
-        let checked = budget.checked();
-        let budget = checked.map_err(|m| error(format!("team.{team}.{}", m.field), m.why))?;
+        let checked = budget.to_team_budget();
+        let budget = checked
+            .map_err(|invalid| invalid_field(format!("team.{team}.{}", invalid.field), invalid.rule))?;
         teams.insert(team.clone(), budget);
     }
-    let per_service = checked_count(drains.replicas_per_service)
-        .ok_or_else(|| error("replicas_per_service".into(), COUNT_RULE))?;
+    let per_service = parse_count(drains.replicas_per_service)
+        .ok_or_else(|| invalid_field("replicas_per_service".into(), COUNT_RULE))?;
     Ok(DrainSettings { enabled: drains.enabled, budgets: Budgets { per_service, teams } })
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings (TOML). Field names are the file's.
+//! The platform's settings (TOML). The fields of the structs are named as in the file.
 
 mod check;
 mod sockets;
@@ -11,29 +11,29 @@
 
 pub use sockets::Sockets;
 
-/// Why settings cannot be used: one line that names the file and the field.
+/// Why settings cannot be used. The message is one line that names the file and the field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
-    #[error("{0}: {1}")]
+    #[error("{0}: cannot read the file: {1}")]
     Read(String, std::io::Error),
     /// The file is malformed.
-    #[error("{file}: {why}")]
+    #[error("{file}: {reason}")]
     Parse {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Where and what the mistake is.
-        why: String,
+        /// What is wrong, and where in the file.
+        reason: String,
     },
-    /// A field has a value that it must not have.
-    #[error("{file}: {field}: {why}")]
+    /// A field has an invalid value.
+    #[error("{file}: {field}: {reason}")]
     Field {
-        /// The file.
+        /// The path of the file.
         file: String,
         /// The field.
         field: String,
         /// What the value must be.
-        why: String,
+        reason: String,
     },
 }
 
@@ -42,43 +42,43 @@
 pub struct Settings {
     /// The controller's name.
     pub node_name: String,
-    /// The zone that it runs in.
+    /// The zone in which the controller runs.
     pub zone: String,
-    /// The address that users and workers reach it at.
+    /// The address that the controller listens on for users and workers.
     pub front: String,
-    /// The address that peers reach it at.
+    /// The address that the controller listens on for its peers.
     pub internal_addr: String,
     /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// The services that it depends on.
+    /// The services that the controller depends on.
     pub external: External,
-    /// What the site is like.
+    /// The properties of the site.
     pub facts: Facts,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name of the controller.
     pub node_name: String,
-    /// The address that it serves its peers at.
+    /// The address on which it serves its peers.
     pub address: String,
 }
 
 /// The services that a controller depends on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
-    /// The address of the cloud's interface.
+    /// The address of the cloud's API.
     pub cloud: String,
     /// The address of the key-value store.
     pub state: String,
 }
 
-/// What the site is like.
+/// The properties of the site: teams, objectives, and the limits of its services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Facts {
-    /// Only checked.
+    /// Not used; the value is only checked.
     #[serde(default)]
     pub time_bound_ms: f64,
     /// The teams and their quotas.
@@ -87,31 +87,31 @@
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// How workers behave.
+    /// The timing of workers.
     pub workers: Workers,
     /// The key-value store's limits.
     pub state: State,
     /// The cloud's limits.
     pub cloud: Cloud,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: Limits,
 }
 
 /// A team and its quotas.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamSettings {
-    /// The team's name, free text.
+    /// The team's name. It may contain any characters.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs; 0: without limit.
+    /// Maximum CPUs; 0: no limit.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs; 0: without limit.
+    /// Maximum GPUs; 0: no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -119,61 +119,61 @@
 /// A service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What it is about; `wait` is the time to a task's start.
+    /// The kind of objective. `wait`: the time until a task starts.
     pub kind: String,
-    /// The class of jobs.
+    /// The class of jobs to which the objective applies.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time in seconds.
+    /// The time of the objective, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// How workers behave.
+/// The timing of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Time between two heartbeats, in seconds.
     pub report_s: f64,
     /// How long a worker's lease lasts, in seconds.
     pub lease_s: f64,
-    /// How long a gang's tasks wait for each other, in seconds; 0: without end.
+    /// How long a gang's tasks wait for each other, in seconds; 0: no limit.
     #[serde(default)]
     pub gang_wait_s: f64,
-    /// How soon a gang's tasks end after one of them has, in seconds.
+    /// How soon a gang's tasks end after one of them has ended, in seconds.
     pub gang_peer_s: f64,
-    /// Within what time a cancellation takes effect, in seconds.
+    /// The time within which a cancellation must take effect, in seconds.
     pub cancel_s: f64,
 }
 
 /// The key-value store's limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct State {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Changes per second.
     pub write_rps: f64,
-    /// Largest value, in KiB of JSON.
+    /// Maximum size of a value as JSON, in KiB.
     pub value_kb: f64,
-    /// Most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// The limits that it will have from some moment on.
+    /// The limits that will apply from some later time on.
     #[serde(default)]
     pub next: Option<NextState>,
 }
 
-/// Limits that the key-value store will have; absent: as now.
+/// The key-value store's limits from some later time on. An absent limit does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextState {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Changes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Largest value, in KiB of JSON.
+    /// Maximum size of a value as JSON, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Most changes of a transaction.
+    /// Maximum number of changes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
@@ -181,31 +181,31 @@
 /// The cloud's limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cloud {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// How late its lists are, in seconds.
+    /// How long the cloud's lists may lag behind, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
     /// Processor cores.
     pub cores: f64,
     /// Memory, in MiB.
     pub memory_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_connections: usize,
 }
 
-/// Reads a file. Returns its name for errors, and its text.
+/// Reads a file. Returns its path, for error messages, and its contents.
 pub(crate) fn read(path: &Path) -> Result<(String, String), SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| SettingsError::Read(file.clone(), e))?;
     Ok((file, text))
 }
 
-/// Keeps an error message on one line.
+/// Puts an error message on one line.
 pub(crate) fn one_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
@@ -217,15 +217,15 @@
         Self::parse(&file, &text)
     }
 
-    /// Parses and checks settings. `file` names them in errors.
+    /// Parses and checks settings. `file` is the file name for error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|e| SettingsError::Parse {
             file: file.to_owned(),
-            why: match e.span() {
+            reason: match e.span() {
                 Some(span) if span.start > 0 => {
                     let line = text[..span.start.min(text.len())].matches('\n').count() + 1;
-                    let near = text.lines().nth(line - 1).unwrap_or_default().trim();
-                    format!("line {line} (\"{near}\"): {}", one_line(e.message()))
+                    let line_text = text.lines().nth(line - 1).unwrap_or_default().trim();
+                    format!("line {line} (\"{line_text}\"): {}", one_line(e.message()))
                 }
                 _ => one_line(e.message()),
             },
@@ -236,46 +236,52 @@
 
     /// The teams and their quotas.
     pub fn teams(&self) -> Vec<Team> {
-        // A limit of 0 means that there is none.
+        // A maximum of 0 means no limit.
         let limit = |max: f64| if max > 0.0 { max } else { f64::INFINITY };
-        let team = |t: &TeamSettings| Team {
-            name: t.name.clone(),
-            cpus: t.cpus,
-            cpus_max: limit(t.cpus_max),
-            gpus: t.gpus,
-            gpus_max: limit(t.gpus_max),
+        let to_team = |team: &TeamSettings| Team {
+            name: team.name.clone(),
+            cpus: team.cpus,
+            cpus_max: limit(team.cpus_max),
+            gpus: team.gpus,
+            gpus_max: limit(team.gpus_max),
         };
-        self.facts.teams.iter().map(team).collect()
+        self.facts.teams.iter().map(to_team).collect()
     }
 
-    /// Whether the class is expected to start within a time of its own.
+    /// Whether the class has an objective for the time until its tasks start.
     pub fn starts_in_time(&self, class: &str) -> bool {
-        let of_class = |o: &&Objective| o.class.as_deref() == Some(class);
-        self.facts.objectives.iter().filter(of_class).any(|o| o.kind == "wait")
+        let of_class = |objective: &&Objective| objective.class.as_deref() == Some(class);
+        self.facts.objectives.iter().filter(of_class).any(|objective| objective.kind == "wait")
     }
 
-    /// The times within which jobs of the class are expected to start: the least
-    /// and the most, if any are stated.
+    /// The shortest and the longest time, in seconds, of the class's objectives for the start of
+    /// tasks; `None` if no time is given.
     pub fn start_times(&self, class: &str) -> Option<(f64, f64)> {
-        let of_class =
-            self.facts.objectives.iter().filter(|o| o.kind == "wait" && o.class.as_deref() == Some(class));
-        let times: Vec<f64> = of_class.filter_map(|o| o.within_s).filter(|t| t.is_finite()).collect();
-        let least = times.iter().copied().reduce(f64::min)?;
-        Some((least, times.into_iter().fold(least, f64::max)))
+        let of_class = self
+            .facts
+            .objectives
+            .iter()
+            .filter(|objective| objective.kind == "wait" && objective.class.as_deref() == Some(class));
+        let times: Vec<f64> = of_class
+            .filter_map(|objective| objective.within_s)
+            .filter(|seconds| seconds.is_finite())
+            .collect();
+        let shortest = times.iter().copied().reduce(f64::min)?;
+        Some((shortest, times.into_iter().fold(shortest, f64::max)))
     }
 
-    /// How long a controller that cannot confirm its authority still answers
-    /// heartbeats. Everything it renews until then is over before a cancellation
-    /// that it cannot know of must have taken effect.
+    /// How long a controller that cannot confirm its authority still answers heartbeats, which renews
+    /// leases. The leases renewed until then expire before a cancellation that the controller does
+    /// not know of must have taken effect.
     pub fn renewal_bound(&self) -> Duration {
-        let w = &self.facts.workers;
-        wire::seconds((w.cancel_s - w.lease_s * 1.001 - RENEWAL_MARGIN_S).max(1.0))
+        let workers = &self.facts.workers;
+        wire::seconds((workers.cancel_s - workers.lease_s * 1.001 - RENEWAL_MARGIN_S).max(1.0))
     }
 }
 
-/// What lies between the last lease's end and the time by which a cancellation must
-/// have taken effect. A lease counts from when its heartbeat was sent, so that only
-/// the clocks' drift, timers that fire late and the worker's own stop take of it.
+/// Time, in seconds, between the end of the last lease and the time by which a cancellation must have
+/// taken effect. A lease counts from when its heartbeat was sent, so the margin only has to cover
+/// clock drift, late timers and the worker's own time to stop tasks.
 const RENEWAL_MARGIN_S: f64 = 2.0;
 
 #[cfg(test)]
--- a/crates/daemon/src/settings/sockets.rs
+++ b/crates/daemon/src/settings/sockets.rs
@@ -1,13 +1,13 @@
-//! How the sockets that a process may have are shared.
+//! Division of the process's sockets by purpose.
 
 use super::Settings;
 
-/// Least connections to the key-value store: one for the change feed, one for the read barrier,
-/// and two for what is written and the lease.
+/// Minimum connections to the key-value store: one for the change feed, one for the read barrier,
+/// and two for writes and the lease.
 const MIN_KEY_VALUE_STORE_CONNECTIONS: usize = 4;
 
 impl Settings {
-    /// The sockets of this process by purpose, as parts of `facts.limits.max_connections`.
+    /// Divides the sockets of `facts.limits.max_connections` by purpose.
     pub fn sockets(&self) -> Sockets {
         let sixteenth = (self.facts.limits.max_connections / 16).max(1);
         Sockets {
@@ -16,30 +16,30 @@
             users_kept: sixteenth * 2,
             peers: sixteenth,
             to_workers: sixteenth * 4,
-            // What is left is for listeners, files and what is being closed.
+            // The rest is for listeners, files and connections that are being closed.
             state: (sixteenth / 2).max(MIN_KEY_VALUE_STORE_CONNECTIONS),
             others: (sixteenth / 2).max(1),
         }
     }
 }
 
-/// The sockets by purpose. None of the purposes can use up those of another.
+/// The number of sockets for each purpose. No purpose can use up the sockets of another.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sockets {
-    /// Connections from workers and users together. What is beyond those that stay open between
-    /// requests is for connections that are closed after an answer.
+    /// Connections from workers and users together. Those beyond `workers_kept` and `users_kept` are
+    /// closed after an answer.
     pub front: usize,
-    /// How many connections from workers stay open between requests.
+    /// Connections from workers that stay open between requests, at most.
     pub workers_kept: usize,
-    /// How many connections from users stay open between requests.
+    /// Connections from users that stay open between requests, at most.
     pub users_kept: usize,
     /// Connections from peers.
     pub peers: usize,
     /// Connections to workers.
     pub to_workers: usize,
-    /// Connections to the key-value store. While heartbeats were relayed to a controller that
-    /// could not be reached, those to the peers took its turns, too: users had no answers, and
-    /// the membership of a healthy controller expired.
+    /// Connections to the key-value store. They are separate from those to peers: when both shared a
+    /// limit, heartbeats relayed to an unreachable controller kept requests to the key-value store
+    /// waiting, so users got no answers and the membership of a healthy controller expired.
     pub state: usize,
     /// Connections to the cloud and peers.
     pub others: usize,
--- a/crates/daemon/tests/docs.rs
+++ b/crates/daemon/tests/docs.rs
@@ -1,24 +1,25 @@
-//! The pages in `docs/` name only files, paths and test functions that exist in this repository.
+//! Checks that the pages in `docs/` name only files, paths and test functions that exist in this
+//! repository.
 //!
-//! `docs/incidents/` and `docs/questions.md` are left out: they tell what once was.
+//! `docs/incidents/` and `docs/questions.md` are not checked: they describe earlier states.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Endings by which a backticked word is taken for the name of a file.
+/// Endings that mark a backticked word as the name of a file.
 const FILE_ENDINGS: &[&str] = &[".rs", ".md", ".hcl", ".toml"];
 
-/// Folders by which a backticked word is taken for a path from the repository's root.
+/// Folders that mark a backticked word as a path from the repository's root.
 const ROOT_FOLDERS: &[&str] = &["crates/", "docs/", "examples/", "deploy/"];
 
-/// Pages that tell history, whose names need not exist any more.
+/// Pages about earlier states, whose names need not exist any more.
 const HISTORY_PAGES: &[&str] = &["questions.md"];
 
-/// The fewest underscores by which a lower-case word is taken for the name of a test.
+/// Minimum number of underscores that marks a lower-case word as the name of a test.
 const MIN_TEST_NAME_UNDERSCORES: usize = 3;
 
-/// A backticked word and where it stands, for the list of those that name nothing.
+/// A backticked word and its position, for error messages.
 struct Mention {
     page: String,
     line: usize,
@@ -42,7 +43,7 @@
     }
 }
 
-/// All paths that a page may name: what is in the root itself, and everything in `ROOT_FOLDERS`.
+/// All paths that a page may name: the files in the root, and everything below `ROOT_FOLDERS`.
 fn repository_paths() -> BTreeSet<String> {
     let root = repository();
     let mut paths = BTreeSet::new();
@@ -60,7 +61,7 @@
     paths
 }
 
-/// The name of the function that a line of Rust declares, if any; comments declare none.
+/// The name of the function that a line of Rust declares, if any. Comments declare none.
 fn declared_function(line: &str) -> Option<String> {
     let is_qualifier =
         |word: &str| matches!(word, "async" | "const" | "unsafe" | "extern") || word.starts_with("pub");
@@ -81,8 +82,8 @@
     names
 }
 
-/// The words in single backticks of one page. Fenced blocks hold commands, not names. A code span
-/// may go on in the next line, but not beyond its paragraph.
+/// The words in single backticks on one page. Fenced blocks are skipped: they contain commands, not
+/// names. A code span may continue on the next line, but not beyond its paragraph.
 fn mentions_in(page: &str, text: &str) -> Vec<Mention> {
     let mut is_fenced = false;
     let mut mentions = Vec::new();
@@ -114,7 +115,7 @@
     mentions
 }
 
-/// The backticked words of all pages that tell the present.
+/// The backticked words of all pages except `HISTORY_PAGES`.
 fn mentions() -> Vec<Mention> {
     let mut mentions = Vec::new();
     for entry in fs::read_dir(repository().join("docs")).expect("the pages") {
@@ -135,7 +136,8 @@
     !has_blank && (names_file || names_folder)
 }
 
-/// Whether a word is a path from the root, or the end of one under `crates/`, by whole components.
+/// Whether a word is a path from the root, or consists of the last components of a path under
+/// `crates/`.
 fn path_exists(word: &str, paths: &BTreeSet<String>) -> bool {
     let word = word.trim_end_matches('/');
     let ending = format!("/{word}");
@@ -147,7 +149,7 @@
     word.chars().all(is_in_name) && word.matches('_').count() >= MIN_TEST_NAME_UNDERSCORES
 }
 
-fn listed(unknown: &[&Mention]) -> String {
+fn format_list(unknown: &[&Mention]) -> String {
     let lines = unknown.iter().map(|m| format!("docs/{}:{}: {}", m.page, m.line, m.word));
     lines.collect::<Vec<_>>().join("\n")
 }
@@ -157,11 +159,11 @@
     let paths = repository_paths();
     let mentions = mentions();
     let named: Vec<&Mention> = mentions.iter().filter(|m| is_path(&m.word)).collect();
-    assert!(!named.is_empty(), "the pages name files");
+    assert!(!named.is_empty(), "the pages must name some files");
 
     let unknown: Vec<&Mention> = named.into_iter().filter(|m| !path_exists(&m.word, &paths)).collect();
 
-    assert!(unknown.is_empty(), "no such file:\n{}", listed(&unknown));
+    assert!(unknown.is_empty(), "no such file:\n{}", format_list(&unknown));
 }
 
 #[test]
@@ -169,15 +171,15 @@
     let functions = function_names(&repository_paths());
     let mentions = mentions();
     let named: Vec<&Mention> = mentions.iter().filter(|m| is_test_name(&m.word)).collect();
-    assert!(!named.is_empty(), "the pages name tests");
+    assert!(!named.is_empty(), "the pages must name some tests");
 
     let unknown: Vec<&Mention> = named.into_iter().filter(|m| !functions.contains(&m.word)).collect();
 
-    assert!(unknown.is_empty(), "no such function:\n{}", listed(&unknown));
+    assert!(unknown.is_empty(), "no such function:\n{}", format_list(&unknown));
 }
 
 #[test]
-fn a_directory_module_does_not_stand_for_a_file_of_its_name() {
+fn a_path_matches_by_whole_components_only() {
     let paths = BTreeSet::from(["crates/a/src/worker".to_owned(), "crates/a/src/worker/mod.rs".to_owned()]);
 
     assert!(!path_exists("worker.rs", &paths));
@@ -198,7 +200,7 @@
 }
 
 #[test]
-fn only_declarations_name_functions() {
+fn function_names_are_read_from_declarations_only() {
     assert_eq!(declared_function("    pub async fn wait_for_it<T>(&self) {").as_deref(), Some("wait_for_it"));
     assert_eq!(declared_function("fn plain() {}").as_deref(), Some("plain"));
     assert_eq!(declared_function("/// Like fn another_one()"), None);
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -1,10 +1,10 @@
-//! The layers of docs/architecture.md: a package depends on packages below it only, and a module
-//! of `daemon` or `sched` names modules below it only.
+//! Checks the layers of docs/architecture.md: a package depends only on packages in lower layers,
+//! and a module of `daemon` or `sched` uses only modules in lower layers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Packages from the lowest layer up; those of one line do not depend on each other.
+/// Packages from the lowest layer up. Packages of the same layer do not depend on each other.
 const PACKAGES: &[&[&str]] = &[
     &["wire", "peer", "model"],
     &["net", "sched"],
@@ -27,7 +27,7 @@
 ];
 
 /// Modules of `daemon` from the lowest layer up: settings and plain state, then what the tasks
-/// share, then the tasks, then the composition of a process, and the command line on top.
+/// share, the tasks, the composition of a process, and the command line.
 const DAEMON: &[&[&str]] = &[
     &["clock", "timeouts", "logging", "load", "read_records", "read_barrier", "settings", "client"],
     &["limits", "operators", "public_connections", "worker"],
@@ -62,7 +62,7 @@
     numbered.flat_map(|(layer, names)| names.iter().map(move |name| (*name, layer))).collect()
 }
 
-/// The workspace's packages that a package's manifest names, those for its tests left out.
+/// The dependencies in a package's manifest, without those for tests.
 fn dependencies(package: &str) -> Vec<String> {
     let manifest = std::fs::read_to_string(crates().join(package).join("Cargo.toml")).expect("a manifest");
     let manifest: toml::Table = toml::from_str(&manifest).expect("TOML");
@@ -71,17 +71,17 @@
 }
 
 #[test]
-fn no_package_depends_on_a_higher_one() {
+fn packages_depend_only_on_lower_layers() {
     let layer = layer_of(PACKAGES);
     let folders = std::fs::read_dir(crates()).expect("packages");
     let names = folders.map(|f| f.expect("a folder").file_name().into_string().expect("a name"));
     for package in names {
         let own = layer.get(package.as_str());
         let own =
-            own.unwrap_or_else(|| unreachable!("{package} has no layer here and in docs/architecture.md"));
+            own.unwrap_or_else(|| unreachable!("{package} needs a layer here and in docs/architecture.md"));
         for other in dependencies(&package) {
-            if let Some(theirs) = layer.get(other.as_str()) {
-                assert!(theirs < own, "{package} depends on {other}");
+            if let Some(other_layer) = layer.get(other.as_str()) {
+                assert!(other_layer < own, "{package} depends on {other}, which is not in a lower layer");
             }
         }
     }
@@ -110,7 +110,7 @@
     }
 }
 
-/// The source without comments, and without what is compiled for tests and measurements only.
+/// The source without comments and without items that are compiled only for tests or benchmarks.
 fn code_of(file: &Path) -> String {
     let text = std::fs::read_to_string(file).expect("a source");
     let mut code = String::new();
@@ -125,7 +125,7 @@
             continue;
         }
         if is_skipped {
-            // One item: a declaration, or a block up to its closing brace.
+            // Skips one item: a declaration, or a block up to its closing brace.
             is_skipped = !(line.ends_with(';') || line.ends_with('}'));
             continue;
         }
@@ -135,8 +135,8 @@
     code
 }
 
-/// The top-level modules that some code names by `crate::…`.
-fn modules_named(code: &str) -> BTreeSet<String> {
+/// The top-level modules that the code refers to with `crate::…`.
+fn modules_used(code: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for (at, marker) in code.match_indices("crate::") {
         let rest = &code[at + marker.len()..];
@@ -148,13 +148,13 @@
     names
 }
 
-/// The identifier that a text begins with.
+/// The identifier at the start of a text.
 fn identifier(text: &str) -> Option<String> {
     let name: String = text.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect();
     (!name.is_empty()).then_some(name)
 }
 
-/// The first segments of the paths in a group, up to its closing brace.
+/// The first segment of each path in a `use` group, up to the group's closing brace.
 fn first_segments(group: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut depth = 0;
@@ -175,7 +175,7 @@
     names
 }
 
-/// What breaks the layers of a package's modules.
+/// The violations of the layers by a package's modules.
 fn violations(package: &str, layers: &[&[&str]]) -> Vec<String> {
     let layer = layer_of(layers);
     let modules = sources_by_module(&crates().join(package).join("src"));
@@ -188,10 +188,10 @@
             violations.push(format!("{package}::{module} has no layer"));
             continue;
         };
-        let named: BTreeSet<String> = files.iter().flat_map(|f| modules_named(&code_of(f))).collect();
-        for other in named.iter().filter(|other| *other != module) {
-            if layer.get(other.as_str()).is_some_and(|theirs| theirs >= own) {
-                violations.push(format!("{package}::{module} names {other}, which is not below it"));
+        let used: BTreeSet<String> = files.iter().flat_map(|f| modules_used(&code_of(f))).collect();
+        for other in used.iter().filter(|other| *other != module) {
+            if layer.get(other.as_str()).is_some_and(|other_layer| other_layer >= own) {
+                violations.push(format!("{package}::{module} uses {other}, which is not in a lower layer"));
             }
         }
     }
@@ -199,18 +199,18 @@
 }
 
 #[test]
-fn no_module_of_sched_names_a_higher_one() {
+fn modules_of_sched_use_only_lower_layers() {
     assert_eq!(violations("sched", SCHED), Vec::<String>::new());
 }
 
 #[test]
-fn no_module_of_daemon_names_a_higher_one() {
+fn modules_of_daemon_use_only_lower_layers() {
     assert_eq!(violations("daemon", DAEMON), Vec::<String>::new());
 }
 
 #[test]
-fn paths_are_found_in_groups_too() {
+fn modules_are_found_in_use_groups() {
     let code = "use crate::{api, drains::{self, state}, load};\nfn f() { crate::clock::now() }";
     let expected = ["api", "clock", "drains", "load"].map(str::to_owned);
-    assert_eq!(modules_named(code), BTreeSet::from(expected));
+    assert_eq!(modules_used(code), BTreeSet::from(expected));
 }
--- a/crates/daemon/tests/unit/golden_operators.rs
+++ b/crates/daemon/tests/unit/golden_operators.rs
@@ -1,4 +1,4 @@
-//! An operators' file with every field is read as these values.
+//! Golden test: an operators' settings file that sets every field parses to the expected values.
 
 use std::collections::BTreeMap;
 
@@ -29,9 +29,9 @@
     assert_eq!(Operators::parse("operators-full.hcl", FILE).expect("valid settings"), expected);
 }
 
-/// What holds where the file says nothing.
+/// An empty file gives the default of every field.
 #[test]
-fn defaults() {
+fn an_empty_file_gives_the_defaults() {
     let rescheduler = Policy {
         scan_interval: Duration::from_secs(10),
         usage_threshold: 0.3,
--- a/crates/daemon/tests/unit/golden_settings.rs
+++ b/crates/daemon/tests/unit/golden_settings.rs
@@ -1,4 +1,4 @@
-//! A settings file with every field is read as these values.
+//! Golden test: a settings file that sets every field parses to the expected values.
 
 use super::*;
 use sched::replica::Team;
@@ -59,14 +59,15 @@
     }
 }
 
-/// Settings cannot be compared, so they are by their `Debug` text, which has all fields.
+/// `Settings` does not implement `PartialEq`, so the test compares the `Debug` output, which has all
+/// fields.
 #[test]
 fn every_field_is_read() {
     assert_eq!(format!("{:#?}", parsed()), format!("{:#?}", expected()));
 }
 
 #[test]
-fn what_is_derived_from_the_file() {
+fn values_are_derived_from_the_settings() {
     let settings = parsed();
     let limited = Team { name: "team-a".into(), cpus: 11.5, cpus_max: 12.5, gpus: 13.5, gpus_max: 14.5 };
     let unlimited = Team {
--- a/crates/daemon/tests/unit/operators.rs
+++ b/crates/daemon/tests/unit/operators.rs
@@ -3,13 +3,14 @@
 
 #[test]
 fn operators_settings_are_checked() {
-    assert_eq!(Operators::parse("o.hcl", "").expect("empty is fine"), Operators::default());
-    let some = Operators::parse("o.hcl", "rescheduler {\n threshold = 0.4\n}\nfleet {\n idle_s = 5\n}\n")
-        .expect("valid");
-    assert_eq!((some.rescheduler.usage_threshold, some.idle), (0.4, Duration::from_secs(5)));
+    assert_eq!(Operators::parse("o.hcl", "").expect("an empty file is valid"), Operators::default());
+    let operators =
+        Operators::parse("o.hcl", "rescheduler {\n threshold = 0.4\n}\nfleet {\n idle_s = 5\n}\n")
+            .expect("valid");
+    assert_eq!((operators.rescheduler.usage_threshold, operators.idle), (0.4, Duration::from_secs(5)));
     let drains = "drains {\n enabled = true\n team \"a team\" {\n share = 0.25\n }\n}\n";
-    let some = Operators::parse("o.hcl", drains).expect("valid").drains;
-    assert_eq!((some.enabled, some.budgets.of_team("a team", 8)), (true, Some(2)));
+    let drain_settings = Operators::parse("o.hcl", drains).expect("valid").drains;
+    assert_eq!((drain_settings.enabled, drain_settings.budgets.of_team("a team", 8)), (true, Some(2)));
     for (text, field) in [
         ("drains { enable = true }", "enable"),
         ("drains {\n replicas_per_service = -1\n}", "replicas_per_service"),
@@ -32,11 +33,13 @@
 }
 
 #[test]
-fn a_budget_is_of_a_team_that_there_is() {
+fn a_budget_of_an_unknown_team_is_rejected() {
     let settings = Settings::parse("s.toml", EXAMPLE).expect("valid");
-    let of = |team: &str| format!("drains {{\n team \"{team}\" {{\n count = 1\n }}\n}}\n");
-    assert!(Operators::parse("o.hcl", &of("t")).expect("valid").check_teams("o.hcl", &settings).is_ok());
-    let unknown = Operators::parse("o.hcl", &of("x")).expect("valid").check_teams("o.hcl", &settings);
+    let budget_of = |team: &str| format!("drains {{\n team \"{team}\" {{\n count = 1\n }}\n}}\n");
+    assert!(
+        Operators::parse("o.hcl", &budget_of("t")).expect("valid").check_teams("o.hcl", &settings).is_ok()
+    );
+    let unknown = Operators::parse("o.hcl", &budget_of("x")).expect("valid").check_teams("o.hcl", &settings);
     let message = unknown.expect_err("there is no such team").to_string();
     assert!(message.starts_with("o.hcl: drains.team.x: "), "{message}");
 }
--- a/crates/daemon/tests/unit/settings.rs
+++ b/crates/daemon/tests/unit/settings.rs
@@ -37,7 +37,7 @@
 #[test]
 fn settings_errors_name_file_and_field() {
     assert!(Settings::parse("s.toml", EXAMPLE).is_ok());
-    for (from, to, field) in [
+    for (original, replacement, field) in [
         ("rps = 80.0", "rps = -1.0", "facts.state.rps"),
         ("lease_s = 24.0", "lease_s = \"x\"", "lease_s"),
         ("lease_s = 24.0", "", "lease_s"),
@@ -51,15 +51,15 @@
         ("txn_ops = 16", "txn_ops = 16\nnext = { txn_ops = 0 }", "facts.state.next.txn_ops"),
         ("txn_ops = 16", "txn_ops = 16\nnext = { txn_ops = \"many\" }", "txn_ops"),
     ] {
-        let message = Settings::parse("s.toml", &EXAMPLE.replacen(from, to, 1))
+        let message = Settings::parse("s.toml", &EXAMPLE.replacen(original, replacement, 1))
             .map(|_| ())
-            .expect_err(from)
+            .expect_err(original)
             .to_string();
         assert!(message.starts_with("s.toml: ") && message.contains(field), "{message}");
         assert!(!message.contains('\n'), "{message}");
     }
     let next = "txn_ops = 16\nnext = { value_kb = 2, txn_ops = 4, later = 1 }";
-    let some = Settings::parse("s.toml", &EXAMPLE.replacen("txn_ops = 16", next, 1)).expect("valid");
-    let next = some.facts.state.next.expect("given");
+    let settings = Settings::parse("s.toml", &EXAMPLE.replacen("txn_ops = 16", next, 1)).expect("valid");
+    let next = settings.facts.state.next.expect("given");
     assert_eq!((next.value_kb, next.txn_ops, next.write_rps), (Some(2.0), Some(4), None));
 }
