--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -3,7 +3,7 @@
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-use crate::settings::State;
+use crate::settings::StoreSettings;
 
 /// What a job's record takes beside its lists, in bytes: the description and its fields.
 const RECORD_BYTES_BESIDE_LISTS: f64 = 750.0;
@@ -103,7 +103,7 @@
 }
 
 /// The limits by the settings and by what is known of their change.
-pub fn effective_limits(state: &State, changes: LimitChanges) -> StateLimits {
+pub fn effective_limits(state: &StoreSettings, changes: LimitChanges) -> StateLimits {
     let next = state.next.clone().unwrap_or_default();
     let smaller_of = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
     let sizes_may_change = changes.all_upgraded || changes.sizes_reduced;
@@ -122,7 +122,7 @@
 
 /// Most bytes of a job's description: what the present limits take, also after they have become
 /// smaller.
-pub fn max_description_bytes(state: &State) -> usize {
+pub fn max_description_bytes(state: &StoreSettings) -> usize {
     (state.value_kb * KIB * DESCRIPTION_PART).max(MIN_DESCRIPTION_BYTES) as usize
 }
 
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -54,7 +54,7 @@
     /// The services that the controller depends on.
     pub external: External,
     /// The properties of the site.
-    pub facts: Facts,
+    pub facts: SiteSettings,
 }
 
 /// Another controller.
@@ -77,7 +77,7 @@
 
 /// The properties of the site: teams, objectives, and the limits of its services.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Facts {
+pub struct SiteSettings {
     /// Not used; the value is only checked.
     #[serde(default)]
     pub time_bound_ms: f64,
@@ -88,13 +88,13 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// The timing of workers.
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     /// The key-value store's limits.
-    pub state: State,
+    pub state: StoreSettings,
     /// The cloud's limits.
-    pub cloud: Cloud,
+    pub cloud: CloudSettings,
     /// The resources that the process may use.
-    pub limits: Limits,
+    pub limits: ProcessLimits,
 }
 
 /// A team and its quotas.
@@ -131,7 +131,7 @@
 
 /// The timing of workers.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerSettings {
     /// Time between two heartbeats, in seconds.
     pub report_s: f64,
     /// How long a worker's lease lasts, in seconds.
@@ -147,7 +147,7 @@
 
 /// The key-value store's limits.
 #[derive(Debug, Clone, Deserialize)]
-pub struct State {
+pub struct StoreSettings {
     /// Requests per second.
     pub rps: f64,
     /// Changes per second.
@@ -158,12 +158,12 @@
     pub txn_ops: usize,
     /// The limits that will apply from some later time on.
     #[serde(default)]
-    pub next: Option<NextState>,
+    pub next: Option<NextStoreSettings>,
 }
 
 /// The key-value store's limits from some later time on. An absent limit does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
-pub struct NextState {
+pub struct NextStoreSettings {
     /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
@@ -180,7 +180,7 @@
 
 /// The cloud's limits.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Cloud {
+pub struct CloudSettings {
     /// Requests per second.
     pub rps: f64,
     /// How long the cloud's lists may lag behind, in seconds.
@@ -189,7 +189,7 @@
 
 /// The resources that the process may use.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Limits {
+pub struct ProcessLimits {
     /// Processor cores.
     pub cores: f64,
     /// Memory, in MiB.
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{NextState, Settings, SettingsError};
+use super::{NextStoreSettings, Settings, SettingsError};
 
 /// Maximum length of a team's name. The name is part of a key in the key-value store, and keys have
 /// at most 200 bytes.
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    fn check_positive_numbers(&self, next: &NextState) -> Result<(), InvalidField> {
+    fn check_positive_numbers(&self, next: &NextStoreSettings) -> Result<(), InvalidField> {
         let facts = &self.facts;
         let present = [
             ("facts.workers.report_s", facts.workers.report_s),
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    fn check_limits(&self, next: &NextState) -> Result<(), InvalidField> {
+    fn check_limits(&self, next: &NextStoreSettings) -> Result<(), InvalidField> {
         let facts = &self.facts;
         let are_names_short = facts.teams.iter().all(|team| team.name.len() <= MAX_TEAM_NAME_BYTES);
         require(are_names_short, "facts.teams.name", "must have at most 150 bytes")?;
--- a/crates/daemon/tests/unit/golden_settings.rs
+++ b/crates/daemon/tests/unit/golden_settings.rs
@@ -24,8 +24,8 @@
     }
 }
 
-fn expected_facts() -> Facts {
-    Facts {
+fn expected_facts() -> SiteSettings {
+    SiteSettings {
         time_bound_ms: 250.5,
         teams: vec![
             TeamSettings { name: "team-a".into(), cpus: 11.5, cpus_max: 12.5, gpus: 13.5, gpus_max: 14.5 },
@@ -35,27 +35,27 @@
             Objective { kind: "wait".into(), class: Some("class-a".into()), within_s: Some(21.5) },
             Objective { kind: "cost".into(), class: None, within_s: None },
         ],
-        workers: Workers {
+        workers: WorkerSettings {
             report_s: 1.5,
             lease_s: 24.5,
             gang_wait_s: 30.5,
             gang_peer_s: 5.5,
             cancel_s: 44.5,
         },
-        state: State {
+        state: StoreSettings {
             rps: 80.5,
             write_rps: 31.5,
             value_kb: 8.5,
             txn_ops: 16,
-            next: Some(NextState {
+            next: Some(NextStoreSettings {
                 rps: Some(81.5),
                 write_rps: Some(32.5),
                 value_kb: Some(9.5),
                 txn_ops: Some(17),
             }),
         },
-        cloud: Cloud { rps: 4.5, list_lag_s: 10.5 },
-        limits: Limits { cores: 0.75, memory_mb: 104.5, max_connections: 1800 },
+        cloud: CloudSettings { rps: 4.5, list_lag_s: 10.5 },
+        limits: ProcessLimits { cores: 0.75, memory_mb: 104.5, max_connections: 1800 },
     }
 }
 
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -21,7 +21,8 @@
         settings.zone = if n.is_multiple_of(2) { "z" } else { "y" }.into();
         if !old && sabotage != Sabotage::Sizes {
             let (value_kb, txn_ops) = (Some(NEXT_KB), Some(NEXT_OPS));
-            settings.facts.state.next = Some(NextState { value_kb, txn_ops, ..NextState::default() });
+            settings.facts.state.next =
+                Some(NextStoreSettings { value_kb, txn_ops, ..NextStoreSettings::default() });
         }
         settings.facts.teams[0].cpus_max = if sabotage == Sabotage::Limit { LIMIT + 4.0 } else { LIMIT };
         Controller::new(settings, Operators::default(), incarnation)
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -29,7 +29,7 @@
 use crate::production;
 use crate::scheduler;
 use crate::settings::tests::EXAMPLE;
-use crate::settings::{NextState, Peer, Settings};
+use crate::settings::{NextStoreSettings, Peer, Settings};
 use crate::worker::tests::spec;
 
 mod checker;
