--- a/crates/daemon/src/autoscaler/headroom.rs
+++ b/crates/daemon/src/autoscaler/headroom.rs
@@ -20,7 +20,7 @@
     replica.latest_gpu_job.as_deref().filter(|spec| {
         spec.kind == JobKind::Gang
             && controller.operators.spare_gpu_tasks > 0
-            && controller.settings.starts_in_time(&spec.class)
+            && controller.settings.has_wait_objective(&spec.class)
     })
 }
 
--- a/crates/daemon/src/autoscaler/idle_machines.rs
+++ b/crates/daemon/src/autoscaler/idle_machines.rs
@@ -78,7 +78,7 @@
         *idle_of_offer += 1;
         let is_kept_for_boot = !machine.spot && *idle_of_offer <= MAX_KEPT_FOR_BOOT_TIME;
         let kept_s = if is_kept_for_boot { boot_s.min(MAX_KEPT_BOOT_S) } else { 0.0 };
-        self.controller.operators.idle.max(wire::seconds(kept_s))
+        self.controller.operators.idle_timeout.max(wire::seconds(kept_s))
     }
 }
 
--- a/crates/daemon/src/autoscaler/scale_out_plan.rs
+++ b/crates/daemon/src/autoscaler/scale_out_plan.rs
@@ -98,7 +98,7 @@
     let mut demands = job_demands(controller, state, now, now_ms);
     // Jobs that are to start within a time of their class come before others.
     let rank = |job: &JobRecord| {
-        let starts_in_time = |spec: &JobSpec| controller.settings.starts_in_time(&spec.class);
+        let starts_in_time = |spec: &JobSpec| controller.settings.has_wait_objective(&spec.class);
         let is_deferred = !job.spec.as_deref().is_some_and(starts_in_time);
         placement::QueueRank { is_deferred, ..Default::default() }
     };
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -103,7 +103,7 @@
         let sockets = settings.sockets();
         let clients = HttpClients {
             key_value_store: Client::new(sockets.state),
-            peers_and_cloud: Client::new(sockets.others),
+            peers_and_cloud: Client::new(sockets.cloud_and_peers),
             workers: Client::new(sockets.to_workers),
         };
         Self::with_clients(settings, operators, incarnation, clients)
@@ -214,7 +214,7 @@
     pub fn silence_limit(&self) -> Duration {
         let interval_s = self.settings.facts.workers.report_s;
         let default = wire::seconds((LOST_AFTER_INTERVALS * interval_s).max(MIN_LOST_AFTER_S));
-        self.operators.silent.unwrap_or(default)
+        self.operators.silence_timeout.unwrap_or(default)
     }
 
     /// How often workers send heartbeats.
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -26,10 +26,10 @@
     /// The policy of the rescheduler, which moves replicas of services.
     pub rescheduler: Policy,
     /// How long a machine may be idle before it is released.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long a machine may be silent before it is released. `None`: derived from the platform's
     /// settings.
-    pub silent: Option<Duration>,
+    pub silence_timeout: Option<Duration>,
     /// For how many further tasks of the latest GPU job machines are kept free, if the class of the
     /// job has an objective for its waiting time.
     pub spare_gpu_tasks: u32,
--- a/crates/daemon/src/operators/hcl_file.rs
+++ b/crates/daemon/src/operators/hcl_file.rs
@@ -117,8 +117,8 @@
         let fleet = HclFleet::default();
         Self {
             rescheduler: Policy::default(),
-            idle: wire::seconds(fleet.idle_s),
-            silent: fleet.silent_s.map(wire::seconds),
+            idle_timeout: wire::seconds(fleet.idle_s),
+            silence_timeout: fleet.silent_s.map(wire::seconds),
             spare_gpu_tasks: fleet.spare_gpu_tasks,
             drains: DrainSettings::default(),
         }
@@ -140,8 +140,8 @@
             eviction_interval: seconds(rescheduler.budget_s),
             avoid_duration: seconds(rescheduler.avoid_s),
         },
-        idle: seconds(fleet.idle_s),
-        silent: fleet.silent_s.map(seconds),
+        idle_timeout: seconds(fleet.idle_s),
+        silence_timeout: fleet.silent_s.map(seconds),
         spare_gpu_tasks: fleet.spare_gpu_tasks,
     })
 }
--- a/crates/daemon/src/scheduler/placement/queue.rs
+++ b/crates/daemon/src/scheduler/placement/queue.rs
@@ -63,7 +63,7 @@
     fn queued_job(&self, id: String) -> Option<QueuedJob<'a>> {
         let record: &JobRecord = self.replica.jobs.get(&id)?.value.as_ref();
         let start_times =
-            record.spec.as_ref().and_then(|spec| self.controller.settings.start_times(&spec.class));
+            record.spec.as_ref().and_then(|spec| self.controller.settings.wait_objective_range(&spec.class));
         let is_guaranteed = self.guaranteed.contains(&id);
         let has_waited_longest = self.longest_waiting.contains(id.as_str());
         let standing =
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -249,14 +249,14 @@
     }
 
     /// Whether the class has an objective for the time until its tasks start.
-    pub fn starts_in_time(&self, class: &str) -> bool {
+    pub fn has_wait_objective(&self, class: &str) -> bool {
         let of_class = |objective: &&Objective| objective.class.as_deref() == Some(class);
         self.facts.objectives.iter().filter(of_class).any(|objective| objective.kind == "wait")
     }
 
     /// The shortest and the longest time, in seconds, of the class's objectives for the start of
     /// tasks; `None` if no time is given.
-    pub fn start_times(&self, class: &str) -> Option<(f64, f64)> {
+    pub fn wait_objective_range(&self, class: &str) -> Option<(f64, f64)> {
         let of_class = self
             .facts
             .objectives
--- a/crates/daemon/src/settings/sockets.rs
+++ b/crates/daemon/src/settings/sockets.rs
@@ -18,7 +18,7 @@
             to_workers: sixteenth * 4,
             // The rest is for listeners, files and connections that are being closed.
             state: (sixteenth / 2).max(MIN_KEY_VALUE_STORE_CONNECTIONS),
-            others: (sixteenth / 2).max(1),
+            cloud_and_peers: (sixteenth / 2).max(1),
         }
     }
 }
@@ -42,5 +42,5 @@
     /// waiting, so users got no answers and the membership of a healthy controller expired.
     pub state: usize,
     /// Connections to the cloud and peers.
-    pub others: usize,
+    pub cloud_and_peers: usize,
 }
--- a/crates/daemon/tests/unit/golden_operators.rs
+++ b/crates/daemon/tests/unit/golden_operators.rs
@@ -21,8 +21,8 @@
         BTreeMap::from([("team b".into(), TeamBudget::Share(0.25)), ("team-a".into(), TeamBudget::Count(4))]);
     let expected = Operators {
         rescheduler,
-        idle: Duration::from_millis(24_500),
-        silent: Some(Duration::from_secs(95)),
+        idle_timeout: Duration::from_millis(24_500),
+        silence_timeout: Some(Duration::from_secs(95)),
         spare_gpu_tasks: 6,
         drains: DrainSettings { enabled: true, budgets: Budgets { per_service: 3, teams } },
     };
@@ -40,8 +40,8 @@
     };
     let expected = Operators {
         rescheduler,
-        idle: Duration::from_secs(20),
-        silent: None,
+        idle_timeout: Duration::from_secs(20),
+        silence_timeout: None,
         spare_gpu_tasks: 1,
         drains: DrainSettings { enabled: false, budgets: Budgets { per_service: 1, teams: BTreeMap::new() } },
     };
--- a/crates/daemon/tests/unit/golden_settings.rs
+++ b/crates/daemon/tests/unit/golden_settings.rs
@@ -78,8 +78,8 @@
         gpus_max: f64::INFINITY,
     };
     assert_eq!(settings.teams(), [limited, unlimited]);
-    assert!(settings.starts_in_time("class-a") && !settings.starts_in_time("class-b"));
-    assert_eq!(settings.start_times("class-a"), Some((21.5, 21.5)));
+    assert!(settings.has_wait_objective("class-a") && !settings.has_wait_objective("class-b"));
+    assert_eq!(settings.wait_objective_range("class-a"), Some((21.5, 21.5)));
     let sockets = Sockets {
         front: 1008,
         workers_kept: 672,
@@ -87,7 +87,7 @@
         peers: 112,
         to_workers: 448,
         state: 56,
-        others: 56,
+        cloud_and_peers: 56,
     };
     assert_eq!(settings.sockets(), sockets);
 }
--- a/crates/daemon/tests/unit/operators.rs
+++ b/crates/daemon/tests/unit/operators.rs
@@ -7,7 +7,10 @@
     let operators =
         Operators::parse("o.hcl", "rescheduler {\n threshold = 0.4\n}\nfleet {\n idle_s = 5\n}\n")
             .expect("valid");
-    assert_eq!((operators.rescheduler.usage_threshold, operators.idle), (0.4, Duration::from_secs(5)));
+    assert_eq!(
+        (operators.rescheduler.usage_threshold, operators.idle_timeout),
+        (0.4, Duration::from_secs(5))
+    );
     let drains = "drains {\n enabled = true\n team \"a team\" {\n share = 0.25\n }\n}\n";
     let drain_settings = Operators::parse("o.hcl", drains).expect("valid").drains;
     assert_eq!((drain_settings.enabled, drain_settings.budgets.of_team("a team", 8)), (true, Some(2)));
