--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -20,7 +20,7 @@
 use crate::autoscaler::Autoscaler;
 use crate::change_feed;
 use crate::controller::{Controller, wall_ms};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::peer_status;
 use crate::scheduler;
 use crate::settings::Settings;
@@ -198,7 +198,7 @@
     pub fn empty() -> Self {
         let settings = Settings::parse("benchmark", SETTINGS).expect("valid");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let controller = Controller::new(settings, Operators::default(), 1);
+        let controller = Controller::new(settings, OperatorSettings::default(), 1);
         let site = Self { controller, machines: 0, open: 0, seq: 1, _runtime: runtime };
         let kinds = [kind("s", 8.0, 0.0), kind("m", 16.0, 0.0), kind("l", 32.0, 0.0), kind("g", 16.0, 2.0)];
         let me = site.controller.identity.clone();
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -6,7 +6,7 @@
 use clap::{Parser, Subcommand};
 
 use crate::emulated::{self, EmulatedError};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::process::{self, ProcessError, runtime};
 use crate::settings::{Settings, SettingsError};
 use crate::{client, drains, logging};
@@ -97,10 +97,10 @@
 }
 
 /// Loads and checks the settings files.
-fn load(files: &SettingsFiles) -> Result<(Settings, Operators), SettingsError> {
+fn load(files: &SettingsFiles) -> Result<(Settings, OperatorSettings), SettingsError> {
     let settings = Settings::load(&files.config)?;
-    let Some(file) = &files.operators else { return Ok((settings, Operators::default())) };
-    let operators = Operators::load(file)?;
+    let Some(file) = &files.operators else { return Ok((settings, OperatorSettings::default())) };
+    let operators = OperatorSettings::load(file)?;
     operators.check_teams(&file.display().to_string(), &settings)?;
     Ok((settings, operators))
 }
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -17,7 +17,7 @@
 pub use crate::clock::wall_ms;
 use crate::limits::{self, LimitChangeFlags, StateLimits};
 use crate::load::{LoadCounters, Purpose};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::public_connections::public_connections;
 use crate::read_barrier::ReadBarrier;
 use crate::settings::Settings;
@@ -56,7 +56,7 @@
     /// The platform's settings.
     pub settings: Settings,
     /// The operators' settings.
-    pub operators: Operators,
+    pub operators: OperatorSettings,
     /// The teams and their quotas.
     pub teams: Vec<Team>,
     /// This process among the members.
@@ -99,7 +99,7 @@
 impl Controller {
     /// A controller with clients as the settings size them. `incarnation` names this process
     /// among all that the controller ever has.
-    pub fn new(settings: Settings, operators: Operators, incarnation: u64) -> Arc<Self> {
+    pub fn new(settings: Settings, operators: OperatorSettings, incarnation: u64) -> Arc<Self> {
         let sockets = settings.sockets();
         let clients = HttpClients {
             key_value_store: Client::new(sockets.state),
@@ -112,7 +112,7 @@
     /// A controller with these clients.
     pub fn with_clients(
         settings: Settings,
-        operators: Operators,
+        operators: OperatorSettings,
         incarnation: u64,
         clients: HttpClients,
     ) -> Arc<Self> {
--- a/crates/daemon/src/drains/command/request.rs
+++ b/crates/daemon/src/drains/command/request.rs
@@ -13,7 +13,7 @@
 use super::args::{PolicyArgs, SelectionArgs};
 use super::error::{DrainError, MAX_OPTION_S};
 use crate::controller::wall_ms;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 
 /// What an operator wants to have drained, and by which policy.
@@ -27,7 +27,7 @@
     /// What becomes of work that cannot save its progress.
     pub(crate) unsaved: UnsavedWork,
     /// The operators' settings, for the budgets.
-    pub(crate) operators: Operators,
+    pub(crate) operators: OperatorSettings,
 }
 
 impl Request {
@@ -85,9 +85,9 @@
     }
 }
 
-fn load_operators(file: Option<&Path>, settings: Option<&Settings>) -> Result<Operators, DrainError> {
-    let Some(file) = file else { return Ok(Operators::default()) };
-    let operators = Operators::load(file)?;
+fn load_operators(file: Option<&Path>, settings: Option<&Settings>) -> Result<OperatorSettings, DrainError> {
+    let Some(file) = file else { return Ok(OperatorSettings::default()) };
+    let operators = OperatorSettings::load(file)?;
     if let Some(settings) = settings {
         operators.check_teams(&file.display().to_string(), settings)?;
     }
--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::logging;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::process::{ProcessError, run, runtime, termination_signal};
 use crate::settings::{Settings, SettingsError};
 
@@ -78,7 +78,7 @@
         Err(_) if args.logs.is_none() => tracing::Level::ERROR,
         _ => logging::level_from_environment().map_err(ProcessError::from)?,
     };
-    let operators = args.operators.as_deref().map(Operators::load).transpose()?.unwrap_or_default();
+    let operators = args.operators.as_deref().map(OperatorSettings::load).transpose()?.unwrap_or_default();
     if let Some(folder) = &args.logs {
         std::fs::create_dir_all(folder).map_err(write_error(folder))?;
     }
@@ -123,7 +123,7 @@
 
 /// Starts a controller on a thread with a runtime of its own, as if it ran in a separate process.
 fn spawn_controller(
-    (settings, operators): (Settings, Operators),
+    (settings, operators): (Settings, OperatorSettings),
     level: tracing::Level,
     log_path: Option<PathBuf>,
     shutdown: CancellationToken,
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -22,7 +22,7 @@
 
 /// The operators' settings, checked.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Operators {
+pub struct OperatorSettings {
     /// The policy of the rescheduler, which moves replicas of services.
     pub rescheduler: Policy,
     /// How long a machine may be idle before it is released.
@@ -37,7 +37,7 @@
     pub drains: DrainSettings,
 }
 
-impl Operators {
+impl OperatorSettings {
     /// Checks that each team with a disruption budget exists in the platform's settings.
     pub fn check_teams(&self, file: &str, settings: &Settings) -> Result<(), SettingsError> {
         let is_known = |team: &String| settings.facts.teams.iter().any(|known| known.name == *team);
--- a/crates/daemon/src/operators/hcl_file.rs
+++ b/crates/daemon/src/operators/hcl_file.rs
@@ -6,7 +6,7 @@
 use sched::rescheduler::Policy;
 use serde::Deserialize;
 
-use super::{DrainSettings, Operators};
+use super::{DrainSettings, OperatorSettings};
 use crate::settings::{SettingsError, one_line};
 
 /// Maximum of the numbers of seconds and of the threshold.
@@ -112,7 +112,7 @@
     }
 }
 
-impl Default for Operators {
+impl Default for OperatorSettings {
     fn default() -> Self {
         let fleet = HclFleet::default();
         Self {
@@ -126,13 +126,13 @@
 }
 
 /// Parses and checks the settings. `file` is the file name for error messages.
-pub(super) fn parse(file: &str, text: &str) -> Result<Operators, SettingsError> {
+pub(super) fn parse(file: &str, text: &str) -> Result<OperatorSettings, SettingsError> {
     let parsed: HclFile = hcl::from_str(text)
         .map_err(|e| SettingsError::Parse { file: file.to_owned(), reason: one_line(&e.to_string()) })?;
     parsed.check_numbers(file)?;
     let seconds = wire::seconds;
     let HclFile { rescheduler, fleet, drains } = parsed;
-    Ok(Operators {
+    Ok(OperatorSettings {
         drains: drain_settings(file, &drains)?,
         rescheduler: Policy {
             scan_interval: seconds(rescheduler.scan_s),
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -10,7 +10,7 @@
 
 use crate::controller::Controller;
 use crate::logging::LogLevelError;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::peer_client::MAX_MESSAGE_BYTES;
 use crate::settings::{Settings, SettingsError};
 use crate::{
@@ -60,13 +60,13 @@
     settings: &str,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ProcessError> {
-    run(Settings::parse(file, settings)?, Operators::default(), stop).await
+    run(Settings::parse(file, settings)?, OperatorSettings::default(), stop).await
 }
 
 /// Runs a controller until `stop` completes, and has it leave the cluster in good order.
 pub(crate) async fn run(
     settings: Settings,
-    operators: Operators,
+    operators: OperatorSettings,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ProcessError> {
     let public_listener = listen("front", &settings.front).await?;
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -2,7 +2,7 @@
 use super::heartbeats::{HeartbeatOutcome, process_heartbeat, redirect};
 use super::machine_registration::confirms_name;
 use super::*;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
@@ -60,7 +60,7 @@
 async fn controller(state: String) -> Arc<Controller> {
     let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
     settings.external.state = state;
-    let controller = Controller::new(settings, Operators::default(), 1);
+    let controller = Controller::new(settings, OperatorSettings::default(), 1);
     controller.spawn_task(change_feed::follow_records(controller.clone()));
     controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
     controller
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -67,7 +67,7 @@
     // accepted right after the last contact must have taken effect.
     let over = bound.as_secs_f64() * 1.0005 + w.lease_s * 1.0005;
     assert!(over < w.cancel_s && bound > Duration::from_secs(5), "{over}");
-    let controller = Controller::new(settings, Operators::default(), 1);
+    let controller = Controller::new(settings, OperatorSettings::default(), 1);
     let (start, me) = (Instant::now(), controller.identity.clone());
     let mut state = controller.state();
     state.records.is_loaded = true;
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -8,7 +8,7 @@
 use super::{EvictionBudget, unsupporting_controller};
 use crate::clock;
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::scheduler::{self, CycleTransaction, SchedulingCycle};
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
@@ -34,7 +34,7 @@
 fn controller(operators: &str) -> Arc<Controller> {
     let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
     settings.peers = vec![Peer { node_name: "n-1".into(), address: "127.0.0.1:3".into() }];
-    Controller::new(settings, Operators::parse("o.hcl", operators).expect("valid"), 1)
+    Controller::new(settings, OperatorSettings::parse("o.hcl", operators).expect("valid"), 1)
 }
 
 pub(super) fn record() -> DrainRecord {
@@ -145,7 +145,7 @@
 fn a_unit_is_stopped_with_two_writes_where_a_transaction_has_no_more() {
     let mut settings = Settings::parse("example", EXAMPLE).expect("valid");
     settings.facts.state.txn_ops = 2;
-    let controller = Controller::new(settings, Operators::parse("o.hcl", ON).expect("valid"), 1);
+    let controller = Controller::new(settings, OperatorSettings::parse("o.hcl", ON).expect("valid"), 1);
     let mut state = controller.state();
     site(&mut state, &controller.identity);
     let moves = [Move { drain: "d".into(), machine: "m-1".into(), unit: unit(), room: Vec::new() }];
--- a/crates/daemon/tests/unit/drains_command.rs
+++ b/crates/daemon/tests/unit/drains_command.rs
@@ -8,7 +8,7 @@
 use super::changes::*;
 use super::*;
 use crate::drains::tests::record;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use sched::drain_records::CordonRecord;
 use sched::records::*;
 use store::decode_change;
@@ -29,7 +29,7 @@
         patience_s: 10.0,
         give_up_s: 100.0,
         unsaved: UnsavedWork::Leave,
-        operators: Operators::default(),
+        operators: OperatorSettings::default(),
     }
 }
 
--- a/crates/daemon/tests/unit/fault_days/controllers.rs
+++ b/crates/daemon/tests/unit/fault_days/controllers.rs
@@ -11,7 +11,7 @@
 use super::state::{RPS, WRITE_RPS};
 use super::{CONTROLLERS, LIMIT, LIMIT_U, Sabotage, Site};
 use crate::controller::{Controller, HttpClients};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 
 #[derive(Default)]
@@ -72,7 +72,7 @@
         let client = || Client::over(link(self, n, incarnation));
         let clients = HttpClients { key_value_store: client(), peers_and_cloud: client(), workers: client() };
         let settings = settings(n, all.sabotage, all.drains);
-        let operators = if all.drains { super::drains::operators() } else { Operators::default() };
+        let operators = if all.drains { super::drains::operators() } else { OperatorSettings::default() };
         let controller = Controller::with_clients(settings, operators, incarnation, clients);
         crate::process::spawn_tasks(&controller);
         all.controllers[n] = Process { controller: Some(controller), incarnation };
--- a/crates/daemon/tests/unit/fault_days/drains.rs
+++ b/crates/daemon/tests/unit/fault_days/drains.rs
@@ -20,7 +20,7 @@
 use super::users::kind_of;
 use super::*;
 use crate::drains::command::{DrainError, Feasibility, Request as DrainRequest, Service};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 
 /// How long one obstacle may stand before a drain stops by itself.
 const GIVE_UP_S: f64 = 60.0;
@@ -42,8 +42,8 @@
 "#;
 
 /// The controllers' settings of operators who drain machines.
-pub(super) fn operators() -> Operators {
-    Operators::parse("drains.hcl", OPERATORS).expect("valid settings")
+pub(super) fn operators() -> OperatorSettings {
+    OperatorSettings::parse("drains.hcl", OPERATORS).expect("valid settings")
 }
 
 /// What was stopped by choice and has not run since: the attempts.
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -15,7 +15,7 @@
 
 use crate::api::heartbeats::{HeartbeatOutcome, HeartbeatRoute, process_heartbeat};
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::scheduler;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
@@ -46,7 +46,7 @@
         let controller = |n: usize| {
             let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
             settings.node_name = format!("n-{n}");
-            Controller::new(settings, Operators::default(), 100 + n as u64)
+            Controller::new(settings, OperatorSettings::default(), 100 + n as u64)
         };
         let mut site = Self {
             nodes: (0..controllers).map(controller).collect(),
@@ -121,7 +121,7 @@
     fn restart(&mut self, n: usize) {
         let settings = self.nodes[n].settings.clone();
         let incarnation = self.nodes[n].identity.incarnation + 1000;
-        self.nodes[n] = Controller::new(settings, Operators::default(), incarnation);
+        self.nodes[n] = Controller::new(settings, OperatorSettings::default(), incarnation);
         self.seen[n] = 0;
     }
 
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -12,7 +12,7 @@
 use wire::{Heartbeat, JobKind, JobSpec, JobState, TaskState, TaskStatus};
 
 use crate::controller::{Controller, MEMBER_TTL};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
 use crate::stand_in::*;
@@ -393,7 +393,7 @@
     let (addr, mut settings) = (service.door().await.1, Settings::parse("s", EXAMPLE).expect("valid"));
     (settings.external.state, settings.facts.limits.max_connections) = (addr, 900);
     settings.peers = vec![Peer { node_name: "n-1".into(), address: hangs }];
-    let controller = Controller::new(settings, Operators::default(), 1);
+    let controller = Controller::new(settings, OperatorSettings::default(), 1);
     follow(&controller);
     controller.spawn_task(membership::keep_membership(controller.clone()));
     assert!(soon(20, || controller.state().is_live(&controller.identity)).await);
--- a/crates/daemon/tests/unit/golden_operators.rs
+++ b/crates/daemon/tests/unit/golden_operators.rs
@@ -19,14 +19,14 @@
     };
     let teams =
         BTreeMap::from([("team b".into(), TeamBudget::Share(0.25)), ("team-a".into(), TeamBudget::Count(4))]);
-    let expected = Operators {
+    let expected = OperatorSettings {
         rescheduler,
         idle_timeout: Duration::from_millis(24_500),
         silence_timeout: Some(Duration::from_secs(95)),
         spare_gpu_tasks: 6,
         drains: DrainSettings { enabled: true, budgets: Budgets { per_service: 3, teams } },
     };
-    assert_eq!(Operators::parse("operators-full.hcl", FILE).expect("valid settings"), expected);
+    assert_eq!(OperatorSettings::parse("operators-full.hcl", FILE).expect("valid settings"), expected);
 }
 
 /// An empty file gives the default of every field.
@@ -38,12 +38,12 @@
         eviction_interval: Duration::from_secs(60),
         avoid_duration: Duration::from_secs(300),
     };
-    let expected = Operators {
+    let expected = OperatorSettings {
         rescheduler,
         idle_timeout: Duration::from_secs(20),
         silence_timeout: None,
         spare_gpu_tasks: 1,
         drains: DrainSettings { enabled: false, budgets: Budgets { per_service: 1, teams: BTreeMap::new() } },
     };
-    assert_eq!(Operators::parse("operators.hcl", "").expect("valid settings"), expected);
+    assert_eq!(OperatorSettings::parse("operators.hcl", "").expect("valid settings"), expected);
 }
--- a/crates/daemon/tests/unit/peer_status.rs
+++ b/crates/daemon/tests/unit/peer_status.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use sched::records::Member;
@@ -13,7 +13,7 @@
         1,
     );
     let controller =
-        Controller::new(Settings::parse("example", &text).expect("valid"), Operators::default(), 1);
+        Controller::new(Settings::parse("example", &text).expect("valid"), OperatorSettings::default(), 1);
     let receive = |incarnation, count, state_silent_ms| {
         let name = "n-1".to_owned();
         receive_status(
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -17,7 +17,7 @@
 
 use crate::chunk_collector::{ChunkCollector, ChunkDeletion};
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
@@ -157,7 +157,7 @@
         let mut settings = Settings::parse("example", text).expect("valid");
         settings.external.state = self.listen().await;
         (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e4, 1e4);
-        let controller = Controller::new(settings, Operators::default(), incarnation);
+        let controller = Controller::new(settings, OperatorSettings::default(), incarnation);
         controller.spawn_task(change_feed::follow_records(controller.clone()));
         controller.spawn_task(freshness_checks::run_freshness_checks(controller.clone()));
         assert!(
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::Worker;
@@ -25,7 +25,7 @@
         );
     }
     let settings = Settings::parse("example", &text).expect("valid");
-    Controller::new(settings, Operators::default(), incarnation)
+    Controller::new(settings, OperatorSettings::default(), incarnation)
 }
 
 fn read(controller: &Arc<Controller>) {
--- a/crates/daemon/tests/unit/scale.rs
+++ b/crates/daemon/tests/unit/scale.rs
@@ -10,7 +10,7 @@
 use wire::{Heartbeat, JobKind, JobSpec, MachineType, Priority, TaskState, TaskStatus};
 
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::scheduler;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
@@ -47,7 +47,7 @@
 pub fn controller(machines: usize, live: usize) -> Arc<Controller> {
     let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
     (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e6, 1e6);
-    let controller = Controller::new(settings, Operators::default(), 1);
+    let controller = Controller::new(settings, OperatorSettings::default(), 1);
     let kinds = [kind("s", 4.0, 0.0), kind("m", 8.0, 0.0), kind("l", 16.0, 0.0), kind("g", 16.0, 2.0)];
     let mut core = controller.state();
     let w = &mut core.records.replica;
--- a/crates/daemon/tests/unit/scheduler_placement.rs
+++ b/crates/daemon/tests/unit/scheduler_placement.rs
@@ -46,7 +46,7 @@
 /// A controller that leads alone, with a machine that holds twice the team's limit and
 /// these jobs; what its first round wants, by job.
 fn placed(jobs: Vec<JobRecord>) -> BTreeMap<String, usize> {
-    use crate::operators::Operators;
+    use crate::operators::OperatorSettings;
     use crate::settings::Settings;
     use crate::settings::tests::EXAMPLE;
     use crate::worker::Worker;
@@ -54,7 +54,7 @@
     use sched::replica::RecordChange;
 
     let controller =
-        Controller::new(Settings::parse("example", EXAMPLE).expect("valid"), Operators::default(), 1);
+        Controller::new(Settings::parse("example", EXAMPLE).expect("valid"), OperatorSettings::default(), 1);
     let now = Instant::now();
     let mut state = controller.state();
     state.records.is_loaded = true;
--- a/crates/daemon/tests/unit/scheduler_transaction.rs
+++ b/crates/daemon/tests/unit/scheduler_transaction.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::tests::spec;
@@ -34,7 +34,7 @@
 fn largest_records_and_transactions_keep_the_limits_of_the_key_value_store() {
     let controller = Controller::new(
         Settings::parse("example", EXAMPLE).expect("the example is valid"),
-        Operators::default(),
+        OperatorSettings::default(),
         1,
     );
     let (mut replica, mut cycle) = (Replica::default(), SchedulingCycle::default());
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -25,7 +25,7 @@
                 Some(NextStoreSettings { value_kb, txn_ops, ..NextStoreSettings::default() });
         }
         settings.facts.teams[0].cpus_max = if sabotage == Sabotage::Limit { LIMIT + 4.0 } else { LIMIT };
-        Controller::new(settings, Operators::default(), incarnation)
+        Controller::new(settings, OperatorSettings::default(), incarnation)
     }
 
     /// The next controller gets the new version, and leaves its lasting word.
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::api;
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::production;
 use crate::scheduler;
 use crate::settings::tests::EXAMPLE;
--- a/crates/daemon/tests/unit/stand_in.rs
+++ b/crates/daemon/tests/unit/stand_in.rs
@@ -19,7 +19,7 @@
 use wire::{Changes, Event, Item, Items, JobSpec, JobState, JobStatus, Lease, LeaseRequest, Op, Txn};
 
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::tests::EXAMPLE;
 use crate::settings::{Peer, Settings};
 use crate::{api, change_feed, freshness_checks, scheduler};
@@ -268,7 +268,7 @@
         settings.peers =
             others.map(|p| Peer { node_name: format!("n-{p}"), address: "127.0.0.1:1".into() }).collect();
         (settings.facts.teams[0].cpus, settings.facts.teams[0].cpus_max) = (1e4, 1e4);
-        (Controller::new(settings, Operators::default(), incarnation), door)
+        (Controller::new(settings, OperatorSettings::default(), incarnation), door)
     }
 
     /// One that follows the records, and knows them.
