--- a/crates/daemon/src/api/error.rs
+++ b/crates/daemon/src/api/error.rs
@@ -14,7 +14,7 @@
     #[error("owner: no team of this name is configured")]
     UnknownTeam,
     /// The job, or one task of an array, needs more CPUs or GPUs than the team's maximum quota.
-    #[error("cpus, gpus: the job needs more than the maximum quota of its team")]
+    #[error("cpus, gpus: the job, or one task of an array, exceeds the team's maximum quota")]
     ExceedsTeamQuota,
     /// The job depends on itself.
     #[error("awaits: a job cannot depend on itself")]
--- a/crates/daemon/src/emulated.rs
+++ b/crates/daemon/src/emulated.rs
@@ -48,7 +48,7 @@
     #[error(transparent)]
     Process(#[from] ProcessError),
     #[error(transparent)]
-    OperatorSettings(#[from] SettingsError),
+    Settings(#[from] SettingsError),
     #[error(transparent)]
     Site(#[from] emulator::SiteError),
     #[error(transparent)]
--- a/crates/daemon/tests/unit/api.rs
+++ b/crates/daemon/tests/unit/api.rs
@@ -190,7 +190,7 @@
         (
             Rejection::ExceedsTeamQuota.into(),
             422,
-            "cpus, gpus: the job needs more than the maximum quota of its team",
+            "cpus, gpus: the job, or one task of an array, exceeds the team's maximum quota",
             None,
         ),
         (Rejection::DependsOnItself.into(), 422, "awaits: a job cannot depend on itself", None),
