--- a/crates/daemon/src/scheduler/placement/pass.rs
+++ b/crates/daemon/src/scheduler/placement/pass.rs
@@ -2,7 +2,7 @@
 
 use sched::hash::HashSet;
 use sched::placement::{self, Inventory, Slot, pending_task_count};
-use sched::preempt::Running;
+use sched::preempt::RunningTasks;
 use sched::records::{Assignment, JobRecord, Name};
 use sched::replica::{Replica, Resources, Team};
 use store::{KeyWrite, key};
@@ -35,7 +35,7 @@
     /// What is remembered from one cycle to the next.
     pub(super) scheduling: &'a mut SchedulingState,
     /// All running tasks, once victims were looked for.
-    pub(super) running: Option<Running<'r>>,
+    pub(super) running: Option<RunningTasks<'r>>,
     /// Services to be expected with their tasks, until capacity is reserved for them: they are to
     /// start within seconds, on capacity that is there.
     pub(super) expected_services: Option<(JobSpec, u32)>,
@@ -125,7 +125,7 @@
         }
         let Some((service, tasks)) = self.expected_services.take() else { return };
         let machines =
-            placement::capacity_for(self.replica, self.inventory, &service, tasks, self.context.now_ms);
+            placement::simulate_placement(self.replica, self.inventory, &service, tasks, self.context.now_ms);
         self.inventory.reserve(&machines, Resources::of_task(&service), 1.0);
     }
 
@@ -187,7 +187,8 @@
         let mut may_displace_gpu_jobs = spec.gpus > 0.0;
         let mut assignments = Vec::new();
         if !reserved.is_empty() {
-            assignments = placement::place_at(self.replica, self.inventory, job, team, reserved, limits);
+            assignments =
+                placement::place_on_machines(self.replica, self.inventory, job, team, reserved, limits);
         } else if !self.arrays_could_make_way(candidate) {
             let may_use = self.usable_slots(candidate);
             assignments = placement::place(self.replica, self.inventory, job, team, may_use, limits);
