--- a/crates/daemon/src/autoscaler/idle_machines.rs
+++ b/crates/daemon/src/autoscaler/idle_machines.rs
@@ -80,7 +80,7 @@
         *idle_of_offer += 1;
         let is_kept_for_boot_time = !machine.spot && *idle_of_offer <= MAX_KEPT_FOR_BOOT_TIME;
         let retention_s = if is_kept_for_boot_time { boot_s.min(MAX_BOOT_TIME_RETENTION_S) } else { 0.0 };
-        self.controller.operators.idle.max(wire::seconds(retention_s))
+        self.controller.operators.idle_timeout.max(wire::seconds(retention_s))
     }
 }
 
--- a/crates/daemon/src/controller.rs
+++ b/crates/daemon/src/controller.rs
@@ -17,7 +17,7 @@
 pub use crate::clock::wall_ms;
 use crate::limits::{self, LimitChangeFlags, StateLimits};
 use crate::load::{LoadCounters, Purpose};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::public_connections::public_connections;
 use crate::read_barrier::ReadBarrier;
 use crate::settings::Settings;
@@ -57,7 +57,7 @@
     /// The platform's settings.
     pub settings: Settings,
     /// The operators' settings.
-    pub operators: Operators,
+    pub operators: OperatorSettings,
     /// The teams and their quotas.
     pub teams: Vec<Team>,
     /// The identity of this process as a member of the cluster.
@@ -100,11 +100,11 @@
 impl Controller {
     /// Creates a controller whose HTTP clients have the socket limits of the settings. `incarnation`
     /// distinguishes this process from all earlier and later ones of the controller.
-    pub fn new(settings: Settings, operators: Operators, incarnation: u64) -> Arc<Self> {
+    pub fn new(settings: Settings, operators: OperatorSettings, incarnation: u64) -> Arc<Self> {
         let sockets = settings.sockets();
         let clients = HttpClients {
             key_value_store: Client::new(sockets.state),
-            peers_and_cloud: Client::new(sockets.others),
+            peers_and_cloud: Client::new(sockets.cloud_and_peers),
             workers: Client::new(sockets.to_workers),
         };
         Self::with_clients(settings, operators, incarnation, clients)
@@ -113,7 +113,7 @@
     /// Creates a controller with these HTTP clients.
     pub fn with_clients(
         settings: Settings,
-        operators: Operators,
+        operators: OperatorSettings,
         incarnation: u64,
         clients: HttpClients,
     ) -> Arc<Self> {
@@ -217,7 +217,7 @@
     pub fn silence_limit(&self) -> Duration {
         let interval_s = self.settings.facts.workers.report_s;
         let default = wire::seconds((LOST_AFTER_INTERVALS * interval_s).max(MIN_LOST_AFTER_S));
-        self.operators.silent.unwrap_or(default)
+        self.operators.silence_timeout.unwrap_or(default)
     }
 
     /// How often workers send heartbeats.
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -3,7 +3,7 @@
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-use crate::settings::State;
+use crate::settings::StoreSettings;
 
 /// Bytes of a job's record besides its two lists, the assignments and the finished tasks: the
 /// description and the fields.
@@ -109,7 +109,7 @@
 
 /// Computes the limits to plan with from the settings and from what is known about changes. Sizes
 /// are the smaller ones as soon as they may change, rates only once they are known to be reduced.
-pub fn effective_limits(state: &State, changes: LimitChanges) -> StateLimits {
+pub fn effective_limits(state: &StoreSettings, changes: LimitChanges) -> StateLimits {
     let next = state.next.clone().unwrap_or_default();
     let smaller_of = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
     let sizes_may_change = changes.all_upgraded || changes.sizes_reduced;
@@ -128,7 +128,7 @@
 
 /// Most bytes of a job's description. It stays the same after the limits of the key-value store
 /// have become smaller.
-pub fn max_description_bytes(state: &State) -> usize {
+pub fn max_description_bytes(state: &StoreSettings) -> usize {
     (state.value_kb * KIB * DESCRIPTION_FRACTION).max(MIN_DESCRIPTION_BYTES) as usize
 }
 
--- a/crates/daemon/tests/unit/controller.rs
+++ b/crates/daemon/tests/unit/controller.rs
@@ -67,7 +67,7 @@
     // the last contact has to take effect.
     let lease_end_s = bound.as_secs_f64() * 1.0005 + workers.lease_s * 1.0005;
     assert!(lease_end_s < workers.cancel_s && bound > Duration::from_secs(5), "{lease_end_s}");
-    let controller = Controller::new(settings, Operators::default(), 1);
+    let controller = Controller::new(settings, OperatorSettings::default(), 1);
     let (start, me) = (Instant::now(), controller.identity.clone());
     let mut state = controller.state();
     state.records.is_loaded = true;
--- a/crates/daemon/tests/unit/faults_machines.rs
+++ b/crates/daemon/tests/unit/faults_machines.rs
@@ -15,7 +15,7 @@
 
 use crate::api::heartbeats::{HeartbeatOutcome, HeartbeatRoute, process_heartbeat};
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::scheduler;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
@@ -47,7 +47,7 @@
         let controller = |n: usize| {
             let mut settings = Settings::parse("example", EXAMPLE).expect("the example is valid");
             settings.node_name = format!("n-{n}");
-            Controller::new(settings, Operators::default(), 100 + n as u64)
+            Controller::new(settings, OperatorSettings::default(), 100 + n as u64)
         };
         let mut cluster = Self {
             controllers: (0..controllers).map(controller).collect(),
@@ -123,7 +123,7 @@
     fn restart(&mut self, n: usize) {
         let settings = self.controllers[n].settings.clone();
         let incarnation = self.controllers[n].identity.incarnation + 1000;
-        self.controllers[n] = Controller::new(settings, Operators::default(), incarnation);
+        self.controllers[n] = Controller::new(settings, OperatorSettings::default(), incarnation);
         self.applied_len[n] = 0;
     }
 
--- a/crates/daemon/tests/unit/golden_settings.rs
+++ b/crates/daemon/tests/unit/golden_settings.rs
@@ -1,4 +1,4 @@
-//! A settings file with every field is read as these values.
+//! Golden test: a settings file that sets every field parses to the expected values.
 
 use super::*;
 use sched::replica::Team;
@@ -24,8 +24,8 @@
     }
 }
 
-fn expected_facts() -> Facts {
-    Facts {
+fn expected_facts() -> SiteSettings {
+    SiteSettings {
         time_bound_ms: 250.5,
         teams: vec![
             TeamSettings { name: "team-a".into(), cpus: 11.5, cpus_max: 12.5, gpus: 13.5, gpus_max: 14.5 },
@@ -35,38 +35,39 @@
             Objective { kind: "wait".into(), class: Some("class-a".into()), within_s: Some(21.5) },
             Objective { kind: "cost".into(), class: None, within_s: None },
         ],
-        workers: Workers {
+        workers: WorkerSettings {
             report_s: 1.5,
             lease_s: 24.5,
             gang_wait_s: 30.5,
             gang_peer_s: 5.5,
             cancel_s: 44.5,
         },
-        state: State {
+        state: StoreSettings {
             rps: 80.5,
             write_rps: 31.5,
             value_kb: 8.5,
             txn_ops: 16,
-            next: Some(NextState {
+            next: Some(NextStoreSettings {
                 rps: Some(81.5),
                 write_rps: Some(32.5),
                 value_kb: Some(9.5),
                 txn_ops: Some(17),
             }),
         },
-        cloud: Cloud { rps: 4.5, list_lag_s: 10.5 },
-        limits: Limits { cores: 0.75, memory_mb: 104.5, max_connections: 1800 },
+        cloud: CloudSettings { rps: 4.5, list_lag_s: 10.5 },
+        limits: ProcessLimits { cores: 0.75, memory_mb: 104.5, max_connections: 1800 },
     }
 }
 
-/// Settings cannot be compared, so they are by their `Debug` text, which has all fields.
+/// `Settings` does not implement `PartialEq`, so the test compares the `Debug` output, which has all
+/// fields.
 #[test]
 fn every_field_is_read() {
     assert_eq!(format!("{:#?}", parsed()), format!("{:#?}", expected()));
 }
 
 #[test]
-fn what_is_derived_from_the_file() {
+fn values_are_derived_from_the_settings() {
     let settings = parsed();
     let limited = Team { name: "team-a".into(), cpus: 11.5, cpus_max: 12.5, gpus: 13.5, gpus_max: 14.5 };
     let unlimited = Team {
@@ -77,8 +78,8 @@
         gpus_max: f64::INFINITY,
     };
     assert_eq!(settings.teams(), [limited, unlimited]);
-    assert!(settings.starts_in_time("class-a") && !settings.starts_in_time("class-b"));
-    assert_eq!(settings.start_times("class-a"), Some((21.5, 21.5)));
+    assert!(settings.has_wait_objective("class-a") && !settings.has_wait_objective("class-b"));
+    assert_eq!(settings.wait_objective_range("class-a"), Some((21.5, 21.5)));
     let sockets = Sockets {
         front: 1008,
         workers_kept: 672,
@@ -86,7 +87,7 @@
         peers: 112,
         to_workers: 448,
         state: 56,
-        others: 56,
+        cloud_and_peers: 56,
     };
     assert_eq!(settings.sockets(), sockets);
 }
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::settings::Settings;
 use crate::settings::tests::EXAMPLE;
 use crate::worker::Worker;
@@ -24,7 +24,7 @@
         );
     }
     let settings = Settings::parse("example", &text).expect("valid");
-    Controller::new(settings, Operators::default(), incarnation)
+    Controller::new(settings, OperatorSettings::default(), incarnation)
 }
 
 /// Lets a controller read the records up to revision 3: two jobs, each with a task on the machine
--- a/crates/daemon/tests/unit/scheduler_placement.rs
+++ b/crates/daemon/tests/unit/scheduler_placement.rs
@@ -53,7 +53,7 @@
 /// twice the capacity of the team's limit. Returns the number of assignments of each job that the
 /// cycle changes.
 fn run_cycle(jobs: Vec<JobRecord>) -> BTreeMap<String, usize> {
-    use crate::operators::Operators;
+    use crate::operators::OperatorSettings;
     use crate::settings::Settings;
     use crate::settings::tests::EXAMPLE;
     use crate::worker::Worker;
@@ -61,7 +61,7 @@
     use sched::replica::RecordChange;
 
     let controller =
-        Controller::new(Settings::parse("example", EXAMPLE).expect("valid"), Operators::default(), 1);
+        Controller::new(Settings::parse("example", EXAMPLE).expect("valid"), OperatorSettings::default(), 1);
     let now = Instant::now();
     let mut state = controller.state();
     state.records.is_loaded = true;
--- a/crates/daemon/tests/unit/sim/controllers.rs
+++ b/crates/daemon/tests/unit/sim/controllers.rs
@@ -21,11 +21,12 @@
         settings.zone = if n.is_multiple_of(2) { "z" } else { "y" }.into();
         if !is_old_version && defect != Defect::UnknownLowerLimits {
             let (value_kb, txn_ops) = (Some(LOWERED_VALUE_KB), Some(LOWERED_TXN_OPS));
-            settings.facts.state.next = Some(NextState { value_kb, txn_ops, ..NextState::default() });
+            settings.facts.state.next =
+                Some(NextStoreSettings { value_kb, txn_ops, ..NextStoreSettings::default() });
         }
         settings.facts.teams[0].cpus_max =
             if defect == Defect::RaisedTeamLimit { TEAM_CPU_LIMIT + 4.0 } else { TEAM_CPU_LIMIT };
-        Controller::new(settings, Operators::default(), incarnation)
+        Controller::new(settings, OperatorSettings::default(), incarnation)
     }
 
     /// Upgrades the next controller, which commits its schema marker.
--- a/crates/daemon/tests/unit/sim/mod.rs
+++ b/crates/daemon/tests/unit/sim/mod.rs
@@ -25,11 +25,11 @@
 
 use crate::api;
 use crate::controller::Controller;
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use crate::production;
 use crate::scheduler;
 use crate::settings::tests::EXAMPLE;
-use crate::settings::{NextState, Peer, Settings};
+use crate::settings::{NextStoreSettings, Peer, Settings};
 use crate::worker::tests::spec;
 
 mod checker;
