--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -234,7 +234,8 @@
                 if records_schema {
                     // Together with the entry, so that no live controller is taken for one of the
                     // old version.
-                    writes.push(KeyWrite::new(key::schema_marker(&me.name), &SchemaMarker { schema_version }));
+                    writes
+                        .push(KeyWrite::new(key::schema_marker(&me.name), &SchemaMarker { schema_version }));
                 }
                 ClaimTransaction { conditions, writes }
             }
--- a/crates/daemon/src/worker/tracked_tasks.rs
+++ b/crates/daemon/src/worker/tracked_tasks.rs
@@ -198,7 +198,8 @@
     pub(super) fn find_orphans(&mut self, findings: &mut Findings<'_>, context: &ComparisonContext<'_>) {
         let mut orphaned_since = HashMap::default();
         for status in &self.statuses {
-            let assigned_attempt = status.job_and_task_number().and_then(|(job, task)| findings.attempts.get(&(job, task)));
+            let assigned_attempt =
+                status.job_and_task_number().and_then(|(job, task)| findings.attempts.get(&(job, task)));
             if assigned_attempt == Some(&status.attempt) {
                 continue;
             }
@@ -231,7 +232,9 @@
         Some(ExitReason::Error) => TerminationReason::Error,
         Some(ExitReason::GangIncomplete) => TerminationReason::GangIncomplete,
         // The machine rejected the task: the job avoids it for a while.
-        Some(ExitReason::NoCapacity | ExitReason::TaskInUse | ExitReason::UnknownJob) => TerminationReason::Rejected,
+        Some(ExitReason::NoCapacity | ExitReason::TaskInUse | ExitReason::UnknownJob) => {
+            TerminationReason::Rejected
+        }
         _ => TerminationReason::Stopped,
     }
 }
--- a/crates/daemon/tests/unit/autoscaler_fleet_record.rs
+++ b/crates/daemon/tests/unit/autoscaler_fleet_record.rs
@@ -12,7 +12,9 @@
     let controller = scale::controller(4, 1);
     let mut fleet = FleetRecord::default();
     let mut first_host = 0u32;
-    while remaining_name_capacity(&fleet, &controller) >= REQUEST_SIZE_IN_NAMES + MAX_MACHINES_PER_RENTAL as usize {
+    while remaining_name_capacity(&fleet, &controller)
+        >= REQUEST_SIZE_IN_NAMES + MAX_MACHINES_PER_RENTAL as usize
+    {
         // Names far apart, as when the requests of several controllers are interleaved.
         first_host += MAX_MACHINES_PER_RENTAL;
         let number = |n: u32| u64::from(first_host + n) * 7919 % 1_000_000;
--- a/crates/daemon/tests/unit/fault_days/checker.rs
+++ b/crates/daemon/tests/unit/fault_days/checker.rs
@@ -1,259 +1,295 @@
-//! The rules, by what is on the machines and by what users are told.
+//! The rules for the tasks on the machines and for the answers that users receive.
 
 use std::collections::BTreeMap;
 
 use wire::{JobKind, JobState};
 
 use super::machines::{CANCEL_MS, Machine};
-use super::users::{Job, NOBODYS, cpus_of, is_older};
-use super::{All, LIMIT, LIMIT_U, cpus, job_of};
+use super::users::{Job, UNKNOWN_JOB, cpus_of, is_reverted};
+use super::{Simulation, TEAM_T_MAX_CPUS, TEAM_U_MAX_CPUS, cpus, job_of};
 
-/// How long a job may go without an answered question, with and without troubles, and
-/// how long it may wait for room that is there.
-const UNANSWERED_MS: u64 = 90_000;
-const UNANSWERED_CALM_MS: u64 = 75_000;
-const WAITS_MS: u64 = 90_000;
-/// A start command takes no longer than this where nothing is wrong.
-const ON_ITS_WAY_MS: u64 = 3000;
+/// The longest time that queries of a job may remain unanswered while there are faults.
+const MAX_UNANSWERED_MS: u64 = 90_000;
+/// The same after all faults have ended.
+const MAX_UNANSWERED_SETTLED_MS: u64 = 75_000;
+/// The longest time that a job may wait although there is capacity for it.
+const MAX_WAIT_MS: u64 = 90_000;
+/// The longest delivery time of a start command without faults.
+const MAX_START_COMMAND_MS: u64 = 3000;
 
-impl All {
-    pub(super) fn breach(&mut self, rule: &'static str, detail: String) {
+impl Simulation {
+    pub(super) fn record_violation(&mut self, rule: &'static str, detail: String) {
         let at = self.ms();
-        self.trace.push(format!("{at:>7} BROKEN {rule}: {detail}"));
-        self.broken.entry(rule).or_insert_with(|| format!("at {at}: {detail}"));
+        self.trace.push(format!("{at:>7} VIOLATED {rule}: {detail}"));
+        self.violations.entry(rule).or_insert_with(|| format!("at {at}: {detail}"));
     }
 
-    /// Tasks that are on machines: the machine, and the task.
-    fn on_machines(&self) -> impl Iterator<Item = (&String, &Machine, &String)> {
+    /// The active tasks on machines: machine id, machine, task.
+    fn active_tasks(&self) -> impl Iterator<Item = (&String, &Machine, &String)> {
         let now = self.ms();
-        self.machines
-            .iter()
-            .filter(move |(_, m)| m.holds_at(now))
-            .flat_map(|(id, m)| m.tasks.iter().filter(|(_, t)| t.is_on()).map(move |((t, _), _)| (id, m, t)))
+        self.machines.iter().filter(move |(_, machine)| machine.retains_tasks_at(now)).flat_map(
+            |(id, machine)| {
+                machine.tasks.iter().filter(|(_, t)| t.is_active()).map(move |((t, _), _)| (id, machine, t))
+            },
+        )
     }
 
     pub(super) fn check_start(&mut self, id: &str, task: &str) {
         self.started += 1;
         let (now, job_id) = (self.ms(), job_of(task).to_owned());
-        let Some(m) = self.machines.get(id) else { return };
+        let Some(machine) = self.machines.get(id) else { return };
         let Some(job) = self.jobs.get(&job_id) else {
-            return self.breach("invented", format!("{task} started on {id}"));
+            return self.record_violation("unknown_job", format!("{task} started on {id}"));
         };
-        let mut found: Vec<(&'static str, String)> = Vec::new();
+        let mut violations: Vec<(&'static str, String)> = Vec::new();
         let detail = format!("{task} on {id}");
-        let twice = self.on_machines().find(|(o, _, t)| *t == task && *o != id);
-        if let Some((other, ..)) = twice {
-            found.push(("ran_twice", format!("{detail} while on {other}")));
+        let duplicate = self.active_tasks().find(|(o, _, t)| *t == task && *o != id);
+        if let Some((other, ..)) = duplicate {
+            violations.push(("ran_twice", format!("{detail} while on {other}")));
         }
-        let s = &job.spec;
-        let forbidden = (m.spot && !s.spot)
-            || s.types.as_ref().is_some_and(|t| !t.contains(&m.machine_type))
-            || s.zone.as_ref().is_some_and(|z| *z != m.zone);
-        let mates = |zone_is: bool| {
-            let mate = |(_, o, t): &(&String, &Machine, &String)| {
-                job_of(t) == job_id && (o.zone == m.zone) == zone_is
+        let spec = &job.spec;
+        let is_forbidden = (machine.spot && !spec.spot)
+            || spec.types.as_ref().is_some_and(|t| !t.contains(&machine.machine_type))
+            || spec.zone.as_ref().is_some_and(|z| *z != machine.zone);
+        let peer_count = |in_same_zone: bool| {
+            let is_peer = |(_, o, t): &(&String, &Machine, &String)| {
+                job_of(t) == job_id && (o.zone == machine.zone) == in_same_zone
             };
-            self.on_machines().filter(mate).count()
+            self.active_tasks().filter(is_peer).count()
         };
-        let crowded = s.spread && mates(true) > s.tasks.div_ceil(2) as usize;
-        if forbidden || crowded || s.one_zone && mates(false) > 0 {
-            found.push(("wrong_place", detail.clone()));
+        let exceeds_spread = spec.spread && peer_count(true) > spec.tasks.div_ceil(2) as usize;
+        if is_forbidden || exceeds_spread || spec.one_zone && peer_count(false) > 0 {
+            violations.push(("invalid_placement", detail.clone()));
         }
-        let unmet = |n: &String| !self.is_done(n);
-        if s.dependencies.iter().flatten().any(unmet) {
-            found.push(("too_early", detail.clone()));
+        let is_unfinished = |n: &String| !self.is_done(n);
+        if spec.dependencies.iter().flatten().any(is_unfinished) {
+            violations.push(("started_before_dependencies", detail.clone()));
         }
-        if let Some(told) = job.cancelled {
-            if now > told + CANCEL_MS {
-                found.push(("ran_cancelled", format!("{detail} started {} ms after", now - told)));
-            } else if now > told + ON_ITS_WAY_MS {
-                // Commands may be held up while there are troubles: these are counted only.
+        if let Some(cancelled_at) = job.cancelled_at {
+            if now > cancelled_at + CANCEL_MS {
+                violations
+                    .push(("ran_cancelled", format!("{detail} started {} ms after", now - cancelled_at)));
+            } else if now > cancelled_at + MAX_START_COMMAND_MS {
+                // Faults may delay commands, so these starts are only counted.
                 self.late_starts += 1;
-                if now > self.troubled_until + CANCEL_MS {
-                    found.push(("started_cancelled", format!("{detail} started {} ms after", now - told)));
+                if now > self.faults_until + CANCEL_MS {
+                    violations.push((
+                        "started_cancelled",
+                        format!("{detail} started {} ms after", now - cancelled_at),
+                    ));
                 }
             }
         }
-        for (rule, detail) in found {
-            self.breach(rule, detail);
+        for (rule, detail) in violations {
+            self.record_violation(rule, detail);
         }
     }
 
     pub(super) fn check_quota(&mut self) {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for (_, _, task) in self.on_machines() {
+        for (_, _, task) in self.active_tasks() {
             let Some(job) = self.jobs.get(job_of(task)) else { continue };
             *used.entry(job.spec.team.as_str()).or_default() += cpus_of(task);
         }
-        let beyond = |team: &str, limit: f64| used.get(team).is_some_and(|u| *u > limit + 1e-6);
-        if beyond("t", LIMIT) || beyond("u", LIMIT_U) {
+        let exceeds = |team: &str, limit: f64| used.get(team).is_some_and(|u| *u > limit + 1e-6);
+        if exceeds("t", TEAM_T_MAX_CPUS) || exceeds("u", TEAM_U_MAX_CPUS) {
             let detail = format!("{used:?}");
-            self.breach("quota", detail);
+            self.record_violation("quota", detail);
         }
     }
 
-    /// No task of a cancelled job is left on a machine after a while.
+    /// Checks that no task of a cancelled job remains on a machine after `CANCEL_MS`.
     pub(super) fn check_cancelled(&mut self) {
         let now = self.ms();
-        let told = |task: &String| self.jobs.get(job_of(task)).and_then(|j| j.cancelled);
-        let left = self.on_machines().find(|(_, _, t)| told(t).is_some_and(|at| now > at + CANCEL_MS));
-        if let Some((id, m, task)) = left {
-            let hung = if now < m.hung_until { ", which hangs" } else { "" };
-            let detail = format!("{task} on {id}{hung}, told at {:?}", told(task));
-            self.breach("ran_cancelled", detail);
+        let cancelled_at = |task: &String| self.jobs.get(job_of(task)).and_then(|j| j.cancelled_at);
+        let remaining =
+            self.active_tasks().find(|(_, _, t)| cancelled_at(t).is_some_and(|at| now > at + CANCEL_MS));
+        if let Some((id, machine, task)) = remaining {
+            let hung = if now < machine.hung_until { " (machine hangs)" } else { "" };
+            let detail = format!("{task} on {id}{hung}, cancellation confirmed at {:?}", cancelled_at(task));
+            self.record_violation("ran_cancelled", detail);
         }
     }
 
     pub(super) fn is_done(&self, job: &str) -> bool {
         let tasks = super::users::tasks_of(job);
-        (0..tasks).all(|n| self.done.contains(&format!("{job}/{n}")))
+        (0..tasks).all(|n| self.done_tasks.contains(&format!("{job}/{n}")))
     }
 
     pub(super) fn task_done(&mut self, task: &str) {
         let job = job_of(task).to_owned();
         if self.is_done(&job) {
-            self.ended.push(job);
+            self.ended_jobs.push(job);
         }
     }
 
-    /// Whether a job may be called cancelled: its user asked for it, or that of a job
-    /// that it needs.
+    /// Whether a job may be reported as cancelled: its user requested the cancellation, or
+    /// the user of one of its dependencies did, directly or through further dependencies.
     fn may_be_cancelled(&self, id: &str) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
-        job.asked.is_some() || job.spec.dependencies.iter().flatten().any(|n| self.may_be_cancelled(n))
+        job.cancel_requested_at.is_some()
+            || job.spec.dependencies.iter().flatten().any(|n| self.may_be_cancelled(n))
     }
 
-    pub(super) fn told(&mut self, id: &str, sent: u64, state: JobState) {
+    pub(super) fn record_answer(&mut self, id: &str, sent_at: u64, state: JobState) {
         let now = self.ms();
-        self.polls.push_back((now, true));
-        if id == NOBODYS || !self.jobs.contains_key(id) {
-            return self.breach("invented", id.to_owned());
+        self.recent_queries.push_back((now, true));
+        if id == UNKNOWN_JOB || !self.jobs.contains_key(id) {
+            return self.record_violation("unknown_job", id.to_owned());
         }
         if state == JobState::Done && !self.is_done(id) {
-            self.breach("not_done", id.to_owned());
+            self.record_violation("reported_done_early", id.to_owned());
         }
         if state == JobState::Cancelled && !self.may_be_cancelled(id) {
-            self.breach("went_back", format!("{id} is called cancelled, and nobody asked for it"));
+            self.record_violation(
+                "state_reverted",
+                format!("{id} is reported as cancelled, but no cancellation was requested"),
+            );
         }
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let before = [(job.done, JobState::Done), (job.cancelled, JobState::Cancelled)];
-        let older = before.iter().any(|(at, s)| at.is_some_and(|at| sent >= at) && is_older(*s, state));
-        let both = (state == JobState::Cancelled && job.done.is_some())
-            || (state == JobState::Done && job.cancelled.is_some());
-        job.answered = now;
-        job.accepted.get_or_insert(now);
+        let reported = [(job.done_at, JobState::Done), (job.cancelled_at, JobState::Cancelled)];
+        let reverted =
+            reported.iter().any(|(at, s)| at.is_some_and(|at| sent_at >= at) && is_reverted(*s, state));
+        let contradictory = (state == JobState::Cancelled && job.done_at.is_some())
+            || (state == JobState::Done && job.cancelled_at.is_some());
+        job.answered_at = now;
+        job.accepted_at.get_or_insert(now);
         match state {
-            JobState::Done => _ = job.done.get_or_insert(now),
-            JobState::Cancelled => _ = job.cancelled.get_or_insert(now),
+            JobState::Done => _ = job.done_at.get_or_insert(now),
+            JobState::Cancelled => _ = job.cancelled_at.get_or_insert(now),
             _ => {}
         }
-        if older || both {
-            self.breach("went_back", format!("{id} is called {state:?} after {before:?}, asked at {sent}"));
+        if reverted || contradictory {
+            self.record_violation(
+                "state_reverted",
+                format!("{id} is reported as {state:?} after {reported:?}, query sent at {sent_at}"),
+            );
         }
     }
 
-    pub(super) fn told_unknown(&mut self, id: &str, sent: u64) {
+    pub(super) fn record_not_found(&mut self, id: &str, sent_at: u64) {
         let now = self.ms();
-        self.polls.push_back((now, true));
-        let accepted = self.jobs.get(id).and_then(|j| j.accepted);
-        if let Some(at) = accepted.filter(|at| sent >= *at) {
-            self.breach("forgotten", format!("{id}: 404, accepted at {at}, asked at {sent}"));
+        self.recent_queries.push_back((now, true));
+        let accepted = self.jobs.get(id).and_then(|j| j.accepted_at);
+        if let Some(at) = accepted.filter(|at| sent_at >= *at) {
+            self.record_violation(
+                "job_lost",
+                format!("{id}: 404, accepted at {at}, query sent at {sent_at}"),
+            );
         }
     }
 
-    pub(super) fn not_told(&mut self, id: &str) {
+    pub(super) fn record_unanswered(&mut self, id: &str) {
         let now = self.ms();
-        self.polls.push_back((now, false));
-        while self.polls.front().is_some_and(|(t, _)| *t + UNANSWERED_MS < now) {
-            self.polls.pop_front();
+        self.recent_queries.push_back((now, false));
+        while self.recent_queries.front().is_some_and(|(t, _)| *t + MAX_UNANSWERED_MS < now) {
+            self.recent_queries.pop_front();
         }
-        let answered = self.polls.iter().filter(|p| p.1).count();
-        let silent = |j: &Job| j.accepted.is_some() && now > j.answered + UNANSWERED_MS;
-        if answered * 2 > self.polls.len() && self.jobs.get(id).is_some_and(silent) {
-            self.breach("forgotten", format!("{id}: no question answered for 90 s"));
+        let answered = self.recent_queries.iter().filter(|p| p.1).count();
+        let is_unanswered = |j: &Job| j.accepted_at.is_some() && now > j.answered_at + MAX_UNANSWERED_MS;
+        if answered * 2 > self.recent_queries.len() && self.jobs.get(id).is_some_and(is_unanswered) {
+            self.record_violation("job_lost", format!("{id}: no query answered for 90 s"));
         }
     }
 
-    /// Once all troubles are over: each question is answered in time, and nothing waits
-    /// for room that is there.
-    pub(super) fn check_calm(&mut self) {
+    /// Checks after all faults have ended: queries are answered in time, no job waits while
+    /// there is capacity for it, and dependents of cancelled jobs are cancelled.
+    pub(super) fn check_after_faults(&mut self) {
         let now = self.ms();
-        let calm = self.calm_at;
+        let settled_at = self.settled_at;
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
-        let mut begun: BTreeMap<String, u32> = BTreeMap::new();
-        for (_, _, task) in self.on_machines() {
+        let mut active_counts: BTreeMap<String, u32> = BTreeMap::new();
+        for (_, _, task) in self.active_tasks() {
             let Some(job) = self.jobs.get(job_of(task)) else { continue };
             *used.entry(job.spec.team.clone()).or_default() += cpus_of(task);
-            *begun.entry(job.spec.id.clone()).or_default() += 1;
+            *active_counts.entry(job.spec.id.clone()).or_default() += 1;
         }
-        let mut found: Vec<(&'static str, String)> = Vec::new();
-        let mut waits: Vec<(String, bool)> = Vec::new();
+        let mut violations: Vec<(&'static str, String)> = Vec::new();
+        let mut waiting: Vec<(String, bool)> = Vec::new();
         for (id, job) in &self.jobs {
-            if job.accepted.is_none() || job.is_final() {
+            if job.accepted_at.is_none() || job.is_final() {
                 continue;
             }
-            if now > job.answered.max(calm) + UNANSWERED_CALM_MS {
-                found.push(("forgotten", format!("{id}: no question answered for 75 s, troubles are over")));
+            if now > job.answered_at.max(settled_at) + MAX_UNANSWERED_SETTLED_MS {
+                violations.push((
+                    "job_lost",
+                    format!("{id}: no query answered for 75 s after the end of the faults"),
+                ));
             }
-            // What is cancelled, or cancelled with another, waits for nothing.
-            let open = !self.may_be_cancelled(id) && !self.is_done(id) && !begun.contains_key(id);
+            // A job that is cancelled, directly or with a dependency, is not waiting.
+            let open = !self.may_be_cancelled(id) && !self.is_done(id) && !active_counts.contains_key(id);
             let ready = job.spec.dependencies.iter().flatten().all(|n| self.is_done(n));
-            waits.push((id.clone(), open && ready && self.has_room(job, &used)));
+            waiting.push((id.clone(), open && ready && self.has_capacity(job, &used)));
         }
-        for (id, waits) in waits {
+        for (id, waiting) in waiting {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            match (waits, job.waits) {
-                (false, _) => job.waits = None,
-                (true, None) => job.waits = Some(now),
-                (true, Some(since)) if now > since + WAITS_MS => {
-                    found.push(("waited", format!("{id} waits since {since} though there is room")));
+            match (waiting, job.waiting_since) {
+                (false, _) => job.waiting_since = None,
+                (true, None) => job.waiting_since = Some(now),
+                (true, Some(since)) if now > since + MAX_WAIT_MS => {
+                    violations.push((
+                        "waited_despite_capacity",
+                        format!("{id} waits since {since} although there is capacity"),
+                    ));
                 }
                 _ => {}
             }
         }
-        // Those that need a cancelled job are called cancelled: seen once they are asked.
+        // Dependents of a cancelled job must be reported as cancelled; users learn of it
+        // with their next query.
         for (id, job) in &self.jobs {
-            let told = |n: &String| self.jobs.get(n).and_then(|j| j.cancelled);
-            let since = job.spec.dependencies.iter().flatten().filter_map(told).max();
-            let known = since.max(job.accepted).map(|s| s.max(calm));
+            let cancelled_at = |n: &String| self.jobs.get(n).and_then(|j| j.cancelled_at);
+            let since = job.spec.dependencies.iter().flatten().filter_map(cancelled_at).max();
+            let due_since = since.max(job.accepted_at).map(|s| s.max(settled_at));
             if since.is_some()
-                && job.accepted.is_some()
+                && job.accepted_at.is_some()
                 && !job.is_final()
-                && known.is_some_and(|k| now > k + CANCEL_MS)
+                && due_since.is_some_and(|due| now > due + CANCEL_MS)
             {
-                found.push(("orphaned", id.clone()));
+                violations.push(("dependent_not_cancelled", id.clone()));
             }
         }
-        for (rule, detail) in found {
-            self.breach(rule, detail);
+        for (rule, detail) in violations {
+            self.record_violation(rule, detail);
         }
     }
 
-    /// Whether machines that fit have room for a task of the job, for all of a gang's,
-    /// and its team is under its limit.
-    fn has_room(&self, job: &Job, used: &BTreeMap<String, f64>) -> bool {
+    /// Whether suitable machines have capacity for one task of the job, or for all tasks of
+    /// a gang, within the limit of its team.
+    fn has_capacity(&self, job: &Job, used: &BTreeMap<String, f64>) -> bool {
         let now = self.ms();
-        let s = &job.spec;
-        let limit = if s.team == "t" { LIMIT } else { LIMIT_U };
-        let least = if s.kind == JobKind::Gang { s.tasks } else { 1 };
-        let free = limit - used.get(&s.team).copied().unwrap_or_default();
-        if free + 1e-6 < f64::from(least) * s.cpus {
+        let spec = &job.spec;
+        let limit = if spec.team == "t" { TEAM_T_MAX_CPUS } else { TEAM_U_MAX_CPUS };
+        let min_tasks = if spec.kind == JobKind::Gang { spec.tasks } else { 1 };
+        let free_cpus = limit - used.get(&spec.team).copied().unwrap_or_default();
+        if free_cpus + 1e-6 < f64::from(min_tasks) * spec.cpus {
             return false;
         }
-        let fits = |m: &&Machine| {
-            m.is_up(now)
-                && now >= m.hung_until
-                && m.notice_until.is_none()
-                && (s.spot || !m.spot)
-                && s.types.as_ref().is_none_or(|t| t.contains(&m.machine_type))
-                && s.zone.as_ref().is_none_or(|z| *z == m.zone)
+        let is_suitable = |machine: &&Machine| {
+            machine.is_up(now)
+                && now >= machine.hung_until
+                && machine.notice_until.is_none()
+                && (spec.spot || !machine.spot)
+                && spec.types.as_ref().is_none_or(|t| t.contains(&machine.machine_type))
+                && spec.zone.as_ref().is_none_or(|z| *z == machine.zone)
         };
-        let places = |zone: Option<&str>| {
-            let there = self.machines.values().filter(fits).filter(|m| zone.is_none_or(|z| m.zone == z));
-            there
-                .map(|m| ((cpus(&m.machine_type) - m.used() + 1e-6) / s.cpus).floor().max(0.0) as u32)
+        let slots = |zone: Option<&str>| {
+            let suitable = self
+                .machines
+                .values()
+                .filter(is_suitable)
+                .filter(|machine| zone.is_none_or(|z| machine.zone == z));
+            suitable
+                .map(|machine| {
+                    ((cpus(&machine.machine_type) - machine.used_cpus() + 1e-6) / spec.cpus).floor().max(0.0)
+                        as u32
+                })
                 .sum::<u32>()
         };
-        if s.one_zone { ["a", "b"].iter().any(|z| places(Some(z)) >= least) } else { places(None) >= least }
+        if spec.one_zone {
+            ["a", "b"].iter().any(|z| slots(Some(z)) >= min_tasks)
+        } else {
+            slots(None) >= min_tasks
+        }
     }
 }
--- a/crates/daemon/tests/unit/fault_days/cloud.rs
+++ b/crates/daemon/tests/unit/fault_days/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machine types, rentals, releases, a list that lags.
+//! The simulated cloud: machine types, rentals, releases and a lagging list of machines.
 
 use std::collections::HashMap;
 
@@ -7,22 +7,22 @@
 use wire::{ListedMachine, MachineList, MachineNames, MachineStatus, MachineType, MachineTypes, RentRequest};
 
 use super::machines::Machine;
-use super::{All, Sabotage, Site};
+use super::{Defect, Simulation, Site};
 
-/// Most machines of one type, zone and kind.
+/// The maximum number of machines of one type in one zone, for spot and on-demand each.
 const CAPACITY: usize = 6;
 pub(super) const LIST_LAG_MS: u64 = 4000;
 
 #[derive(Default)]
 pub(super) struct Cloud {
-    answered: HashMap<String, Vec<String>>,
-    rented: usize,
-    /// Until when machines are up within two seconds.
-    pub(super) quick_until: u64,
+    rentals_by_request: HashMap<String, Vec<String>>,
+    rented_count: usize,
+    /// Until then, machines boot within two seconds.
+    pub(super) fast_boots_until: u64,
 }
 
-pub(super) fn types() -> Vec<MachineType> {
-    let kind = |name: &str, cpus: f64, zones: &[&str]| MachineType {
+pub(super) fn machine_types() -> Vec<MachineType> {
+    let new_machine_type = |name: &str, cpus: f64, zones: &[&str]| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
@@ -34,80 +34,83 @@
         boot_s: 4.0,
         zones: zones.iter().map(|z| (*z).to_owned()).collect(),
     };
-    vec![kind("m", 4.0, &["a", "b"]), kind("l", 8.0, &["b"])]
+    vec![new_machine_type("m", 4.0, &["a", "b"]), new_machine_type("l", 8.0, &["b"])]
 }
 
-impl All {
-    fn rent(&mut self, r: &RentRequest) -> Option<Vec<String>> {
-        if let Some(names) = self.cloud.answered.get(&r.request) {
+impl Simulation {
+    fn rent(&mut self, rent_request: &RentRequest) -> Option<Vec<String>> {
+        if let Some(names) = self.cloud.rentals_by_request.get(&rent_request.request) {
             return Some(names.clone());
         }
         let now = self.ms();
-        let like = |m: &&Machine| {
+        let is_same_kind = |m: &&Machine| {
             m.gone_at.is_none()
-                && (m.machine_type == r.machine_type)
-                && (m.zone == r.zone)
-                && m.spot == r.spot
+                && (m.machine_type == rent_request.machine_type)
+                && (m.zone == rent_request.zone)
+                && m.spot == rent_request.spot
         };
-        let there = self.machines.values().filter(like).count();
-        let count = (r.count as usize).min(CAPACITY.saturating_sub(there));
+        let existing = self.machines.values().filter(is_same_kind).count();
+        let count = (rent_request.count as usize).min(CAPACITY.saturating_sub(existing));
         if count == 0 {
             return None;
         }
         let mut names = Vec::new();
         for _ in 0..count {
-            self.cloud.rented += 1;
-            let id = format!("host-{:06}", self.cloud.rented);
-            let boot = if now < self.cloud.quick_until {
+            self.cloud.rented_count += 1;
+            let id = format!("host-{:06}", self.cloud.rented_count);
+            let boot_delay_ms = if now < self.cloud.fast_boots_until {
                 self.rng.random_range(200..2000)
             } else if self.rng.random_bool(0.02) {
-                // It never comes up.
+                // This machine never boots.
                 u64::MAX / 2
             } else {
                 self.rng.random_range(2400..6400)
             };
-            let at = self.rng.random_range(0..super::CONTROLLERS);
-            let machine = Machine::new(r, now, now + boot, at);
+            let controller = self.rng.random_range(0..super::CONTROLLERS);
+            let machine = Machine::new(rent_request, now, now + boot_delay_ms, controller);
             self.machines.insert(id.clone(), machine);
             names.push(id);
         }
-        self.trace
-            .push(format!("{now:>7} rented {} in {}, spot {}: {names:?}", r.machine_type, r.zone, r.spot));
-        self.cloud.answered.insert(r.request.clone(), names.clone());
+        self.trace.push(format!(
+            "{now:>7} rented {} in {}, spot {}: {names:?}",
+            rent_request.machine_type, rent_request.zone, rent_request.spot
+        ));
+        self.cloud.rentals_by_request.insert(rent_request.request.clone(), names.clone());
         Some(names)
     }
 
-    fn listed(&self, after: &str) -> Vec<ListedMachine> {
+    fn listed_machines(&self, after: &str) -> Vec<ListedMachine> {
         let now = self.ms();
-        let then = now.saturating_sub(LIST_LAG_MS);
-        let shown = |m: &Machine| m.rented_at <= then && m.gone_at.is_none_or(|t| t > then);
-        let machines = self.machines.iter().filter(|(id, m)| id.as_str() > after && shown(m));
+        let listed_as_of = now.saturating_sub(LIST_LAG_MS);
+        let is_listed =
+            |m: &Machine| m.rented_at <= listed_as_of && m.gone_at.is_none_or(|t| t > listed_as_of);
+        let machines = self.machines.iter().filter(|(id, m)| id.as_str() > after && is_listed(m));
         let item = |(id, m): (&String, &Machine)| ListedMachine {
             id: id.clone(),
             addr: Some(id.clone()),
             machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            status: if m.up_at <= then { MachineStatus::Running } else { MachineStatus::Booting },
-            age_s: (then - m.rented_at) as f64 / 1000.0,
+            status: if m.up_at <= listed_as_of { MachineStatus::Running } else { MachineStatus::Booting },
+            age_s: (listed_as_of - m.rented_at) as f64 / 1000.0,
         };
         machines.map(item).collect()
     }
 }
 
 impl Site {
-    pub(super) async fn cloud_serves(&self, request: Request) -> (u16, Vec<u8>) {
+    pub(super) async fn serve_cloud(&self, request: Request) -> (u16, Vec<u8>) {
         let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
         let malformed = || (400, wire::encode(&"malformed"));
         match (request.method.as_str(), path) {
-            ("GET", "/machine_types") => (200, wire::encode(&MachineTypes { types: types() })),
+            ("GET", "/machine_types") => (200, wire::encode(&MachineTypes { types: machine_types() })),
             ("GET", _) => {
                 let after = query.split('&').find_map(|p| p.strip_prefix("after=")).unwrap_or_default();
-                let machines = self.lock().listed(after);
+                let machines = self.lock().listed_machines(after);
                 (200, wire::encode(&MachineList { machines, has_more: false }))
             }
             (_, "/machines") => match wire::decode::<RentRequest>(&request.body) {
-                Ok(r) => match self.lock().rent(&r) {
+                Ok(rent_request) => match self.lock().rent(&rent_request) {
                     Some(machines) => (200, wire::encode(&MachineNames { machines })),
                     None => (503, wire::encode(&wire::ErrorBody { error: "no capacity".into() })),
                 },
@@ -115,9 +118,9 @@
             },
             _ => match wire::decode::<MachineNames>(&request.body) {
                 Ok(names) => {
-                    let mut all = self.lock();
-                    if !matches!(all.sabotage, Sabotage::Released | Sabotage::Leases) {
-                        names.machines.iter().for_each(|id| all.lose_machine(id));
+                    let mut simulation = self.lock();
+                    if !matches!(simulation.defect, Defect::ReleasesIgnored | Defect::LeasesIgnored) {
+                        names.machines.iter().for_each(|id| simulation.remove_machine(id));
                     }
                     (200, wire::encode(&serde_json::json!({})))
                 }
--- a/crates/daemon/tests/unit/fault_days/machines.rs
+++ b/crates/daemon/tests/unit/fault_days/machines.rs
@@ -1,4 +1,5 @@
-//! Workers as the protocol describes them: reports, leases, tokens, tasks and gangs.
+//! Simulated workers that follow the worker protocol: heartbeats, leases, fencing tokens,
+//! tasks and gangs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,29 +13,29 @@
     TaskStatus,
 };
 
-use super::network::Party;
-use super::{All, CONTROLLERS, Sabotage, Site};
+use super::network::Endpoint;
+use super::{CONTROLLERS, Defect, Simulation, Site};
 
-pub(super) const REPORT_MS: u64 = 2000;
+pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 2000;
 pub(super) const LEASE_MS: u64 = 12_000;
 pub(super) const CANCEL_MS: u64 = 30_000;
 pub(super) const GANG_WAIT_MS: u64 = 15_000;
 pub(super) const GANG_PEER_MS: u64 = 4000;
-const ANSWER: Duration = Duration::from_secs(4);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Clone)]
 pub(super) struct Task {
     pub(super) state: TaskState,
     cause: Option<ExitReason>,
-    saved: Option<bool>,
-    /// When its present state ends by itself.
-    until: u64,
-    /// Since when a task of a running gang has missed others.
-    alone: Option<u64>,
+    checkpointed: Option<bool>,
+    /// When the current state ends without a command.
+    ends_at: u64,
+    /// Since when a running task of a gang has been without some of its peers.
+    incomplete_since: Option<u64>,
 }
 
 impl Task {
-    pub(super) fn is_on(&self) -> bool {
+    pub(super) fn is_active(&self) -> bool {
         self.state != TaskState::Exited
     }
 
@@ -50,39 +51,39 @@
     pub(super) rented_at: u64,
     pub(super) up_at: u64,
     pub(super) gone_at: Option<u64>,
-    session: u64,
-    seq: u64,
-    token: u64,
-    /// When the last answered report was sent.
-    renewed: u64,
+    worker_incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
+    /// When the last heartbeat was sent that received a response.
+    lease_renewed_at: u64,
     pub(super) tasks: BTreeMap<(String, u64), Task>,
     pub(super) hung_until: u64,
     pub(super) notice_until: Option<u64>,
-    /// The controller that it reports to.
-    at: usize,
-    /// Something has changed since its last report.
-    changed: bool,
+    /// Index of the controller that receives its heartbeats.
+    reports_to: usize,
+    /// Whether something has changed since the last heartbeat.
+    has_unreported_change: bool,
     started: bool,
 }
 
 impl Machine {
-    pub(super) fn new(r: &RentRequest, rented_at: u64, up_at: u64, at: usize) -> Self {
+    pub(super) fn new(rent_request: &RentRequest, rented_at: u64, up_at: u64, reports_to: usize) -> Self {
         Self {
-            machine_type: r.machine_type.clone(),
-            zone: r.zone.clone(),
-            spot: r.spot,
+            machine_type: rent_request.machine_type.clone(),
+            zone: rent_request.zone.clone(),
+            spot: rent_request.spot,
             rented_at,
             up_at,
             gone_at: None,
-            session: 1,
-            seq: 0,
-            token: 0,
-            renewed: up_at,
+            worker_incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
+            lease_renewed_at: up_at,
             tasks: BTreeMap::new(),
             hung_until: 0,
             notice_until: None,
-            at,
-            changed: false,
+            reports_to,
+            has_unreported_change: false,
             started: false,
         }
     }
@@ -91,183 +92,193 @@
         self.up_at <= now && self.gone_at.is_none()
     }
 
-    /// Whether what is on it counts as there: a machine that hangs beyond its lease kills
-    /// everything before it does anything else.
-    pub(super) fn holds_at(&self, now: u64) -> bool {
-        self.is_up(now) && !(now < self.hung_until && self.lease_over(now))
+    /// Whether the tasks on the machine count as active. A machine that hangs past the end
+    /// of its lease kills all its tasks before it does anything else.
+    pub(super) fn retains_tasks_at(&self, now: u64) -> bool {
+        self.is_up(now) && !(now < self.hung_until && self.is_lease_expired(now))
     }
 
-    fn lease_over(&self, now: u64) -> bool {
-        now > self.renewed + LEASE_MS
+    fn is_lease_expired(&self, now: u64) -> bool {
+        now > self.lease_renewed_at + LEASE_MS
     }
 
-    pub(super) fn used(&self) -> f64 {
-        // All tasks here take one CPU or two, as their jobs' numbers say.
-        self.tasks.iter().filter(|(_, t)| t.is_on()).map(|((t, _), _)| super::users::cpus_of(t)).sum()
+    pub(super) fn used_cpus(&self) -> f64 {
+        // Each task uses one or two CPUs, depending on the number of its job.
+        self.tasks.iter().filter(|(_, t)| t.is_active()).map(|((t, _), _)| super::users::cpus_of(t)).sum()
     }
 
-    fn expire(&mut self, now: u64, sabotage: Sabotage) {
-        if self.lease_over(now) && sabotage != Sabotage::Leases {
+    fn expire_lease(&mut self, now: u64, defect: Defect) {
+        if self.is_lease_expired(now) && defect != Defect::LeasesIgnored {
             self.tasks.clear();
-            self.session += 1;
-            self.renewed = now;
-            self.changed = true;
+            self.worker_incarnation += 1;
+            self.lease_renewed_at = now;
+            self.has_unreported_change = true;
         }
     }
 
-    fn report(&mut self, id: &str, now: u64, sabotage: Sabotage) -> Heartbeat {
-        self.seq += 1;
-        let early = |state| match state {
-            TaskState::Fetching if sabotage == Sabotage::Early => TaskState::Running,
+    fn heartbeat(&mut self, id: &str, now: u64, defect: Defect) -> Heartbeat {
+        self.sequence += 1;
+        let reported_state = |state| match state {
+            TaskState::Fetching if defect == Defect::RunningReportedEarly => TaskState::Running,
             other => other,
         };
         let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
-            state: early(t.state),
+            state: reported_state(t.state),
             cause: t.cause,
-            checkpointed: t.saved,
+            checkpointed: t.checkpointed,
         });
         Heartbeat {
             machine: id.into(),
             addr: id.into(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
-            spot: self.spot && sabotage != Sabotage::Kind,
-            incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            spot: self.spot && defect != Defect::SpotReportedOnDemand,
+            incarnation: self.worker_incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             spot_notice_s: self.notice_until.map(|t| t.saturating_sub(now) as f64 / 1000.0),
             tasks: tasks.collect(),
         }
     }
 }
 
-impl All {
-    pub(super) fn lose_machine(&mut self, id: &str) {
+impl Simulation {
+    pub(super) fn remove_machine(&mut self, id: &str) {
         let now = self.ms();
-        if let Some(m) = self.machines.get_mut(id)
-            && m.gone_at.is_none()
+        if let Some(machine) = self.machines.get_mut(id)
+            && machine.gone_at.is_none()
         {
-            m.gone_at = Some(now);
-            let on: Vec<&String> = m.tasks.keys().map(|(t, _)| t).collect();
-            self.trace.push(format!("{now:>7} {id} is gone with {on:?}"));
-            m.tasks.clear();
+            machine.gone_at = Some(now);
+            let lost_tasks: Vec<&String> = machine.tasks.keys().map(|(t, _)| t).collect();
+            self.trace.push(format!("{now:>7} {id} is gone with {lost_tasks:?}"));
+            machine.tasks.clear();
         }
     }
 
-    /// Time passes on all machines.
-    pub(super) fn run_machines(&mut self) {
-        let (now, sabotage) = (self.ms(), self.sabotage);
-        let mut exits = Vec::new();
+    /// Advances all machines to the current time.
+    pub(super) fn advance_machines(&mut self) {
+        let (now, defect) = (self.ms(), self.defect);
+        let mut finished = Vec::new();
         let mut running = Vec::new();
-        for (id, m) in &mut self.machines {
-            if !m.is_up(now) || now < m.hung_until {
+        for (id, machine) in &mut self.machines {
+            if !machine.is_up(now) || now < machine.hung_until {
                 continue;
             }
-            m.expire(now, sabotage);
-            for ((task, attempt), t) in &mut m.tasks {
+            machine.expire_lease(now, defect);
+            for ((task, attempt), t) in &mut machine.tasks {
                 let kind = super::users::kind_of(task);
                 match t.state {
-                    TaskState::Fetching if now >= t.until => {
-                        m.changed = true;
+                    TaskState::Fetching if now >= t.ends_at => {
+                        machine.has_unreported_change = true;
                         match kind {
-                            JobKind::Gang => (t.state, t.until) = (TaskState::Waiting, now + GANG_WAIT_MS),
+                            JobKind::Gang => (t.state, t.ends_at) = (TaskState::Waiting, now + GANG_WAIT_MS),
                             _ => {
-                                (t.state, t.until) = (TaskState::Running, now + super::users::run_ms(task));
+                                (t.state, t.ends_at) = (TaskState::Running, now + super::users::run_ms(task));
                                 running.push((task.clone(), *attempt));
                             }
                         }
                     }
-                    TaskState::Waiting if now >= t.until => {
-                        m.changed = true;
+                    TaskState::Waiting if now >= t.ends_at => {
+                        machine.has_unreported_change = true;
                         t.exit(ExitReason::GangIncomplete);
                     }
-                    TaskState::Saving if now >= t.until => {
-                        m.changed = true;
+                    TaskState::Saving if now >= t.ends_at => {
+                        machine.has_unreported_change = true;
                         t.exit(ExitReason::Stopped);
-                        t.saved = Some(true);
+                        t.checkpointed = Some(true);
                     }
-                    TaskState::Running if now >= t.until && kind != JobKind::Gang => {
-                        m.changed = true;
-                        exits.push((id.clone(), task.clone()));
-                        let fails = sabotage == Sabotage::Done && task.ends_with("/1");
+                    TaskState::Running if now >= t.ends_at && kind != JobKind::Gang => {
+                        machine.has_unreported_change = true;
+                        finished.push((id.clone(), task.clone()));
+                        let fails = defect == Defect::FailureReportedDone && task.ends_with("/1");
                         t.exit(ExitReason::Done);
                         if !fails {
-                            self.done.insert(task.clone());
+                            self.done_tasks.insert(task.clone());
                         }
                     }
                     _ => {}
                 }
             }
         }
-        for (_, task) in exits {
+        for (_, task) in finished {
             self.task_done(&task);
         }
         for (task, attempt) in running {
-            self.note_running(&task, attempt);
+            self.record_running(&task, attempt);
         }
-        let (again, later) = std::mem::take(&mut self.again).into_iter().partition(|a| a.0 <= now);
-        self.again = later;
-        let again: Vec<(u64, String, String, u64)> = again;
-        for (_, id, task, attempt) in again {
-            if let Some(m) = self.machines.get_mut(&id) {
-                m.tasks.remove(&(task.clone(), attempt));
+        let (due_restarts, later_restarts) =
+            std::mem::take(&mut self.pending_restarts).into_iter().partition(|a| a.0 <= now);
+        self.pending_restarts = later_restarts;
+        let due_restarts: Vec<(u64, String, String, u64)> = due_restarts;
+        for (_, id, task, attempt) in due_restarts {
+            if let Some(machine) = self.machines.get_mut(&id) {
+                machine.tasks.remove(&(task.clone(), attempt));
             }
             self.execute(&id, &[Command::Start { task, attempt }]);
         }
-        self.run_gangs();
-        let over = |m: &Machine| m.notice_until.is_some_and(|t| now >= t);
-        let taken: Vec<String> =
-            self.machines.iter().filter(|(_, m)| over(m)).map(|(id, _)| id.clone()).collect();
-        taken.iter().for_each(|id| self.lose_machine(id));
+        self.advance_gangs();
+        let is_reclaimed = |machine: &Machine| machine.notice_until.is_some_and(|t| now >= t);
+        let reclaimed: Vec<String> = self
+            .machines
+            .iter()
+            .filter(|(_, machine)| is_reclaimed(machine))
+            .map(|(id, _)| id.clone())
+            .collect();
+        reclaimed.iter().for_each(|id| self.remove_machine(id));
     }
 
-    /// Gangs start together, end together, and notice when one of them is gone.
-    fn run_gangs(&mut self) {
+    /// Advances the gangs: their tasks start together, end together, and exit when one of
+    /// them has been missing for too long.
+    fn advance_gangs(&mut self) {
         let now = self.ms();
-        let mut there: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
-        let mut runs: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.is_up(now) && now >= m.hung_until) {
-            for ((task, attempt), t) in &m.tasks {
+        let mut present: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
+        let mut running_gangs: BTreeMap<(String, u64), BTreeSet<String>> = BTreeMap::new();
+        for machine in
+            self.machines.values().filter(|machine| machine.is_up(now) && now >= machine.hung_until)
+        {
+            for ((task, attempt), t) in &machine.tasks {
                 if super::users::kind_of(task) != JobKind::Gang {
                     continue;
                 }
                 let key = (super::job_of(task).to_owned(), *attempt);
                 if matches!(t.state, TaskState::Waiting | TaskState::Running) {
-                    there.entry(key.clone()).or_default().insert(task.clone());
+                    present.entry(key.clone()).or_default().insert(task.clone());
                 }
                 if t.state == TaskState::Running {
-                    runs.entry(key).or_default().insert(task.clone());
+                    running_gangs.entry(key).or_default().insert(task.clone());
                 }
             }
         }
         let mut done = BTreeSet::new();
-        for m in self.machines.values_mut().filter(|m| m.is_up(now) && now >= m.hung_until) {
-            for ((task, attempt), t) in &mut m.tasks {
+        for machine in
+            self.machines.values_mut().filter(|machine| machine.is_up(now) && now >= machine.hung_until)
+        {
+            for ((task, attempt), t) in &mut machine.tasks {
                 let key = (super::job_of(task).to_owned(), *attempt);
-                let all = super::users::tasks_of(&key.0) as usize;
+                let gang_size = super::users::tasks_of(&key.0) as usize;
                 if super::users::kind_of(task) != JobKind::Gang {
                     continue;
                 }
                 match t.state {
-                    TaskState::Waiting if there.get(&key).is_some_and(|s| s.len() == all) => {
-                        (t.state, t.until) = (TaskState::Running, now + super::users::run_ms(&key.0));
-                        m.changed = true;
+                    TaskState::Waiting if present.get(&key).is_some_and(|s| s.len() == gang_size) => {
+                        (t.state, t.ends_at) = (TaskState::Running, now + super::users::run_ms(&key.0));
+                        machine.has_unreported_change = true;
                     }
                     TaskState::Running => {
-                        if there.get(&key).is_some_and(|s| s.len() == all) {
-                            t.alone = None;
-                            if now >= t.until {
+                        if present.get(&key).is_some_and(|s| s.len() == gang_size) {
+                            t.incomplete_since = None;
+                            if now >= t.ends_at {
                                 t.exit(ExitReason::Done);
-                                m.changed = true;
+                                machine.has_unreported_change = true;
                                 done.insert(key.0);
                             }
-                        } else if runs.get(&key).is_some_and(|s| s.len() < all)
-                            && now >= *t.alone.get_or_insert(now) + GANG_PEER_MS
+                        } else if running_gangs.get(&key).is_some_and(|s| s.len() < gang_size)
+                            && now >= *t.incomplete_since.get_or_insert(now) + GANG_PEER_MS
                         {
                             t.exit(ExitReason::PeersGone);
-                            m.changed = true;
+                            machine.has_unreported_change = true;
                         }
                     }
                     _ => {}
@@ -276,69 +287,77 @@
         }
         for job in done {
             (0..super::users::tasks_of(&job)).for_each(|n| {
-                self.done.insert(format!("{job}/{n}"));
+                self.done_tasks.insert(format!("{job}/{n}"));
             });
             self.task_done(&format!("{job}/0"));
         }
     }
 
-    fn execute(&mut self, id: &str, orders: &[Command]) {
-        let (now, sabotage) = (self.ms(), self.sabotage);
-        if !orders.is_empty() {
-            self.trace.push(format!("{now:>7} {id} executes {orders:?}"));
+    fn execute(&mut self, id: &str, commands: &[Command]) {
+        let (now, defect) = (self.ms(), self.defect);
+        if !commands.is_empty() {
+            self.trace.push(format!("{now:>7} {id} executes {commands:?}"));
         }
-        for order in orders {
-            let Some(m) = self.machines.get_mut(id) else { return };
-            match order {
+        for command in commands {
+            let Some(machine) = self.machines.get_mut(id) else { return };
+            match command {
                 Command::Start { task, attempt } => {
-                    if m.tasks.contains_key(&(task.clone(), *attempt)) {
+                    if machine.tasks.contains_key(&(task.clone(), *attempt)) {
                         continue;
                     }
-                    let refused = if m.tasks.iter().any(|((t, _), s)| t == task && s.is_on()) {
+                    let refusal = if machine.tasks.iter().any(|((t, _), s)| t == task && s.is_active()) {
                         Some(ExitReason::TaskInUse)
-                    } else if m.used() + super::users::cpus_of(task) > super::cpus(&m.machine_type) + 1e-6 {
+                    } else if machine.used_cpus() + super::users::cpus_of(task)
+                        > super::cpus(&machine.machine_type) + 1e-6
+                    {
                         Some(ExitReason::NoCapacity)
-                    } else if sabotage == Sabotage::Starts {
+                    } else if defect == Defect::StartsIgnored {
                         continue;
                     } else {
                         None
                     };
-                    // Images take long where workers deny it.
-                    let long = if sabotage == Sabotage::Early { 8000 } else { 0 };
-                    let fetch = 200 + long + self.rng.random_range(0..1200);
-                    let state = if refused.is_some() { TaskState::Exited } else { TaskState::Fetching };
-                    let t = Task { state, cause: refused, saved: None, until: now + fetch, alone: None };
-                    m.tasks.insert((task.clone(), *attempt), t);
-                    m.changed = true;
-                    if refused.is_none() {
+                    // Long fetches make an early report of "running" matter.
+                    let extra_fetch_ms = if defect == Defect::RunningReportedEarly { 8000 } else { 0 };
+                    let fetch_ms = 200 + extra_fetch_ms + self.rng.random_range(0..1200);
+                    let state = if refusal.is_some() { TaskState::Exited } else { TaskState::Fetching };
+                    let t = Task {
+                        state,
+                        cause: refusal,
+                        checkpointed: None,
+                        ends_at: now + fetch_ms,
+                        incomplete_since: None,
+                    };
+                    machine.tasks.insert((task.clone(), *attempt), t);
+                    machine.has_unreported_change = true;
+                    if refusal.is_none() {
                         self.check_start(id, task);
                     }
                 }
                 Command::Stop { task, attempt, grace_s } => {
                     let key = (task.clone(), *attempt);
-                    let Some(t) = m.tasks.get_mut(&key).filter(|t| t.is_on()) else { continue };
-                    if sabotage == Sabotage::Again {
-                        self.again.push((now + 5000, id.to_owned(), task.clone(), *attempt));
+                    let Some(t) = machine.tasks.get_mut(&key).filter(|t| t.is_active()) else { continue };
+                    if defect == Defect::StoppedTaskRestarted {
+                        self.pending_restarts.push((now + 5000, id.to_owned(), task.clone(), *attempt));
                     }
-                    if sabotage == Sabotage::Stops {
+                    if defect == Defect::StopsIgnored {
                         continue;
                     }
                     let ran = t.state == TaskState::Running;
-                    m.changed = true;
+                    machine.has_unreported_change = true;
                     let saves = t.state == TaskState::Running && super::users::saves(task) && *grace_s >= 2.0;
                     match t.state {
                         TaskState::Saving if *grace_s > 0.0 => {}
-                        _ if saves => (t.state, t.until) = (TaskState::Saving, now + 2000),
+                        _ if saves => (t.state, t.ends_at) = (TaskState::Saving, now + 2000),
                         _ => t.exit(ExitReason::Stopped),
                     }
                     if ran {
-                        self.note_stop(id, task, *attempt);
+                        self.record_stop(id, task, *attempt);
                     }
                 }
                 Command::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
-                    if m.tasks.get(&key).is_some_and(|t| !t.is_on()) {
-                        m.tasks.remove(&key);
+                    if machine.tasks.get(&key).is_some_and(|t| !t.is_active()) {
+                        machine.tasks.remove(&key);
                     }
                 }
             }
@@ -348,135 +367,150 @@
 }
 
 impl Site {
-    /// Starts what is up by now.
-    pub(super) fn boot(&self) {
-        let mut all = self.lock();
+    /// Starts the heartbeats of machines that have finished booting.
+    pub(super) fn start_booted_machines(&self) {
+        let mut simulation = self.lock();
         let now = self.ms();
-        for (id, m) in &mut all.machines {
-            if m.is_up(now) && !m.started {
-                m.started = true;
-                tokio::spawn(report_for_good(self.clone(), id.clone()));
+        for (id, machine) in &mut simulation.machines {
+            if machine.is_up(now) && !machine.started {
+                machine.started = true;
+                tokio::spawn(send_heartbeats(self.clone(), id.clone()));
             }
         }
     }
 
-    /// Waits while a machine hangs; false if it is gone.
-    async fn awake(&self, id: &str) -> bool {
+    /// Waits until a machine no longer hangs; returns false if it is gone.
+    async fn wait_while_hung(&self, id: &str) -> bool {
         loop {
             let until = {
-                let mut all = self.lock();
-                let (now, sabotage) = (self.ms(), all.sabotage);
-                let Some(m) = all.machines.get_mut(id).filter(|m| m.gone_at.is_none()) else { return false };
-                if now >= m.hung_until {
-                    m.expire(now, sabotage);
+                let mut simulation = self.lock();
+                let (now, defect) = (self.ms(), simulation.defect);
+                let Some(machine) =
+                    simulation.machines.get_mut(id).filter(|machine| machine.gone_at.is_none())
+                else {
+                    return false;
+                };
+                if now >= machine.hung_until {
+                    machine.expire_lease(now, defect);
                     return true;
                 }
-                m.hung_until
+                machine.hung_until
             };
             sleep(Duration::from_millis(until.saturating_sub(self.ms()) + 1)).await;
         }
     }
 
-    pub(super) async fn worker_serves(&self, id: &str, request: Request) -> Option<(u16, Vec<u8>)> {
-        if !self.awake(id).await {
-            // Gone machines answer nothing at all.
+    pub(super) async fn serve_worker(&self, id: &str, request: Request) -> Option<(u16, Vec<u8>)> {
+        if !self.wait_while_hung(id).await {
+            // A machine that is gone never answers.
             std::future::pending::<()>().await;
         }
-        let mut all = self.lock();
-        let (now, sabotage) = (self.ms(), all.sabotage);
+        let mut simulation = self.lock();
+        let (now, defect) = (self.ms(), simulation.defect);
         if request.path == "/status" {
-            let m = all.machines.get_mut(id)?;
-            return Some((200, wire::encode(&m.report(id, now, sabotage))));
+            let machine = simulation.machines.get_mut(id)?;
+            return Some((200, wire::encode(&machine.heartbeat(id, now, defect))));
         }
         let Ok(commands) = wire::decode::<Commands>(&request.body) else { return Some((400, Vec::new())) };
-        let m = all.machines.get_mut(id)?;
-        if commands.fencing_token < m.token || commands.incarnation != m.session {
-            return Some((409, wire::encode(&m.report(id, now, sabotage))));
+        let machine = simulation.machines.get_mut(id)?;
+        if commands.fencing_token < machine.fencing_token
+            || commands.incarnation != machine.worker_incarnation
+        {
+            return Some((409, wire::encode(&machine.heartbeat(id, now, defect))));
         }
-        if commands.fencing_token > m.token {
-            m.changed = true;
+        if commands.fencing_token > machine.fencing_token {
+            machine.has_unreported_change = true;
         }
-        m.token = m.token.max(commands.fencing_token);
-        all.execute(id, &commands.commands);
-        let report = all.machines.get_mut(id)?.report(id, now, sabotage);
-        Some((200, wire::encode(&report)))
+        machine.fencing_token = machine.fencing_token.max(commands.fencing_token);
+        simulation.execute(id, &commands.commands);
+        let heartbeat = simulation.machines.get_mut(id)?.heartbeat(id, now, defect);
+        Some((200, wire::encode(&heartbeat)))
     }
 }
 
-/// One report in flight at a time, for as long as the machine is there.
-async fn report_for_good(site: Site, id: String) {
-    let mut next = 0;
-    let mut last = 0;
+/// Sends heartbeats, one in flight at a time, until the machine is gone.
+async fn send_heartbeats(site: Site, id: String) {
+    let mut next_at = 0;
+    let mut last_sent_at = 0;
     loop {
         sleep(Duration::from_millis(100)).await;
-        if !site.awake(&id).await {
+        if !site.wait_while_hung(&id).await {
             return;
         }
-        let (report, at, session) = {
-            let mut all = site.lock();
-            let (now, sabotage) = (site.ms(), all.sabotage);
-            let wait = all.rng.random_range(REPORT_MS * 3 / 4..REPORT_MS * 5 / 4);
-            let Some(m) = all.machines.get_mut(&id) else { return };
-            if now < next && !(m.changed && now >= last + 500) {
+        let (heartbeat, reports_to, worker_incarnation) = {
+            let mut simulation = site.lock();
+            let (now, defect) = (site.ms(), simulation.defect);
+            let interval =
+                simulation.rng.random_range(HEARTBEAT_INTERVAL_MS * 3 / 4..HEARTBEAT_INTERVAL_MS * 5 / 4);
+            let Some(machine) = simulation.machines.get_mut(&id) else { return };
+            if now < next_at && !(machine.has_unreported_change && now >= last_sent_at + 500) {
                 continue;
             }
-            (m.changed, last, next) = (false, now, now + wait);
-            let report = m.report(&id, now, sabotage);
-            let found = (report, m.at, m.session);
-            all.copy_report(&found.0, found.1);
-            found
+            (machine.has_unreported_change, last_sent_at, next_at) = (false, now, now + interval);
+            let heartbeat = machine.heartbeat(&id, now, defect);
+            let prepared = (heartbeat, machine.reports_to, machine.worker_incarnation);
+            simulation.duplicate_heartbeat(&prepared.0, prepared.1);
+            prepared
         };
-        let sent = site.ms();
+        let sent_at = site.ms();
         let request = Request {
             method: "POST".into(),
             path: "/hello".into(),
-            body: Bytes::from(wire::encode(&report)),
+            body: Bytes::from(wire::encode(&heartbeat)),
         };
-        let from = Party::Machine(id.clone());
+        let from = Endpoint::Machine(id.clone());
         let answer =
-            timeout(ANSWER, site.exchange(from, Party::Controller(at), request)).await.ok().flatten();
-        if !site.awake(&id).await {
+            timeout(RESPONSE_TIMEOUT, site.exchange(from, Endpoint::Controller(reports_to), request))
+                .await
+                .ok()
+                .flatten();
+        if !site.wait_while_hung(&id).await {
             return;
         }
-        let answer = answer.filter(|_| site.ms() <= sent + 4000);
+        let answer = answer.filter(|_| site.ms() <= sent_at + 4000);
         let pause = {
-            let mut all = site.lock();
-            let pause = all.rng.random_range(0..500);
-            let Some(m) = all.machines.get_mut(&id) else { return };
+            let mut simulation = site.lock();
+            let pause = simulation.rng.random_range(0..500);
+            let Some(machine) = simulation.machines.get_mut(&id) else { return };
             match answer {
                 Some(a) if a.status == 200 => {
                     let answer = wire::decode::<HeartbeatResponse>(&a.body).ok();
-                    if let Some(a) = answer.filter(|a| m.session == session && a.fencing_token >= m.token) {
-                        if a.fencing_token > m.token {
-                            m.changed = true;
+                    if let Some(a) = answer.filter(|a| {
+                        machine.worker_incarnation == worker_incarnation
+                            && a.fencing_token >= machine.fencing_token
+                    }) {
+                        if a.fencing_token > machine.fencing_token {
+                            machine.has_unreported_change = true;
                         }
-                        m.token = a.fencing_token;
-                        m.renewed = m.renewed.max(sent);
-                        all.execute(&id, &a.commands);
+                        machine.fencing_token = a.fencing_token;
+                        machine.lease_renewed_at = machine.lease_renewed_at.max(sent_at);
+                        simulation.execute(&id, &a.commands);
                     }
                     continue;
                 }
                 Some(a) if a.status == 421 => {
-                    let to = wire::decode::<Redirect>(&a.body).ok().and_then(|r| r.report_to);
+                    let to = wire::decode::<Redirect>(&a.body)
+                        .ok()
+                        .and_then(|rent_request| rent_request.report_to);
                     let to = to.and_then(|name| name.strip_prefix("n-")?.parse::<usize>().ok());
-                    match to.filter(|n| *n != m.at && *n < CONTROLLERS) {
+                    match to.filter(|n| *n != machine.reports_to && *n < CONTROLLERS) {
                         Some(n) => {
-                            m.at = n;
+                            machine.reports_to = n;
                             pause
                         }
                         None => {
-                            m.at = (m.at + 1) % CONTROLLERS;
+                            machine.reports_to = (machine.reports_to + 1) % CONTROLLERS;
                             1000
                         }
                     }
                 }
                 _ => {
-                    m.at = (m.at + 1) % CONTROLLERS;
+                    machine.reports_to = (machine.reports_to + 1) % CONTROLLERS;
                     1000
                 }
             }
         };
         sleep(Duration::from_millis(pause)).await;
-        next = 0;
+        next_at = 0;
     }
 }
--- a/crates/daemon/tests/unit/fault_days/mod.rs
+++ b/crates/daemon/tests/unit/fault_days/mod.rs
@@ -1,22 +1,22 @@
-//! Days on which troubles meet. Whole controllers run here, with all their duties, over a
-//! network, a state service, a cloud, workers and users that are played in memory, and
-//! on a clock that does not wait: a day of minutes takes about a second. What the users
-//! are told and what is on the machines is held against the rules.
+//! Simulation tests with overlapping faults. Complete controllers run against a network,
+//! key-value store, cloud, workers and users simulated in memory. Time is paused and
+//! advances automatically, so a scenario of several minutes takes about a second. The
+//! answers that users receive and the tasks on the machines are checked against the rules.
 //!
-//! A day that breaks a rule is played again without one trouble after the other, until
-//! none can be left out. `SAGELOOM_SIM_SEEDS=FROM..TO` plays other days than CI does,
-//! `SAGELOOM_SIM_TRACE=1` prints what happened on those that broke a rule instead of
-//! shortening them, and `SAGELOOM_SIM_LOG=1` the controllers' own log.
+//! A scenario that violates a rule is shrunk: faults are removed one by one while the
+//! violation still occurs. `SAGELOOM_SIM_SEEDS=FROM..TO` selects other seeds than those
+//! that CI runs, `SAGELOOM_SIM_TRACE=1` prints the trace of each failed scenario instead of
+//! shrinking it, and `SAGELOOM_SIM_LOG=1` prints the log of the controllers.
 
 mod checker;
 mod cloud;
 mod controllers;
 mod drains;
+mod faults;
+mod key_value_store;
 mod machines;
 mod network;
-mod state;
 mod tests;
-mod troubles;
 mod users;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -31,135 +31,144 @@
 use wire::Heartbeat;
 
 use controllers::Process;
+use faults::ScheduledFault;
 use machines::{LEASE_MS, Machine};
-use network::{Cut, Held, Party};
-use troubles::Event;
+use network::{Endpoint, MessageDelay, Partition};
 use users::Job;
 
 const CONTROLLERS: usize = 3;
-/// What the teams may use.
-const LIMIT: f64 = 16.0;
-const LIMIT_U: f64 = 8.0;
+/// CPU limits of the teams "t" and "u".
+const TEAM_T_MAX_CPUS: f64 = 16.0;
+const TEAM_U_MAX_CPUS: f64 = 8.0;
 const TICK_MS: u64 = 100;
-/// How long a day goes on after its last trouble: longer than any job may wait.
-const CALM_MS: u64 = 110_000;
-/// How long jobs come before that where there is no trouble at all.
-const WARM_MS: u64 = 30_000;
+/// Duration of a scenario after its last fault: longer than any job may wait.
+const RECOVERY_MS: u64 = 110_000;
+/// Duration of submissions before the recovery period in a scenario without faults.
+const FAULT_FREE_MS: u64 = 30_000;
 
-/// What is broken on purpose, to see that the checker finds it.
+/// Defects injected to verify that the checker finds them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Sabotage {
+enum Defect {
     None,
-    /// The cloud confirms releases and leaves the machines as they are.
-    Released,
-    /// So does it, and workers keep their tasks when their leases end.
-    Leases,
-    /// The controllers are told a higher limit.
-    Limit,
-    /// Workers call failed tasks done.
-    Done,
-    /// Workers do not stop.
-    Stops,
-    /// Workers start nothing.
-    Starts,
-    /// Workers start what was stopped once more.
-    Again,
-    /// Spot machines call themselves ordinary.
-    Kind,
-    /// Users' jobs lose on the way what they need.
-    Needs,
-    /// A record is deleted, one is set back, one is made up.
-    Forget,
-    Flip,
-    Invent,
-    /// Some questions about a job are answered with 404.
-    Unknown,
-    /// No user hears an answer once troubles are over.
-    Mute,
-    /// Workers call tasks running that still fetch their images.
-    Early,
-    /// What is refused is called accepted, and what is open cancelled.
-    Odd,
-    Called,
+    /// The cloud confirms releases but keeps the machines running.
+    ReleasesIgnored,
+    /// As `ReleasesIgnored`; also, workers keep their tasks when their leases expire.
+    LeasesIgnored,
+    /// The controllers' settings have a higher team limit than the checker.
+    RaisedTeamLimit,
+    /// Workers report failed tasks as done.
+    FailureReportedDone,
+    /// Workers ignore stop commands.
+    StopsIgnored,
+    /// Workers ignore start commands.
+    StartsIgnored,
+    /// Workers start tasks again that were stopped.
+    StoppedTaskRestarted,
+    /// Spot machines report that they are not spot machines.
+    SpotReportedOnDemand,
+    /// Submitted jobs lose their dependencies on the way.
+    DependenciesDropped,
+    /// A job record is deleted.
+    RecordDeleted,
+    /// A job record is reset to its first value.
+    RecordReverted,
+    /// A record appears of a job that nobody submitted.
+    RecordFabricated,
+    /// Some status queries are answered with 404.
+    FalseNotFound,
+    /// Users receive no answers in the recovery period.
+    AnswersDropped,
+    /// Workers report tasks as running that are still fetching their images.
+    RunningReportedEarly,
+    /// Rejected submissions are reported as accepted.
+    RejectionReportedAccepted,
+    /// Jobs are sometimes reported as cancelled whatever their state.
+    OpenReportedCancelled,
 }
 
-/// A day: its troubles, and the seed of everything else.
+/// A scenario: its faults, and the seed of all other random choices.
 #[derive(Debug, Clone)]
-struct Day {
+struct Scenario {
     seed: u64,
-    events: Vec<Event>,
-    sabotage: Sabotage,
-    /// How long it goes on after its last trouble.
-    calm_ms: u64,
-    /// Operators drain machines.
+    faults: Vec<ScheduledFault>,
+    defect: Defect,
+    /// Duration of the recovery period after the last fault.
+    recovery_ms: u64,
+    /// Whether drains are enabled in the operators' settings.
     drains: bool,
 }
 
-/// What came of a day.
+/// The result of a scenario.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// The rules that were broken, and how first.
-    broken: BTreeMap<&'static str, String>,
+    /// The violated rules with the details of the first violation of each.
+    violations: BTreeMap<&'static str, String>,
     started: u64,
     done: usize,
     cancelled: usize,
-    /// Starts of cancelled jobs soon after the confirmation, while there were troubles.
+    /// Tasks of cancelled jobs that started shortly after the cancellation was confirmed.
     late_starts: u64,
-    /// Replicas that ran and were stopped although nobody had asked for it.
-    stopped_by_choice: usize,
+    /// Running replicas that were stopped although their users had not cancelled them.
+    voluntary_stops: usize,
     trace: Vec<String>,
 }
 
-/// A share of the reports arrives once more.
+/// Delivers a share of the heartbeats a second time.
 #[derive(Debug, Clone, Copy, Default)]
-struct Copies {
+struct HeartbeatDuplication {
     share: f64,
     until: u64,
-    for_next: bool,
+    for_next_leader: bool,
 }
 
-struct All {
+struct Simulation {
     start: Instant,
     rng: StdRng,
-    sabotage: Sabotage,
+    defect: Defect,
     drains: bool,
-    down_by_choice: drains::DownByChoice,
-    state: state::State,
+    voluntary_disruptions: drains::VoluntaryDisruptions,
+    store: key_value_store::KeyValueStore,
     cloud: cloud::Cloud,
     controllers: Vec<Process>,
     incarnations: u64,
     machines: BTreeMap<String, Machine>,
     jobs: BTreeMap<String, Job>,
-    submitted: u64,
-    odd: u64,
-    /// Tasks that are done in truth, and jobs that have ended just now.
-    done: BTreeSet<String>,
-    ended: Vec<String>,
-    cuts: Vec<(Cut, u64)>,
-    held_commands: Held,
-    held_peers: Held,
-    copies: Copies,
-    kept_copies: Vec<Heartbeat>,
-    copies_due: Vec<(u64, usize, Heartbeat)>,
-    new_map: bool,
-    /// What is started once more, by sabotage: when, the machine, the task, the attempt.
-    again: Vec<(u64, String, String, u64)>,
-    cancel_at_end: (f64, u64),
-    close_looks_until: u64,
-    calm_at: u64,
-    troubled_until: u64,
-    polls: VecDeque<(u64, bool)>,
-    broken: BTreeMap<&'static str, String>,
+    submitted_jobs: u64,
+    invalid_requests: u64,
+    /// Tasks that completed on a machine, whatever was reported.
+    done_tasks: BTreeSet<String>,
+    /// Jobs that completed since the last tick.
+    ended_jobs: Vec<String>,
+    /// Network partitions and when each ends.
+    partitions: Vec<(Partition, u64)>,
+    command_delay: MessageDelay,
+    peer_message_delay: MessageDelay,
+    duplication: HeartbeatDuplication,
+    duplicates_for_next_leader: Vec<Heartbeat>,
+    /// Heartbeats to deliver again: time, controller, heartbeat.
+    pending_duplicates: Vec<(u64, usize, Heartbeat)>,
+    cluster_map_changed: bool,
+    /// Stopped tasks that `StoppedTaskRestarted` will restart: time, machine, task, attempt.
+    pending_restarts: Vec<(u64, String, String, u64)>,
+    /// The share of completing jobs that are cancelled, and until when.
+    cancel_on_completion: (f64, u64),
+    concurrent_queries_until: u64,
+    /// When the recovery period begins: 10 s after the end of the last fault.
+    settled_at: u64,
+    faults_until: u64,
+    /// Times of recent status queries, and whether each was answered.
+    recent_queries: VecDeque<(u64, bool)>,
+    violations: BTreeMap<&'static str, String>,
     started: u64,
     late_starts: u64,
     trace: Vec<String>,
 }
 
-/// All that there is on a day.
+/// A shared handle to the simulation.
 #[derive(Clone)]
 struct Site {
     start: Instant,
-    all: Arc<Mutex<All>>,
+    simulation: Arc<Mutex<Simulation>>,
 }
 
 fn job_of(task: &str) -> &str {
@@ -167,196 +176,203 @@
 }
 
 fn cpus(machine_type: &str) -> f64 {
-    cloud::types().iter().find(|t| t.name == machine_type).map_or(0.0, |t| t.cpus)
+    cloud::machine_types().iter().find(|t| t.name == machine_type).map_or(0.0, |t| t.cpus)
 }
 
-impl All {
+impl Simulation {
     fn ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    fn is_calm(&self) -> bool {
-        self.ms() > self.calm_at
+    fn is_settled(&self) -> bool {
+        self.ms() > self.settled_at
     }
 
-    /// A copy of a report that was sent to a controller, perhaps.
-    fn copy_report(&mut self, report: &Heartbeat, to: usize) {
+    /// Schedules, with the set probability, a second delivery of a sent heartbeat.
+    fn duplicate_heartbeat(&mut self, heartbeat: &Heartbeat, to: usize) {
         let now = self.ms();
-        let Copies { share, until, for_next } = self.copies;
+        let HeartbeatDuplication { share, until, for_next_leader } = self.duplication;
         if now >= until || !self.rng.random_bool(share) {
             return;
         }
-        if for_next {
-            self.kept_copies.push(report.clone());
+        if for_next_leader {
+            self.duplicates_for_next_leader.push(heartbeat.clone());
         } else {
             let to = if self.rng.random_bool(0.7) { to } else { self.rng.random_range(0..CONTROLLERS) };
-            let late = self.rng.random_range(2000..LEASE_MS * 5 / 2);
-            self.copies_due.push((now + late, to, report.clone()));
+            let delay_ms = self.rng.random_range(2000..LEASE_MS * 5 / 2);
+            self.pending_duplicates.push((now + delay_ms, to, heartbeat.clone()));
         }
     }
 
-    /// Copies that are due by now; those kept for the next leader when it begins.
-    fn due_copies(&mut self) -> Vec<(usize, Heartbeat)> {
+    /// Takes the duplicates that are due. Duplicates kept for the next leader become due
+    /// shortly after the cluster map changes.
+    fn take_due_duplicates(&mut self) -> Vec<(usize, Heartbeat)> {
         let now = self.ms();
-        if std::mem::take(&mut self.new_map) {
-            for report in std::mem::take(&mut self.kept_copies) {
+        if std::mem::take(&mut self.cluster_map_changed) {
+            for heartbeat in std::mem::take(&mut self.duplicates_for_next_leader) {
                 for n in 0..CONTROLLERS {
                     let at = now + self.rng.random_range(0..400);
-                    self.copies_due.push((at, n, report.clone()));
+                    self.pending_duplicates.push((at, n, heartbeat.clone()));
                 }
             }
         }
-        let (due, rest) = std::mem::take(&mut self.copies_due).into_iter().partition(|(at, ..)| *at <= now);
-        self.copies_due = rest;
-        due.into_iter().map(|(_, n, report)| (n, report)).collect()
+        let (due, rest) =
+            std::mem::take(&mut self.pending_duplicates).into_iter().partition(|(at, ..)| *at <= now);
+        self.pending_duplicates = rest;
+        due.into_iter().map(|(_, n, heartbeat)| (n, heartbeat)).collect()
     }
 }
 
 impl Site {
-    fn new(day: &Day) -> Self {
+    fn new(scenario: &Scenario) -> Self {
         let start = Instant::now();
-        let last = day.events.iter().map(|e| e.at + e.trouble.lasts()).max().unwrap_or(WARM_MS);
-        let all = All {
+        let last_fault_end = scenario
+            .faults
+            .iter()
+            .map(|e| e.starts_at + e.fault.duration_ms())
+            .max()
+            .unwrap_or(FAULT_FREE_MS);
+        let simulation = Simulation {
             start,
-            rng: StdRng::seed_from_u64(day.seed),
-            sabotage: day.sabotage,
-            drains: day.drains,
-            down_by_choice: drains::DownByChoice::default(),
-            state: state::State::default(),
+            rng: StdRng::seed_from_u64(scenario.seed),
+            defect: scenario.defect,
+            drains: scenario.drains,
+            voluntary_disruptions: drains::VoluntaryDisruptions::default(),
+            store: key_value_store::KeyValueStore::default(),
             cloud: cloud::Cloud::default(),
             controllers: (0..CONTROLLERS).map(|_| Process::default()).collect(),
             incarnations: 0,
             machines: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            submitted: 0,
-            odd: 0,
-            done: BTreeSet::new(),
-            ended: Vec::new(),
-            cuts: Vec::new(),
-            held_commands: Held::default(),
-            held_peers: Held::default(),
-            copies: Copies::default(),
-            kept_copies: Vec::new(),
-            copies_due: Vec::new(),
-            new_map: false,
-            again: Vec::new(),
-            cancel_at_end: (0.0, 0),
-            close_looks_until: 0,
-            calm_at: last + 10_000,
-            troubled_until: 0,
-            polls: VecDeque::new(),
-            broken: BTreeMap::new(),
+            submitted_jobs: 0,
+            invalid_requests: 0,
+            done_tasks: BTreeSet::new(),
+            ended_jobs: Vec::new(),
+            partitions: Vec::new(),
+            command_delay: MessageDelay::default(),
+            peer_message_delay: MessageDelay::default(),
+            duplication: HeartbeatDuplication::default(),
+            duplicates_for_next_leader: Vec::new(),
+            pending_duplicates: Vec::new(),
+            cluster_map_changed: false,
+            pending_restarts: Vec::new(),
+            cancel_on_completion: (0.0, 0),
+            concurrent_queries_until: 0,
+            settled_at: last_fault_end + 10_000,
+            faults_until: 0,
+            recent_queries: VecDeque::new(),
+            violations: BTreeMap::new(),
             started: 0,
             late_starts: 0,
             trace: Vec::new(),
         };
-        Self { start, all: Arc::new(Mutex::new(all)) }
+        Self { start, simulation: Arc::new(Mutex::new(simulation)) }
     }
 
-    fn lock(&self) -> MutexGuard<'_, All> {
-        self.all.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Simulation> {
+        self.simulation.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Leaves a line in the trace.
-    fn note(&self, line: impl FnOnce() -> String) {
+    /// Appends a line to the trace.
+    fn add_trace(&self, line: impl FnOnce() -> String) {
         let line = format!("{:>7} {}", self.ms(), line());
         self.lock().trace.push(line);
     }
 
-    async fn play(&self, day: &Day) {
+    async fn run_scenario(&self, scenario: &Scenario) {
         for n in 0..CONTROLLERS {
             self.start_controller(n);
         }
-        let mut due: VecDeque<Event> = day.events.iter().copied().collect();
-        let calm_at = self.lock().calm_at;
+        let mut due: VecDeque<ScheduledFault> = scenario.faults.iter().copied().collect();
+        let settled_at = self.lock().settled_at;
         let mut next_job = 3000;
-        let mut spoiled = false;
+        let mut corrupted = false;
         let mut ticks = 0u64;
-        while self.ms() < calm_at + day.calm_ms {
+        while self.ms() < settled_at + scenario.recovery_ms {
             sleep(Duration::from_millis(TICK_MS)).await;
             ticks += 1;
             let now = self.ms();
-            while due.front().is_some_and(|e| e.at <= now)
+            while due.front().is_some_and(|e| e.starts_at <= now)
                 && let Some(e) = due.pop_front()
             {
-                self.begin(e.trouble);
+                self.inject(e.fault);
             }
             {
-                let mut all = self.lock();
-                all.state.tick(now);
-                all.run_machines();
+                let mut simulation = self.lock();
+                simulation.store.expire_leases(now);
+                simulation.advance_machines();
                 if ticks.is_multiple_of(5) {
-                    all.check_cancelled();
+                    simulation.check_cancelled();
                 }
-                if now > calm_at && ticks.is_multiple_of(10) {
-                    all.check_calm();
+                if now > settled_at && ticks.is_multiple_of(10) {
+                    simulation.check_after_faults();
                 }
-                if now > calm_at && !spoiled {
-                    spoiled = true;
-                    if let Some(id) = all.spoil_records() {
+                if now > settled_at && !corrupted {
+                    corrupted = true;
+                    if let Some(id) = simulation.corrupt_records() {
                         let site = self.clone();
                         tokio::spawn(async move {
                             sleep(Duration::from_secs(3)).await;
-                            site.look(0, &id).await;
+                            site.query_status(0, &id).await;
                         });
                     }
                 }
             }
-            self.boot();
-            let ended = std::mem::take(&mut self.lock().ended);
-            ended.into_iter().for_each(|id| self.job_ends(id));
-            let copies = self.lock().due_copies();
-            for (n, report) in copies {
-                let body = Bytes::from(wire::encode(&report));
+            self.start_booted_machines();
+            let ended = std::mem::take(&mut self.lock().ended_jobs);
+            ended.into_iter().for_each(|id| self.job_ended(id));
+            let duplicates = self.lock().take_due_duplicates();
+            for (n, heartbeat) in duplicates {
+                let body = Bytes::from(wire::encode(&heartbeat));
                 let request = Request { method: "POST".into(), path: "/hello".into(), body };
-                let (site, from) = (self.clone(), Party::Machine(report.machine));
-                // Nobody reads the answer.
-                tokio::spawn(async move { site.exchange(from, Party::Controller(n), request).await });
+                let (site, from) = (self.clone(), Endpoint::Machine(heartbeat.machine));
+                // The response to a duplicate is discarded.
+                tokio::spawn(async move { site.exchange(from, Endpoint::Controller(n), request).await });
             }
-            if now >= next_job && now < calm_at + 10_000 {
+            if now >= next_job && now < settled_at + 10_000 {
                 let (id, pause) = {
-                    let mut all = self.lock();
-                    (all.next_job(), all.rng.random_range(500..2500))
+                    let mut simulation = self.lock();
+                    (simulation.next_job(), simulation.rng.random_range(500..2500))
                 };
                 next_job = now + pause;
                 let site = self.clone();
-                tokio::spawn(async move { site.user(id, false).await });
+                tokio::spawn(async move { site.run_user(id, false).await });
             }
             if ticks.is_multiple_of(50) {
                 let (n, id) = {
-                    let mut all = self.lock();
-                    let jobs = all.jobs.len().max(1);
-                    let i = all.rng.random_range(0..jobs);
-                    (all.rng.random_range(0..CONTROLLERS), all.jobs.keys().nth(i).cloned())
+                    let mut simulation = self.lock();
+                    let jobs = simulation.jobs.len().max(1);
+                    let i = simulation.rng.random_range(0..jobs);
+                    (simulation.rng.random_range(0..CONTROLLERS), simulation.jobs.keys().nth(i).cloned())
                 };
                 let site = self.clone();
                 tokio::spawn(async move {
-                    site.look(n, users::NOBODYS).await;
-                    // Users ask again at any later time.
+                    site.query_status(n, users::UNKNOWN_JOB).await;
+                    // Users may query a job at any later time.
                     if let Some(id) = id {
-                        site.look(n, &id).await;
+                        site.query_status(n, &id).await;
                     }
                 });
             }
         }
-        let mut all = self.lock();
-        if day.drains && day.calm_ms > 0 {
-            all.check_drains_over();
+        let mut simulation = self.lock();
+        if scenario.drains && scenario.recovery_ms > 0 {
+            simulation.check_drains_closed();
         }
-        if all.started == 0 {
-            all.breach("nothing_ran", String::new());
+        if simulation.started == 0 {
+            simulation.record_violation("nothing_ran", String::new());
         }
     }
 }
 
-/// The controllers' log, with the time of the day that is played.
+/// Prints the log of the controllers with the simulated time.
 fn show_log() {
-    struct DayTime(Mutex<Option<Instant>>);
-    impl tracing_subscriber::fmt::time::FormatTime for DayTime {
+    struct SimulatedTime(Mutex<Option<Instant>>);
+    impl tracing_subscriber::fmt::time::FormatTime for SimulatedTime {
         fn format_time(&self, w: &mut tracing_subscriber::fmt::format::Writer<'_>) -> std::fmt::Result {
             let now = Instant::now();
             let mut start = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -364,43 +380,47 @@
         }
     }
     let log = tracing_subscriber::fmt().with_max_level(tracing::Level::DEBUG).with_ansi(false);
-    let _ =
-        log.with_timer(DayTime(Mutex::new(None))).with_target(false).with_writer(std::io::stderr).try_init();
+    let _ = log
+        .with_timer(SimulatedTime(Mutex::new(None)))
+        .with_target(false)
+        .with_writer(std::io::stderr)
+        .try_init();
 }
 
-/// Plays one day.
-fn play(day: &Day) -> Outcome {
+/// Runs one scenario.
+fn run_scenario(scenario: &Scenario) -> Outcome {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.expect("a runtime");
     runtime.block_on(async {
-        let site = Site::new(day);
-        site.play(day).await;
+        let site = Site::new(scenario);
+        site.run_scenario(scenario).await;
         for n in 0..CONTROLLERS {
             site.kill_controller(n);
         }
-        let mut all = site.lock();
+        let mut simulation = site.lock();
         Outcome {
-            broken: std::mem::take(&mut all.broken),
-            started: all.started,
-            done: all.jobs.values().filter(|j| j.done.is_some()).count(),
-            cancelled: all.jobs.values().filter(|j| j.cancelled.is_some()).count(),
-            late_starts: all.late_starts,
-            stopped_by_choice: all.down_by_choice.stops,
-            trace: std::mem::take(&mut all.trace),
+            violations: std::mem::take(&mut simulation.violations),
+            started: simulation.started,
+            done: simulation.jobs.values().filter(|j| j.done_at.is_some()).count(),
+            cancelled: simulation.jobs.values().filter(|j| j.cancelled_at.is_some()).count(),
+            late_starts: simulation.late_starts,
+            voluntary_stops: simulation.voluntary_disruptions.stops,
+            trace: std::mem::take(&mut simulation.trace),
         }
     })
 }
 
-/// The shortest list of troubles that still breaks the rule, as far as leaving out one
-/// after the other finds it.
-fn shrink(day: &Day, rule: &str) -> Day {
-    let mut day = day.clone();
-    let breaks = |day: &Day| (0..2).any(|_| play(day).broken.contains_key(rule));
+/// Removes faults one by one while the rule is still violated, and returns the scenario
+/// that remains. Not necessarily minimal, as each fault is tried once.
+fn shrink(scenario: &Scenario, rule: &str) -> Scenario {
+    let mut scenario = scenario.clone();
+    let still_violates =
+        |scenario: &Scenario| (0..2).any(|_| run_scenario(scenario).violations.contains_key(rule));
     let mut i = 0;
-    while i < day.events.len() {
-        let mut fewer = day.clone();
-        fewer.events.remove(i);
-        if breaks(&fewer) { day = fewer } else { i += 1 }
+    while i < scenario.faults.len() {
+        let mut reduced = scenario.clone();
+        reduced.faults.remove(i);
+        if still_violates(&reduced) { scenario = reduced } else { i += 1 }
     }
-    day
+    scenario
 }
--- a/crates/daemon/tests/unit/fault_days/tests.rs
+++ b/crates/daemon/tests/unit/fault_days/tests.rs
@@ -1,127 +1,152 @@
-//! The days that are played.
+//! The tests with drawn and with fixed scenarios, and tests of the checker itself.
 
+use super::faults::{Fault, Target};
 use super::machines::CANCEL_MS;
-use super::troubles::{Trouble, Who};
 use super::*;
 
-/// Days that CI plays.
-const DAYS: std::ops::Range<u64> = 0..8;
+/// Seeds that CI runs.
+const SEEDS: std::ops::Range<u64> = 0..8;
 const COMBINATIONS: usize = 3;
 
-fn day(seed: u64) -> Day {
-    Day {
+fn scenario(seed: u64) -> Scenario {
+    Scenario {
         seed,
-        events: troubles::draw(seed, COMBINATIONS),
-        sabotage: Sabotage::None,
-        calm_ms: CALM_MS,
+        faults: faults::draw(seed, COMBINATIONS),
+        defect: Defect::None,
+        recovery_ms: RECOVERY_MS,
         drains: false,
     }
 }
 
-fn at(at: u64, trouble: Trouble) -> Event {
-    Event { at, trouble }
+fn at(starts_at: u64, fault: Fault) -> ScheduledFault {
+    ScheduledFault { starts_at, fault }
 }
 
-/// The days that are asked for, if any are.
-pub(super) fn days() -> Option<std::ops::Range<u64>> {
+/// The seeds selected by the environment variable `SAGELOOM_SIM_SEEDS`, if it is set.
+pub(super) fn seeds_from_environment() -> Option<std::ops::Range<u64>> {
     let text = std::env::var("SAGELOOM_SIM_SEEDS").ok()?;
     let (from, to) = text.split_once("..").expect("FROM..TO");
     Some(from.parse().expect("a number")..to.parse().expect("a number"))
 }
 
-/// No rule breaks when troubles meet.
 #[test]
-fn no_rule_breaks_when_troubles_meet() {
-    let days = days().unwrap_or(DAYS);
+fn no_rule_is_violated_when_faults_overlap() {
+    let seeds = seeds_from_environment().unwrap_or(SEEDS);
     if std::env::var("SAGELOOM_SIM_LOG").is_ok() {
         show_log();
     }
-    let (mut failed, mut started, mut late) = (Vec::new(), 0, 0);
-    for seed in days.clone() {
-        let day = day(seed);
-        let outcome = play(&day);
+    let (mut failed, mut started, mut late_starts) = (Vec::new(), 0, 0);
+    for seed in seeds.clone() {
+        let scenario = scenario(seed);
+        let outcome = run_scenario(&scenario);
         started += outcome.started;
-        late += outcome.late_starts;
+        late_starts += outcome.late_starts;
         println!(
-            "seed {seed}: {} starts, {} jobs done, {} cancelled, {} starts soon after a cancellation, {:?}",
-            outcome.started, outcome.done, outcome.cancelled, outcome.late_starts, outcome.broken
+            "seed {seed}: {} starts, {} jobs done, {} cancelled, {} starts soon after a cancellation, violations: {:?}",
+            outcome.started, outcome.done, outcome.cancelled, outcome.late_starts, outcome.violations
         );
-        if let Some(rule) = outcome.broken.keys().next() {
+        if let Some(rule) = outcome.violations.keys().next() {
             if std::env::var("SAGELOOM_SIM_TRACE").is_ok() {
                 outcome.trace.iter().for_each(|line| println!("{line}"));
             } else {
-                println!("seed {seed} breaks {rule}; it takes: {:#?}", shrink(&day, rule).events);
+                println!(
+                    "seed {seed} violates {rule}; faults needed for it: {:#?}",
+                    shrink(&scenario, rule).faults
+                );
             }
-            failed.push((seed, outcome.broken));
+            failed.push((seed, outcome.violations));
         }
     }
-    println!("{} days played, {started} starts, {late} soon after a cancellation", days.count());
+    println!("{} scenarios run, {started} starts, {late_starts} soon after a cancellation", seeds.count());
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// The state service refuses the leader alone, jobs are called off through the others, and
-/// then it is out for all, for longer than a cancellation may take. The leader goes on
-/// renewing leases only as far as its peers tell it of what was cancelled.
+/// The key-value store refuses the leader alone while jobs are cancelled through the other
+/// controllers. Then the store is unavailable to all for longer than a cancellation may take.
+/// The leader must renew worker leases only as far as its peers inform it of cancellations.
 #[test]
-fn cancellations_reach_a_leader_that_was_refused_before_an_outage() {
+fn cancelled_jobs_stop_when_the_store_refuses_the_leader_before_an_outage() {
     for seed in 0..3 {
-        let refused = Trouble::Refused { who: Who::Leader, for_ms: 2400, then_all_ms: CANCEL_MS + 6000 };
-        // By then there are replicas, which would go on.
-        let events = vec![at(45_000, refused), at(46_000, Trouble::CancelNow { count: 40, hang_ms: 0 })];
-        let outcome = play(&Day { seed, events, sabotage: Sabotage::None, calm_ms: 0, drains: false });
-        assert!(outcome.broken.is_empty(), "seed {seed}: {:?}", outcome.broken);
+        let refused =
+            Fault::StoreRefusal { target: Target::Leader, for_ms: 2400, then_all_ms: CANCEL_MS + 6000 };
+        // By then replicas of services run, which do not end by themselves.
+        let faults = vec![at(45_000, refused), at(46_000, Fault::CancelRunning { count: 40, hang_ms: 0 })];
+        let outcome =
+            run_scenario(&Scenario { seed, faults, defect: Defect::None, recovery_ms: 0, drains: false });
+        assert!(outcome.violations.is_empty(), "seed {seed}: {:?}", outcome.violations);
     }
 }
 
-/// Whether the checker finds what is broken on purpose.
-fn finds(rule: &str, sabotage: Sabotage, events: &[Event], calm_ms: u64) {
+/// Asserts that the checker reports a violation of the rule when the defect is injected.
+fn assert_violation_found(rule: &str, defect: Defect, faults: &[ScheduledFault], recovery_ms: u64) {
     let found = |seed| {
-        let day = Day { seed, events: events.to_vec(), sabotage, calm_ms, drains: false };
-        play(&day).broken.contains_key(rule)
+        let scenario = Scenario { seed, faults: faults.to_vec(), defect, recovery_ms, drains: false };
+        run_scenario(&scenario).violations.contains_key(rule)
     };
-    assert!((0..8).any(found), "{sabotage:?}: {rule}");
+    assert!((0..8).any(found), "{defect:?}: {rule}");
 }
 
-/// Users call off what runs, or jobs come beyond all limits.
-fn cancel() -> Event {
-    at(18_000, Trouble::CancelNow { count: 8, hang_ms: 0 })
+/// Users cancel running jobs.
+fn cancel_running() -> ScheduledFault {
+    at(18_000, Fault::CancelRunning { count: 8, hang_ms: 0 })
 }
 
-fn burst() -> Event {
-    at(9000, Trouble::Burst { count: 30 })
+/// More jobs are submitted than the limits allow to run.
+fn submission_burst() -> ScheduledFault {
+    at(9000, Fault::SubmissionBurst { count: 30 })
 }
 
 #[test]
-fn the_checker_finds_what_machines_do_against_the_rules() {
-    let hang = at(17_500, Trouble::Hang { count: 9, for_ms: 20_000 });
-    finds("ran_twice", Sabotage::Released, &[hang], 0);
-    // Beyond their leases, too, while nothing reaches them.
-    let deaf = at(17_500, Trouble::Deaf { count: 9, for_ms: CANCEL_MS + 15_000 });
-    finds("ran_cancelled", Sabotage::Leases, &[deaf, cancel()], 0);
-    finds("ran_cancelled", Sabotage::Stops, &[cancel()], CANCEL_MS);
-    finds("started_cancelled", Sabotage::Again, &[], CANCEL_MS);
-    let more = at(25_000, Trouble::Burst { count: 30 });
-    finds("wrong_place", Sabotage::Kind, &[burst(), more], CANCEL_MS);
-    finds("nothing_ran", Sabotage::Starts, &[], 0);
+fn the_checker_finds_violations_when_machines_ignore_the_protocol() {
+    let machine_hang = at(17_500, Fault::MachineHang { count: 9, for_ms: 20_000 });
+    assert_violation_found("ran_twice", Defect::ReleasesIgnored, &[machine_hang], 0);
+    // The tasks outlive the leases while no message reaches the machines.
+    let inbound_loss = at(17_500, Fault::InboundLoss { count: 9, for_ms: CANCEL_MS + 15_000 });
+    assert_violation_found("ran_cancelled", Defect::LeasesIgnored, &[inbound_loss, cancel_running()], 0);
+    assert_violation_found("ran_cancelled", Defect::StopsIgnored, &[cancel_running()], CANCEL_MS);
+    assert_violation_found("started_cancelled", Defect::StoppedTaskRestarted, &[], CANCEL_MS);
+    let second_burst = at(25_000, Fault::SubmissionBurst { count: 30 });
+    assert_violation_found(
+        "invalid_placement",
+        Defect::SpotReportedOnDemand,
+        &[submission_burst(), second_burst],
+        CANCEL_MS,
+    );
+    assert_violation_found("nothing_ran", Defect::StartsIgnored, &[], 0);
 }
 
 #[test]
-fn the_checker_finds_wrong_answers() {
-    finds("not_done", Sabotage::Done, &[], 0);
-    finds("forgotten", Sabotage::Forget, &[], 10_000);
-    finds("forgotten", Sabotage::Unknown, &[], 0);
-    finds("went_back", Sabotage::Flip, &[cancel()], 10_000);
-    finds("went_back", Sabotage::Called, &[], 0);
-    finds("invented", Sabotage::Invent, &[], 10_000);
-    finds("took_odd", Sabotage::Odd, &[at(15_000, Trouble::OddRequests { for_ms: 10_000 })], 0);
+fn the_checker_finds_violations_when_users_get_wrong_answers() {
+    assert_violation_found("reported_done_early", Defect::FailureReportedDone, &[], 0);
+    assert_violation_found("job_lost", Defect::RecordDeleted, &[], 10_000);
+    assert_violation_found("job_lost", Defect::FalseNotFound, &[], 0);
+    assert_violation_found("state_reverted", Defect::RecordReverted, &[cancel_running()], 10_000);
+    assert_violation_found("state_reverted", Defect::OpenReportedCancelled, &[], 0);
+    assert_violation_found("unknown_job", Defect::RecordFabricated, &[], 10_000);
+    assert_violation_found(
+        "accepted_invalid_job",
+        Defect::RejectionReportedAccepted,
+        &[at(15_000, Fault::InvalidRequests { for_ms: 10_000 })],
+        0,
+    );
 }
 
 #[test]
-fn the_checker_finds_what_is_late_or_too_much() {
-    finds("quota", Sabotage::Limit, &[burst()], 0);
-    finds("too_early", Sabotage::Needs, &[burst()], 0);
-    finds("orphaned", Sabotage::Needs, &[burst(), cancel()], CANCEL_MS * 2);
-    // Once all troubles are over.
-    finds("waited", Sabotage::Starts, &[], CALM_MS);
-    finds("forgotten", Sabotage::Mute, &[], CALM_MS);
+fn the_checker_finds_violations_when_jobs_wait_start_early_or_exceed_limits() {
+    assert_violation_found("quota", Defect::RaisedTeamLimit, &[submission_burst()], 0);
+    assert_violation_found(
+        "started_before_dependencies",
+        Defect::DependenciesDropped,
+        &[submission_burst()],
+        0,
+    );
+    assert_violation_found(
+        "dependent_not_cancelled",
+        Defect::DependenciesDropped,
+        &[submission_burst(), cancel_running()],
+        CANCEL_MS * 2,
+    );
+    // These are found only after all faults have ended.
+    assert_violation_found("waited_despite_capacity", Defect::StartsIgnored, &[], RECOVERY_MS);
+    assert_violation_found("job_lost", Defect::AnswersDropped, &[], RECOVERY_MS);
 }
