--- a/crates/daemon/benches/load/main.rs
+++ b/crates/daemon/benches/load/main.rs
@@ -1,7 +1,7 @@
-//! How much a controller's work costs, and how that grows with the site. Instructions
-//! are counted by valgrind, as those are the same on a busy machine:
-//! `cargo bench --bench load` prints them for sites of several sizes,
-//! `cargo bench --bench load --features heap -- memory` prints what is held.
+//! Measures the cost of a controller's work and how it grows with the size of the site.
+//! Valgrind counts instructions, because their number does not depend on the load of the
+//! machine: `cargo bench --bench load` prints them for sites of several sizes, and
+//! `cargo bench --bench load --features heap -- memory` prints the memory held.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -15,15 +15,15 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// Machines and jobs.
+/// Site sizes: machines and jobs.
 const SITES: [(usize, usize); 5] =
     [(100, 10_000), (1000, 1000), (1000, 10_000), (1000, 100_000), (10_000, 10_000)];
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).filter(|a| a != "--bench").collect();
-    let size = |i: usize| args.get(i).and_then(|a| a.parse::<usize>().ok());
-    match (args.first().map(String::as_str), size(1), size(2)) {
-        // Under valgrind: what was counted of each case lies in its files.
+    let size_argument = |i: usize| args.get(i).and_then(|a| a.parse::<usize>().ok());
+    match (args.first().map(String::as_str), size_argument(1), size_argument(2)) {
+        // Runs under valgrind, which writes one file of counts per case.
         (Some("count"), Some(machines), Some(jobs)) => {
             for (name, times) in Site::new(machines, jobs).run() {
                 println!("{times} {name}");
@@ -40,7 +40,7 @@
     }
 }
 
-/// Counts the cases on each site and prints them side by side.
+/// Measures the cases on each site and prints them side by side.
 fn table(sites: &[(usize, usize)]) -> ExitCode {
     let mut order: Vec<String> = Vec::new();
     let mut rows: BTreeMap<String, Vec<String>> = BTreeMap::new();
@@ -55,13 +55,13 @@
                 }
             }
             Err(e) => {
-                eprintln!("{machines} machines, {jobs} jobs: {e}");
+                eprintln!("benchmark with {machines} machines and {jobs} jobs failed: {e}");
                 return ExitCode::FAILURE;
             }
         }
     }
-    let heads: Vec<String> = sites.iter().map(|(m, j)| format!("{m}/{j}")).collect();
-    println!("| instructions, at machines/jobs | {} |", heads.join(" | "));
+    let sizes: Vec<String> = sites.iter().map(|(m, j)| format!("{m}/{j}")).collect();
+    println!("| instructions, at machines/jobs | {} |", sizes.join(" | "));
     println!("| --- |{}", " ---: |".repeat(sites.len()));
     for name in order {
         println!("| {name} | {} |", rows[&name].join(" | "));
@@ -69,19 +69,20 @@
     ExitCode::SUCCESS
 }
 
-/// One site's cases and what each cost, counted in a process of its own.
+/// Measures the cases of one site in a separate process and returns the instructions per
+/// operation of each.
 fn count(machines: usize, jobs: usize) -> Result<Vec<(String, u64)>, String> {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("load-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
-    let me = std::env::current_exe().map_err(|e| e.to_string())?;
+    let benchmark = std::env::current_exe().map_err(|e| e.to_string())?;
     let out = Command::new("valgrind")
         .args(["--tool=callgrind", "--collect-atstart=no", "--toggle-collect=*cases::measured*"])
         .arg("--dump-before=*cases::case_over*")
         .arg(format!("--callgrind-out-file={}", dir.join("out").display()))
-        .arg(me)
+        .arg(benchmark)
         .args(["count", &machines.to_string(), &jobs.to_string()])
         .output()
-        .map_err(|e| format!("valgrind: {e}"))?;
+        .map_err(|e| format!("running valgrind: {e}"))?;
     if !out.status.success() {
         return Err(String::from_utf8_lossy(&out.stderr).into_owned());
     }
@@ -95,17 +96,17 @@
         .collect();
     let counted: Vec<u64> = (1..=cases.len()).filter_map(|n| total(&dir.join(format!("out.{n}")))).collect();
     if counted.len() != cases.len() {
-        return Err(format!("{} cases, {} counts", cases.len(), counted.len()));
+        return Err(format!("valgrind wrote {1} counts for {0} cases", cases.len(), counted.len()));
     }
-    // The first half was to warm up.
+    // The first half is the warm-up run.
     let half = cases.len() / 2;
-    let of = |((n, name), sum): (&(u64, &str), &u64)| ((*name).to_owned(), sum / n.max(&1));
-    let costs = cases[half..].iter().zip(&counted[half..]).map(of).collect();
+    let cost_per_operation = |((n, name), sum): (&(u64, &str), &u64)| ((*name).to_owned(), sum / n.max(&1));
+    let costs = cases[half..].iter().zip(&counted[half..]).map(cost_per_operation).collect();
     let _ = std::fs::remove_dir_all(&dir);
     Ok(costs)
 }
 
-/// The instructions that one of valgrind's files tells of.
+/// The total number of instructions in one of valgrind's files.
 fn total(file: &Path) -> Option<u64> {
     let text = std::fs::read_to_string(file).ok()?;
     let line = text.lines().rev().find_map(|l| l.strip_prefix("totals:").or(l.strip_prefix("summary:")))?;
@@ -114,44 +115,47 @@
 
 #[cfg(not(feature = "heap"))]
 fn memory() -> ExitCode {
-    eprintln!("memory is counted with --features heap");
+    eprintln!("the memory benchmark requires --features heap");
     ExitCode::FAILURE
 }
 
-/// Bytes held for each thing that there are many of.
+/// Prints the bytes held per record, worker and connection.
 #[cfg(feature = "heap")]
 fn memory() -> ExitCode {
     let _profiler = dhat::Profiler::builder().build();
     let used = || dhat::HeapStats::get().curr_bytes;
     let mut site = Site::empty();
     let mut last = used();
-    let mut told = |what: &str, n: usize| {
+    let mut print_row = |what: &str, n: usize| {
         let now = used();
         println!("| {what} | {} |", (now - last) / n);
         last = now;
     };
-    println!("| bytes held for each | |\n| --- | ---: |");
+    println!("| bytes held per item | |\n| --- | ---: |");
     let (machines, jobs) = (1000, 10_000);
     site.add_machines(machines);
-    told("machine's record", machines);
-    let open = machines * cases::ON_EACH / cases::TASKS as usize;
-    site.add_open(open);
-    told("open job of 8 assignments", open);
-    site.add_finished(jobs);
-    told("finished job", jobs);
+    print_row("machine record", machines);
+    let running_jobs = machines * cases::TASKS_PER_MACHINE / cases::TASKS_PER_JOB as usize;
+    site.add_running_jobs(running_jobs);
+    print_row("running job with 8 assignments", running_jobs);
+    site.add_finished_jobs(jobs);
+    print_row("finished job", jobs);
     site.add_workers();
-    told("worker with 4 tasks", machines / 2);
-    site.hear_peer(1);
-    told("machine of a peer", machines / 2);
-    // What grows with the site, all of it held by one controller.
+    print_row("worker with 4 tasks", machines / 2);
+    site.receive_peer_status(1);
+    print_row("machine of a peer", machines / 2);
+    // Everything that grows with the site, held by one controller.
     let before = used();
     let mut large = Site::empty();
     large.add_machines(4000);
-    large.add_open(20_000 / cases::TASKS as usize);
-    large.add_finished(jobs);
+    large.add_running_jobs(20_000 / cases::TASKS_PER_JOB as usize);
+    large.add_finished_jobs(jobs);
     large.add_workers();
-    large.hear_peer(1);
-    println!("| in all, 4,000 machines, 20,000 open tasks and 10,000 finished jobs | {} |", used() - before);
+    large.receive_peer_status(1);
+    println!(
+        "| in total, 4,000 machines, 20,000 running tasks and 10,000 finished jobs | {} |",
+        used() - before
+    );
     drop(large);
     println!("| idle connection | {} |", cases::idle_connections(1000, used) / 1000);
     ExitCode::SUCCESS
--- a/crates/daemon/tests/unit/fault_days/controllers.rs
+++ b/crates/daemon/tests/unit/fault_days/controllers.rs
@@ -81,7 +81,7 @@
         simulation.controllers[n] = Process { controller: Some(controller), incarnation };
     }
 
-    /// Kills a controller without a shutdown of its cluster membership.
+    /// Kills a controller without ending its lease.
     pub(super) fn kill_controller(&self, n: usize) {
         if let Some(controller) = self.lock().controllers[n].controller.take() {
             controller.shutdown.cancel();
--- a/crates/daemon/tests/unit/fault_days/key_value_store.rs
+++ b/crates/daemon/tests/unit/fault_days/key_value_store.rs
@@ -313,7 +313,7 @@
 }
 
 impl Simulation {
-    /// Corrupts a record as the injected defect demands, after all faults have ended. Returns
+    /// Corrupts a record once as the injected defect demands, after all faults have ended. Returns
     /// the id of the job whose status queries reveal it.
     pub(super) fn corrupt_records(&mut self) -> Option<String> {
         let cancelled = self.defect == Defect::RecordReverted;
--- a/crates/daemon/tests/unit/fault_days/machines.rs
+++ b/crates/daemon/tests/unit/fault_days/machines.rs
@@ -122,12 +122,12 @@
             TaskState::Fetching if defect == Defect::RunningReportedEarly => TaskState::Running,
             other => other,
         };
-        let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
+        let tasks = self.tasks.iter().map(|((task, attempt), execution)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
-            state: reported_state(t.state),
-            cause: t.cause,
-            checkpointed: t.checkpointed,
+            state: reported_state(execution.state),
+            cause: execution.cause,
+            checkpointed: execution.checkpointed,
         });
         Heartbeat {
             machine: id.into(),
@@ -167,33 +167,37 @@
                 continue;
             }
             machine.expire_lease(now, defect);
-            for ((task, attempt), t) in &mut machine.tasks {
+            for ((task, attempt), execution) in &mut machine.tasks {
                 let kind = super::users::kind_of(task);
-                match t.state {
-                    TaskState::Fetching if now >= t.ends_at => {
+                match execution.state {
+                    TaskState::Fetching if now >= execution.ends_at => {
                         machine.has_unreported_change = true;
                         match kind {
-                            JobKind::Gang => (t.state, t.ends_at) = (TaskState::Waiting, now + GANG_WAIT_MS),
+                            JobKind::Gang => {
+                                (execution.state, execution.ends_at) =
+                                    (TaskState::Waiting, now + GANG_WAIT_MS)
+                            }
                             _ => {
-                                (t.state, t.ends_at) = (TaskState::Running, now + super::users::run_ms(task));
+                                (execution.state, execution.ends_at) =
+                                    (TaskState::Running, now + super::users::run_ms(task));
                                 running.push((task.clone(), *attempt));
                             }
                         }
                     }
-                    TaskState::Waiting if now >= t.ends_at => {
+                    TaskState::Waiting if now >= execution.ends_at => {
                         machine.has_unreported_change = true;
-                        t.exit(ExitReason::GangIncomplete);
+                        execution.exit(ExitReason::GangIncomplete);
                     }
-                    TaskState::Saving if now >= t.ends_at => {
+                    TaskState::Saving if now >= execution.ends_at => {
                         machine.has_unreported_change = true;
-                        t.exit(ExitReason::Stopped);
-                        t.checkpointed = Some(true);
+                        execution.exit(ExitReason::Stopped);
+                        execution.checkpointed = Some(true);
                     }
-                    TaskState::Running if now >= t.ends_at && kind != JobKind::Gang => {
+                    TaskState::Running if now >= execution.ends_at && kind != JobKind::Gang => {
                         machine.has_unreported_change = true;
                         finished.push((id.clone(), task.clone()));
                         let fails = defect == Defect::FailureReportedDone && task.ends_with("/1");
-                        t.exit(ExitReason::Done);
+                        execution.exit(ExitReason::Done);
                         if !fails {
                             self.done_tasks.insert(task.clone());
                         }
@@ -238,15 +242,15 @@
         for machine in
             self.machines.values().filter(|machine| machine.is_up(now) && now >= machine.hung_until)
         {
-            for ((task, attempt), t) in &machine.tasks {
+            for ((task, attempt), execution) in &machine.tasks {
                 if super::users::kind_of(task) != JobKind::Gang {
                     continue;
                 }
                 let key = (super::job_of(task).to_owned(), *attempt);
-                if matches!(t.state, TaskState::Waiting | TaskState::Running) {
+                if matches!(execution.state, TaskState::Waiting | TaskState::Running) {
                     present.entry(key.clone()).or_default().insert(task.clone());
                 }
-                if t.state == TaskState::Running {
+                if execution.state == TaskState::Running {
                     running_gangs.entry(key).or_default().insert(task.clone());
                 }
             }
@@ -255,29 +259,30 @@
         for machine in
             self.machines.values_mut().filter(|machine| machine.is_up(now) && now >= machine.hung_until)
         {
-            for ((task, attempt), t) in &mut machine.tasks {
+            for ((task, attempt), execution) in &mut machine.tasks {
                 let key = (super::job_of(task).to_owned(), *attempt);
                 let gang_size = super::users::tasks_of(&key.0) as usize;
                 if super::users::kind_of(task) != JobKind::Gang {
                     continue;
                 }
-                match t.state {
+                match execution.state {
                     TaskState::Waiting if present.get(&key).is_some_and(|s| s.len() == gang_size) => {
-                        (t.state, t.ends_at) = (TaskState::Running, now + super::users::run_ms(&key.0));
+                        (execution.state, execution.ends_at) =
+                            (TaskState::Running, now + super::users::run_ms(&key.0));
                         machine.has_unreported_change = true;
                     }
                     TaskState::Running => {
                         if present.get(&key).is_some_and(|s| s.len() == gang_size) {
-                            t.incomplete_since = None;
-                            if now >= t.ends_at {
-                                t.exit(ExitReason::Done);
+                            execution.incomplete_since = None;
+                            if now >= execution.ends_at {
+                                execution.exit(ExitReason::Done);
                                 machine.has_unreported_change = true;
                                 done.insert(key.0);
                             }
                         } else if running_gangs.get(&key).is_some_and(|s| s.len() < gang_size)
-                            && now >= *t.incomplete_since.get_or_insert(now) + GANG_PEER_MS
+                            && now >= *execution.incomplete_since.get_or_insert(now) + GANG_PEER_MS
                         {
-                            t.exit(ExitReason::PeersGone);
+                            execution.exit(ExitReason::PeersGone);
                             machine.has_unreported_change = true;
                         }
                     }
@@ -320,14 +325,14 @@
                     let extra_fetch_ms = if defect == Defect::RunningReportedEarly { 8000 } else { 0 };
                     let fetch_ms = 200 + extra_fetch_ms + self.rng.random_range(0..1200);
                     let state = if refusal.is_some() { TaskState::Exited } else { TaskState::Fetching };
-                    let t = Task {
+                    let execution = Task {
                         state,
                         cause: refusal,
                         checkpointed: None,
                         ends_at: now + fetch_ms,
                         incomplete_since: None,
                     };
-                    machine.tasks.insert((task.clone(), *attempt), t);
+                    machine.tasks.insert((task.clone(), *attempt), execution);
                     machine.has_unreported_change = true;
                     if refusal.is_none() {
                         self.check_start(id, task);
@@ -335,20 +340,23 @@
                 }
                 Command::Stop { task, attempt, grace_s } => {
                     let key = (task.clone(), *attempt);
-                    let Some(t) = machine.tasks.get_mut(&key).filter(|t| t.is_active()) else { continue };
+                    let Some(execution) = machine.tasks.get_mut(&key).filter(|t| t.is_active()) else {
+                        continue;
+                    };
                     if defect == Defect::StoppedTaskRestarted {
                         self.pending_restarts.push((now + 5000, id.to_owned(), task.clone(), *attempt));
                     }
                     if defect == Defect::StopsIgnored {
                         continue;
                     }
-                    let ran = t.state == TaskState::Running;
+                    let ran = execution.state == TaskState::Running;
                     machine.has_unreported_change = true;
-                    let saves = t.state == TaskState::Running && super::users::saves(task) && *grace_s >= 2.0;
-                    match t.state {
+                    let saves =
+                        execution.state == TaskState::Running && super::users::saves(task) && *grace_s >= 2.0;
+                    match execution.state {
                         TaskState::Saving if *grace_s > 0.0 => {}
-                        _ if saves => (t.state, t.ends_at) = (TaskState::Saving, now + 2000),
-                        _ => t.exit(ExitReason::Stopped),
+                        _ if saves => (execution.state, execution.ends_at) = (TaskState::Saving, now + 2000),
+                        _ => execution.exit(ExitReason::Stopped),
                     }
                     if ran {
                         self.record_stop(id, task, *attempt);
--- a/crates/daemon/tests/unit/fault_days/mod.rs
+++ b/crates/daemon/tests/unit/fault_days/mod.rs
@@ -106,7 +106,8 @@
     started: u64,
     done: usize,
     cancelled: usize,
-    /// Tasks of cancelled jobs that started shortly after the cancellation was confirmed.
+    /// Tasks of cancelled jobs that started soon after the cancellation was confirmed, which
+    /// is allowed while faults delay commands.
     late_starts: u64,
     /// Running replicas that were stopped although their users had not cancelled them.
     voluntary_stops: usize,
--- a/crates/daemon/tests/unit/fault_days/users.rs
+++ b/crates/daemon/tests/unit/fault_days/users.rs
@@ -43,7 +43,7 @@
 }
 
 /// A pseudorandom number derived from the number of the job.
-fn scrambled(n: u64) -> u64 {
+fn pseudorandom(n: u64) -> u64 {
     (n + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33
 }
 
@@ -58,7 +58,7 @@
 
 pub(super) fn tasks_of(job: &str) -> u32 {
     let n = job_number(job);
-    let extra_tasks = (scrambled(n) % 4) as u32;
+    let extra_tasks = (pseudorandom(n) % 4) as u32;
     match n % 5 {
         0 | 1 => 2 + extra_tasks,
         2 => 2 + extra_tasks % 2,
@@ -78,9 +78,9 @@
     let task_number: u64 = task.split_once('/').and_then(|(_, t)| t.parse().ok()).unwrap_or_default();
     match kind_of(task) {
         JobKind::Service => u64::MAX / 2,
-        JobKind::Gang => 6000 + scrambled(n) % 12_000,
+        JobKind::Gang => 6000 + pseudorandom(n) % 12_000,
         JobKind::Array if n.is_multiple_of(8) => 45_000,
-        JobKind::Array => 1500 + (scrambled(n) + task_number * 3777) % 12_000,
+        JobKind::Array => 1500 + (pseudorandom(n) + task_number * 3777) % 12_000,
     }
 }
 
@@ -92,7 +92,7 @@
         team: if n % 4 == 3 { "u" } else { "t" }.into(),
         kind,
         priority: [Priority::Normal, Priority::High, Priority::Low, Priority::Production]
-            [(scrambled(n) % 4) as usize],
+            [(pseudorandom(n) % 4) as usize],
         tasks: tasks_of(&id),
         cpus: cpus_of(&id),
         gpus: 0.0,
