--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -35,8 +35,9 @@
 const REPETITIONS: usize = 64;
 const ZONES: [&str; 2] = ["a", "b"];
 
-/// The worker durations are a thousand times as long as on a real site: execution under
-/// valgrind is slow, and the workers must not be treated as silent because of that.
+/// The heartbeat interval, the lease and the cancellation bound are a thousand times as long
+/// as on a real site: execution under valgrind is slow, and the workers must not be treated
+/// as silent because of that.
 const SETTINGS: &str = r#"
     node_name = "n-0"
     zone = "a"
--- a/crates/daemon/tests/unit/fault_days/drains.rs
+++ b/crates/daemon/tests/unit/fault_days/drains.rs
@@ -1,7 +1,7 @@
 //! Drains concurrent with other faults: an operator drains machines, and the stops that the
 //! machines executed are checked against the disruption budgets. In these scenarios teams
-//! have no guaranteed CPUs and services have the highest priority. Hence no running replica
-//! is preempted, and each stop of a replica that its user wants is a voluntary disruption.
+//! have no guaranteed CPUs and services have the highest priority, so that stopping a running
+//! replica that its user wants is always a voluntary disruption.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/daemon/tests/unit/fault_days/faults.rs
+++ b/crates/daemon/tests/unit/fault_days/faults.rs
@@ -520,13 +520,13 @@
             };
             let open = simulation.jobs.iter().filter(|(_, j)| j.accepted_at.is_some() && !j.is_final());
             open.map(|(id, _)| (id.clone(), machines_of(id)))
-                .filter(|(_, machines_of)| !machines_of.is_empty())
+                .filter(|(_, machines)| !machines.is_empty())
                 .take(count)
                 .collect()
         };
         if hang_ms > 0 {
             let machines: Vec<String> =
-                running.iter().flat_map(|(_, machines_of)| machines_of.iter().cloned()).take(8).collect();
+                running.iter().flat_map(|(_, machines)| machines.iter().cloned()).take(8).collect();
             self.hang(&machines, hang_ms);
         }
         for (job, _) in running {
