--- a/crates/daemon/benches/load/cases.rs
+++ b/crates/daemon/benches/load/cases.rs
@@ -282,13 +282,13 @@
     }
 
     /// The machines that this controller owns.
-    fn owned(&self) -> Vec<usize> {
+    fn owned_machines(&self) -> Vec<usize> {
         (0..self.machines).filter(|n| n.is_multiple_of(2)).collect()
     }
 
     /// Adds the workers of the owned machines as after their first heartbeats.
     pub fn add_workers(&mut self) {
-        for n in self.owned() {
+        for n in self.owned_machines() {
             let heartbeat = self.heartbeat(n, 0);
             let now = Instant::now();
             let mut worker = Worker::new(heartbeat.addr.clone(), EPOCH, now);
@@ -357,9 +357,9 @@
 
     fn encoded_heartbeats(&mut self, ended: usize) -> Vec<Vec<u8>> {
         self.sequence += 1;
-        let owned = self.owned();
-        let step = (owned.len() / REPETITIONS).max(1);
-        let sampled = owned.into_iter().step_by(step).take(REPETITIONS);
+        let owned_machines = self.owned_machines();
+        let step = (owned_machines.len() / REPETITIONS).max(1);
+        let sampled = owned_machines.into_iter().step_by(step).take(REPETITIONS);
         sampled.map(|n| wire::encode(&self.heartbeat(n, ended))).collect()
     }
 
--- a/crates/daemon/src/api/machine_registration.rs
+++ b/crates/daemon/src/api/machine_registration.rs
@@ -58,9 +58,9 @@
     let requests: Vec<_> = batch
         .into_iter()
         .map(|(id, record)| {
-            let task_controller = controller.clone();
+            let controller_for_request = controller.clone();
             controller.task_tracker.spawn(async move {
-                confirms_name(&task_controller, &id, &record).await.then_some((id, record))
+                confirms_name(&controller_for_request, &id, &record).await.then_some((id, record))
             })
         })
         .collect();
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -124,7 +124,7 @@
     /// The class of jobs to which the objective applies.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time of the objective, in seconds.
+    /// The target, in seconds: with `wait`, tasks start within this time.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
--- a/crates/daemon/tests/unit/autoscaler_scale_in.rs
+++ b/crates/daemon/tests/unit/autoscaler_scale_in.rs
@@ -101,7 +101,7 @@
 }
 
 /// After a controller's process was paused for half a minute, its state shows all its machines as
-/// silent for that long. It must not release any of them for it.
+/// silent for that long. It must not release any of them for this reason.
 #[test]
 fn nothing_is_released_after_a_process_pause() {
     let controller = scale::controller(100, 1);
--- a/crates/daemon/tests/unit/drains.rs
+++ b/crates/daemon/tests/unit/drains.rs
@@ -201,8 +201,8 @@
     // A controller that comes back without support for drains writes an older schema marker.
     state.records.replica.apply(RecordChange::SchemaMarker("n-1".into(), Some(SCHEMA_VERSION)), 9);
     let obstacle = unsupporting_controller(&controller, &state.records.replica).expect("paused");
-    // The replicas on its machines would never be observed to run. The rescheduler therefore evicts
-    // as if drains were disabled.
+    // Such a controller does not report its running tasks, so replicas on its machines would never be
+    // observed to run. The rescheduler therefore evicts as if drains were disabled.
     assert!(EvictionBudget::for_cycle(&controller, &state, &[]).is_none());
     assert_eq!((obstacle.kind, &*obstacle.job), (ObstacleKind::OldController, "n-1"));
 }
--- a/crates/daemon/tests/unit/fault_days/controllers.rs
+++ b/crates/daemon/tests/unit/fault_days/controllers.rs
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Stops or kills a controller and starts it again after `away_ms`.
-    pub(super) async fn restart_controller(&self, n: usize, orderly: bool, away_ms: u64) {
+    /// Stops or kills a controller and starts it again after `downtime_ms`.
+    pub(super) async fn restart_controller(&self, n: usize, orderly: bool, downtime_ms: u64) {
         if orderly {
             self.stop_controller(n).await;
         } else {
             self.kill_controller(n);
         }
-        sleep(Duration::from_millis(away_ms)).await;
+        sleep(Duration::from_millis(downtime_ms)).await;
         self.start_controller(n);
     }
 
--- a/crates/daemon/tests/unit/fault_days/drains.rs
+++ b/crates/daemon/tests/unit/fault_days/drains.rs
@@ -235,7 +235,8 @@
 #[test]
 fn drains_keep_the_rules_when_the_leader_restarts_and_the_store_is_unavailable() {
     for seed in 0..2 {
-        let quick_restart = Fault::ControllerRestart { target: Target::Leader, orderly: false, away_ms: 100 };
+        let quick_restart =
+            Fault::ControllerRestart { target: Target::Leader, orderly: false, downtime_ms: 100 };
         let faults = vec![
             at(30_000, Fault::Drain { count: 4 }),
             at(31_000, Fault::Drain { count: 4 }),
--- a/crates/daemon/tests/unit/fault_days/faults.rs
+++ b/crates/daemon/tests/unit/fault_days/faults.rs
@@ -93,7 +93,7 @@
     ControllerRestart {
         target: Target,
         orderly: bool,
-        away_ms: u64,
+        downtime_ms: u64,
     },
     /// Whichever controller leads restarts, repeatedly.
     LeaderRestarts {
@@ -153,7 +153,7 @@
                 for_ms + 7000
             }
             Fault::LeaderRestarts { count, every_ms } => count * every_ms + 2000,
-            Fault::ControllerRestart { away_ms, .. } => away_ms,
+            Fault::ControllerRestart { downtime_ms, .. } => downtime_ms,
             Fault::CancelRunning { hang_ms, .. } => hang_ms,
             Fault::MachineLoss { .. } | Fault::SpotReclaim { .. } => 4000,
             // With the recovery period, long enough for an obstacle to end the drain.
@@ -213,11 +213,15 @@
             16 => Fault::ConcurrentQueries { for_ms: 20_000 },
             17 => Fault::InvalidRequests { for_ms: 20_000 },
             18 => Fault::FastBoots { for_ms: 20_000 },
-            19 => Fault::ControllerRestart { target, orderly: coin(rng), away_ms: rng.random_range(50..900) },
+            19 => Fault::ControllerRestart {
+                target,
+                orderly: coin(rng),
+                downtime_ms: rng.random_range(50..900),
+            },
             20 => Fault::ControllerRestart {
                 target,
                 orderly: coin(rng),
-                away_ms: rng.random_range(1000..15_000),
+                downtime_ms: rng.random_range(1000..15_000),
             },
             21 => Fault::LeaderRestarts { count: 10, every_ms: rng.random_range(3000..6000) },
             22 => Fault::AllControllersDown { for_ms: rng.random_range(2000..LEASE_MS * 3 / 2) },
@@ -250,10 +254,13 @@
     let quick_restart = Fault::ControllerRestart {
         target: leader,
         orderly: rng.random_bool(0.5),
-        away_ms: rng.random_range(30..900),
+        downtime_ms: rng.random_range(30..900),
+    };
+    let leader_crash = Fault::ControllerRestart {
+        target: leader,
+        orderly: false,
+        downtime_ms: rng.random_range(5000..20_000),
     };
-    let leader_crash =
-        Fault::ControllerRestart { target: leader, orderly: false, away_ms: rng.random_range(5000..20_000) };
     let cancel = Fault::CancelRunning { count, hang_ms: 0 };
     let cancel_and_hang = Fault::CancelRunning {
         count,
@@ -280,7 +287,7 @@
         4 => vec![duplicates(true), duplicates(false), quick_restart],
         5 => vec![
             quick_restart,
-            Fault::ControllerRestart { target: Target::Controller(1), orderly: true, away_ms: 300 },
+            Fault::ControllerRestart { target: Target::Controller(1), orderly: true, downtime_ms: 300 },
             leader_crash,
         ],
         6 => vec![Fault::CancelOnCompletion { share: 0.8, for_ms: 25_000 }, concurrent_queries],
@@ -460,17 +467,17 @@
                 self.repeat(250, for_ms / 250, |site| async move { site.send_invalid_request().await });
             }
             Fault::FastBoots { for_ms } => self.lock().cloud.fast_boots_until = now + for_ms,
-            Fault::ControllerRestart { target, orderly, away_ms } => {
+            Fault::ControllerRestart { target, orderly, downtime_ms } => {
                 let (site, n) = (self.clone(), self.controller_of(target));
-                tokio::spawn(async move { site.restart_controller(n, orderly, away_ms).await });
+                tokio::spawn(async move { site.restart_controller(n, orderly, downtime_ms).await });
             }
             Fault::LeaderRestarts { count, every_ms } => self.repeat(every_ms, count, |site| async move {
                 let n = site.leader();
-                let (orderly, away_ms) = {
+                let (orderly, downtime_ms) = {
                     let mut simulation = site.lock();
                     (simulation.rng.random_bool(0.5), simulation.rng.random_range(100..1500))
                 };
-                site.restart_controller(n, orderly, away_ms).await;
+                site.restart_controller(n, orderly, downtime_ms).await;
             }),
             Fault::AllControllersDown { for_ms } => {
                 for n in 0..CONTROLLERS {
--- a/crates/daemon/tests/unit/fault_days/users.rs
+++ b/crates/daemon/tests/unit/fault_days/users.rs
@@ -426,6 +426,6 @@
 }
 
 /// Whether a later answer contradicts a final state that was reported before.
-pub(super) fn is_reverted(eligible: JobState, now: JobState) -> bool {
-    eligible.is_final() && now != eligible
+pub(super) fn is_reverted(earlier: JobState, later: JobState) -> bool {
+    earlier.is_final() && later != earlier
 }
--- a/crates/daemon/tests/unit/faults_records.rs
+++ b/crates/daemon/tests/unit/faults_records.rs
@@ -120,9 +120,10 @@
     }
 }
 
-/// The leader ends. The new owner cannot reach the machine and its response was lost before, but
-/// another controller renewed the lease for the new epoch. The owner must not count on its own
-/// renewal: the task runs on, and is started nowhere else until the worker is heard from.
+/// After a change of leader, the new owner's only response to a heartbeat is lost and it cannot reach
+/// the machine any more, but another controller renews the lease for the new epoch. The owner must
+/// not compute the end of the lease from its own response: the task runs on, and is started nowhere
+/// else until the worker is heard from.
 #[test]
 fn no_task_is_ended_when_another_controller_may_have_renewed_the_lease() {
     let (mut cluster, mut worker) = cluster_with_running_task(3);
--- a/crates/daemon/tests/unit/faults_reports.rs
+++ b/crates/daemon/tests/unit/faults_reports.rs
@@ -75,15 +75,15 @@
         }
         cluster.cancel("j-1");
         cluster.advance(replica_age_s - 2.5);
-        let by_response = {
+        let started_by_response = {
             cluster.exchange_heartbeat(0, &mut worker);
             worker.is_running("j-1/0")
         };
-        let by_request = cluster
+        let started_by_request = cluster
             .run_cycle_and_deliver(0, &mut [&mut worker])
             .iter()
             .any(|c| matches!(c, Command::Start { .. }));
-        (by_response, by_request)
+        (started_by_response, started_by_request)
     };
     assert_eq!(started_at_age(3.5), (true, true), "the replica is still fresh enough");
     for replica_age_s in [5.0, 14.0, 23.0, 60.0] {
--- a/crates/daemon/tests/unit/faults_users.rs
+++ b/crates/daemon/tests/unit/faults_users.rs
@@ -375,8 +375,8 @@
     assert_eq!(job_state(&controller, "j-1").await, (200, Some(JobState::Cancelled)));
 }
 
-/// The leader ends while each response of the state service takes longer than a lease is waited
-/// for: another controller becomes leader all the same.
+/// The leader ends while each response of the state service takes longer than the timeout of lease
+/// renewals: another controller must become leader all the same.
 #[tokio::test]
 async fn new_leader_is_elected_while_the_state_service_is_slow() {
     let service = Service::default();
--- a/crates/daemon/tests/unit/large_site.rs
+++ b/crates/daemon/tests/unit/large_site.rs
@@ -261,7 +261,7 @@
         (job.tasks, job.cpus) = (tasks, cpus);
         apply(replica, RecordChange::Job(id.into(), Some(Box::new(JobRecord::new(job, None, 1000)))));
     };
-    // Enough tasks for nearly every machine without GPUs; there are three thousand of these.
+    // Enough tasks for nearly every machine without GPUs, of which there are three thousand.
     add(&mut state.records.replica, "j-1", JobKind::Gang, 6900, 4.0);
     add(&mut state.records.replica, "j-2", JobKind::Array, 4, 2.0);
     let cycle = scheduler::decide(&controller, &mut state, scheduler::CycleContext::new(16, now, NOW_MS))
--- a/crates/daemon/tests/unit/pipelines.rs
+++ b/crates/daemon/tests/unit/pipelines.rs
@@ -351,8 +351,8 @@
     }
     assert_eq!(job_state(&second, "j-0").await, Some(JobState::Queued));
     assert_eq!(job_state(&second, "j-90").await, Some(JobState::Queued), "j-90 does not depend on j-1");
-    // A submission in the meantime is cancelled too, and a cancellation of a dependant is answered
-    // so.
+    // A job submitted meanwhile that depends on them is cancelled too, and a request to cancel a
+    // dependant is answered with its state, cancelled.
     assert_eq!(
         submit(&second, &spec_with_dependencies("j-50", &["j-39"])).await,
         (201, Some(JobState::Cancelled))
--- a/crates/daemon/tests/unit/read_index.rs
+++ b/crates/daemon/tests/unit/read_index.rs
@@ -238,8 +238,8 @@
     }
 }
 
-/// More jobs are cancelled than one answer holds. The parts count together from when the first was
-/// requested, and only once the last has arrived.
+/// More jobs are cancelled than one answer holds, so the read index is requested in parts. It counts
+/// only once the last part has arrived, and then as of the time at which the first was requested.
 #[test]
 fn cancellations_come_in_parts_when_one_answer_cannot_hold_them() {
     const JOBS: u64 = 4000;
--- a/crates/daemon/tests/unit/sim/checker.rs
+++ b/crates/daemon/tests/unit/sim/checker.rs
@@ -115,7 +115,7 @@
                 self.violations.insert("not_served");
             }
         }
-        // Every dependant of a cancelled job has been recorded as cancelled.
+        // Every dependant of a cancelled job must have been recorded as cancelled by now.
         if replica.pipelines.cancelled_by_dependency().next().is_some() {
             self.violations.insert("cascade");
         }
--- a/crates/daemon/tests/unit/sim/machines.rs
+++ b/crates/daemon/tests/unit/sim/machines.rs
@@ -104,8 +104,8 @@
             self.machines[m].deaf_until = self.step + self.rng.random_range(20..200);
         }
         if self.rng.random_bool(0.3) {
-            // The heartbeat goes to a random controller, which answers only if it takes itself for
-            // the owner by its map.
+            // The heartbeat goes to a random controller, which answers only if its copy of the
+            // cluster map makes it the owner of the machine.
             let n = self.rng.random_range(0..self.controllers.len());
             let heartbeat = self.machines[m].heartbeat(&machine_id(m));
             if self.rng.random_bool(0.1) {
--- a/crates/emulator/src/emulation/proxy.rs
+++ b/crates/emulator/src/emulation/proxy.rs
@@ -31,11 +31,11 @@
         let shared = shared.clone();
         shared.tasks.clone().spawn(async move {
             let Some((node, server)) = connect_to_healthy(&shared).await else { return };
-            let reset =
+            let reset_token =
                 shared.connection_resets.get(node).map(|r| r.lock().child_token()).unwrap_or_default();
             tokio::select! {
                 () = splice(&shared, client, server) => {}
-                () = reset.cancelled() => {}
+                () = reset_token.cancelled() => {}
             }
             shared.balancer.lock().connection_closed(node);
         });
--- a/crates/emulator/src/emulation/services.rs
+++ b/crates/emulator/src/emulation/services.rs
@@ -56,8 +56,8 @@
         if let Some(reply) = shared.state.lock().poll_watch(watch, now) {
             return reply;
         }
-        // A watch past its time is unanswered only while its caller is refused; the end of that is
-        // notified as a change.
+        // After its time, a watch stays unanswered only while a fault makes the state service refuse
+        // its caller. The end of the fault is notified as a change.
         if watch.until() > now {
             tokio::select! {
                 () = changed => {}
--- a/crates/emulator/src/state/request.rs
+++ b/crates/emulator/src/state/request.rs
@@ -43,7 +43,8 @@
     (1..=200).contains(&key.len()) && !key.contains(char::is_whitespace)
 }
 
-/// Whether a value has only text keys and no binary data, as all interfaces require.
+/// Whether all map keys of a value are text and it has no binary data. The interfaces allow only
+/// such values.
 fn is_plain(value: &Value) -> bool {
     match value {
         Value::Map(m) => m.iter().all(|(k, v)| k.is_str() && is_plain(v)),
--- a/crates/emulator/src/worker/tasks.rs
+++ b/crates/emulator/src/worker/tasks.rs
@@ -83,9 +83,9 @@
 
     /// Records the event that a change of a task's state amounts to, if any.
     fn record_state_change(&mut self, key: &(String, u64), state_before: TaskState) {
-        let now = self.tasks.get(key).map_or(TaskState::Exited, |t| t.state);
-        let kind = match (state_before, now) {
-            (state_before, now) if state_before == now => return,
+        let state_after = self.tasks.get(key).map_or(TaskState::Exited, |t| t.state);
+        let kind = match (state_before, state_after) {
+            (state_before, state_after) if state_before == state_after => return,
             (_, TaskState::Running) => TaskEventKind::Running,
             (_, TaskState::Exited) => TaskEventKind::Ended,
             _ => return,
--- a/crates/emulator/tests/balancer_and_users.rs
+++ b/crates/emulator/tests/balancer_and_users.rs
@@ -84,7 +84,8 @@
     SiteFile::parse("busy.hcl", BUSY).expect("the example is valid").loads()
 }
 
-/// Answers 404 to queries for jobs that were never submitted, whose ids are longer.
+/// Answers 404 to queries for jobs that were never submitted. Their ids have one digit more than
+/// those of submitted jobs.
 fn answer_404_if_unknown(request: &UserRequest, response: UserResponse) -> UserResponse {
     if request.id.len() == "j-7000000".len() {
         response
--- a/crates/sched/tests/golden/jobs.rs
+++ b/crates/sched/tests/golden/jobs.rs
@@ -164,7 +164,7 @@
         shard: None,
         submitted_ms: 0,
         attempt: 0,
-        // The number of tasks in `scattered_tasks`.
+        // Compaction keeps only the number of done tasks, here that of `scattered_tasks`.
         done: Ranges::all(7),
         assignments: Vec::new(),
         avoided_machines: Vec::new(),
--- a/crates/sched/tests/unit/placement.rs
+++ b/crates/sched/tests/unit/placement.rs
@@ -337,7 +337,7 @@
     let placed = place(&replica, &mut inventory(&replica), &mut job, &team(), |_| true, limits);
     assert_eq!(placed.len(), 1);
     assert_eq!((placed[0].task, placed[0].attempt, &*placed[0].machine), (0, 1, "a3"));
-    // A machine must not get the same attempt twice.
+    // The machine that gave up its task must not get the same attempt again, and no other is left.
     let mut without_spare = replica.jobs["j-1"].value.as_ref().clone();
     replica.apply(RecordChange::Machine("a3".into(), None), 4);
     assert!(
